--- a/src/test/java/slateslip/simulation/agents/AgentScheduleRunner.java
+++ b/src/test/java/slateslip/simulation/agents/AgentScheduleRunner.java
@@ -1,13 +1,14 @@
 package slateslip.simulation.agents;
 
 import java.util.List;
+import java.util.Objects;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.ShortestSchedule;
 
 /** Plays seeded schedules of whole agents; a seed repeats what it did. */
-final class AgentScheduleRunner {
+public final class AgentScheduleRunner {
   /** The violation of a schedule after which nobody takes a change in time. */
   static final String NOTHING_TAKEN = "no change was taken within the bound after the faults";
 
@@ -67,6 +68,18 @@
     return play(new AgentWorld(shape, seed, mutation), seed, faults);
   }
 
+  /** Hash of the times of all events of one seed and of what it came to. */
+  public static long digest(long seed) {
+    AgentWorld world = new AgentWorld(shape(seed), seed, AgentMutation.NONE);
+    Result result = play(world, seed, ofAllKinds().faults(seed));
+    return Objects.hash(
+        world.events().digest(),
+        world.history().acknowledgements(),
+        result.violation().isPresent(),
+        result.takenAfter(),
+        result.changes());
+  }
+
   /** What of safety was broken, whatever became of the time that changes take. */
   Optional<String> playForSafety(long seed, AgentWorld.Shape shape, List<AgentFault> faults) {
     AgentWorld world = new AgentWorld(shape, seed, mutation);
--- a/src/test/java/slateslip/simulation/control/ScheduleRunner.java
+++ b/src/test/java/slateslip/simulation/control/ScheduleRunner.java
@@ -1,13 +1,14 @@
 package slateslip.simulation.control;
 
 import java.util.List;
+import java.util.Objects;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.ShortestSchedule;
 
 /** Plays seeded schedules; a seed repeats what it did. */
-final class ScheduleRunner {
+public final class ScheduleRunner {
   /** The violation of a schedule after which nobody takes a change in time. */
   static final String NOTHING_TAKEN = "no change was taken within the bound after the faults";
 
@@ -53,15 +54,30 @@
     return play(seed, faults(seed));
   }
 
+  /** Hash of the times of all events of one seed and of what it came to. */
+  public static long digest(long seed) {
+    ScheduleRunner runner = new ScheduleRunner(Mutation.NONE);
+    ControlWorld world = new ControlWorld(shape(seed), seed, Mutation.NONE);
+    Result result = play(world, seed, runner.faults(seed));
+    return Objects.hash(
+        world.events().digest(),
+        result.violation().isPresent(),
+        result.takenAfter(),
+        result.changes());
+  }
+
   Result play(long seed, List<Fault> faults) {
     WorldShape shape = mutation == Mutation.NONE ? shape(seed) : SHAPES[0];
-    ControlWorld world = new ControlWorld(shape, seed, mutation);
+    return play(new ControlWorld(shape, seed, mutation), seed, faults);
+  }
+
+  private static Result play(ControlWorld world, long seed, List<Fault> faults) {
     try {
       world.begin(2);
       faults.forEach(fault -> world.at(BEGIN + fault.atMicros(), fault));
       world.runUntil(BEGIN + FAULTS_FOR);
       boolean withLosses = (seed & 1) == 1;
-      world.heal(withLosses ? shape.faultTolerance() : 0);
+      world.heal(withLosses ? world.shape().faultTolerance() : 0);
       long taken = world.timeToTakeChange(LIVENESS_BOUND);
       if (taken < 0) {
         return failed(world, NOTHING_TAKEN);
