--- a/src/main/java/gatefront/Open.java
+++ b/src/main/java/gatefront/Open.java
@@ -1,74 +1,83 @@
 package gatefront;
 
-import java.util.ArrayList;
-import java.util.List;
 import gatefront.Balancer.Outcome;
 import gatefront.Balancer.Request;
 import gatefront.Balancer.RequestClass;
+import java.util.ArrayList;
+import java.util.List;
 
 /** One request that an agent has taken. State only; others decide. */
 final class Open {
-    final Request request;
-    final ClassState state;
-    /** Its class as it was taken, and no laxer on repeats than any settings since. */
-    RequestClass type;
-    /** Names its timer. */
-    final long token;
-    final long cameAt;
-    /** When there is nothing left to win, at the latest when the client gives up. */
-    final long endAt;
-    final List<Attempt> attempts = new ArrayList<>(1);
-    boolean closed;
-    boolean held;
-    boolean streaming;
-    /** Whether it has been to every server that it may go to. */
-    boolean mayReturn;
+  final Request request;
+  final ClassState state;
 
-    Open(Request request, ClassState state, long token, long cameAt, long endAt) {
-        this.request = request;
-        this.state = state;
-        this.type = state.type;
-        this.token = token;
-        this.cameAt = cameAt;
-        this.endAt = endAt;
-    }
+  /** Its class as it was taken, and no laxer on repeats than any settings since. */
+  RequestClass type;
+
+  /** Names its timer. */
+  final long token;
 
-    /** One attempt; its outcome is null while it is out. */
-    static final class Attempt {
-        final Target target;
-        final long sentAt;
-        Outcome outcome;
+  final long cameAt;
 
-        Attempt(Target target, long sentAt) {
-            this.target = target;
-            this.sentAt = sentAt;
-        }
+  /** When there is nothing left to win, at the latest when the client gives up. */
+  final long endAt;
 
-        boolean mayHaveRun() {
-            return outcome == null || !outcome.neverRan();
-        }
+  final List<Attempt> attempts = new ArrayList<>(1);
+  boolean closed;
+  boolean held;
+  boolean streaming;
+
+  /** Whether it has been to every server that it may go to. */
+  boolean mayReturn;
+
+  Open(Request request, ClassState state, long token, long cameAt, long endAt) {
+    this.request = request;
+    this.state = state;
+    this.type = state.type;
+    this.token = token;
+    this.cameAt = cameAt;
+    this.endAt = endAt;
+  }
+
+  /** One attempt; its outcome is null while it is out. */
+  static final class Attempt {
+    final Target target;
+    final long sentAt;
+    Outcome outcome;
+
+    Attempt(Target target, long sentAt) {
+      this.target = target;
+      this.sentAt = sentAt;
     }
 
-    /** How many attempts are out. */
-    int out() {
-        int out = 0;
-        for (Attempt attempt : attempts) {
-            out += attempt.outcome == null ? 1 : 0;
-        }
-        return out;
+    boolean mayHaveRun() {
+      return outcome == null || !outcome.neverRan();
     }
+  }
 
-    boolean sentTo(Target target) {
-        return attempts.stream().anyMatch(attempt -> attempt.target == target);
+  /** How many attempts are out. */
+  int out() {
+    int out = 0;
+    for (Attempt attempt : attempts) {
+      out += attempt.outcome == null ? 1 : 0;
     }
+    return out;
+  }
+
+  boolean sentTo(Target target) {
+    return attempts.stream().anyMatch(attempt -> attempt.target == target);
+  }
 
-    /** Whether it is not to go there again: where it may return, one that was not reached is open to it. */
-    boolean tried(Target target) {
-        for (Attempt attempt : attempts) {
-            if (attempt.target == target && (!mayReturn || attempt.outcome != Outcome.CONNECT_FAILED)) {
-                return true;
-            }
-        }
-        return false;
+  /**
+   * Whether it is not to go there again: where it may return, one that was not reached is open to
+   * it.
+   */
+  boolean tried(Target target) {
+    for (Attempt attempt : attempts) {
+      if (attempt.target == target && (!mayReturn || attempt.outcome != Outcome.CONNECT_FAILED)) {
+        return true;
+      }
     }
+    return false;
+  }
 }
--- a/src/main/java/gatefront/RequestClasses.java
+++ b/src/main/java/gatefront/RequestClasses.java
@@ -6,47 +6,53 @@
 
 /** The classes of requests in force, and those removed with requests still held. */
 final class RequestClasses {
-    private final AgentState agent;
-    private final List<ClassState> classes = new ArrayList<>();
-    private final List<ClassState> order;
+  private final AgentState agent;
+  private final List<ClassState> classes = new ArrayList<>();
+  private final List<ClassState> order;
 
-    RequestClasses(AgentState agent) {
-        this.agent = agent;
-        agent.settings.classes().forEach(type -> classes.add(new ClassState(type, AnswerTimes.QUANTILE)));
-        this.order = new ArrayList<>(classes);
-    }
+  RequestClasses(AgentState agent) {
+    this.agent = agent;
+    agent
+        .settings
+        .classes()
+        .forEach(type -> classes.add(new ClassState(type, AnswerTimes.QUANTILE)));
+    this.order = new ArrayList<>(classes);
+  }
 
-    /** Those in force, by their positions in the settings. */
-    List<ClassState> current() {
-        return classes;
-    }
+  /** Those in force, by their positions in the settings. */
+  List<ClassState> current() {
+    return classes;
+  }
 
-    /** All, the most valuable first. */
-    List<ClassState> order() {
-        return order;
-    }
+  /** All, the most valuable first. */
+  List<ClassState> order() {
+    return order;
+  }
 
-    /** Whether requests are held for want of room. */
-    boolean waiting() {
-        return order.stream().anyMatch(state -> !state.held.isEmpty());
-    }
+  /** Whether requests are held for want of room. */
+  boolean waiting() {
+    return order.stream().anyMatch(state -> !state.held.isEmpty());
+  }
 
-    /** What is known of a class goes with its name; one that is removed ends with its last request held. */
-    void take(Takeover next) {
-        ClassState[] after = new ClassState[agent.settings.classes().size()];
-        for (int i = 0; i < classes.size(); i++) {
-            int to = next.classes().get(i);
-            if (to >= 0) {
-                after[to] = classes.get(i);
-                after[to].type = agent.settings.classes().get(to);
-            }
-        }
-        classes.clear();
-        for (int i = 0; i < after.length; i++) {
-            RequestClass type = agent.settings.classes().get(i);
-            classes.add(after[i] == null ? new ClassState(type, AnswerTimes.QUANTILE) : after[i]);
-        }
-        order.removeIf(state -> state.held.isEmpty() || classes.contains(state));
-        order.addAll(0, classes);
+  /**
+   * What is known of a class goes with its name; one that is removed ends with its last request
+   * held.
+   */
+  void take(Takeover next) {
+    ClassState[] after = new ClassState[agent.settings.classes().size()];
+    for (int i = 0; i < classes.size(); i++) {
+      int to = next.classes().get(i);
+      if (to >= 0) {
+        after[to] = classes.get(i);
+        after[to].type = agent.settings.classes().get(to);
+      }
+    }
+    classes.clear();
+    for (int i = 0; i < after.length; i++) {
+      RequestClass type = agent.settings.classes().get(i);
+      classes.add(after[i] == null ? new ClassState(type, AnswerTimes.QUANTILE) : after[i]);
     }
+    order.removeIf(state -> state.held.isEmpty() || classes.contains(state));
+    order.addAll(0, classes);
+  }
 }
--- a/src/main/java/gatefront/ServerHealth.java
+++ b/src/main/java/gatefront/ServerHealth.java
@@ -7,152 +7,187 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which servers are available: the agent's probes, and how its requests end beside those of its peers. */
+/**
+ * Which servers are available: the agent's probes, and how its requests end beside those of its
+ * peers.
+ */
 final class ServerHealth {
-    private static final long SECOND = 1_000_000;
-    /** Between two probes of a server, by all that share it: a silent one is found for a small price. */
-    private static final long PROBE_INTERVAL = SECOND;
-    /** Failed probes in a row that make a server Unhealthy; the design's default. */
-    private static final int PROBE_THRESHOLD = 2;
-    /** The sliding window: long enough to hold a light agent's few requests, short beside an outage. */
-    private static final long WINDOW = 10 * SECOND;
-    /** Requests in the window before the passive state is judged; a light agent never sees the default 10. */
-    private static final int WINDOW_MINIMUM = 5;
-    /** Failure share over which the passive state is Unhealthy; the design's default. */
-    private static final double FAILURE_LIMIT = 0.3;
-    /** And by how many deviations above the peers' share: what fails everywhere is no server's fault. */
-    private static final double SURE = 1;
-    /** After this the passive state is Unknown again. */
-    private static final long REACTIVATION = 5 * SECOND;
-    /** What {@link BackendHealth} goes by. */
-    static final HealthParameters PARAMETERS = new HealthParameters(PROBE_THRESHOLD, WINDOW,
-        WINDOW_MINIMUM, FAILURE_LIMIT, SURE, REACTIVATION);
-
-    private final AgentState agent;
-    private final ColdStart cold;
-    private final Subset subset;
-    private int probeTurn;
-    private boolean probing;
-
-    ServerHealth(AgentState agent, ColdStart cold, Subset subset) {
-        this.agent = agent;
-        this.cold = cold;
-        this.subset = subset;
-        this.probeTurn = agent.random.nextInt(1 << 16);
-    }
+  private static final long SECOND = 1_000_000;
+
+  /**
+   * Between two probes of a server, by all that share it: a silent one is found for a small price.
+   */
+  private static final long PROBE_INTERVAL = SECOND;
+
+  /** Failed probes in a row that make a server Unhealthy; the design's default. */
+  private static final int PROBE_THRESHOLD = 2;
+
+  /**
+   * The sliding window: long enough to hold a light agent's few requests, short beside an outage.
+   */
+  private static final long WINDOW = 10 * SECOND;
+
+  /**
+   * Requests in the window before the passive state is judged; a light agent never sees the default
+   * 10.
+   */
+  private static final int WINDOW_MINIMUM = 5;
+
+  /** Failure share over which the passive state is Unhealthy; the design's default. */
+  private static final double FAILURE_LIMIT = 0.3;
+
+  /**
+   * And by how many deviations above the peers' share: what fails everywhere is no server's fault.
+   */
+  private static final double SURE = 1;
+
+  /** After this the passive state is Unknown again. */
+  private static final long REACTIVATION = 5 * SECOND;
 
-    /** Whether a server is available now; its passive state is reset where that is due. */
-    boolean available(Target target, long now) {
-        if (target.health.reactivateIfDue(now)) {
-            target.limit = 1;
-            agent.servers.log(target, "passive Unknown: reactivated");
-        }
-        return target.health.available();
+  /** What {@link BackendHealth} goes by. */
+  static final HealthParameters PARAMETERS =
+      new HealthParameters(
+          PROBE_THRESHOLD, WINDOW, WINDOW_MINIMUM, FAILURE_LIMIT, SURE, REACTIVATION);
+
+  private final AgentState agent;
+  private final ColdStart cold;
+  private final Subset subset;
+  private int probeTurn;
+  private boolean probing;
+
+  ServerHealth(AgentState agent, ColdStart cold, Subset subset) {
+    this.agent = agent;
+    this.cold = cold;
+    this.subset = subset;
+    this.probeTurn = agent.random.nextInt(1 << 16);
+  }
+
+  /** Whether a server is available now; its passive state is reset where that is due. */
+  boolean available(Target target, long now) {
+    if (target.health.reactivateIfDue(now)) {
+      target.limit = 1;
+      agent.servers.log(target, "passive Unknown: reactivated");
     }
+    return target.health.available();
+  }
 
-    /** Makes the passive state Unhealthy when too much fails here, and more than elsewhere in its zone. */
-    void judge(Target target, long now) {
-        if (!target.health.failsTooOften()) {
-            return;
-        }
-        List<BackendHealth> peers = new ArrayList<>();
-        for (Target peer : agent.listed) {
-            if (peer != target && peer.listed.zone() == target.listed.zone()) {
-                peers.add(peer.health);
-            }
-        }
-        if (target.health.ejectIfFailing(now, peers)) {
-            agent.servers.log(target, "passive Unhealthy: " + target.health.failuresInWindow() + " of "
-                + target.health.requestsInWindow() + " failed");
-        }
+  /**
+   * Makes the passive state Unhealthy when too much fails here, and more than elsewhere in its
+   * zone.
+   */
+  void judge(Target target, long now) {
+    if (!target.health.failsTooOften()) {
+      return;
+    }
+    List<BackendHealth> peers = new ArrayList<>();
+    for (Target peer : agent.listed) {
+      if (peer != target && peer.listed.zone() == target.listed.zone()) {
+        peers.add(peer.health);
+      }
     }
+    if (target.health.ejectIfFailing(now, peers)) {
+      agent.servers.log(
+          target,
+          "passive Unhealthy: "
+              + target.health.failuresInWindow()
+              + " of "
+              + target.health.requestsInWindow()
+              + " failed");
+    }
+  }
 
-    /** Those it draws from, and what stands before them that is not available and may recover. */
-    private List<Target> watched(long now) {
-        List<Target> watched = new ArrayList<>();
-        int left = subset.spread(Subset.LEAST, now);
-        for (Target target : agent.listed) {
-            if (left == 0) {
-                break;
-            }
-            if (target.ready && target.listed.zone() == agent.settings.zone()) {
-                watched.add(target);
-                left -= available(target, now) ? 1 : 0;
-            }
-        }
-        return watched.isEmpty() ? agent.listed : watched;
+  /** Those it draws from, and what stands before them that is not available and may recover. */
+  private List<Target> watched(long now) {
+    List<Target> watched = new ArrayList<>();
+    int left = subset.spread(Subset.LEAST, now);
+    for (Target target : agent.listed) {
+      if (left == 0) {
+        break;
+      }
+      if (target.ready && target.listed.zone() == agent.settings.zone()) {
+        watched.add(target);
+        left -= available(target, now) ? 1 : 0;
+      }
     }
+    return watched.isEmpty() ? agent.listed : watched;
+  }
 
-    /**
-     * Sends the next probe and sets the time of another. Danger: every agent probes every server, and at size
-     * the probes cost more than the requests; and agents started together would probe in step.
-     */
-    void probe(long now, double from) {
-        probing = agent.settings.permits().probes() && !agent.listed.isEmpty();
-        if (!probing) {
-            return;
-        }
-        List<Target> watched = watched(now);
-        double sharers = (double) agent.settings.agents() * watched.size() / agent.listed.size();
-        double mean = PROBE_INTERVAL * Math.max(1, sharers) / watched.size();
-        agent.actions.timer(Rules.TIMER_PROBE, 1 + (long) (mean * (from + agent.random.nextDouble())));
-        Target target = watched.get(probeTurn++ % watched.size());
-        if (from > 0 && !target.probeOut) {
-            target.probeOut = true;
-            agent.actions.probe(target.id);
-        }
+  /**
+   * Sends the next probe and sets the time of another. Danger: every agent probes every server, and
+   * at size the probes cost more than the requests; and agents started together would probe in
+   * step.
+   */
+  void probe(long now, double from) {
+    probing = agent.settings.permits().probes() && !agent.listed.isEmpty();
+    if (!probing) {
+      return;
+    }
+    List<Target> watched = watched(now);
+    double sharers = (double) agent.settings.agents() * watched.size() / agent.listed.size();
+    double mean = PROBE_INTERVAL * Math.max(1, sharers) / watched.size();
+    agent.actions.timer(Rules.TIMER_PROBE, 1 + (long) (mean * (from + agent.random.nextDouble())));
+    Target target = watched.get(probeTurn++ % watched.size());
+    if (from > 0 && !target.probeOut) {
+      target.probeOut = true;
+      agent.actions.probe(target.id);
     }
+  }
 
-    /**
-     * Takes how a probe ended.
-     *
-     * @return whether that says anything about the server
-     */
-    boolean probed(long now, long server, Outcome outcome) {
-        Target target = agent.servers.find(server);
-        if (target == null) {
-            return false;
-        }
-        target.probeOut = false;
-        if (outcome == Outcome.NEVER_SENT) {
-            return false; // says nothing about the server
-        }
-        if (outcome == Outcome.OK) {
-            cold.recovered(target, now);
-            if (target.health.probeSucceeded()) {
-                agent.servers.log(target, "active Healthy: probe answered");
-            }
-        } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET) && target.answeredSinceProbe) {
-            // Danger: a busy server answers probes late, and a connection may break under one; real answers
-            // prove that it lives.
-            target.health.probeInconclusive();
-        } else {
-            if (outcome == Outcome.CONNECT_FAILED) {
-                cold.broke(target, now);
-            }
-            if (target.health.probeFailed()) {
-                cold.broke(target, now);
-                agent.servers.log(target,
-                    "active Unhealthy: " + target.health.probeFailures() + " probes failed");
-            }
-        }
-        target.answeredSinceProbe = false;
-        return true;
+  /**
+   * Takes how a probe ended.
+   *
+   * @return whether that says anything about the server
+   */
+  boolean probed(long now, long server, Outcome outcome) {
+    Target target = agent.servers.find(server);
+    if (target == null) {
+      return false;
+    }
+    target.probeOut = false;
+    if (outcome == Outcome.NEVER_SENT) {
+      return false; // says nothing about the server
+    }
+    if (outcome == Outcome.OK) {
+      cold.recovered(target, now);
+      if (target.health.probeSucceeded()) {
+        agent.servers.log(target, "active Healthy: probe answered");
+      }
+    } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET)
+        && target.answeredSinceProbe) {
+      // Danger: a busy server answers probes late, and a connection may break under one; real
+      // answers
+      // prove that it lives.
+      target.health.probeInconclusive();
+    } else {
+      if (outcome == Outcome.CONNECT_FAILED) {
+        cold.broke(target, now);
+      }
+      if (target.health.probeFailed()) {
+        cold.broke(target, now);
+        agent.servers.log(
+            target, "active Unhealthy: " + target.health.probeFailures() + " probes failed");
+      }
     }
+    target.answeredSinceProbe = false;
+    return true;
+  }
 
-    /** Begins to probe where that is permitted and has not begun. */
-    void probeUnlessProbing(long now) {
-        if (!probing) {
-            probe(now, 0);
-        }
+  /** Begins to probe where that is permitted and has not begun. */
+  void probeUnlessProbing(long now) {
+    if (!probing) {
+      probe(now, 0);
     }
+  }
 
-    /** Danger: without probes nothing would ever make a server available again that they found Unhealthy. */
-    void settingsChanged() {
-        for (Target target : agent.listed) {
-            if (!agent.settings.permits().probes() && target.health.active() == State.UNHEALTHY) {
-                target.health.resetActive();
-            }
-        }
+  /**
+   * Danger: without probes nothing would ever make a server available again that they found
+   * Unhealthy.
+   */
+  void settingsChanged() {
+    for (Target target : agent.listed) {
+      if (!agent.settings.permits().probes() && target.health.active() == State.UNHEALTHY) {
+        target.health.resetActive();
+      }
     }
+  }
 }
--- a/src/main/java/gatefront/ServerPick.java
+++ b/src/main/java/gatefront/ServerPick.java
@@ -7,129 +7,163 @@
 import java.util.List;
 
 /**
- * Which server gets a request: of two random available ones of the own zone that with fewer of this agent's
- * requests in flight; then other zones; then all.
+ * Which server gets a request: of two random available ones of the own zone that with fewer of this
+ * agent's requests in flight; then other zones; then all.
  */
 final class ServerPick {
-    /** How fast the share of keys that cross zones at once follows what is seen: some hundred requests. */
-    private static final double SPILL_STEP = 0.01;
-    /** Of two with as many requests in flight the one that was drawn first. */
-    private static final Comparator<Target> FIRST = (first, second) -> 0;
+  /**
+   * How fast the share of keys that cross zones at once follows what is seen: some hundred
+   * requests.
+   */
+  private static final double SPILL_STEP = 0.01;
 
-    private final AgentState agent;
-    private final ServerHealth health;
-    private final Admission admission;
-    private final AnswerTimes times;
-    private final ColdStart cold;
-    private final Subset subset;
-    private final List<Target> scratch = new ArrayList<>();
-    /** The share of keys that cross zones at once. */
-    private double spill;
+  /** Of two with as many requests in flight the one that was drawn first. */
+  private static final Comparator<Target> FIRST = (first, second) -> 0;
 
-    ServerPick(AgentState agent, ServerHealth health, Admission admission, AnswerTimes times, ColdStart cold,
-               Subset subset) {
-        this.agent = agent;
-        this.health = health;
-        this.admission = admission;
-        this.times = times;
-        this.cold = cold;
-        this.subset = subset;
-    }
+  private final AgentState agent;
+  private final ServerHealth health;
+  private final Admission admission;
+  private final AnswerTimes times;
+  private final ColdStart cold;
+  private final Subset subset;
+  private final List<Target> scratch = new ArrayList<>();
 
-    Target pick(Open req, long now) {
-        if (!RequestHistory.maySend(req, agent.settings.permits(), now)) {
-            return null;
-        }
-        // Guards against a request held to its last moment though no server is left that it has not been to.
-        req.mayReturn = !req.attempts.isEmpty() && agent.listed.stream().allMatch(each -> !each.ready
-            || !health.available(each, now) || req.sentTo(each) || !RequestHistory.inGroups(req, each));
-        boolean roams = keyed(req) && RendezvousHash.position(~req.request.key()) < spill;
-        Target best = roams ? draw(req, now, true, 0) : null;
-        if (best == null) {
-            best = draw(req, now, true, 1);
-            spill -= best == null ? 0 : SPILL_STEP * agent.settings.prices().crossing() * spill;
-        }
-        if (best != null) {
-            return best;
-        }
-        boolean availableAnywhere = agent.listed.stream()
-            .anyMatch(each -> each.ready && health.available(each, now));
-        boolean availableHere = agent.listed.stream().anyMatch(each -> each.ready
-            && each.listed.zone() == agent.settings.zone() && health.available(each, now));
-        if (!availableAnywhere) {
-            return draw(req, now, false, -1);
-        }
-        if (availableHere && now - req.cameAt < patience(req)) {
-            return null;
-        }
-        best = draw(req, now, true, 0);
-        if (best != null && availableHere) {
-            // Danger: keys that cross only after waiting are met by too many servers and known to none. As
-            // long as requests have to wait out the price, more of the keys go over, always the same ones.
-            spill += SPILL_STEP * (1 - spill);
-        }
-        return best;
-    }
+  /** The share of keys that cross zones at once. */
+  private double spill;
 
-    /** Whether servers are quicker with this request's key where they met it lately. */
-    private boolean keyed(Open req) {
-        return agent.settings.warmKeys() && req.request.key() != 0;
-    }
+  ServerPick(
+      AgentState agent,
+      ServerHealth health,
+      Admission admission,
+      AnswerTimes times,
+      ColdStart cold,
+      Subset subset) {
+    this.agent = agent;
+    this.health = health;
+    this.admission = admission;
+    this.times = times;
+    this.cold = cold;
+    this.subset = subset;
+  }
 
-    /** Crossing zones costs its price: while servers are available here, that part of the time is waited. */
-    long patience(Open req) {
-        return (long) ((req.endAt - req.cameAt) * Math.min(1, agent.settings.prices().crossing()));
+  Target pick(Open req, long now) {
+    if (!RequestHistory.maySend(req, agent.settings.permits(), now)) {
+      return null;
+    }
+    // Guards against a request held to its last moment though no server is left that it has not
+    // been to.
+    req.mayReturn =
+        !req.attempts.isEmpty()
+            && agent.listed.stream()
+                .allMatch(
+                    each ->
+                        !each.ready
+                            || !health.available(each, now)
+                            || req.sentTo(each)
+                            || !RequestHistory.inGroups(req, each));
+    boolean roams = keyed(req) && RendezvousHash.position(~req.request.key()) < spill;
+    Target best = roams ? draw(req, now, true, 0) : null;
+    if (best == null) {
+      best = draw(req, now, true, 1);
+      spill -= best == null ? 0 : SPILL_STEP * agent.settings.prices().crossing() * spill;
+    }
+    if (best != null) {
+      return best;
+    }
+    boolean availableAnywhere =
+        agent.listed.stream().anyMatch(each -> each.ready && health.available(each, now));
+    boolean availableHere =
+        agent.listed.stream()
+            .anyMatch(
+                each ->
+                    each.ready
+                        && each.listed.zone() == agent.settings.zone()
+                        && health.available(each, now));
+    if (!availableAnywhere) {
+      return draw(req, now, false, -1);
+    }
+    if (availableHere && now - req.cameAt < patience(req)) {
+      return null;
     }
+    best = draw(req, now, true, 0);
+    if (best != null && availableHere) {
+      // Danger: keys that cross only after waiting are met by too many servers and known to none.
+      // As
+      // long as requests have to wait out the price, more of the keys go over, always the same
+      // ones.
+      spill += SPILL_STEP * (1 - spill);
+    }
+    return best;
+  }
 
-    /** The two-draw pick among servers with room; where: 1 own zone, 0 other zones, -1 all. */
-    private Target draw(Open req, long now, boolean healthy, int where) {
-        scratch.clear();
-        double room = 0;
-        int out = 0;
-        int least = where == 1 ? Subset.LEAST : Subset.FAR;
-        int left = keyed(req) ? agent.listed.size() : subset.spread(least, now);
-        for (Target target : agent.listed) {
-            if (left == 0) {
-                break; // Danger: with a thousand agent.listed, looking at each costs more than all else
-            }
-            if (target.ready && (!healthy || health.available(target, now))
-                    && (where < 0 || (target.listed.zone() == agent.settings.zone()) == (where == 1))) {
-                left--;
-                room += target.limit - target.inFlight;
-                out += target.inFlight;
-                if (!req.tried(target) && RequestHistory.inGroups(req, target)
-                        && admission.hasRoom(target, now) && cold.warmEnough(req, target, now)) {
-                    scratch.add(target);
-                }
-            }
-        }
-        if (out > 0 && room < 1) {
-            return null; // Danger: one request at each of a few servers, times hundreds of agents, is a jam
-        }
-        if (keyed(req)) {
-            leaveBusy();
-        }
-        if (keyed(req) && scratch.size() > 1) {
-            // All agents draw the same two by the key's hash.
-            Target first = highest(req.request.key(), null);
-            Target second = highest(req.request.key(), first);
-            return TwoRandomChoices.less(first, second, Target::inFlight, FIRST);
+  /** Whether servers are quicker with this request's key where they met it lately. */
+  private boolean keyed(Open req) {
+    return agent.settings.warmKeys() && req.request.key() != 0;
+  }
+
+  /**
+   * Crossing zones costs its price: while servers are available here, that part of the time is
+   * waited.
+   */
+  long patience(Open req) {
+    return (long) ((req.endAt - req.cameAt) * Math.min(1, agent.settings.prices().crossing()));
+  }
+
+  /** The two-draw pick among servers with room; where: 1 own zone, 0 other zones, -1 all. */
+  private Target draw(Open req, long now, boolean healthy, int where) {
+    scratch.clear();
+    double room = 0;
+    int out = 0;
+    int least = where == 1 ? Subset.LEAST : Subset.FAR;
+    int left = keyed(req) ? agent.listed.size() : subset.spread(least, now);
+    for (Target target : agent.listed) {
+      if (left == 0) {
+        break; // Danger: with a thousand agent.listed, looking at each costs more than all else
+      }
+      if (target.ready
+          && (!healthy || health.available(target, now))
+          && (where < 0 || (target.listed.zone() == agent.settings.zone()) == (where == 1))) {
+        left--;
+        room += target.limit - target.inFlight;
+        out += target.inFlight;
+        if (!req.tried(target)
+            && RequestHistory.inGroups(req, target)
+            && admission.hasRoom(target, now)
+            && cold.warmEnough(req, target, now)) {
+          scratch.add(target);
         }
-        Comparator<Target> ties = agent.settings.warmKeys() ? FIRST
-            : Comparator.comparingDouble(each -> times.stretch(each, now));
-        return TwoRandomChoices.pick(scratch, Target::inFlight, ties, agent.random);
+      }
     }
-
-    /**
-     * Leaves servers with at most one over the mean in flight: hashing with bounded loads. Danger: the
-     * servers of a key that many ask for have far more than the others, up to their limits.
-     */
-    private void leaveBusy() {
-        double most = 1 + scratch.stream().mapToInt(each -> each.inFlight).average().orElse(0);
-        scratch.removeIf(target -> target.inFlight > most);
+    if (out > 0 && room < 1) {
+      return null; // Danger: one request at each of a few servers, times hundreds of agents, is a
+      // jam
     }
-
-    private Target highest(long key, Target except) {
-        return RendezvousHash.highest(scratch, key, target -> target.id, except);
+    if (keyed(req)) {
+      leaveBusy();
+    }
+    if (keyed(req) && scratch.size() > 1) {
+      // All agents draw the same two by the key's hash.
+      Target first = highest(req.request.key(), null);
+      Target second = highest(req.request.key(), first);
+      return TwoRandomChoices.less(first, second, Target::inFlight, FIRST);
     }
+    Comparator<Target> ties =
+        agent.settings.warmKeys()
+            ? FIRST
+            : Comparator.comparingDouble(each -> times.stretch(each, now));
+    return TwoRandomChoices.pick(scratch, Target::inFlight, ties, agent.random);
+  }
+
+  /**
+   * Leaves servers with at most one over the mean in flight: hashing with bounded loads. Danger:
+   * the servers of a key that many ask for have far more than the others, up to their limits.
+   */
+  private void leaveBusy() {
+    double most = 1 + scratch.stream().mapToInt(each -> each.inFlight).average().orElse(0);
+    scratch.removeIf(target -> target.inFlight > most);
+  }
+
+  private Target highest(long key, Target except) {
+    return RendezvousHash.highest(scratch, key, target -> target.id, except);
+  }
 }
--- a/src/main/java/gatefront/ServerTable.java
+++ b/src/main/java/gatefront/ServerTable.java
@@ -15,95 +15,105 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The servers that an agent knows: those listed now, and those gone at which requests are still out. */
+/**
+ * The servers that an agent knows: those listed now, and those gone at which requests are still
+ * out.
+ */
 final class ServerTable {
-    private final HealthParameters health;
-    private final Actions actions;
-    private final Map<Long, Target> targets = new HashMap<>();
-    private final List<Target> listed = new ArrayList<>();
+  private final HealthParameters health;
+  private final Actions actions;
+  private final Map<Long, Target> targets = new HashMap<>();
+  private final List<Target> listed = new ArrayList<>();
 
-    ServerTable(HealthParameters health, Actions actions) {
-        this.health = health;
-        this.actions = actions;
-    }
+  ServerTable(HealthParameters health, Actions actions) {
+    this.health = health;
+    this.actions = actions;
+  }
 
-    /** The servers now listed, in the order of this agent's own hash. */
-    List<Target> listed() {
-        return listed;
-    }
+  /** The servers now listed, in the order of this agent's own hash. */
+  List<Target> listed() {
+    return listed;
+  }
 
-    /** A server that is listed or at which requests are still out; null for any other. */
-    Target find(long id) {
-        return targets.get(id);
-    }
+  /** A server that is listed or at which requests are still out; null for any other. */
+  Target find(long id) {
+    return targets.get(id);
+  }
 
-    /** Removes all but those of a complete list. */
-    void retain(Collection<Server> entries) {
-        Set<Long> complete = entries.stream().map(Server::id).collect(Collectors.toSet());
-        List.copyOf(listed).stream().filter(each -> !complete.contains(each.id)).forEach(this::remove);
-    }
+  /** Removes all but those of a complete list. */
+  void retain(Collection<Server> entries) {
+    Set<Long> complete = entries.stream().map(Server::id).collect(Collectors.toSet());
+    List.copyOf(listed).stream().filter(each -> !complete.contains(each.id)).forEach(this::remove);
+  }
 
-    /**
-     * Takes one line of the list.
-     *
-     * @return the server if this line says that it has started anew, else null
-     */
-    Target apply(Server entry) {
-        if (entry.phase() == Phase.GONE) {
-            Target gone = targets.get(entry.id());
-            if (gone != null) {
-                remove(gone);
-            }
-            return null;
-        }
-        Target target = targets.computeIfAbsent(entry.id(), id -> new Target(id, health));
-        Server before = target.listed;
-        if (before == null || target.gone) {
-            listed.add(target);
-        }
-        target.gone = false;
-        target.listed = entry;
-        boolean ready = entry.phase() == Phase.READY;
-        if (before != null && target.ready != ready) {
-            log(target, ready ? "ready" : "draining: nothing new is sent");
-        }
-        target.ready = ready;
-        boolean anew = before == null || entry.startedAt() != before.startedAt();
-        return entry.startedAt() > 0 && anew ? target : null;
+  /**
+   * Takes one line of the list.
+   *
+   * @return the server if this line says that it has started anew, else null
+   */
+  Target apply(Server entry) {
+    if (entry.phase() == Phase.GONE) {
+      Target gone = targets.get(entry.id());
+      if (gone != null) {
+        remove(gone);
+      }
+      return null;
     }
-
-    /** Orders the listed by an agent's own hash: the first few are its subset, and each agent has another. */
-    void order(int agent) {
-        listed.sort(Comparator.comparingLong(each -> RendezvousHash.weight(each.id, agent)));
+    Target target = targets.computeIfAbsent(entry.id(), id -> new Target(id, health));
+    Server before = target.listed;
+    if (before == null || target.gone) {
+      listed.add(target);
     }
-
-    private void remove(Target target) {
-        if (listed.remove(target)) {
-            log(target, "gone from the list");
-        }
-        target.ready = false;
-        target.gone = true;
-        forget(target);
+    target.gone = false;
+    target.listed = entry;
+    boolean ready = entry.phase() == Phase.READY;
+    if (before != null && target.ready != ready) {
+      log(target, ready ? "ready" : "draining: nothing new is sent");
     }
+    target.ready = ready;
+    boolean anew = before == null || entry.startedAt() != before.startedAt();
+    return entry.startedAt() > 0 && anew ? target : null;
+  }
 
-    /** Danger: servers come and go for ever. What is known of one goes with it once nothing is out. */
-    void forget(Target target) {
-        if (target.gone && target.inFlight == 0) {
-            targets.remove(target.id);
-        }
+  /**
+   * Orders the listed by an agent's own hash: the first few are its subset, and each agent has
+   * another.
+   */
+  void order(int agent) {
+    listed.sort(Comparator.comparingLong(each -> RendezvousHash.weight(each.id, agent)));
+  }
+
+  private void remove(Target target) {
+    if (listed.remove(target)) {
+      log(target, "gone from the list");
     }
+    target.ready = false;
+    target.gone = true;
+    forget(target);
+  }
 
-    /** Zones and kinds go by their new positions, also of servers that only an attempt still knows. */
-    void move(Takeover next, Collection<Open> open) {
-        Set<Target> known = new HashSet<>(targets.values());
-        open.forEach(req -> req.attempts.forEach(attempt -> known.add(attempt.target)));
-        known.forEach(target -> target.listed = next.moved(target.listed));
+  /**
+   * Danger: servers come and go for ever. What is known of one goes with it once nothing is out.
+   */
+  void forget(Target target) {
+    if (target.gone && target.inFlight == 0) {
+      targets.remove(target.id);
     }
+  }
+
+  /**
+   * Zones and kinds go by their new positions, also of servers that only an attempt still knows.
+   */
+  void move(Takeover next, Collection<Open> open) {
+    Set<Target> known = new HashSet<>(targets.values());
+    open.forEach(req -> req.attempts.forEach(attempt -> known.add(attempt.target)));
+    known.forEach(target -> target.listed = next.moved(target.listed));
+  }
 
-    /** Tells on-call staff of a server, unless it is gone and nobody is to look after it. */
-    void log(Target target, String what) {
-        if (!target.gone) {
-            actions.log("server " + target.id + " " + what);
-        }
+  /** Tells on-call staff of a server, unless it is gone and nobody is to look after it. */
+  void log(Target target, String what) {
+    if (!target.gone) {
+      actions.log("server " + target.id + " " + what);
     }
+  }
 }
--- a/src/main/java/gatefront/Target.java
+++ b/src/main/java/gatefront/Target.java
@@ -6,60 +6,77 @@
 
 /** What one agent knows of one server. State only; others decide. */
 final class Target {
-    final long id;
-    /** Its line of the server list. */
-    Server listed;
-    /** Whether new requests may go to it at all: listed as ready. */
-    boolean ready;
-    /** Whether the list has it no more. */
-    boolean gone;
-
-    final BackendHealth health;
-    boolean probeOut;
-    boolean answeredSinceProbe;
-
-    /** This agent's attempts that are out. */
-    int inFlight;
-    /** How many it may have in flight at once; 0 until reckoned. */
-    double limit;
-    /** Its answer times against those of all servers, as a mean. */
-    double stretch = 1;
-    /** When that was last measured. */
-    long stretchAt;
-    /** A quantile of its answer times, each as a multiple of its class's lowest. */
-    final Quantile pace = new Quantile(AnswerTimes.QUANTILE);
-    /** When it last answered. */
-    long answeredAt;
-    /** Fast failures in a row, and until when it rests for them. */
-    int failuresInRow;
-    long restUntil;
-
-    /** Start and end of the warm-up this agent believes in. */
-    long coldSince;
-    long coldUntil = Long.MIN_VALUE;
-    /** Requests granted since it became cold, those sent or lost, and when that was reckoned. */
-    double coldGranted;
-    double coldSpent;
-    long coldAt;
-    /** A broken connection or a dead probe was seen and no answer since. */
-    boolean broken;
-    /** When that was first seen. */
-    long brokenAt;
-    /** Answers a second, as a mean that fades, and when it was reckoned. */
-    double answerRate;
-    long answerRateAt;
-
-    Target(long id, HealthParameters parameters) {
-        this.id = id;
-        this.health = new BackendHealth(parameters);
-    }
-
-    /** Whether it may still be warming up. */
-    boolean cold(long now) {
-        return now < coldUntil;
-    }
-
-    int inFlight() {
-        return inFlight;
-    }
+  final long id;
+
+  /** Its line of the server list. */
+  Server listed;
+
+  /** Whether new requests may go to it at all: listed as ready. */
+  boolean ready;
+
+  /** Whether the list has it no more. */
+  boolean gone;
+
+  final BackendHealth health;
+  boolean probeOut;
+  boolean answeredSinceProbe;
+
+  /** This agent's attempts that are out. */
+  int inFlight;
+
+  /** How many it may have in flight at once; 0 until reckoned. */
+  double limit;
+
+  /** Its answer times against those of all servers, as a mean. */
+  double stretch = 1;
+
+  /** When that was last measured. */
+  long stretchAt;
+
+  /** A quantile of its answer times, each as a multiple of its class's lowest. */
+  final Quantile pace = new Quantile(AnswerTimes.QUANTILE);
+
+  /** When it last answered. */
+  long answeredAt;
+
+  /** Fast failures in a row, and until when it rests for them. */
+  int failuresInRow;
+
+  long restUntil;
+
+  /** Start and end of the warm-up this agent believes in. */
+  long coldSince;
+
+  long coldUntil = Long.MIN_VALUE;
+
+  /** Requests granted since it became cold, those sent or lost, and when that was reckoned. */
+  double coldGranted;
+
+  double coldSpent;
+  long coldAt;
+
+  /** A broken connection or a dead probe was seen and no answer since. */
+  boolean broken;
+
+  /** When that was first seen. */
+  long brokenAt;
+
+  /** Answers a second, as a mean that fades, and when it was reckoned. */
+  double answerRate;
+
+  long answerRateAt;
+
+  Target(long id, HealthParameters parameters) {
+    this.id = id;
+    this.health = new BackendHealth(parameters);
+  }
+
+  /** Whether it may still be warming up. */
+  boolean cold(long now) {
+    return now < coldUntil;
+  }
+
+  int inFlight() {
+    return inFlight;
+  }
 }
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/gatefront/drill/Drill.java
@@ -1,5 +1,11 @@
 package gatefront.drill;
 
+import gatefront.Balancer;
+import gatefront.Balancer.ListKind;
+import gatefront.Balancer.Outcome;
+import gatefront.Balancer.Phase;
+import gatefront.Rules;
+import gatefront.SettingsParser;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -7,202 +13,205 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import gatefront.Balancer;
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Phase;
-import gatefront.Rules;
-import gatefront.SettingsParser;
 
 /** Speaks the simulator's wire for many instances. It decides nothing. */
 public final class Drill {
-    private static final double[] NO_LOAD = new double[0];
-    private static final int LISTS = 16;
-    private static final int SERVER_BYTES = 22;
+  private static final double[] NO_LOAD = new double[0];
+  private static final int LISTS = 16;
+  private static final int SERVER_BYTES = 22;
 
-    private final FrameReader in;
-    private final OutputStream outStream;
-    private final FrameWriter out = new FrameWriter();
-    private final Map<Integer, Balancer> instances = new HashMap<>();
-    private final List<List<Balancer.Server>> lists = new ArrayList<>();
+  private final FrameReader in;
+  private final OutputStream outStream;
+  private final FrameWriter out = new FrameWriter();
+  private final Map<Integer, Balancer> instances = new HashMap<>();
+  private final List<List<Balancer.Server>> lists = new ArrayList<>();
 
-    /** Reads frames from one stream and writes replies to the other. */
-    public Drill(InputStream in, OutputStream out) {
-        this.in = new FrameReader(in);
-        this.outStream = out;
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
-        }
+  /** Reads frames from one stream and writes replies to the other. */
+  public Drill(InputStream in, OutputStream out) {
+    this.in = new FrameReader(in);
+    this.outStream = out;
+    for (int i = 0; i < LISTS; i++) {
+      lists.add(null);
     }
+  }
 
-    /** Answers frames until the input ends. */
-    public void run() throws IOException {
-        while (in.nextFrame()) {
-            while (in.nextRecord()) {
-                record(in.clock());
-            }
-            out.flush(outStream);
-        }
+  /** Answers frames until the input ends. */
+  public void run() throws IOException {
+    while (in.nextFrame()) {
+      while (in.nextRecord()) {
+        record(in.clock());
+      }
+      out.flush(outStream);
     }
+  }
 
-    private void record(long now) {
-        int code = in.code();
-        if (code == 25) {
-            defineList();
-            return;
-        }
-        int id = in.u16();
-        out.instance(id);
-        if (code == 24) {
-            long seed = in.i64();
-            Balancer.Settings settings = settings(in.text(in.u32()));
-            decide(() -> instances.put(id, new Rules(settings, seed, now, out)));
-            return;
-        }
-        Balancer instance = instances.get(id);
-        if (instance == null) {
-            throw new WireException(in.where() + ": instance " + id + " was never started");
-        }
-        if (code == 19) {
-            instances.remove(id);
-            return;
-        }
-        decide(() -> event(code, instance, now));
+  private void record(long now) {
+    int code = in.code();
+    if (code == 25) {
+      defineList();
+      return;
     }
-
-    private static Balancer.Settings settings(String text) {
-        try {
-            return SettingsParser.parse(text);
-        } catch (IllegalArgumentException e) {
-            throw new WireException(e.getMessage());
-        }
+    int id = in.u16();
+    out.instance(id);
+    if (code == 24) {
+      long seed = in.i64();
+      Balancer.Settings settings = settings(in.text(in.u32()));
+      decide(() -> instances.put(id, new Rules(settings, seed, now, out)));
+      return;
     }
-
-    /** Runs a piece of the decision code; its failure is told as the instance's death. */
-    private void decide(Runnable decision) {
-        try {
-            decision.run();
-        } catch (WireException e) {
-            throw e;
-        } catch (RuntimeException e) {
-            StackTraceElement[] trace = e.getStackTrace();
-            out.die(e + (trace.length > 0 ? " at " + trace[0] : ""));
-        }
+    Balancer instance = instances.get(id);
+    if (instance == null) {
+      throw new WireException(in.where() + ": instance " + id + " was never started");
     }
+    if (code == 19) {
+      instances.remove(id);
+      return;
+    }
+    decide(() -> event(code, instance, now));
+  }
 
-    private void event(int code, Balancer instance, long now) {
-        switch (code) {
-            case 16 -> {
-                long spent = in.u32();
-                Outcome outcome = outcome(in.u16());
-                instance.probed(now, in.u32(), outcome, spent, load());
-            }
-            case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
-            case 18 -> {
-                int from = in.u16();
-                instance.message(now, from, in.bytes(in.u16()));
-            }
-            case 20 -> {
-                long id = in.i64();
-                long key = in.i64();
-                int attributes = in.u8();
-                long deadline = in.i64();
-                int requestClass = in.u8();
-                int tenant = in.u16();
-                long cost = in.u32();
-                boolean costKnown = (attributes & 1) != 0;
-                instance.request(now, new Balancer.Request(id, requestClass, tenant, key,
-                    costKnown ? cost : 0,
-                    deadline, (attributes & 2) != 0, (attributes & 4) != 0));
-            }
-            case 21 -> announce(instance, now);
-            case 22 -> {
-                long id = in.i64();
-                int attempt = in.u16();
-                long server = in.u32();
-                Outcome outcome = outcome(in.u16());
-                long spent = in.u32();
-                boolean closed = in.u8() != 0;
-                instance.outcome(now, id, attempt, server, outcome, spent, closed, load());
-            }
-            case 23 -> instance.clientLeft(now, in.i64());
-            case 26 -> instance.timer(now, in.i64());
-            default -> throw new WireException(in.where() + ": unknown code");
-        }
+  private static Balancer.Settings settings(String text) {
+    try {
+      return SettingsParser.parse(text);
+    } catch (IllegalArgumentException e) {
+      throw new WireException(e.getMessage());
     }
+  }
 
-    private void defineList() {
-        int number = in.u8();
-        if (number >= LISTS) {
-            throw new WireException(in.where() + ": list number " + number + " is over " + (LISTS - 1));
-        }
-        int count = in.count(in.u32(), SERVER_BYTES);
-        List<Balancer.Server> entries = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            long server = in.u32();
-            int zone = in.u16();
-            int kind = in.u8();
-            int cell = in.u16();
-            Phase phase = phase(in.u8());
-            double weight = in.f32();
-            entries.add(new Balancer.Server(server, zone, cell, kind, phase, weight, in.i64()));
-        }
-        lists.set(number, List.copyOf(entries));
+  /** Runs a piece of the decision code; its failure is told as the instance's death. */
+  private void decide(Runnable decision) {
+    try {
+      decision.run();
+    } catch (WireException e) {
+      throw e;
+    } catch (RuntimeException e) {
+      StackTraceElement[] trace = e.getStackTrace();
+      out.die(e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
+  }
 
-    private void announce(Balancer instance, long now) {
-        int number = in.u8();
-        ListKind kind = switch (in.u8()) {
-            case 1 -> ListKind.DELTA;
-            case 2 -> ListKind.CACHED;
-            case 3 -> ListKind.FULL;
-            case 4 -> ListKind.FAILED;
-            default -> throw new WireException(in.where() + ": unknown kind of list");
-        };
-        in.u32(); // the list's version: events are ordered and complete, so nothing hangs on it
-        if (kind == ListKind.FAILED) {
-            instance.servers(now, kind, List.of());
-            return;
-        }
-        List<Balancer.Server> entries = number < LISTS ? lists.get(number) : null;
-        if (entries == null) {
-            throw new WireException(in.where() + ": list " + number + " was never defined");
-        }
-        instance.servers(now, kind, entries);
+  private void event(int code, Balancer instance, long now) {
+    switch (code) {
+      case 16 -> {
+        long spent = in.u32();
+        Outcome outcome = outcome(in.u16());
+        instance.probed(now, in.u32(), outcome, spent, load());
+      }
+      case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
+      case 18 -> {
+        int from = in.u16();
+        instance.message(now, from, in.bytes(in.u16()));
+      }
+      case 20 -> {
+        long id = in.i64();
+        long key = in.i64();
+        int attributes = in.u8();
+        long deadline = in.i64();
+        int requestClass = in.u8();
+        int tenant = in.u16();
+        long cost = in.u32();
+        boolean costKnown = (attributes & 1) != 0;
+        instance.request(
+            now,
+            new Balancer.Request(
+                id,
+                requestClass,
+                tenant,
+                key,
+                costKnown ? cost : 0,
+                deadline,
+                (attributes & 2) != 0,
+                (attributes & 4) != 0));
+      }
+      case 21 -> announce(instance, now);
+      case 22 -> {
+        long id = in.i64();
+        int attempt = in.u16();
+        long server = in.u32();
+        Outcome outcome = outcome(in.u16());
+        long spent = in.u32();
+        boolean closed = in.u8() != 0;
+        instance.outcome(now, id, attempt, server, outcome, spent, closed, load());
+      }
+      case 23 -> instance.clientLeft(now, in.i64());
+      case 26 -> instance.timer(now, in.i64());
+      default -> throw new WireException(in.where() + ": unknown code");
     }
+  }
 
-    private double[] load() {
-        int n = in.u8();
-        if (n == 0) {
-            return NO_LOAD;
-        }
-        double[] load = new double[in.count(n, 4)];
-        for (int i = 0; i < n; i++) {
-            load[i] = in.f32();
-        }
-        return load;
+  private void defineList() {
+    int number = in.u8();
+    if (number >= LISTS) {
+      throw new WireException(in.where() + ": list number " + number + " is over " + (LISTS - 1));
+    }
+    int count = in.count(in.u32(), SERVER_BYTES);
+    List<Balancer.Server> entries = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      long server = in.u32();
+      int zone = in.u16();
+      int kind = in.u8();
+      int cell = in.u16();
+      Phase phase = phase(in.u8());
+      double weight = in.f32();
+      entries.add(new Balancer.Server(server, zone, cell, kind, phase, weight, in.i64()));
     }
+    lists.set(number, List.copyOf(entries));
+  }
 
-    private Phase phase(int code) {
-        return switch (code) {
-            case 1 -> Phase.GONE;
-            case 2 -> Phase.DRAINING;
-            case 3 -> Phase.READY;
-            default -> throw new WireException(in.where() + ": unknown health " + code);
+  private void announce(Balancer instance, long now) {
+    int number = in.u8();
+    ListKind kind =
+        switch (in.u8()) {
+          case 1 -> ListKind.DELTA;
+          case 2 -> ListKind.CACHED;
+          case 3 -> ListKind.FULL;
+          case 4 -> ListKind.FAILED;
+          default -> throw new WireException(in.where() + ": unknown kind of list");
         };
+    in.u32(); // the list's version: events are ordered and complete, so nothing hangs on it
+    if (kind == ListKind.FAILED) {
+      instance.servers(now, kind, List.of());
+      return;
     }
+    List<Balancer.Server> entries = number < LISTS ? lists.get(number) : null;
+    if (entries == null) {
+      throw new WireException(in.where() + ": list " + number + " was never defined");
+    }
+    instance.servers(now, kind, entries);
+  }
 
-    private Outcome outcome(int code) {
-        return switch (code) {
-            case 200 -> Outcome.OK;
-            case 502 -> Outcome.ERROR;
-            case 429 -> Outcome.FULL;
-            case 408 -> Outcome.TIMEOUT;
-            case 521 -> Outcome.CONNECT_FAILED;
-            case 520 -> Outcome.RESET;
-            case 444 -> Outcome.CANCELLED;
-            case 409 -> Outcome.NEVER_SENT;
-            default -> throw new WireException(in.where() + ": unknown outcome " + code);
-        };
+  private double[] load() {
+    int n = in.u8();
+    if (n == 0) {
+      return NO_LOAD;
+    }
+    double[] load = new double[in.count(n, 4)];
+    for (int i = 0; i < n; i++) {
+      load[i] = in.f32();
     }
+    return load;
+  }
+
+  private Phase phase(int code) {
+    return switch (code) {
+      case 1 -> Phase.GONE;
+      case 2 -> Phase.DRAINING;
+      case 3 -> Phase.READY;
+      default -> throw new WireException(in.where() + ": unknown health " + code);
+    };
+  }
+
+  private Outcome outcome(int code) {
+    return switch (code) {
+      case 200 -> Outcome.OK;
+      case 502 -> Outcome.ERROR;
+      case 429 -> Outcome.FULL;
+      case 408 -> Outcome.TIMEOUT;
+      case 521 -> Outcome.CONNECT_FAILED;
+      case 520 -> Outcome.RESET;
+      case 444 -> Outcome.CANCELLED;
+      case 409 -> Outcome.NEVER_SENT;
+      default -> throw new WireException(in.where() + ": unknown outcome " + code);
+    };
+  }
 }
--- a/src/main/java/gatefront/drill/WireException.java
+++ b/src/main/java/gatefront/drill/WireException.java
@@ -2,9 +2,9 @@
 
 /** Input that does not follow the wire; the message says what is wrong and where. */
 public final class WireException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
-        super(message);
-    }
+  WireException(String message) {
+    super(message);
+  }
 }
--- a/src/main/java/gatefront/net/Agent.java
+++ b/src/main/java/gatefront/net/Agent.java
@@ -29,622 +29,754 @@
 import java.util.regex.Pattern;
 
 /**
- * Hosts the decision module on real sockets: the one place where events enter it, and where its actions
- * become bytes. One event loop thread owns the sockets, the timers and the module.
+ * Hosts the decision module on real sockets: the one place where events enter it, and where its
+ * actions become bytes. One event loop thread owns the sockets, the timers and the module.
  */
 public final class Agent implements Balancer.Actions {
-    /** Of the client's time, what the answer's way back and a late wake-up may take. */
-    private static final long MARGIN_MICROS = 10_000;
-    /** Of that, what the module has before the guard takes its last moment for a fault. */
-    private static final long GUARD_MICROS = 5_000;
-    /** Descriptors kept back for the program's own files, discovery and the listener. */
-    private static final int SOCKETS_RESERVED = 40;
-    /** When a client that is refused should come back, where the module does not say: in a moment. */
-    static final long RETRY_AFTER_MICROS = 250_000;
-    /** How long new connections come at the most after the end was asked for. */
-    private static final long LINGER_MS = 500;
-    /** By so much longer than the longest deadline an agent has until it is killed. */
-    private static final long KILL_AFTER_MS = 700;
-    /** However long the deadlines are, the kill comes as if the longest were this: the protocol has it so. */
-    private static final long KILL_DEADLINE_MS = 3_000;
-    /** So long before that the last answers are given, and so long before those connections begin to end. */
-    private static final long LAST_MS = 200;
-    private static final long CLOSING_MS = 300;
-    /** However long the deadlines are, connections begin to end after this. */
-    private static final long SERVE_ON_MOST_MS = 2_000;
-    /** How long the first list is waited for before the known one has to do. */
-    private static final long FIRST_LIST_MS = 1_000;
-    private static final Pattern SERVER = Pattern.compile("^server (-?\\d+)");
-
-    private Config config;
-    private final EventLoopGroup group;
-    private final EventLoop loop;
-    private Balancer balancer;
-    private final Backends backends;
-    private final Discovery discovery;
-    private final ClientServer clients;
-    private final Tally tally = new Tally();
-    private final Map<Long, Pending> open = new HashMap<>();
-    private final Map<Exchange, Pending> byExchange = new HashMap<>();
-    /** The same by the ids that clients gave. */
-    private final Map<String, Pending> byName = new HashMap<>();
-    /** The lines of the servers listed. */
-    private final Map<Long, Discovery.Endpoint> servers = new HashMap<>();
-    private final LiveSettings live = new LiveSettings();
-    private final ConfigFile file;
-    /** The list of the configuration: what is held until discovery answers; null once the module has it. */
-    private Discovery.Listing known;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    /** The monotonic clock is anchored once to the time of day, in which the list tells starts. */
-    private final long anchorMicros = 1000 * System.currentTimeMillis() - System.nanoTime() / 1000;
-    private final AtomicBoolean stopping = new AtomicBoolean();
-    private long nextId = 1;
-    private boolean watchWanted;
-    private boolean deciding;
-    private boolean ending;
-    /** Whether a list has come, or has been waited for long enough; and whether the path has been run. */
-    private boolean listed;
-    private boolean warm;
-    private int warmedBy;
-
-    /** A request taken and not yet done with. */
-    private static final class Pending {
-        final long id;
-        /** As the settings in force had it when the module was told. */
-        Incoming request;
-        final Exchange exchange;
-        final long cameAt;
-        final List<Backends.Attempt> attempts = new ArrayList<>(1);
-        int out;
-        boolean answered;
-        Future<?> guard;
-
-        Pending(long id, Incoming request, Exchange exchange, long cameAt) {
-            this.id = id;
-            this.cameAt = cameAt;
-            this.request = request;
-            this.exchange = exchange;
-        }
-    }
+  /** Of the client's time, what the answer's way back and a late wake-up may take. */
+  private static final long MARGIN_MICROS = 10_000;
+
+  /** Of that, what the module has before the guard takes its last moment for a fault. */
+  private static final long GUARD_MICROS = 5_000;
 
-    private Agent(Path path, Config config, Function<Agent, Balancer> module) throws IOException {
-        this.config = config;
-        this.file = new ConfigFile(path, config.live() != null, this::found);
-        group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        loop = group.next();
-        backends = new Backends(loop, config, connectionsMost(config), tally);
-        discovery = new Discovery(loop, config, new Discovery.Listener() {
-            @Override
-            public void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
+  /** Descriptors kept back for the program's own files, discovery and the listener. */
+  private static final int SOCKETS_RESERVED = 40;
+
+  /** When a client that is refused should come back, where the module does not say: in a moment. */
+  static final long RETRY_AFTER_MICROS = 250_000;
+
+  /** How long new connections come at the most after the end was asked for. */
+  private static final long LINGER_MS = 500;
+
+  /** By so much longer than the longest deadline an agent has until it is killed. */
+  private static final long KILL_AFTER_MS = 700;
+
+  /**
+   * However long the deadlines are, the kill comes as if the longest were this: the protocol has it
+   * so.
+   */
+  private static final long KILL_DEADLINE_MS = 3_000;
+
+  /**
+   * So long before that the last answers are given, and so long before those connections begin to
+   * end.
+   */
+  private static final long LAST_MS = 200;
+
+  private static final long CLOSING_MS = 300;
+
+  /** However long the deadlines are, connections begin to end after this. */
+  private static final long SERVE_ON_MOST_MS = 2_000;
+
+  /** How long the first list is waited for before the known one has to do. */
+  private static final long FIRST_LIST_MS = 1_000;
+
+  private static final Pattern SERVER = Pattern.compile("^server (-?\\d+)");
+
+  private Config config;
+  private final EventLoopGroup group;
+  private final EventLoop loop;
+  private Balancer balancer;
+  private final Backends backends;
+  private final Discovery discovery;
+  private final ClientServer clients;
+  private final Tally tally = new Tally();
+  private final Map<Long, Pending> open = new HashMap<>();
+  private final Map<Exchange, Pending> byExchange = new HashMap<>();
+
+  /** The same by the ids that clients gave. */
+  private final Map<String, Pending> byName = new HashMap<>();
+
+  /** The lines of the servers listed. */
+  private final Map<Long, Discovery.Endpoint> servers = new HashMap<>();
+
+  private final LiveSettings live = new LiveSettings();
+  private final ConfigFile file;
+
+  /**
+   * The list of the configuration: what is held until discovery answers; null once the module has
+   * it.
+   */
+  private Discovery.Listing known;
+
+  private final CountDownLatch ended = new CountDownLatch(1);
+
+  /** The monotonic clock is anchored once to the time of day, in which the list tells starts. */
+  private final long anchorMicros = 1000 * System.currentTimeMillis() - System.nanoTime() / 1000;
+
+  private final AtomicBoolean stopping = new AtomicBoolean();
+  private long nextId = 1;
+  private boolean watchWanted;
+  private boolean deciding;
+  private boolean ending;
+
+  /**
+   * Whether a list has come, or has been waited for long enough; and whether the path has been run.
+   */
+  private boolean listed;
+
+  private boolean warm;
+  private int warmedBy;
+
+  /** A request taken and not yet done with. */
+  private static final class Pending {
+    final long id;
+
+    /** As the settings in force had it when the module was told. */
+    Incoming request;
+
+    final Exchange exchange;
+    final long cameAt;
+    final List<Backends.Attempt> attempts = new ArrayList<>(1);
+    int out;
+    boolean answered;
+    Future<?> guard;
+
+    Pending(long id, Incoming request, Exchange exchange, long cameAt) {
+      this.id = id;
+      this.cameAt = cameAt;
+      this.request = request;
+      this.exchange = exchange;
+    }
+  }
+
+  private Agent(Path path, Config config, Function<Agent, Balancer> module) throws IOException {
+    this.config = config;
+    this.file = new ConfigFile(path, config.live() != null, this::found);
+    group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    loop = group.next();
+    backends = new Backends(loop, config, connectionsMost(config), tally);
+    discovery =
+        new Discovery(
+            loop,
+            config,
+            new Discovery.Listener() {
+              @Override
+              public void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
                 listed = true;
                 Agent.this.list(kind, endpoints);
-            }
+              }
 
-            @Override
-            public void failed(String why) {
+              @Override
+              public void failed(String why) {
                 log("discovery: " + why);
                 if (Agent.this.config.settings().askDiscovery()) {
-                    event(() -> Agent.this.balancer.servers(now(), Balancer.ListKind.FAILED, List.of()));
+                  event(
+                      () ->
+                          Agent.this.balancer.servers(now(), Balancer.ListKind.FAILED, List.of()));
                 }
-            }
-        });
-        known = known(config);
-        if (config.settings().askDiscovery()) {
-            discovery.holds(known);
-        }
-        // After discovery, which the module may ask at once; and on the loop, where a timer that it sets at
-        // once would find no module otherwise.
-        loop.submit(() -> balancer = module.apply(this)).syncUninterruptibly();
-        var listener = new ClientServer.Listener() {
-            @Override
-            public void request(Incoming request, Exchange exchange) {
-                Agent.this.request(request, exchange);
-            }
-
-            @Override
-            public void clientLeft(Exchange exchange) {
-                Agent.this.clientLeft(exchange);
-            }
+              }
+            });
+    known = known(config);
+    if (config.settings().askDiscovery()) {
+      discovery.holds(known);
+    }
+    // After discovery, which the module may ask at once; and on the loop, where a timer that it
+    // sets at
+    // once would find no module otherwise.
+    loop.submit(() -> balancer = module.apply(this)).syncUninterruptibly();
+    var listener =
+        new ClientServer.Listener() {
+          @Override
+          public void request(Incoming request, Exchange exchange) {
+            Agent.this.request(request, exchange);
+          }
+
+          @Override
+          public void clientLeft(Exchange exchange) {
+            Agent.this.clientLeft(exchange);
+          }
         };
-        clients = new ClientServer(loop, config, connectionsMost(config), () -> listed && warm, listener,
+    clients =
+        new ClientServer(
+            loop,
+            config,
+            connectionsMost(config),
+            () -> listed && warm,
+            listener,
             System::nanoTime);
-    }
-
-    /** Connections on either side. */
-    private static int connectionsMost(Config config) {
-        return (config.sockets() - SOCKETS_RESERVED) / 2;
-    }
-
-    /**
-     * Starts an agent; it listens when this returns.
-     *
-     * @param config its configuration file
-     * @return the running agent
-     * @throws IllegalArgumentException if the configuration is unusable; the message is one plain line
-     * @throws IOException if the address cannot be listened on
-     */
-    public static Agent start(Path config) throws IOException {
-        return start(config, Config.read(config));
-    }
-
-    static Agent start(Config config) throws IOException {
-        return start((Path) null, config);
-    }
-
-    private static Agent start(Path file, Config config) throws IOException {
-        return start(file, config,
-            agent -> new Rules(config.settings(), config.seed(), agent.now(), agent));
-    }
-
-    /** With another module than the usual one. */
-    static Agent start(Config config, Function<Agent, Balancer> module) throws IOException {
-        return start(null, config, module);
-    }
-
-    private static Agent start(Path file, Config config, Function<Agent, Balancer> module)
-            throws IOException {
-        Agent agent = new Agent(file, config, module);
-        agent.beginSoon();
-        InetSocketAddress at = agent.address();
-        say("listening on " + at.getAddress().getHostAddress() + ":" + at.getPort());
-        return agent;
-    }
-
-    /** One that has not begun: it listens, and has no list yet. */
-    static Agent made(Config config, Function<Agent, Balancer> module) throws IOException {
-        return new Agent(null, config, module);
-    }
-
-    void beginSoon() {
-        loop.execute(this::begin);
-    }
-
-    private static Discovery.Listing known(Config config) {
-        try {
-            return Discovery.decode(config.known(), config);
-        } catch (IllegalArgumentException e) {
-            say("known list: " + e.getMessage());
-            return new Discovery.Listing(0, true, List.of());
-        }
-    }
-
-    private void begin() {
-        apply(config.withoutKnown()); // before the module makes its own of it: both at once may be too much
-        List<Discovery.Endpoint> held = known.endpoints();
-        known = null;
-        list(Balancer.ListKind.CACHED, held);
-        watchWanted |= !config.settings().askDiscovery();
-        watchOnceBegun();
-        loop.schedule(() -> listed = true, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
-        Warmup.run(loop, config, backends, clients, answered -> {
-            tally.take(0, 0); // its own requests are nobody's
-            loop.scheduleAtFixedRate(this::tell, Tally.PERIOD_SECONDS, Tally.PERIOD_SECONDS,
-                TimeUnit.SECONDS);
-            warm = true;
-            warmedBy = answered;
-            if (config.live() != null) {
-                say(LiveSettings.started(config));
-                tally.settings(live.told(config));
-                file.lookEvery(config.live().checkMs());
-            }
-        });
-    }
-
-    private void tell() {
-        tally.take(open.size(), backends.connections()).forEach(Agent::say);
-    }
-
-    /** Where it listens. */
-    InetSocketAddress address() {
-        return (InetSocketAddress) clients.channel().localAddress();
-    }
-
-    /**
-     * Takes over from the file what may change under way: where discovery is, and where settings have
-     * versions also those. Requests go on undisturbed, and a file that cannot be used changes nothing. The
-     * file is read on the calling thread, or once more by the thread that reads it now.
-     *
-     * @param from the configuration file
-     */
-    public void reload(Path from) {
-        file.read(from);
-    }
-
-    /** The file has been read, on the thread that did so. */
-    private void found(ConfigFile.Found found) {
-        try {
-            loop.execute(() -> takeOver(found));
-        } catch (RejectedExecutionException e) {
-            if (found.asked()) {
-                say("reload: not taken, the agent has ended"); // a signal may come at any time of the end
-            }
-        }
-    }
-
-    /**
-     * Discovery moves whatever the settings beside it are worth: an agent that loses discovery loses its
-     * list, which is worse than late settings. These are taken whole or not at all.
-     */
-    private void takeOver(ConfigFile.Found found) {
-        if (found.discovery() != null) {
-            discovery.moveTo(found.discovery());
-        }
-        if (config.live() == null) {
-            if (found.unusable() != null) {
-                say("reload: the old settings stay: " + found.unusable());
-            }
-            return;
-        }
-        event(() -> {
-            if (live.wants(config, found)) {
-                takeSettings(found);
-            }
+  }
+
+  /** Connections on either side. */
+  private static int connectionsMost(Config config) {
+    return (config.sockets() - SOCKETS_RESERVED) / 2;
+  }
+
+  /**
+   * Starts an agent; it listens when this returns.
+   *
+   * @param config its configuration file
+   * @return the running agent
+   * @throws IllegalArgumentException if the configuration is unusable; the message is one plain
+   *     line
+   * @throws IOException if the address cannot be listened on
+   */
+  public static Agent start(Path config) throws IOException {
+    return start(config, Config.read(config));
+  }
+
+  static Agent start(Config config) throws IOException {
+    return start((Path) null, config);
+  }
+
+  private static Agent start(Path file, Config config) throws IOException {
+    return start(
+        file, config, agent -> new Rules(config.settings(), config.seed(), agent.now(), agent));
+  }
+
+  /** With another module than the usual one. */
+  static Agent start(Config config, Function<Agent, Balancer> module) throws IOException {
+    return start(null, config, module);
+  }
+
+  private static Agent start(Path file, Config config, Function<Agent, Balancer> module)
+      throws IOException {
+    Agent agent = new Agent(file, config, module);
+    agent.beginSoon();
+    InetSocketAddress at = agent.address();
+    say("listening on " + at.getAddress().getHostAddress() + ":" + at.getPort());
+    return agent;
+  }
+
+  /** One that has not begun: it listens, and has no list yet. */
+  static Agent made(Config config, Function<Agent, Balancer> module) throws IOException {
+    return new Agent(null, config, module);
+  }
+
+  void beginSoon() {
+    loop.execute(this::begin);
+  }
+
+  private static Discovery.Listing known(Config config) {
+    try {
+      return Discovery.decode(config.known(), config);
+    } catch (IllegalArgumentException e) {
+      say("known list: " + e.getMessage());
+      return new Discovery.Listing(0, true, List.of());
+    }
+  }
+
+  private void begin() {
+    apply(
+        config
+            .withoutKnown()); // before the module makes its own of it: both at once may be too much
+    List<Discovery.Endpoint> held = known.endpoints();
+    known = null;
+    list(Balancer.ListKind.CACHED, held);
+    watchWanted |= !config.settings().askDiscovery();
+    watchOnceBegun();
+    loop.schedule(() -> listed = true, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+    Warmup.run(
+        loop,
+        config,
+        backends,
+        clients,
+        answered -> {
+          tally.take(0, 0); // its own requests are nobody's
+          loop.scheduleAtFixedRate(
+              this::tell, Tally.PERIOD_SECONDS, Tally.PERIOD_SECONDS, TimeUnit.SECONDS);
+          warm = true;
+          warmedBy = answered;
+          if (config.live() != null) {
+            say(LiveSettings.started(config));
             tally.settings(live.told(config));
+            file.lookEvery(config.live().checkMs());
+          }
         });
-    }
-
-    /** Everything here and the module go by the new settings from the same moment, between two events. */
-    private void takeSettings(ConfigFile.Found found) {
-        long from = System.nanoTime();
-        Config before = config;
-        Config next = found.config();
-        Takeover takeover;
-        try {
-            if (stopping.get()) {
-                throw new IllegalArgumentException("the agent ends");
-            }
-            takeover = LiveSettings.takeover(before, next, zone -> servers.values().stream()
-                .anyMatch(each -> each.server().zone() == before.zones().indexOf(zone)));
-            apply(next);
-            balancer.settings(now(), takeover);
-        } catch (RuntimeException e) {
-            apply(before);
-            live.refuse(before, found, e instanceof IllegalArgumentException ? e.getMessage() : e.toString());
-            return;
-        }
-        if (takeover.movesServers()) {
-            servers.replaceAll((id, each) ->
-                new Discovery.Endpoint(takeover.moved(each.server()), each.name(), each.address()));
-        }
-        if (!next.settings().askDiscovery()) {
-            discovery.watch(); // the module does not ask for it any more
-        }
-        file.lookEvery(next.live().checkMs());
-        live.took(before, found, (System.nanoTime() - from) / 1000);
-    }
-
-    private void apply(Config next) {
-        config = next;
-        backends.apply(next, connectionsMost(next));
-        clients.apply(next, connectionsMost(next));
-        discovery.apply(next);
-    }
-
-    /**
-     * Ends in order: serves on for as long as its time allows, then finishes what it holds. Returns when all
-     * is done. Guards against nobody being there while agents are restarted in turn and one takes longer than
-     * planned until it is ready: clients go on using the connections that they have. Harm: where the end is
-     * forced sooner than the protocol has it, requests are open then; and a restart may take 2 s longer.
-     */
-    public void stop() {
-        if (stopping.getAndSet(true)) {
-            awaitEnd();
-            return;
-        }
-        loop.execute(() -> {
-            long longest = config.settings().classes().stream().mapToLong(Balancer.RequestClass::giveUp).max()
-                .orElse(0) / 1000;
-            long last = Math.min(longest, KILL_DEADLINE_MS) + KILL_AFTER_MS - LAST_MS;
-            say("ending: " + open.size() + " requests open, the last answers come after " + last + " ms");
-            clients.leave();
-            loop.schedule(this::endIfUnused, LINGER_MS, TimeUnit.MILLISECONDS);
-            loop.schedule(this::end, Math.min(SERVE_ON_MOST_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
-            loop.schedule(() -> List.copyOf(open.values())
-                .forEach(each -> giveUp(each, HttpResponseStatus.GATEWAY_TIMEOUT)), last,
-                TimeUnit.MILLISECONDS);
+  }
+
+  private void tell() {
+    tally.take(open.size(), backends.connections()).forEach(Agent::say);
+  }
+
+  /** Where it listens. */
+  InetSocketAddress address() {
+    return (InetSocketAddress) clients.channel().localAddress();
+  }
+
+  /**
+   * Takes over from the file what may change under way: where discovery is, and where settings have
+   * versions also those. Requests go on undisturbed, and a file that cannot be used changes
+   * nothing. The file is read on the calling thread, or once more by the thread that reads it now.
+   *
+   * @param from the configuration file
+   */
+  public void reload(Path from) {
+    file.read(from);
+  }
+
+  /** The file has been read, on the thread that did so. */
+  private void found(ConfigFile.Found found) {
+    try {
+      loop.execute(() -> takeOver(found));
+    } catch (RejectedExecutionException e) {
+      if (found.asked()) {
+        say("reload: not taken, the agent has ended"); // a signal may come at any time of the end
+      }
+    }
+  }
+
+  /**
+   * Discovery moves whatever the settings beside it are worth: an agent that loses discovery loses
+   * its list, which is worse than late settings. These are taken whole or not at all.
+   */
+  private void takeOver(ConfigFile.Found found) {
+    if (found.discovery() != null) {
+      discovery.moveTo(found.discovery());
+    }
+    if (config.live() == null) {
+      if (found.unusable() != null) {
+        say("reload: the old settings stay: " + found.unusable());
+      }
+      return;
+    }
+    event(
+        () -> {
+          if (live.wants(config, found)) {
+            takeSettings(found);
+          }
+          tally.settings(live.told(config));
         });
-        awaitEnd();
-    }
-
-    private void endIfUnused() {
-        if (clients.isEmpty()) {
-            end();
-        } else {
-            loop.schedule(this::endIfUnused, 10, TimeUnit.MILLISECONDS);
-        }
-    }
-
-    private void end() {
-        if (!ending) {
-            ending = true;
-            clients.drain();
-            loop.schedule(clients::stopListening, CLOSING_MS / 2, TimeUnit.MILLISECONDS);
-            draining();
-        }
-    }
-
-    private void draining() {
-        // Answers still being written hold their connections open.
-        if (clients.isEmpty()) {
-            clients.stopListening();
-            discovery.close();
-            file.close();
-            group.shutdownGracefully(50, 500, TimeUnit.MILLISECONDS).addListener(done -> ended.countDown());
-        } else {
-            loop.schedule(this::draining, 10, TimeUnit.MILLISECONDS);
-        }
-    }
-
-    /** Waits until the agent has ended. */
-    public void awaitEnd() {
-        try {
-            ended.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    /** How many servers something is kept for: what leaves the list must leave nothing behind. */
-    int kept() throws InterruptedException {
-        return loop.submit(() -> Math.max(servers.size(), backends.size())).sync().getNow();
-    }
-
-    /** How many connections it has to clients and servers. */
-    int connections() throws InterruptedException {
-        return loop.submit(() -> clients.size() + backends.connections()).sync().getNow();
-    }
-
-    /** How many requests of its own it has answered before it said that it was ready. */
-    int warmedBy() throws InterruptedException {
-        return loop.submit(() -> warmedBy).sync().getNow();
-    }
-
-    private long now() {
-        return anchorMicros + System.nanoTime() / 1000;
-    }
-
-    // ---- Events ----
-
-    /** Lets an event into the module. One that arises inside another waits its turn on the loop. */
-    private void event(Runnable event) {
-        event(null, event);
-    }
-
-    /** The same for an event of one request, which is given up if the module fails over it. */
-    private void event(Pending pending, Runnable event) {
-        if (deciding) {
-            loop.execute(() -> event(pending, event));
-            return;
-        }
-        deciding = true;
-        try {
-            event.run();
-        } catch (RuntimeException e) {
-            StackTraceElement[] trace = e.getStackTrace();
-            say("module: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
-            if (pending != null) {
-                loop.execute(() -> giveUp(pending, HttpResponseStatus.INTERNAL_SERVER_ERROR));
-            }
-        } finally {
-            deciding = false;
-        }
-    }
-
-    /** Guards against a request that the module has lost by a fault of its own: it is still failed once. */
-    private void giveUp(Pending pending, HttpResponseStatus status) {
-        if (!pending.answered) {
-            tally.givenUp();
-            answer(pending, status, 0);
-            event(() -> balancer.clientLeft(now(), pending.id));
-            abandon(pending);
-        }
-    }
-
-    private void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
-        Set<Long> gone = new HashSet<>(kind == Balancer.ListKind.DELTA ? Set.of() : servers.keySet());
-        for (Discovery.Endpoint endpoint : endpoints) {
-            long id = endpoint.server().id();
-            gone.remove(id);
-            servers.put(id, endpoint);
-            backends.listed(endpoint);
-        }
-        gone.forEach(backends::gone);
-        List<Balancer.Server> entries = endpoints.stream().map(Discovery.Endpoint::server).toList();
-        event(() -> balancer.servers(now(), kind, entries));
-        endpoints.stream().map(Discovery.Endpoint::server).filter(each -> each.phase() == Balancer.Phase.GONE)
-            .forEach(each -> gone.add(each.id()));
-        servers.keySet().removeAll(gone);
-    }
-
-    private void request(Incoming incoming, Exchange exchange) {
-        // Guards against an effect twice, and against one request getting the other's answer: the second is
-        // not passed on, whoever sent it, and the first goes on unharmed.
-        if (byName.containsKey(incoming.id())) {
-            exchange.answer(HttpResponseStatus.CONFLICT);
-            return;
-        }
-        long id = nextId++;
-        Pending pending = new Pending(id, incoming, exchange, now());
-        open.put(id, pending);
-        byExchange.put(exchange, pending);
-        byName.put(incoming.id(), pending);
-        long left = Math.max(0, 1000 * incoming.timeoutMs() - MARGIN_MICROS);
-        pending.guard = loop.schedule(() -> giveUp(pending, HttpResponseStatus.GATEWAY_TIMEOUT),
-            left + GUARD_MICROS, TimeUnit.MICROSECONDS);
-        long deadline = now() + left;
-        event(pending, () -> {
-            Incoming current = clients.current(incoming);
-            if (current == null) {
-                answer(pending, HttpResponseStatus.BAD_REQUEST, 0);
-                return;
-            }
-            pending.request = current;
-            balancer.request(now(), new Balancer.Request(id, current.requestClass(), current.tenant(),
-                current.key(), current.hint(), deadline, current.repeated(), false));
+  }
+
+  /**
+   * Everything here and the module go by the new settings from the same moment, between two events.
+   */
+  private void takeSettings(ConfigFile.Found found) {
+    long from = System.nanoTime();
+    Config before = config;
+    Config next = found.config();
+    Takeover takeover;
+    try {
+      if (stopping.get()) {
+        throw new IllegalArgumentException("the agent ends");
+      }
+      takeover =
+          LiveSettings.takeover(
+              before,
+              next,
+              zone ->
+                  servers.values().stream()
+                      .anyMatch(each -> each.server().zone() == before.zones().indexOf(zone)));
+      apply(next);
+      balancer.settings(now(), takeover);
+    } catch (RuntimeException e) {
+      apply(before);
+      live.refuse(
+          before, found, e instanceof IllegalArgumentException ? e.getMessage() : e.toString());
+      return;
+    }
+    if (takeover.movesServers()) {
+      servers.replaceAll(
+          (id, each) ->
+              new Discovery.Endpoint(takeover.moved(each.server()), each.name(), each.address()));
+    }
+    if (!next.settings().askDiscovery()) {
+      discovery.watch(); // the module does not ask for it any more
+    }
+    file.lookEvery(next.live().checkMs());
+    live.took(before, found, (System.nanoTime() - from) / 1000);
+  }
+
+  private void apply(Config next) {
+    config = next;
+    backends.apply(next, connectionsMost(next));
+    clients.apply(next, connectionsMost(next));
+    discovery.apply(next);
+  }
+
+  /**
+   * Ends in order: serves on for as long as its time allows, then finishes what it holds. Returns
+   * when all is done. Guards against nobody being there while agents are restarted in turn and one
+   * takes longer than planned until it is ready: clients go on using the connections that they
+   * have. Harm: where the end is forced sooner than the protocol has it, requests are open then;
+   * and a restart may take 2 s longer.
+   */
+  public void stop() {
+    if (stopping.getAndSet(true)) {
+      awaitEnd();
+      return;
+    }
+    loop.execute(
+        () -> {
+          long longest =
+              config.settings().classes().stream()
+                      .mapToLong(Balancer.RequestClass::giveUp)
+                      .max()
+                      .orElse(0)
+                  / 1000;
+          long last = Math.min(longest, KILL_DEADLINE_MS) + KILL_AFTER_MS - LAST_MS;
+          say(
+              "ending: "
+                  + open.size()
+                  + " requests open, the last answers come after "
+                  + last
+                  + " ms");
+          clients.leave();
+          loop.schedule(this::endIfUnused, LINGER_MS, TimeUnit.MILLISECONDS);
+          loop.schedule(
+              this::end, Math.min(SERVE_ON_MOST_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
+          loop.schedule(
+              () ->
+                  List.copyOf(open.values())
+                      .forEach(each -> giveUp(each, HttpResponseStatus.GATEWAY_TIMEOUT)),
+              last,
+              TimeUnit.MILLISECONDS);
         });
-    }
-
-    private void clientLeft(Exchange exchange) {
-        Pending pending = byExchange.get(exchange);
-        if (pending != null && !pending.answered) {
-            answered(pending, Tally.Answer.LEFT);
-            event(() -> balancer.clientLeft(now(), pending.id));
-            abandon(pending);
-        }
-    }
-
-    /** Ends the attempts that outlive their client, where the module has left them. */
-    private void abandon(Pending pending) {
-        pending.attempts.forEach(Backends.Attempt::cancel);
-    }
-
-    private void outcome(Pending pending, int attempt, long server, long sentAt, Backends.Result result) {
-        pending.out--;
-        tally.ended(result.outcome());
-        boolean first = !pending.answered;
-        if (result.served() != null && first) {
-            pending.exchange.answer(HttpResponseStatus.OK, result.served(), 0);
-            answered(pending, Tally.Answer.SERVED);
-        }
-        // Guards against asking every server what one has found to be no good, and against blaming it.
-        boolean bad = result.bad() != null;
-        if (bad) {
-            answer(pending, result.bad(), 0);
-        }
-        Balancer.Outcome outcome = bad ? Balancer.Outcome.CANCELLED : result.outcome();
-        forget(pending);
-        event(pending, () -> balancer.outcome(now(), pending.id, attempt, server, outcome,
-            now() - sentAt, pending.answered, result.load()));
-    }
-
-    private void answer(Pending pending, HttpResponseStatus status, long retryAfter) {
-        if (!pending.answered) {
-            pending.exchange.answer(status, null, retryAfter);
-            boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-            answered(pending, refused ? Tally.Answer.REFUSED : Tally.Answer.FAILED);
-        }
-    }
-
-    private void answered(Pending pending, Tally.Answer how) {
-        pending.answered = true;
-        tally.answered(how, pending.attempts.size());
-        if (how != Tally.Answer.SERVED && how != Tally.Answer.LEFT && tally.wantsUnserved()) {
-            tally.unserved(pending.request.id(), pending.request.type(),
-                Tally.word(how), now() - pending.cameAt, pending.request.timeoutMs(),
-                pending.attempts.stream().map(each -> name(each.server()) + " " + each.told()).toList());
-        }
-        pending.guard.cancel(false);
-        byExchange.remove(pending.exchange);
-        forget(pending);
-    }
-
-    private void forget(Pending pending) {
-        if (pending.answered && pending.out == 0) {
-            open.remove(pending.id);
-            byName.remove(pending.request.id(), pending);
-        }
-    }
-
-    // ---- Actions ----
-
-    @Override
-    public void send(long request, long server, long timeout) {
-        Pending pending = open.get(request);
-        if (pending == null || pending.answered) {
+    awaitEnd();
+  }
+
+  private void endIfUnused() {
+    if (clients.isEmpty()) {
+      end();
+    } else {
+      loop.schedule(this::endIfUnused, 10, TimeUnit.MILLISECONDS);
+    }
+  }
+
+  private void end() {
+    if (!ending) {
+      ending = true;
+      clients.drain();
+      loop.schedule(clients::stopListening, CLOSING_MS / 2, TimeUnit.MILLISECONDS);
+      draining();
+    }
+  }
+
+  private void draining() {
+    // Answers still being written hold their connections open.
+    if (clients.isEmpty()) {
+      clients.stopListening();
+      discovery.close();
+      file.close();
+      group
+          .shutdownGracefully(50, 500, TimeUnit.MILLISECONDS)
+          .addListener(done -> ended.countDown());
+    } else {
+      loop.schedule(this::draining, 10, TimeUnit.MILLISECONDS);
+    }
+  }
+
+  /** Waits until the agent has ended. */
+  public void awaitEnd() {
+    try {
+      ended.await();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  /** How many servers something is kept for: what leaves the list must leave nothing behind. */
+  int kept() throws InterruptedException {
+    return loop.submit(() -> Math.max(servers.size(), backends.size())).sync().getNow();
+  }
+
+  /** How many connections it has to clients and servers. */
+  int connections() throws InterruptedException {
+    return loop.submit(() -> clients.size() + backends.connections()).sync().getNow();
+  }
+
+  /** How many requests of its own it has answered before it said that it was ready. */
+  int warmedBy() throws InterruptedException {
+    return loop.submit(() -> warmedBy).sync().getNow();
+  }
+
+  private long now() {
+    return anchorMicros + System.nanoTime() / 1000;
+  }
+
+  // ---- Events ----
+
+  /** Lets an event into the module. One that arises inside another waits its turn on the loop. */
+  private void event(Runnable event) {
+    event(null, event);
+  }
+
+  /** The same for an event of one request, which is given up if the module fails over it. */
+  private void event(Pending pending, Runnable event) {
+    if (deciding) {
+      loop.execute(() -> event(pending, event));
+      return;
+    }
+    deciding = true;
+    try {
+      event.run();
+    } catch (RuntimeException e) {
+      StackTraceElement[] trace = e.getStackTrace();
+      say("module: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+      if (pending != null) {
+        loop.execute(() -> giveUp(pending, HttpResponseStatus.INTERNAL_SERVER_ERROR));
+      }
+    } finally {
+      deciding = false;
+    }
+  }
+
+  /**
+   * Guards against a request that the module has lost by a fault of its own: it is still failed
+   * once.
+   */
+  private void giveUp(Pending pending, HttpResponseStatus status) {
+    if (!pending.answered) {
+      tally.givenUp();
+      answer(pending, status, 0);
+      event(() -> balancer.clientLeft(now(), pending.id));
+      abandon(pending);
+    }
+  }
+
+  private void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
+    Set<Long> gone = new HashSet<>(kind == Balancer.ListKind.DELTA ? Set.of() : servers.keySet());
+    for (Discovery.Endpoint endpoint : endpoints) {
+      long id = endpoint.server().id();
+      gone.remove(id);
+      servers.put(id, endpoint);
+      backends.listed(endpoint);
+    }
+    gone.forEach(backends::gone);
+    List<Balancer.Server> entries = endpoints.stream().map(Discovery.Endpoint::server).toList();
+    event(() -> balancer.servers(now(), kind, entries));
+    endpoints.stream()
+        .map(Discovery.Endpoint::server)
+        .filter(each -> each.phase() == Balancer.Phase.GONE)
+        .forEach(each -> gone.add(each.id()));
+    servers.keySet().removeAll(gone);
+  }
+
+  private void request(Incoming incoming, Exchange exchange) {
+    // Guards against an effect twice, and against one request getting the other's answer: the
+    // second is
+    // not passed on, whoever sent it, and the first goes on unharmed.
+    if (byName.containsKey(incoming.id())) {
+      exchange.answer(HttpResponseStatus.CONFLICT);
+      return;
+    }
+    long id = nextId++;
+    Pending pending = new Pending(id, incoming, exchange, now());
+    open.put(id, pending);
+    byExchange.put(exchange, pending);
+    byName.put(incoming.id(), pending);
+    long left = Math.max(0, 1000 * incoming.timeoutMs() - MARGIN_MICROS);
+    pending.guard =
+        loop.schedule(
+            () -> giveUp(pending, HttpResponseStatus.GATEWAY_TIMEOUT),
+            left + GUARD_MICROS,
+            TimeUnit.MICROSECONDS);
+    long deadline = now() + left;
+    event(
+        pending,
+        () -> {
+          Incoming current = clients.current(incoming);
+          if (current == null) {
+            answer(pending, HttpResponseStatus.BAD_REQUEST, 0);
             return;
-        }
-        int attempt = pending.attempts.size();
-        long sentAt = now();
-        pending.out++;
-        if (attempt == 0) {
-            tally.waited(sentAt - pending.cameAt);
-        }
-        pending.attempts.add(backends.send(server, pending.request.forward(), timeout,
+          }
+          pending.request = current;
+          balancer.request(
+              now(),
+              new Balancer.Request(
+                  id,
+                  current.requestClass(),
+                  current.tenant(),
+                  current.key(),
+                  current.hint(),
+                  deadline,
+                  current.repeated(),
+                  false));
+        });
+  }
+
+  private void clientLeft(Exchange exchange) {
+    Pending pending = byExchange.get(exchange);
+    if (pending != null && !pending.answered) {
+      answered(pending, Tally.Answer.LEFT);
+      event(() -> balancer.clientLeft(now(), pending.id));
+      abandon(pending);
+    }
+  }
+
+  /** Ends the attempts that outlive their client, where the module has left them. */
+  private void abandon(Pending pending) {
+    pending.attempts.forEach(Backends.Attempt::cancel);
+  }
+
+  private void outcome(
+      Pending pending, int attempt, long server, long sentAt, Backends.Result result) {
+    pending.out--;
+    tally.ended(result.outcome());
+    boolean first = !pending.answered;
+    if (result.served() != null && first) {
+      pending.exchange.answer(HttpResponseStatus.OK, result.served(), 0);
+      answered(pending, Tally.Answer.SERVED);
+    }
+    // Guards against asking every server what one has found to be no good, and against blaming it.
+    boolean bad = result.bad() != null;
+    if (bad) {
+      answer(pending, result.bad(), 0);
+    }
+    Balancer.Outcome outcome = bad ? Balancer.Outcome.CANCELLED : result.outcome();
+    forget(pending);
+    event(
+        pending,
+        () ->
+            balancer.outcome(
+                now(),
+                pending.id,
+                attempt,
+                server,
+                outcome,
+                now() - sentAt,
+                pending.answered,
+                result.load()));
+  }
+
+  private void answer(Pending pending, HttpResponseStatus status, long retryAfter) {
+    if (!pending.answered) {
+      pending.exchange.answer(status, null, retryAfter);
+      boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+      answered(pending, refused ? Tally.Answer.REFUSED : Tally.Answer.FAILED);
+    }
+  }
+
+  private void answered(Pending pending, Tally.Answer how) {
+    pending.answered = true;
+    tally.answered(how, pending.attempts.size());
+    if (how != Tally.Answer.SERVED && how != Tally.Answer.LEFT && tally.wantsUnserved()) {
+      tally.unserved(
+          pending.request.id(),
+          pending.request.type(),
+          Tally.word(how),
+          now() - pending.cameAt,
+          pending.request.timeoutMs(),
+          pending.attempts.stream().map(each -> name(each.server()) + " " + each.told()).toList());
+    }
+    pending.guard.cancel(false);
+    byExchange.remove(pending.exchange);
+    forget(pending);
+  }
+
+  private void forget(Pending pending) {
+    if (pending.answered && pending.out == 0) {
+      open.remove(pending.id);
+      byName.remove(pending.request.id(), pending);
+    }
+  }
+
+  // ---- Actions ----
+
+  @Override
+  public void send(long request, long server, long timeout) {
+    Pending pending = open.get(request);
+    if (pending == null || pending.answered) {
+      return;
+    }
+    int attempt = pending.attempts.size();
+    long sentAt = now();
+    pending.out++;
+    if (attempt == 0) {
+      tally.waited(sentAt - pending.cameAt);
+    }
+    pending.attempts.add(
+        backends.send(
+            server,
+            pending.request.forward(),
+            timeout,
             result -> outcome(pending, attempt, server, sentAt, result)));
-    }
-
-    @Override
-    public void refuse(long request, long retryAfter) {
-        Pending pending = open.get(request);
-        if (pending != null) {
-            answer(pending, HttpResponseStatus.SERVICE_UNAVAILABLE,
-                retryAfter > 0 ? retryAfter : RETRY_AFTER_MICROS);
-        }
-    }
-
-    @Override
-    public void fail(long request) {
-        Pending pending = open.get(request);
-        if (pending != null) {
-            answer(pending, HttpResponseStatus.BAD_GATEWAY, 0);
-        }
-    }
-
-    @Override
-    public void cancel(long request, int attempt) {
-        Pending pending = open.get(request);
-        if (pending != null && attempt < pending.attempts.size()) {
-            pending.attempts.get(attempt).cancel();
-        }
-    }
-
-    @Override
-    public void probe(long server) {
-        long sentAt = now();
-        backends.probe(server, result -> {
-            event(() -> balancer.probed(now(), server, result.outcome(), now() - sentAt, result.load()));
+  }
+
+  @Override
+  public void refuse(long request, long retryAfter) {
+    Pending pending = open.get(request);
+    if (pending != null) {
+      answer(
+          pending,
+          HttpResponseStatus.SERVICE_UNAVAILABLE,
+          retryAfter > 0 ? retryAfter : RETRY_AFTER_MICROS);
+    }
+  }
+
+  @Override
+  public void fail(long request) {
+    Pending pending = open.get(request);
+    if (pending != null) {
+      answer(pending, HttpResponseStatus.BAD_GATEWAY, 0);
+    }
+  }
+
+  @Override
+  public void cancel(long request, int attempt) {
+    Pending pending = open.get(request);
+    if (pending != null && attempt < pending.attempts.size()) {
+      pending.attempts.get(attempt).cancel();
+    }
+  }
+
+  @Override
+  public void probe(long server) {
+    long sentAt = now();
+    backends.probe(
+        server,
+        result -> {
+          event(
+              () ->
+                  balancer.probed(now(), server, result.outcome(), now() - sentAt, result.load()));
         });
-    }
-
-    @Override
-    public void tell(int agent, byte[] message) { } // the module sends no messages
-
-    @Override
-    public void timer(long token, long delay) {
-        loop.schedule(() -> event(() -> balancer.timer(now(), token)), delay, TimeUnit.MICROSECONDS);
-    }
-
-    @Override
-    public void closeIdle(long server) {
-        backends.closeIdle(server);
-    }
-
-    @Override
-    public void watchServers() {
-        loop.execute(() -> {
-            watchWanted = true;
-            watchOnceBegun();
+  }
+
+  @Override
+  public void tell(int agent, byte[] message) {} // the module sends no messages
+
+  @Override
+  public void timer(long token, long delay) {
+    loop.schedule(() -> event(() -> balancer.timer(now(), token)), delay, TimeUnit.MICROSECONDS);
+  }
+
+  @Override
+  public void closeIdle(long server) {
+    backends.closeIdle(server);
+  }
+
+  @Override
+  public void watchServers() {
+    loop.execute(
+        () -> {
+          watchWanted = true;
+          watchOnceBegun();
         });
-    }
-
-    /**
-     * Guards against the known list coming after discovery's, where the module asks as soon as it is made: it
-     * would take the newer one's place.
-     */
-    private void watchOnceBegun() {
-        if (known == null && watchWanted) {
-            discovery.watch();
-        }
-    }
-
-    @Override
-    public void fetchServers() {
-        loop.execute(() -> discovery.fetch());
-    }
-
-    @Override
-    public void log(String line) {
-        say(SERVER.matcher(line).replaceFirst(match ->
-            Matcher.quoteReplacement("server " + name(Long.parseLong(match.group(1))))));
-    }
-
-    private String name(long server) {
-        Discovery.Endpoint listed = servers.get(server);
-        return listed == null ? null : listed.name();
-    }
-
-    /** One plain line to standard error, which is the agent's log. */
-    static void say(String line) {
-        System.err.println(line);
-    }
+  }
+
+  /**
+   * Guards against the known list coming after discovery's, where the module asks as soon as it is
+   * made: it would take the newer one's place.
+   */
+  private void watchOnceBegun() {
+    if (known == null && watchWanted) {
+      discovery.watch();
+    }
+  }
+
+  @Override
+  public void fetchServers() {
+    loop.execute(() -> discovery.fetch());
+  }
+
+  @Override
+  public void log(String line) {
+    say(
+        SERVER
+            .matcher(line)
+            .replaceFirst(
+                match ->
+                    Matcher.quoteReplacement("server " + name(Long.parseLong(match.group(1))))));
+  }
+
+  private String name(long server) {
+    Discovery.Endpoint listed = servers.get(server);
+    return listed == null ? null : listed.name();
+  }
+
+  /** One plain line to standard error, which is the agent's log. */
+  static void say(String line) {
+    System.err.println(line);
+  }
 }
--- a/src/main/java/gatefront/net/Backends.java
+++ b/src/main/java/gatefront/net/Backends.java
@@ -43,563 +43,666 @@
 import java.util.function.Consumer;
 
 /**
- * The connections to the servers: a pool, one request a connection, attempts and probes with their outcomes.
- * All of it runs on the agent's event loop, and every result is queued there, not handed over in a call.
+ * The connections to the servers: a pool, one request a connection, attempts and probes with their
+ * outcomes. All of it runs on the agent's event loop, and every result is queued there, not handed
+ * over in a call.
  */
 final class Backends {
-    /** What is sent: method, target and body go on as they came. */
-    record Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) { }
-
-    /** A served answer: the body and what tells how to read it. */
-    record Served(byte[] body, String contentType, String contentEncoding) { }
-
-    /** How an attempt or probe ended; what was served, or the status that blames the request, else null. */
-    record Result(Outcome outcome, double[] load, Served served, HttpResponseStatus bad) { }
-
-    static final String REQUEST_TIMEOUT = "Request-Timeout-Ms";
-    static final int BODY_MAX = 64 << 10;
-    /** Of the answers that blame the request those that blame the moment: too slow, too early, too many. */
-    private static final Set<Integer> MAY_SUCCEED_LATER = Set.of(408, 425, 429);
-    static final byte[] NO_BODY = new byte[0];
-    private static final double[] NO_LOAD = new double[0];
-    /** The part of the servers' idle time after which a connection is not used again. */
-    private static final double IDLE_PART = 0.75;
-    private static final long SWEEP_SECONDS = 1;
-    /**
-     * A connection rests for this long after an answer. Guards against a second copy or noise right behind
-     * the answer, which would be taken for the answer of the next request: it shows in that time.
-     */
-    private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
-    /** A connection that breaks so soon after a write was dead before it. */
-    private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
-    private static final long PROBE_TIMEOUT_MICROS = 250_000;
-    /** After this part of the time that a connection may take it is late; another is dialled beside it. */
-    private static final double LATE_PART = 0.125;
-    /** The names of the values as the answers' headers have them, where the settings say otherwise. */
-    private static final Map<String, String> HEADER_NAMES = Map.of("concurrent", "inflight", "depth", "queue",
-        "load_share", "util", "mean_ms", "latency_ms", "tps", "qps", "err_ps", "eps");
-
-    private final EventLoop loop;
-    private Config config;
-    private final Tally tally;
-    private final Bootstrap bootstrap;
-    private final KeptAge keptAge;
-    private int connectionsMost;
-    /** How long a connection may take, ms. */
-    private int connectMost;
-    private final Map<Long, Pool> pools = new HashMap<>();
-    private int connections;
-
-    /** What is kept for one server at one address, from its first line as ready until it drains or goes. */
-    private static final class Pool {
-        final InetSocketAddress address;
-        final long restNanos;
-        /** Most recently used first: what is not needed grows old and is closed. */
-        final Deque<Connection> idle = new ArrayDeque<>();
-        final Set<Attempt> connecting = new HashSet<>();
-        boolean retired;
-
-        Pool(InetSocketAddress address, long restNanos) {
-            this.address = address;
-            this.restNanos = restNanos;
-        }
-
-        void closeIdle() {
-            while (!idle.isEmpty()) {
-                idle.pollFirst().channel.close();
-            }
-        }
+  /** What is sent: method, target and body go on as they came. */
+  record Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {}
+
+  /** A served answer: the body and what tells how to read it. */
+  record Served(byte[] body, String contentType, String contentEncoding) {}
+
+  /**
+   * How an attempt or probe ended; what was served, or the status that blames the request, else
+   * null.
+   */
+  record Result(Outcome outcome, double[] load, Served served, HttpResponseStatus bad) {}
+
+  static final String REQUEST_TIMEOUT = "Request-Timeout-Ms";
+  static final int BODY_MAX = 64 << 10;
+
+  /**
+   * Of the answers that blame the request those that blame the moment: too slow, too early, too
+   * many.
+   */
+  private static final Set<Integer> MAY_SUCCEED_LATER = Set.of(408, 425, 429);
+
+  static final byte[] NO_BODY = new byte[0];
+  private static final double[] NO_LOAD = new double[0];
+
+  /** The part of the servers' idle time after which a connection is not used again. */
+  private static final double IDLE_PART = 0.75;
+
+  private static final long SWEEP_SECONDS = 1;
+
+  /**
+   * A connection rests for this long after an answer. Guards against a second copy or noise right
+   * behind the answer, which would be taken for the answer of the next request: it shows in that
+   * time.
+   */
+  private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+
+  /** A connection that breaks so soon after a write was dead before it. */
+  private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+
+  private static final long PROBE_TIMEOUT_MICROS = 250_000;
+
+  /**
+   * After this part of the time that a connection may take it is late; another is dialled beside
+   * it.
+   */
+  private static final double LATE_PART = 0.125;
+
+  /**
+   * The names of the values as the answers' headers have them, where the settings say otherwise.
+   */
+  private static final Map<String, String> HEADER_NAMES =
+      Map.of(
+          "concurrent",
+          "inflight",
+          "depth",
+          "queue",
+          "load_share",
+          "util",
+          "mean_ms",
+          "latency_ms",
+          "tps",
+          "qps",
+          "err_ps",
+          "eps");
+
+  private final EventLoop loop;
+  private Config config;
+  private final Tally tally;
+  private final Bootstrap bootstrap;
+  private final KeptAge keptAge;
+  private int connectionsMost;
+
+  /** How long a connection may take, ms. */
+  private int connectMost;
+
+  private final Map<Long, Pool> pools = new HashMap<>();
+  private int connections;
+
+  /**
+   * What is kept for one server at one address, from its first line as ready until it drains or
+   * goes.
+   */
+  private static final class Pool {
+    final InetSocketAddress address;
+    final long restNanos;
+
+    /** Most recently used first: what is not needed grows old and is closed. */
+    final Deque<Connection> idle = new ArrayDeque<>();
+
+    final Set<Attempt> connecting = new HashSet<>();
+    boolean retired;
+
+    Pool(InetSocketAddress address, long restNanos) {
+      this.address = address;
+      this.restNanos = restNanos;
     }
 
-    Backends(EventLoop loop, Config config, int connectionsMost, Tally tally) {
-        this(loop, config, connectionsMost, tally, Inspectable::new);
+    void closeIdle() {
+      while (!idle.isEmpty()) {
+        idle.pollFirst().channel.close();
+      }
     }
-
-    /** With sockets that come from elsewhere than the usual ones. */
-    Backends(EventLoop loop, Config config, int connectionsMost, Tally tally,
-             ChannelFactory<Inspectable> sockets) {
-        this.loop = loop;
-        this.tally = tally;
-        this.config = config;
-        this.connectionsMost = connectionsMost;
-        this.connectMost = connectMs(config);
-        this.keptAge = new KeptAge(idleNanos(config), System.nanoTime());
-        this.bootstrap = new Bootstrap().group(loop).channelFactory(sockets)
-            .option(ChannelOption.TCP_NODELAY, true);
-        loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
+  }
+
+  Backends(EventLoop loop, Config config, int connectionsMost, Tally tally) {
+    this(loop, config, connectionsMost, tally, Inspectable::new);
+  }
+
+  /** With sockets that come from elsewhere than the usual ones. */
+  Backends(
+      EventLoop loop,
+      Config config,
+      int connectionsMost,
+      Tally tally,
+      ChannelFactory<Inspectable> sockets) {
+    this.loop = loop;
+    this.tally = tally;
+    this.config = config;
+    this.connectionsMost = connectionsMost;
+    this.connectMost = connectMs(config);
+    this.keptAge = new KeptAge(idleNanos(config), System.nanoTime());
+    this.bootstrap =
+        new Bootstrap().group(loop).channelFactory(sockets).option(ChannelOption.TCP_NODELAY, true);
+    loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
+  }
+
+  private static long idleNanos(Config config) {
+    return (long) (1000 * IDLE_PART * config.idleCloseMicros());
+  }
+
+  private static int connectMs(Config config) {
+    return (int) (config.connectTimeoutMicros() / 1000);
+  }
+
+  /** Goes by another configuration from now on; what is out goes on as it began. */
+  void apply(Config next, int connections) {
+    config = next;
+    connectionsMost = connections;
+    keptAge.limitTo(idleNanos(next));
+    connectMost = connectMs(next);
+  }
+
+  /** Applies a line of the server list. */
+  void listed(Discovery.Endpoint endpoint) {
+    long id = endpoint.server().id();
+    Pool pool = pools.get(id);
+    if (endpoint.server().phase() != Balancer.Phase.READY) {
+      gone(id);
+    } else if (pool == null || !pool.address.equals(endpoint.address())) {
+      gone(id); // Guards against using what leads to the address that it had before.
+      pools.put(id, new Pool(endpoint.address(), REST_NANOS));
     }
-
-    private static long idleNanos(Config config) {
-        return (long) (1000 * IDLE_PART * config.idleCloseMicros());
+  }
+
+  /**
+   * The agent itself as a server: nothing but its answers comes from it, so connections need no
+   * rest.
+   */
+  void self(long id, InetSocketAddress address) {
+    pools.put(id, new Pool(address, 0));
+  }
+
+  /**
+   * Nothing new goes to this server, and nothing is kept for it but by the attempts that are out.
+   * Guards against a request that is written when its connection comes up only after the drain was
+   * told, and against memory and connections kept for servers that will never come back.
+   */
+  void gone(long server) {
+    Pool pool = pools.remove(server);
+    if (pool != null) {
+      pool.retired = true;
+      List.copyOf(pool.connecting).forEach(each -> each.end(Outcome.NEVER_SENT));
+      pool.closeIdle();
     }
+  }
 
-    private static int connectMs(Config config) {
-        return (int) (config.connectTimeoutMicros() / 1000);
+  void closeIdle(long server) {
+    Pool pool = pools.get(server);
+    if (pool != null) {
+      pool.closeIdle();
     }
-
-    /** Goes by another configuration from now on; what is out goes on as it began. */
-    void apply(Config next, int connections) {
-        config = next;
-        connectionsMost = connections;
-        keptAge.limitTo(idleNanos(next));
-        connectMost = connectMs(next);
+  }
+
+  /** How many connections to servers there are. */
+  int connections() {
+    return connections;
+  }
+
+  /** How many servers something is kept for. */
+  int size() {
+    return pools.size();
+  }
+
+  private void closeOld() {
+    keptAge.fade(System.nanoTime());
+    for (Pool pool : pools.values()) {
+      while (!pool.idle.isEmpty() && pool.idle.peekLast().old()) {
+        pool.idle.pollLast().channel.close();
+      }
     }
-
-    /** Applies a line of the server list. */
-    void listed(Discovery.Endpoint endpoint) {
-        long id = endpoint.server().id();
-        Pool pool = pools.get(id);
-        if (endpoint.server().phase() != Balancer.Phase.READY) {
-            gone(id);
-        } else if (pool == null || !pool.address.equals(endpoint.address())) {
-            gone(id); // Guards against using what leads to the address that it had before.
-            pools.put(id, new Pool(endpoint.address(), REST_NANOS));
-        }
+  }
+
+  /**
+   * Makes room under the limit on sockets by closing the connection that has been idle for longest.
+   */
+  private boolean roomForOne() {
+    if (connections < connectionsMost) {
+      return true;
     }
-
-    /** The agent itself as a server: nothing but its answers comes from it, so connections need no rest. */
-    void self(long id, InetSocketAddress address) {
-        pools.put(id, new Pool(address, 0));
+    Connection oldest = null;
+    for (Pool pool : pools.values()) {
+      Connection last = pool.idle.peekLast();
+      if (last != null && (oldest == null || last.idleSince - oldest.idleSince < 0)) {
+        oldest = last;
+      }
     }
-
-    /**
-     * Nothing new goes to this server, and nothing is kept for it but by the attempts that are out. Guards
-     * against a request that is written when its connection comes up only after the drain was told, and
-     * against memory and connections kept for servers that will never come back.
-     */
-    void gone(long server) {
-        Pool pool = pools.remove(server);
-        if (pool != null) {
-            pool.retired = true;
-            List.copyOf(pool.connecting).forEach(each -> each.end(Outcome.NEVER_SENT));
-            pool.closeIdle();
-        }
+    if (oldest == null) {
+      return false;
     }
-
-    void closeIdle(long server) {
-        Pool pool = pools.get(server);
-        if (pool != null) {
-            pool.closeIdle();
-        }
+    oldest.channel.close();
+    return connections < connectionsMost;
+  }
+
+  /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
+  private Connection rested(Pool pool) {
+    for (Connection each : List.copyOf(pool.idle)) {
+      if (System.nanoTime() - each.idleSince >= pool.restNanos) {
+        pool.idle.remove(each);
+        if (!each.old() && each.channel.silent()) {
+          return each;
+        }
+        each.channel.close();
+      }
     }
-
-    /** How many connections to servers there are. */
-    int connections() {
-        return connections;
+    return null;
+  }
+
+  /** Sends a request; a time-out of 0 is none. The result comes later, exactly once. */
+  Attempt send(long server, Outgoing request, long timeoutMicros, Consumer<Result> then) {
+    Attempt attempt = new Attempt(server, request, timeoutMicros, then);
+    attempt.start();
+    return attempt;
+  }
+
+  /** Asks a server for its health. */
+  void probe(long server, Consumer<Result> then) {
+    Outgoing request =
+        new Outgoing(
+            HttpMethod.GET,
+            config.loadByProbe() ? "/load" : "/healthz",
+            new DefaultHttpHeaders(),
+            NO_BODY);
+    new Attempt(server, request, PROBE_TIMEOUT_MICROS, then).start();
+  }
+
+  /** One request on its way to a server, or a probe. */
+  final class Attempt {
+    private final long server;
+    private final long startedAt = System.nanoTime();
+    private final Outgoing request;
+    private final Consumer<Result> then;
+    private final long endAt;
+    private final boolean limited;
+    private final Future<?> timer;
+    private Pool pool;
+    private Connection connection;
+
+    /** How many connections were dialled for it, and those of them that are not up yet. */
+    private int dials;
+
+    private final Set<Channel> dialling = new HashSet<>();
+    private boolean written;
+
+    /** How long its connection had idled before; negative for a new one. */
+    private long idledNanos = -1;
+
+    private boolean ended;
+
+    /** For the log: how it ended and when. */
+    private Outcome outcome;
+
+    private long endedAt;
+
+    private Attempt(long server, Outgoing request, long timeoutMicros, Consumer<Result> then) {
+      this.server = server;
+      this.request = request;
+      this.then = then;
+      this.limited = timeoutMicros > 0;
+      this.endAt = System.nanoTime() + 1000 * timeoutMicros;
+      this.timer =
+          limited
+              ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS)
+              : null;
     }
 
-    /** How many servers something is kept for. */
-    int size() {
-        return pools.size();
+    long server() {
+      return server;
     }
 
-    private void closeOld() {
-        keptAge.fade(System.nanoTime());
-        for (Pool pool : pools.values()) {
-            while (!pool.idle.isEmpty() && pool.idle.peekLast().old()) {
-                pool.idle.pollLast().channel.close();
-            }
-        }
+    /** What became of it, in words for the log. */
+    String told() {
+      long nanos = (ended ? endedAt : System.nanoTime()) - startedAt;
+      String dialled = dials == 0 ? "" : dials == 1 ? " dialled" : " dialled twice";
+      return (outcome == null ? "out" : Tally.word(outcome))
+          + dialled
+          + (written ? "" : " unwritten")
+          + " after "
+          + TimeUnit.NANOSECONDS.toMillis(nanos)
+          + " ms";
     }
 
-    /** Makes room under the limit on sockets by closing the connection that has been idle for longest. */
-    private boolean roomForOne() {
-        if (connections < connectionsMost) {
-            return true;
-        }
-        Connection oldest = null;
-        for (Pool pool : pools.values()) {
-            Connection last = pool.idle.peekLast();
-            if (last != null && (oldest == null || last.idleSince - oldest.idleSince < 0)) {
-                oldest = last;
-            }
-        }
-        if (oldest == null) {
-            return false;
-        }
-        oldest.channel.close();
-        return connections < connectionsMost;
+    private void start() {
+      pool = pools.get(server);
+      if (pool == null) {
+        end(Outcome.NEVER_SENT);
+        return;
+      }
+      Connection idle = rested(pool);
+      if (idle != null) {
+        idledNanos = startedAt - idle.idleSince;
+        write(idle);
+      } else if (roomForOne()) {
+        connect();
+      } else {
+        end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
+      }
     }
 
-    /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
-    private Connection rested(Pool pool) {
-        for (Connection each : List.copyOf(pool.idle)) {
-            if (System.nanoTime() - each.idleSince >= pool.restNanos) {
-                pool.idle.remove(each);
-                if (!each.old() && each.channel.silent()) {
-                    return each;
-                }
-                each.channel.close();
-            }
-        }
-        return null;
-    }
-
-    /** Sends a request; a time-out of 0 is none. The result comes later, exactly once. */
-    Attempt send(long server, Outgoing request, long timeoutMicros, Consumer<Result> then) {
-        Attempt attempt = new Attempt(server, request, timeoutMicros, then);
-        attempt.start();
-        return attempt;
-    }
-
-    /** Asks a server for its health. */
-    void probe(long server, Consumer<Result> then) {
-        Outgoing request = new Outgoing(HttpMethod.GET, config.loadByProbe() ? "/load" : "/healthz",
-            new DefaultHttpHeaders(), NO_BODY);
-        new Attempt(server, request, PROBE_TIMEOUT_MICROS, then).start();
-    }
-
-    /** One request on its way to a server, or a probe. */
-    final class Attempt {
-        private final long server;
-        private final long startedAt = System.nanoTime();
-        private final Outgoing request;
-        private final Consumer<Result> then;
-        private final long endAt;
-        private final boolean limited;
-        private final Future<?> timer;
-        private Pool pool;
-        private Connection connection;
-        /** How many connections were dialled for it, and those of them that are not up yet. */
-        private int dials;
-        private final Set<Channel> dialling = new HashSet<>();
-        private boolean written;
-        /** How long its connection had idled before; negative for a new one. */
-        private long idledNanos = -1;
-        private boolean ended;
-        /** For the log: how it ended and when. */
-        private Outcome outcome;
-        private long endedAt;
-
-        private Attempt(long server, Outgoing request, long timeoutMicros, Consumer<Result> then) {
-            this.server = server;
-            this.request = request;
-            this.then = then;
-            this.limited = timeoutMicros > 0;
-            this.endAt = System.nanoTime() + 1000 * timeoutMicros;
-            this.timer = limited
-                ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS) : null;
-        }
-
-        long server() {
-            return server;
-        }
+    private void connect() {
+      pool.connecting.add(this);
+      int most = connectMost;
+      dial(most);
+      int late = (int) (LATE_PART * most);
+      if (!ended && late > 0) {
+        loop.schedule(() -> dialAgain(most - late), late, TimeUnit.MILLISECONDS);
+      }
+    }
 
-        /** What became of it, in words for the log. */
-        String told() {
-            long nanos = (ended ? endedAt : System.nanoTime()) - startedAt;
-            String dialled = dials == 0 ? "" : dials == 1 ? " dialled" : " dialled twice";
-            return (outcome == null ? "out" : Tally.word(outcome)) + dialled
-                + (written ? "" : " unwritten") + " after " + TimeUnit.NANOSECONDS.toMillis(nanos) + " ms";
-        }
+    /**
+     * Guards against a network that brings some connections up late or never: each would cost its
+     * request most of its time. Both dials together take no longer than one may, for a repeat's
+     * window depends on that.
+     */
+    private void dialAgain(int mostMs) {
+      if (!ended && connection == null && roomForOne()) {
+        tally.dialledAgain();
+        dial(mostMs);
+      }
+    }
 
-        private void start() {
-            pool = pools.get(server);
-            if (pool == null) {
-                end(Outcome.NEVER_SENT);
-                return;
-            }
-            Connection idle = rested(pool);
-            if (idle != null) {
-                idledNanos = startedAt - idle.idleSince;
-                write(idle);
-            } else if (roomForOne()) {
-                connect();
+    private void dial(int mostMs) {
+      Connection fresh = new Connection(pool);
+      ChannelFuture connecting =
+          bootstrap
+              .clone()
+              .handler(fresh)
+              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, mostMs)
+              .connect(pool.address);
+      if (Inspectable.noSocket(connecting)) {
+        endIfNoneComesUp(Outcome.NEVER_SENT);
+        return;
+      }
+      connections++;
+      dials++;
+      tally.dialled();
+      Channel dialled = connecting.channel();
+      dialling.add(dialled);
+      dialled.closeFuture().addListener(closed -> connections--);
+      connecting.addListener(
+          done -> {
+            dialling.remove(dialled);
+            if (!done.isSuccess()) {
+              endIfNoneComesUp(Outcome.CONNECT_FAILED);
+            } else if (pool.retired) {
+              dialled.close();
+            } else if (ended || connection != null) {
+              keep(fresh); // it has its price paid, and serves the next
             } else {
-                end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
+              pool.connecting.remove(this);
+              write(fresh);
             }
-        }
+          });
+    }
 
-        private void connect() {
-            pool.connecting.add(this);
-            int most = connectMost;
-            dial(most);
-            int late = (int) (LATE_PART * most);
-            if (!ended && late > 0) {
-                loop.schedule(() -> dialAgain(most - late), late, TimeUnit.MILLISECONDS);
-            }
-        }
+    private void endIfNoneComesUp(Outcome outcome) {
+      if (connection == null && dialling.isEmpty()) {
+        end(outcome);
+      }
+    }
 
-        /**
-         * Guards against a network that brings some connections up late or never: each would cost its
-         * request most of its time. Both dials together take no longer than one may, for a repeat's window
-         * depends on that.
-         */
-        private void dialAgain(int mostMs) {
-            if (!ended && connection == null && roomForOne()) {
-                tally.dialledAgain();
-                dial(mostMs);
-            }
-        }
+    private void keep(Connection unused) {
+      unused.idleSince = System.nanoTime();
+      pool.idle.addFirst(unused);
+    }
 
-        private void dial(int mostMs) {
-            Connection fresh = new Connection(pool);
-            ChannelFuture connecting = bootstrap.clone().handler(fresh)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, mostMs).connect(pool.address);
-            if (Inspectable.noSocket(connecting)) {
-                endIfNoneComesUp(Outcome.NEVER_SENT);
-                return;
-            }
-            connections++;
-            dials++;
-            tally.dialled();
-            Channel dialled = connecting.channel();
-            dialling.add(dialled);
-            dialled.closeFuture().addListener(closed -> connections--);
-            connecting.addListener(done -> {
-                dialling.remove(dialled);
+    private void write(Connection to) {
+      connection = to;
+      to.attempt = this;
+      var message =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              request.method,
+              request.uri,
+              Unpooled.wrappedBuffer(request.body));
+      message.headers().set(request.headers);
+      HttpHeaders headers = message.headers();
+      if (!headers.contains(HttpHeaderNames.HOST)) {
+        headers.set(HttpHeaderNames.HOST, "backend");
+      }
+      if (!request.method.equals(HttpMethod.GET)) {
+        headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body.length);
+      }
+      if (limited) {
+        headers.set(REQUEST_TIMEOUT, Math.max(1, (endAt - System.nanoTime()) / 1_000_000));
+      }
+      to.channel
+          .writeAndFlush(message)
+          .addListener(
+              done -> {
+                written |= done.isSuccess();
                 if (!done.isSuccess()) {
-                    endIfNoneComesUp(Outcome.CONNECT_FAILED);
-                } else if (pool.retired) {
-                    dialled.close();
-                } else if (ended || connection != null) {
-                    keep(fresh); // it has its price paid, and serves the next
-                } else {
-                    pool.connecting.remove(this);
-                    write(fresh);
+                  end(Outcome.CONNECT_FAILED); // the last byte never left, so it cannot have begun
                 }
-            });
-        }
+              });
+    }
 
-        private void endIfNoneComesUp(Outcome outcome) {
-            if (connection == null && dialling.isEmpty()) {
-                end(outcome);
-            }
-        }
+    /**
+     * The connection has ended under the attempt. Before its last byte was written it did not run.
+     */
+    private void broken() {
+      end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+    }
 
-        private void keep(Connection unused) {
-            unused.idleSince = System.nanoTime();
-            pool.idle.addFirst(unused);
-        }
+    void cancel() {
+      end(Outcome.CANCELLED);
+    }
 
-        private void write(Connection to) {
-            connection = to;
-            to.attempt = this;
-            var message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri,
-                Unpooled.wrappedBuffer(request.body));
-            message.headers().set(request.headers);
-            HttpHeaders headers = message.headers();
-            if (!headers.contains(HttpHeaderNames.HOST)) {
-                headers.set(HttpHeaderNames.HOST, "backend");
-            }
-            if (!request.method.equals(HttpMethod.GET)) {
-                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body.length);
-            }
-            if (limited) {
-                headers.set(REQUEST_TIMEOUT, Math.max(1, (endAt - System.nanoTime()) / 1_000_000));
-            }
-            to.channel.writeAndFlush(message).addListener(done -> {
-                written |= done.isSuccess();
-                if (!done.isSuccess()) {
-                    end(Outcome.CONNECT_FAILED); // the last byte never left, so it cannot have begun
-                }
-            });
-        }
+    private void end(Outcome outcome) {
+      end(new Result(outcome, NO_LOAD, null, null), false);
+    }
 
-        /** The connection has ended under the attempt. Before its last byte was written it did not run. */
-        private void broken() {
-            end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
-        }
+    private void end(Result result, boolean reusable) {
+      if (ended) {
+        return;
+      }
+      ended = true;
+      outcome = result.outcome();
+      endedAt = System.nanoTime();
+      boolean atOnce = outcome == Outcome.RESET && endedAt - startedAt < AT_ONCE_NANOS;
+      if (outcome == Outcome.RESET) {
+        tally.broke(idledNanos >= 0, atOnce);
+      }
+      if (idledNanos >= 0) {
+        keptAge.used(idledNanos, atOnce, endedAt);
+      }
+      if (timer != null) {
+        timer.cancel(false);
+      }
+      if (pool != null) {
+        pool.connecting.remove(this);
+      }
+      if (connection != null) {
+        connection.attempt = null;
+        if (reusable && written && !pool.retired) {
+          keep(connection);
+        } else {
+          connection.channel.close(); // what may still come on it belongs to nobody
+        }
+      }
+      Config under = config;
+      loop.execute(
+          () ->
+              then.accept(
+                  under == config
+                      ? result // else the report's fields may be others
+                      : new Result(outcome, NO_LOAD, result.served(), result.bad())));
+    }
+  }
 
-        void cancel() {
-            end(Outcome.CANCELLED);
-        }
+  /** One connection to a server. */
+  private final class Connection extends ChannelInitializer<Inspectable> {
+    private final Pool pool;
+    private Inspectable channel;
 
-        private void end(Outcome outcome) {
-            end(new Result(outcome, NO_LOAD, null, null), false);
-        }
+    /** The attempt that uses it, or null. */
+    private Attempt attempt;
 
-        private void end(Result result, boolean reusable) {
-            if (ended) {
-                return;
-            }
-            ended = true;
-            outcome = result.outcome();
-            endedAt = System.nanoTime();
-            boolean atOnce = outcome == Outcome.RESET && endedAt - startedAt < AT_ONCE_NANOS;
-            if (outcome == Outcome.RESET) {
-                tally.broke(idledNanos >= 0, atOnce);
-            }
-            if (idledNanos >= 0) {
-                keptAge.used(idledNanos, atOnce, endedAt);
-            }
-            if (timer != null) {
-                timer.cancel(false);
-            }
-            if (pool != null) {
-                pool.connecting.remove(this);
-            }
-            if (connection != null) {
-                connection.attempt = null;
-                if (reusable && written && !pool.retired) {
-                    keep(connection);
-                } else {
-                    connection.channel.close(); // what may still come on it belongs to nobody
-                }
-            }
-            Config under = config;
-            loop.execute(() -> then.accept(under == config ? result // else the report's fields may be others
-                : new Result(outcome, NO_LOAD, result.served(), result.bad())));
-        }
+    private long idleSince;
+
+    Connection(Pool pool) {
+      this.pool = pool;
     }
 
-    /** One connection to a server. */
-    private final class Connection extends ChannelInitializer<Inspectable> {
-        private final Pool pool;
-        private Inspectable channel;
-        /** The attempt that uses it, or null. */
-        private Attempt attempt;
-        private long idleSince;
+    boolean old() {
+      return System.nanoTime() - idleSince >= keptAge.limitNanos();
+    }
 
-        Connection(Pool pool) {
-            this.pool = pool;
-        }
+    @Override
+    protected void initChannel(Inspectable ch) {
+      channel = ch;
+      Decoders.Responses decoder = new Decoders.Responses();
+      ch.pipeline().addLast(decoder, new HttpRequestEncoder(), new Answers(this, decoder));
+    }
+  }
 
-        boolean old() {
-            return System.nanoTime() - idleSince >= keptAge.limitNanos();
-        }
+  /** Turns what arrives on a connection into the outcome of its attempt. */
+  private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
+    private final Connection connection;
+    private final Decoders.Responses decoder;
 
-        @Override
-        protected void initChannel(Inspectable ch) {
-            channel = ch;
-            Decoders.Responses decoder = new Decoders.Responses();
-            ch.pipeline().addLast(decoder, new HttpRequestEncoder(), new Answers(this, decoder));
-        }
-    }
+    /**
+     * The answer that is coming in, or null; one with a status of 1xx goes ahead of the one
+     * awaited.
+     */
+    private HttpResponse head;
 
-    /** Turns what arrives on a connection into the outcome of its attempt. */
-    private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
-        private final Connection connection;
-        private final Decoders.Responses decoder;
-        /** The answer that is coming in, or null; one with a status of 1xx goes ahead of the one awaited. */
-        private HttpResponse head;
-        private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
+    private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
 
-        Answers(Connection connection, Decoders.Responses decoder) {
-            this.connection = connection;
-            this.decoder = decoder;
-        }
+    Answers(Connection connection, Decoders.Responses decoder) {
+      this.connection = connection;
+      this.decoder = decoder;
+    }
 
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-            Attempt attempt = connection.attempt;
-            if (attempt == null) {
-                ctx.close(); // an answer to nothing
-                return;
-            }
-            String spoilt = spoilt(attempt, part);
-            if (spoilt != null) {
-                tally.spoilt(spoilt);
-                attempt.broken(); // nothing of it is served, and it may have run
-            } else if (part instanceof LastHttpContent) {
-                HttpResponse whole = head;
-                head = null;
-                if (whole.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                    finish(attempt, whole);
-                }
-            }
-        }
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
+      Attempt attempt = connection.attempt;
+      if (attempt == null) {
+        ctx.close(); // an answer to nothing
+        return;
+      }
+      String spoilt = spoilt(attempt, part);
+      if (spoilt != null) {
+        tally.spoilt(spoilt);
+        attempt.broken(); // nothing of it is served, and it may have run
+      } else if (part instanceof LastHttpContent) {
+        HttpResponse whole = head;
+        head = null;
+        if (whole.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
+          finish(attempt, whole);
+        }
+      }
+    }
 
-        /** Takes a part of an answer; says what is wrong with it, or null. */
-        private String spoilt(Attempt attempt, HttpObject part) {
-            if (part.decoderResult().isFailure()) {
-                return "unreadable: " + part.decoderResult().cause().getMessage();
-            }
-            if (!attempt.written) {
-                return "early"; // before the request has left whole it cannot be an answer to it
-            }
-            if (part instanceof HttpResponse first && !begin(first)) {
-                return "status " + first.status().code() + " with " + Decoders.framing(first.headers());
-            }
-            return part instanceof HttpContent content && !add(content) ? "too long" : null;
-        }
+    /** Takes a part of an answer; says what is wrong with it, or null. */
+    private String spoilt(Attempt attempt, HttpObject part) {
+      if (part.decoderResult().isFailure()) {
+        return "unreadable: " + part.decoderResult().cause().getMessage();
+      }
+      if (!attempt.written) {
+        return "early"; // before the request has left whole it cannot be an answer to it
+      }
+      if (part instanceof HttpResponse first && !begin(first)) {
+        return "status " + first.status().code() + " with " + Decoders.framing(first.headers());
+      }
+      return part instanceof HttpContent content && !add(content) ? "too long" : null;
+    }
 
-        /** Takes the head of an answer; false if it cannot end well. */
-        private boolean begin(HttpResponse first) {
-            head = first;
-            int status = first.status().code();
-            long length = Decoders.framing(first.headers());
-            if (status < 200) {
-                return status != 101; // nobody asked for another protocol
-            }
-            // One that is too long is not waited for.
-            return length == Decoders.CHUNKED || length == Decoders.NO_LENGTH
-                || length >= 0 && length <= BODY_MAX;
-        }
+    /** Takes the head of an answer; false if it cannot end well. */
+    private boolean begin(HttpResponse first) {
+      head = first;
+      int status = first.status().code();
+      long length = Decoders.framing(first.headers());
+      if (status < 200) {
+        return status != 101; // nobody asked for another protocol
+      }
+      // One that is too long is not waited for.
+      return length == Decoders.CHUNKED
+          || length == Decoders.NO_LENGTH
+          || length >= 0 && length <= BODY_MAX;
+    }
 
-        private boolean add(HttpContent content) {
-            if (body.readableBytes() + content.content().readableBytes() > BODY_MAX) {
-                return false;
-            }
-            body.writeBytes(content.content());
-            return true;
-        }
+    private boolean add(HttpContent content) {
+      if (body.readableBytes() + content.content().readableBytes() > BODY_MAX) {
+        return false;
+      }
+      body.writeBytes(content.content());
+      return true;
+    }
 
-        private void finish(Attempt attempt, HttpResponse whole) {
-            byte[] bytes = ByteBufUtil.getBytes(body);
-            body.clear().capacity(0);
-            HttpHeaders headers = whole.headers();
-            int status = whole.status().code();
-            boolean turnedAway = (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
-            Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
-            Served served = status != 200 ? null : new Served(bytes,
-                headers.get(HttpHeaderNames.CONTENT_TYPE), headers.get(HttpHeaderNames.CONTENT_ENCODING));
-            HttpResponseStatus bad = whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR
-                && !MAY_SUCCEED_LATER.contains(status) ? whole.status() : null;
-            boolean ends = Decoders.framing(headers) != Decoders.NO_LENGTH;
-            attempt.end(new Result(outcome, load(attempt, headers, bytes), served, bad),
-                ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
-        }
+    private void finish(Attempt attempt, HttpResponse whole) {
+      byte[] bytes = ByteBufUtil.getBytes(body);
+      body.clear().capacity(0);
+      HttpHeaders headers = whole.headers();
+      int status = whole.status().code();
+      boolean turnedAway =
+          (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
+      Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
+      Served served =
+          status != 200
+              ? null
+              : new Served(
+                  bytes,
+                  headers.get(HttpHeaderNames.CONTENT_TYPE),
+                  headers.get(HttpHeaderNames.CONTENT_ENCODING));
+      HttpResponseStatus bad =
+          whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR
+                  && !MAY_SUCCEED_LATER.contains(status)
+              ? whole.status()
+              : null;
+      boolean ends = Decoders.framing(headers) != Decoders.NO_LENGTH;
+      attempt.end(
+          new Result(outcome, load(attempt, headers, bytes), served, bad),
+          ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            connection.pool.idle.remove(connection);
-            if (connection.attempt != null) {
-                connection.attempt.broken();
-            }
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      connection.pool.idle.remove(connection);
+      if (connection.attempt != null) {
+        connection.attempt.broken();
+      }
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Guards against a body cut short that passes for a whole one: with no length given the end of
-            // its connection ends it, and a reset is no such end.
-            if (connection.attempt != null) {
-                connection.attempt.broken();
-            }
-            ctx.close();
-        }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      // Guards against a body cut short that passes for a whole one: with no length given the end
+      // of
+      // its connection ends it, and a reset is no such end.
+      if (connection.attempt != null) {
+        connection.attempt.broken();
+      }
+      ctx.close();
     }
+  }
 
-    /** The load report of an answer, in the order of the settings' fields; empty if there is none. */
-    private double[] load(Attempt attempt, HttpHeaders headers, byte[] body) {
-        String text = headers.get("Server-Load");
-        if (text == null && attempt.request.uri.equals("/load")) {
-            text = new String(body, StandardCharsets.US_ASCII);
-        }
-        if (text == null || config.settings().loadFields().isEmpty()) {
-            return NO_LOAD;
-        }
-        Map<String, Double> values = new HashMap<>();
-        for (String pair : text.split(",")) {
-            int equals = pair.indexOf('=');
-            try {
-                double value = Double.parseDouble(pair.substring(equals + 1).trim());
-                if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-                    return NO_LOAD; // Guards against a figure that is none poisoning every mean it enters.
-                }
-                values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
-            } catch (NumberFormatException e) {
-                return NO_LOAD;
-            }
-        }
-        List<Double> load = new ArrayList<>();
-        for (String name : config.loadFields()) {
-            Double value = values.getOrDefault(name, values.get(HEADER_NAMES.getOrDefault(name, name)));
-            if (value == null) {
-                return NO_LOAD;
-            }
-            load.add(value);
-        }
-        return load.stream().mapToDouble(Double::doubleValue).toArray();
+  /** The load report of an answer, in the order of the settings' fields; empty if there is none. */
+  private double[] load(Attempt attempt, HttpHeaders headers, byte[] body) {
+    String text = headers.get("Server-Load");
+    if (text == null && attempt.request.uri.equals("/load")) {
+      text = new String(body, StandardCharsets.US_ASCII);
+    }
+    if (text == null || config.settings().loadFields().isEmpty()) {
+      return NO_LOAD;
+    }
+    Map<String, Double> values = new HashMap<>();
+    for (String pair : text.split(",")) {
+      int equals = pair.indexOf('=');
+      try {
+        double value = Double.parseDouble(pair.substring(equals + 1).trim());
+        if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
+          return NO_LOAD; // Guards against a figure that is none poisoning every mean it enters.
+        }
+        values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
+      } catch (NumberFormatException e) {
+        return NO_LOAD;
+      }
+    }
+    List<Double> load = new ArrayList<>();
+    for (String name : config.loadFields()) {
+      Double value = values.getOrDefault(name, values.get(HEADER_NAMES.getOrDefault(name, name)));
+      if (value == null) {
+        return NO_LOAD;
+      }
+      load.add(value);
     }
+    return load.stream().mapToDouble(Double::doubleValue).toArray();
+  }
 }
