--- a/src/test/java/gatefront/MechanismTest.java
+++ b/src/test/java/gatefront/MechanismTest.java
@@ -5,6 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.Balancer.Outcome;
+import gatefront.Balancer.Permits;
+import gatefront.Balancer.Scope;
+import gatefront.Balancer.Semantics;
+import gatefront.Balancer.Server;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -13,753 +18,862 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The mechanism: probes, window, reactivation, pick, spill, fallback; and its departures. */
 class MechanismTest {
-    private static final long SECOND = Hand.SECOND;
-    private static final double[] NO_LOAD = new double[0];
-
-    private static Hand four() {
-        return new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0),
-            Hand.server(4, 1));
-    }
-
-    private static void failProbes(Hand hand, long server, int times) {
-        for (int i = 0; i < times; i++) {
-            hand.balancer.probed(hand.now, server, Outcome.TIMEOUT, SECOND, NO_LOAD);
-        }
-    }
-
-    @Test
-    void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
-        // A single agent, so that the whole interval is its own.
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, true, false, 0), 2, 1)).full(Hand.server(1, 0), Hand.server(2, 0),
-                Hand.server(3, 0), Hand.server(4, 0), Hand.server(5, 1));
+  private static final long SECOND = Hand.SECOND;
+  private static final double[] NO_LOAD = new double[0];
+
+  private static Hand four() {
+    return new Hand(Hand.safe())
+        .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 1));
+  }
+
+  private static void failProbes(Hand hand, long server, int times) {
+    for (int i = 0; i < times; i++) {
+      hand.balancer.probed(hand.now, server, Outcome.TIMEOUT, SECOND, NO_LOAD);
+    }
+  }
+
+  @Test
+  void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
+    // A single agent, so that the whole interval is its own.
+    Hand hand =
+        new Hand(
+                Hand.settings(
+                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                    new Permits(4, false, true, true, false, 0),
+                    2,
+                    1))
+            .full(
+                Hand.server(1, 0),
+                Hand.server(2, 0),
+                Hand.server(3, 0),
+                Hand.server(4, 0),
+                Hand.server(5, 1));
+    for (int i = 0; i < 1000; i++) {
+      hand.pass(Hand.TICK);
+      for (Hand.Act probe : List.copyOf(hand.all("probe"))) {
+        if (probe.value() == hand.now) {
+          hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
+        }
+      }
+    }
+    List<Hand.Act> probes = hand.all("probe");
+    assertEquals(4, probes.stream().map(Hand.Act::server).distinct().count());
+    assertTrue(probes.size() >= 16 && probes.size() <= 24, "probes in 5 s: " + probes.size());
+    assertEquals(probes.size(), probes.stream().map(Hand.Act::value).distinct().count());
+  }
+
+  /**
+   * Failed before: every agent probed every server once a second, however many agents there were.
+   */
+  @Test
+  void manyAgentsTogetherProbeAServerNoMoreOftenThanFew() {
+    for (int agents : new int[] {5, 50, 500}) {
+      int probes = 0;
+      for (int seed = 0; seed < agents; seed++) {
+        Hand hand =
+            new Hand(
+                    Hand.settings(
+                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                        new Permits(4, false, true, true, false, 0),
+                        1,
+                        agents),
+                    seed)
+                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
         for (int i = 0; i < 1000; i++) {
-            hand.pass(Hand.TICK);
-            for (Hand.Act probe : List.copyOf(hand.all("probe"))) {
-                if (probe.value() == hand.now) {
-                    hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
-                }
-            }
-        }
-        List<Hand.Act> probes = hand.all("probe");
-        assertEquals(4, probes.stream().map(Hand.Act::server).distinct().count());
-        assertTrue(probes.size() >= 16 && probes.size() <= 24, "probes in 5 s: " + probes.size());
-        assertEquals(probes.size(), probes.stream().map(Hand.Act::value).distinct().count());
-    }
-
-    /** Failed before: every agent probed every server once a second, however many agents there were. */
-    @Test
-    void manyAgentsTogetherProbeAServerNoMoreOftenThanFew() {
-        for (int agents : new int[] {5, 50, 500}) {
-            int probes = 0;
-            for (int seed = 0; seed < agents; seed++) {
-                Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-                    new Permits(4, false, true, true, false, 0), 1, agents), seed)
-                    .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
-                for (int i = 0; i < 1000; i++) {
-                    int before = hand.all("probe").size();
-                    hand.pass(2 * Hand.TICK);
-                    for (Hand.Act probe : hand.all("probe").subList(before, hand.all("probe").size())) {
-                        hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
-                    }
-                }
-                probes += hand.all("probe").size();
-            }
-            // 4 servers over 10 s, each once a second by all agents together: 40.
-            assertTrue(probes >= 20 && probes <= 80, agents + " agents: " + probes);
-        }
-    }
-
-    @Test
-    void noProbesWhereTheHostPermitsNone() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, false, false, 0), 1, 1)).full(Hand.server(1, 0));
-        hand.pass(5 * SECOND);
-        assertTrue(hand.all("probe").isEmpty());
-    }
-
-    @Test
-    void failedProbesInARowMakeUnhealthyAndOneSuccessHealthy() {
-        Hand hand = four();
-        failProbes(hand, 1, 1);
-        assertFalse(hand.logged("active Unhealthy"));
-        hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
-        failProbes(hand, 1, 1);
-        assertFalse(hand.logged("active Unhealthy"), "the success in between resets the count");
-        failProbes(hand, 1, 1);
-        assertTrue(hand.logged("server 1 active Unhealthy"));
-        for (int i = 0; i < 30; i++) {
-            assertNotEquals(1, hand.target(hand.request()));
-        }
-        hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
-        assertTrue(hand.logged("server 1 active Healthy"));
-    }
-
-    @Test
-    void aLateProbeOfAServerThatAnswersRealRequestsDoesNotCount() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 4; i++) {
-            hand.serve(10_000);
-            failProbes(hand, 1, 1);
-        }
-        assertFalse(hand.logged("active Unhealthy"));
-    }
-
-    /** Serves requests; those that go to server 1 end with the given outcome, the first so many. */
-    private static void failOnServerOne(Hand hand, int failures, Outcome outcome) {
-        int failed = 0;
-        for (int i = 0; i < 400 && failed < failures; i++) {
-            long id = hand.request();
-            boolean fails = hand.target(id) == 1;
-            failed += fails ? 1 : 0;
-            hand.end(id, 0, fails ? outcome : Outcome.OK, 10_000);
-            if (fails && hand.sends(id).size() > 1) {
-                hand.end(id, 1, Outcome.OK, 10_000);
-            }
-            hand.pass(20_000);
-        }
-        assertEquals(failures, failed, "server 1 drew too little");
-    }
-
-    @Test
-    void failuresOverTheLimitMakeThePassiveStateUnhealthyUntilReactivation() {
-        Hand hand = four();
-        failOnServerOne(hand, 4, Outcome.TIMEOUT);
-        assertFalse(hand.logged("passive Unhealthy"), "below the minimum count");
-        failOnServerOne(hand, 1, Outcome.TIMEOUT);
-        assertTrue(hand.logged("server 1 passive Unhealthy: 5 of 5 failed"));
-        for (int i = 0; i < 20; i++) {
-            long id = hand.request();
-            assertNotEquals(1, hand.target(id));
-            hand.end(id, 0, Outcome.OK, 10_000);
-        }
-        hand.pass(6 * SECOND);
-        Set<Long> seen = new HashSet<>();
-        for (int i = 0; i < 20; i++) {
-            seen.add(hand.target(hand.request()));
-        }
-        assertTrue(seen.contains(1L));
-        assertTrue(hand.logged("server 1 passive Unknown: reactivated"));
-    }
-
-    @Test
-    void aShareBelowTheLimitDoesNotCount() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 40; i++) {
-            long id = hand.request();
-            hand.end(id, 0, i % 4 == 3 ? Outcome.TIMEOUT : Outcome.OK, 10_000);
-            hand.pass(50_000);
-        }
-        assertFalse(hand.logged("passive Unhealthy"));
-    }
-
-    @Test
-    void whatFailsEverywhereAlikeRemovesNobody() {
-        Hand hand = four();
-        for (int i = 0; i < 100; i++) {
-            long id = hand.request();
-            if (hand.target(id) > 0) {
-                hand.pass(20_000);
-                hand.end(id, 0, i % 2 == 0 ? Outcome.TIMEOUT : Outcome.OK, 20_000);
-            }
-            hand.pass(100_000);
-        }
-        long removed = hand.lines.stream().filter(l -> l.contains("passive Unhealthy")).count();
-        assertTrue(removed <= 2, "removed " + removed);
-    }
-
-    @Test
-    void ofTwoTheOneWithFewerInFlightIsTaken() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
-        long first = hand.target(hand.request());
-        assertNotEquals(first, hand.target(hand.request()));
-    }
-
-    @Test
-    void theOwnZoneIsTakenWhileItHasRoomAndOthersOnceTheWaitIsWorthTheCrossing() {
-        Hand hand = four();
-        List<Long> ids = new ArrayList<>();
-        for (int i = 0; i < 40; i++) {
-            ids.add(hand.request());
-        }
-        assertTrue(ids.stream().noneMatch(id -> hand.target(id) == 4), "first the own zone, and then wait");
-        assertTrue(ids.stream().anyMatch(id -> hand.target(id) == -1));
-        hand.pass(250_000);
-        assertTrue(ids.stream().anyMatch(id -> hand.target(id) == 4), "the wait has cost as much as crossing");
-    }
-
-    @Test
-    void otherZonesAreTakenAtOnceWhenNoneIsAvailableHere() {
-        Hand hand = four();
-        for (long server = 1; server <= 3; server++) {
-            failProbes(hand, server, 2);
-        }
-        assertEquals(4, hand.target(hand.request()));
-    }
-
-    @Test
-    void allAreEligibleWhenNoneIsAvailableAnywhere() {
-        Hand hand = four();
-        for (long server = 1; server <= 4; server++) {
-            failProbes(hand, server, 2);
-        }
-        assertTrue(hand.target(hand.request()) > 0);
-    }
-
-    @Test
-    void aServerThatFailsAtOnceRestsAndDoesNotDrawEverything() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
-        for (int i = 0; i < 20; i++) {
-            hand.serve(50_000);
-        }
-        int toOne = 0;
-        for (int i = 0; i < 40; i++) {
-            long id = hand.request();
-            for (int a = 0; a < hand.sends(id).size(); a++) {
-                boolean one = hand.sends(id).get(a).server() == 1;
-                toOne += one ? 1 : 0;
-                hand.end(id, a, one ? Outcome.FULL : Outcome.OK, one ? 4_000 : 50_000);
-            }
-            hand.pass(10_000);
-        }
-        assertTrue(toOne <= 6, "sent " + toOne);
-    }
-
-    /** Failed before: where one attempt in seven is reset, a third of the servers rested at any time. */
-    @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"RESET", "FULL", "CONNECT_FAILED", "ERROR"})
-    void aSingleFailureBetweenAnswersIsNoReasonToRestAndASecondInARowIs(Outcome outcome) {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 20; i++) {
-            hand.serve(50_000);
-        }
-        hand.end(hand.request(), 0, outcome, 1000);
-        long next = hand.request();
-        assertEquals(1, hand.target(next));
-        hand.end(next, 0, outcome, 1000);
-        assertEquals(-1, hand.target(hand.request()));
-    }
-
-    @Test
-    void aServerThatTimesOutAndAnswersNothingElseRestsButOneHeavyRequestAmongOthersDoesNotMatter() {
-        Hand silent = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        long lost = silent.request();
-        silent.pass(SECOND / 2);
-        silent.end(lost, 0, Outcome.TIMEOUT, SECOND / 2);
-        assertEquals(0, silent.sends(silent.request()).size());
-
-        Hand busy = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        long heavy = busy.request();
-        busy.pass(SECOND / 4);
-        busy.serve(SECOND / 8);
-        busy.pass(SECOND / 8);
-        busy.end(heavy, 0, Outcome.TIMEOUT, SECOND / 2);
-        assertEquals(1, busy.sends(busy.request()).size());
-    }
-
-    @Test
-    void theMoreValuableOfTwoHeldClassesGoesFirst() {
-        var cheap = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
-        var dear = new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
-        Hand hand = new Hand(Hand.settings(List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
+          int before = hand.all("probe").size();
+          hand.pass(2 * Hand.TICK);
+          for (Hand.Act probe : hand.all("probe").subList(before, hand.all("probe").size())) {
+            hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
+          }
+        }
+        probes += hand.all("probe").size();
+      }
+      // 4 servers over 10 s, each once a second by all agents together: 40.
+      assertTrue(probes >= 20 && probes <= 80, agents + " agents: " + probes);
+    }
+  }
+
+  @Test
+  void noProbesWhereTheHostPermitsNone() {
+    Hand hand =
+        new Hand(
+                Hand.settings(
+                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                    new Permits(3, false, true, false, false, 0),
+                    1,
+                    1))
             .full(Hand.server(1, 0));
-        List<Long> first = new ArrayList<>();
-        while (first.isEmpty() || hand.target(first.get(first.size() - 1)) == 1) {
-            first.add(hand.request(0, 0));
-        }
-        long waiting = first.get(first.size() - 1);
-        long valuable = hand.request(1, 0);
-        hand.pass(100_000);
-        assertEquals(-1, hand.target(valuable));
-        hand.end(first.get(0), 0, Outcome.OK, 100_000);
-        assertEquals(1, hand.target(valuable));
-        assertEquals(-1, hand.target(waiting));
-    }
-
-    @Test
-    void aMarkedRepeatWhoseTimeIsAlreadySpentIsRefusedAtOnceAndNotWorkedFor() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 60; i++) {
-            hand.serve(300_000);
-        }
-        for (int i = 0; i < 60; i++) {
-            hand.request(); // more than one server can take: most wait and are refused
-        }
-        hand.pass(SECOND);
-        hand.balancer.request(hand.now,
-            new Balancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
-        assertEquals(1, hand.of("refuse", 9999).size());
-        assertTrue(hand.sends(9999).isEmpty());
-    }
-
-    @Test
-    void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
-        Hand hand = four();
-        List<Long> old = new ArrayList<>();
-        for (int i = 0; i < 40; i++) {
-            old.add(hand.request());
-        }
-        hand.pass(100_000);
-        List<Long> newer = new ArrayList<>();
-        for (int i = 0; i < 40; i++) {
-            newer.add(hand.request());
-        }
-        hand.pass(200_000); // the old may cross since 200 ms of waiting, and have filled the other zone
-        assertTrue(newer.stream().noneMatch(id -> hand.target(id) == 4));
-        hand.pass(30_000); // now the newer may, too
-        hand.acts.stream().filter(a -> a.what().equals("send") && a.server() == 4).toList()
-            .forEach(a -> hand.end(a.id(), 0, Outcome.OK, 200_000));
-        assertTrue(newer.stream().anyMatch(id -> hand.target(id) == 4));
-    }
-
-    @Test
-    void aColdServerGetsNothingThatItCannotBeExpectedToAnswerInTime() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
-        for (int i = 0; i < 40; i++) {
-            hand.serve(400_000);
-        }
-        hand.list(Balancer.ListKind.FULL, Hand.server(3, 0, Balancer.Phase.READY, hand.now));
-        long early = hand.request(); // a fifth of its capacity: two seconds for a request wanted within one
-        assertEquals(-1, hand.target(early));
-        hand.pass(15 * SECOND);
-        assertEquals(3, hand.target(hand.request()));
-    }
-
-    @Test
-    void aSuspectedRestartIsDroppedUnlessTheListConfirmsIt() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 20; i++) {
-            hand.serve(50_000);
-        }
-        failProbes(hand, 1, 3); // the first is excused by the answers before it
-        hand.pass(SECOND);
-        hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
-        hand.serve(50_000); // the one request a cold server may have at once
-        assertEquals(-1, hand.target(hand.request()));
-        hand.pass(6 * SECOND);
-        for (int i = 0; i < 3; i++) {
-            assertEquals(1, hand.target(hand.request()));
-        }
-    }
-
-    @Test
-    void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), 1, 13)).full(Hand.server(1, 0));
-        for (int i = 0; i < 10; i++) {
-            hand.serve(900_000); // slow
-            hand.pass(2 * SECOND);
-        }
-        hand.serve(20_000);
-        long paused = hand.request();
-        assertEquals(-1, hand.target(paused), "thirteen agents with one request each would be too much");
-        hand.pass(100_000);
-        assertEquals(1, hand.target(paused));
-        hand.end(paused, 0, Outcome.OK, 100_000);
-        hand.pass(SECOND);
-        hand.serve(20_000);
-        assertEquals(1, hand.target(hand.request()), "three fast answers have lifted the limit over one");
-    }
-
-    /** First tries bring 3 of the 4 s for all tries; returns a hand with one busy server and requests held. */
-    private static Hand afterManyFirstTries(boolean busy) {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 60; i++) {
-            hand.serve(100_000);
-        }
-        for (int i = 0; busy && i < 30; i++) {
-            hand.request();
-        }
-        return hand;
-    }
-
-    private static Hand.Act bring(Hand hand, long left) {
-        int before = hand.acts.size();
-        hand.balancer.request(hand.now, new Balancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
-        return hand.acts.subList(before, hand.acts.size()).stream()
-            .filter(a -> a.id() == 777 && !a.what().equals("timer")).findFirst().orElse(null);
-    }
-
-    @Test
-    void anUnmarkedRepeatIsKnownByTheTimeItBringsAndNotWorkedForWhileOthersWait() {
-        assertEquals("refuse", bring(afterManyFirstTries(true), 2 * SECOND).what(), "two of four seconds are spent");
-        assertEquals(null, bring(afterManyFirstTries(true), 3 * SECOND), "a first try is held");
-        assertEquals(null, bring(afterManyFirstTries(true), 3 * SECOND + 900_000), "an early repeat has time left");
-        assertEquals("send", bring(afterManyFirstTries(false), 2 * SECOND).what(), "while nobody waits it is served");
-    }
-
-    @Test
-    void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
-        Hand hand = afterManyFirstTries(false);
-        for (int i = 0; i < 3; i++) {
-            hand.balancer.request(hand.now,
-                new Balancer.Request(900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
-            hand.end(900 + i, 0, Outcome.OK, 1000);
-        }
-        for (int i = 0; i < 30; i++) {
-            hand.request();
-        }
-        assertEquals(null, bring(hand, 3 * SECOND), "held, not refused");
-    }
-
-    @Test
-    void keysStayWithTheirTwoServersAtEveryAgent() {
-        var settings = Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), 1, 2, false, true, List.of());
-        Hand one = new Hand(settings, 1);
-        Hand other = new Hand(settings, 2);
-        for (Hand hand : List.of(one, other)) {
-            hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
-        }
-        for (long key = 1; key < 30; key++) {
-            long a = one.request(0, key);
-            long b = other.request(0, key);
-            assertEquals(one.target(a), other.target(b));
-            one.end(a, 0, Outcome.OK, 1000);
-            other.end(b, 0, Outcome.OK, 1000);
-        }
-    }
-
-    private static Balancer.Settings keyed(int zones) {
-        return Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(3, false, true, true, false, 0), zones, 2, false, true, List.of());
-    }
-
-    @Test
-    void aMuchAskedKeySpreadsBeforeItsServersAreFull() {
-        Hand hand = new Hand(keyed(1), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
-        Map<Long, Integer> sent = new HashMap<>();
-        for (int i = 0; i < 12; i++) {
-            sent.merge(hand.target(hand.request(0, 42)), 1, Integer::sum);
-        }
-        assertTrue(sent.size() >= 3, sent.toString());
-        assertTrue(Collections.max(sent.values()) <= 5, sent.toString());
-    }
-
-    @Test
-    void ofAKeysTwoServersTheLessBusyIsTakenAndTheFirstWhenEven() {
-        Hand hand = new Hand(keyed(1), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
-        List<Long> sent = new ArrayList<>();
-        for (int i = 0; i < 4; i++) {
-            sent.add(hand.target(hand.request(0, 42)));
-        }
-        long home = sent.get(0);
-        assertEquals(List.of(home, 3 - home, home, 3 - home), sent);
-    }
-
-    @Test
-    void whenRequestsMustWaitOutThePriceTheSameKeysCrossAtOnce() {
-        Hand hand = new Hand(keyed(2), 1);
-        hand.full(Hand.server(1, 0), Hand.server(2, 1));
-        Set<Long> early = crossers(hand);
-        assertEquals(Set.of(), early);
-        for (int round = 0; round < 20; round++) {
-            List<Long> out = new ArrayList<>();
-            for (int i = 0; i < 40; i++) {
-                out.add(hand.request(0, 1000 + i));
-            }
-            hand.pass(SECOND / 4);
-            while (!out.isEmpty()) {
-                List<Long> sent = out.stream().filter(r -> !hand.sends(r).isEmpty()).toList();
-                sent.forEach(r -> hand.end(r, 0, Outcome.OK, SECOND / 4));
-                out.removeAll(sent);
-                out.removeIf(r -> !hand.of("refuse", r).isEmpty());
-                hand.pass(Hand.TICK);
-            }
-            hand.pass(2 * SECOND);
-        }
-        Set<Long> some = crossers(hand);
-        assertTrue(!some.isEmpty() && some.size() < 100, some.size() + " of 100 keys cross");
-        assertTrue(some.containsAll(crossers(hand)), "the same keys, fewer as the zone is quiet");
-    }
-
-    /** Which of a hundred keys, asked for one at a time, are sent to zone 1 at once. */
-    private static Set<Long> crossers(Hand hand) {
-        Set<Long> crossed = new TreeSet<>();
-        for (long key = 1; key <= 100; key++) {
-            long id = hand.request(0, key);
-            if (hand.target(id) == 2) {
-                crossed.add(key);
-            }
-            hand.end(id, 0, Outcome.OK, SECOND / 4);
-        }
-        return crossed;
-    }
-
-    @Test
-    void aServerThatLeftAndComesBackWithARequestOutIsListedOnceAndLeavesWhole() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        long out = hand.request();
-        hand.full(Hand.server(2, 0));
-        hand.full(Hand.server(1, 0), Hand.server(2, 0)).full(Hand.server(1, 0), Hand.server(2, 0));
-        hand.full(Hand.server(2, 0));
-        hand.end(out, 0, Outcome.OK, 1000);
-        for (int i = 0; i < 5; i++) {
-            assertEquals(2, hand.target(hand.serve(1000)));
-        }
-        assertEquals(2, hand.lines.stream().filter(each -> each.contains("server 1 gone")).count());
-    }
-
-    private static Hand oneOfMany(int agents, int servers) {
-        Server[] list = new Server[servers];
-        for (int i = 0; i < servers; i++) {
-            list[i] = Hand.server(i + 1, 0);
-        }
-        return new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, agents)).full(list);
-    }
-
-    private static long used(Hand hand) {
-        return hand.all("send").stream().map(Hand.Act::server).distinct().count();
-    }
-
-    /** Failed before: a light agent among hundreds opened a connection to every server there was. */
-    @Test
-    void aLightAgentAmongManyKeepsToAFewServersAndAHeavyOneUsesMore() {
-        Hand light = oneOfMany(400, 40);
-        for (int i = 0; i < 60; i++) {
-            light.serve(50_000);
-            light.pass(SECOND);
-        }
-        assertTrue(used(light) >= 2 && used(light) <= 4, "used " + used(light));
-        Hand heavy = oneOfMany(400, 40);
-        for (int i = 0; i < 400; i++) {
-            List<Long> ids = new ArrayList<>();
-            for (int k = 0; k < 8; k++) {
-                ids.add(heavy.request());
-            }
-            heavy.pass(50_000);
-            for (long id : ids) {
-                if (!heavy.sends(id).isEmpty()) {
-                    heavy.end(id, heavy.sends(id).size() - 1, Outcome.OK, 50_000);
-                }
-            }
-        }
-        assertTrue(used(heavy) >= 12, "used " + used(heavy));
-        Hand few = oneOfMany(4, 40);
-        for (int i = 0; i < 400; i++) {
-            few.serve(50_000);
-        }
-        assertTrue(used(few) >= 30, "used " + used(few));
-    }
-
-    /** Failed before (in a first draft): counted by what is out, the subset grew in a jam, and the jam with it. */
-    @Test
-    void aJamDoesNotWidenTheSubset() {
-        Hand hand = oneOfMany(400, 40);
-        for (int i = 0; i < 20; i++) {
-            hand.serve(50_000);
-            hand.pass(SECOND / 2);
-        }
-        for (int i = 0; i < 60; i++) {
-            long id = hand.request();
-            hand.pass(2 * SECOND);
-            if (!hand.sends(id).isEmpty()) {
-                hand.end(id, 0, Outcome.OK, 2 * SECOND);
-            }
-        }
-        assertTrue(used(hand) <= 4, "used " + used(hand));
-    }
-
-    @Test
-    void aSubsetGivesWayWhenItsMembersFail() {
-        Hand hand = oneOfMany(400, 40);
-        for (int i = 0; i < 20; i++) {
-            hand.serve(50_000);
-        }
-        List<Long> first = hand.all("send").stream().map(Hand.Act::server).distinct().toList();
-        for (long server : first) {
-            hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
-            hand.pass(SECOND);
-            hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
-        }
-        long id = hand.request();
-        assertTrue(!first.contains(hand.target(id)) && hand.target(id) > 0);
-    }
-
-    @Test
-    void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
-        Hand hand = new Hand(Hand.settings(List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
-            new Permits(4, false, true, false, false, 0), 1, 4)).full(Hand.server(1, 0), Hand.server(2, 0));
-        int toFast = 0;
-        for (int i = 0; i < 100; i++) {
-            long id = hand.request();
-            long spent = hand.target(id) == 1 ? 40_000 : 120_000;
-            hand.pass(spent);
-            hand.end(id, 0, Outcome.OK, spent);
-            toFast += hand.target(id) == 1 ? 1 : 0;
-        }
-        assertTrue(toFast >= 85, "to the faster " + toFast);
-    }
-
-    /** Failed before: each of hundreds of agents sent one request to every server of its subset at once. */
-    @Test
-    void manyAgentsStartWithFewRequestsOutInAll() {
-        Hand hand = oneOfMany(400, 40);
-        for (int i = 0; i < 10; i++) {
-            hand.request();
-        }
-        assertEquals(1, hand.all("send").size());
-        Hand few = oneOfMany(2, 3);
-        for (int i = 0; i < 10; i++) {
-            few.request();
-        }
-        assertEquals(10, few.all("send").size());
-    }
-
-    /** Failed before: a late answer paused a server for no longer than a merely slow one. */
-    @Test
-    void anAnswerPastTheAimPausesAServerForALightAgentForLonger() {
-        long[] sentAgainAfter = new long[2];
-        for (int late = 0; late < 2; late++) {
-            Hand hand = oneOfMany(100, 1);
-            for (int i = 0; i < 5; i++) {
-                hand.serve(50_000);
-                hand.pass(SECOND);
-            }
-            long slow = hand.request();
-            long spent = late == 0 ? 900_000 : 1_100_000; // the aim is one second
-            hand.pass(spent);
-            hand.balancer.outcome(hand.now, slow, 0, hand.target(slow), Outcome.OK, spent, true, NO_LOAD);
-            long began = hand.now;
-            int sends = hand.all("send").size();
-            while (hand.all("send").size() == sends && hand.now < began + 60 * SECOND) {
-                hand.request();
-                hand.pass(SECOND / 10);
-            }
-            sentAgainAfter[late] = hand.now - began;
-        }
-        assertTrue(sentAgainAfter[1] >= 2 * sentAgainAfter[0],
-            sentAgainAfter[0] + " and " + sentAgainAfter[1]);
-    }
-
-    /** How many of eight requests go out at once to one server after many answers of these times, in turn. */
-    private static int roomAfter(long... spent) {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        int answers = 0;
-        for (int round = 0; round < 60; round++) {
-            List<Long> ids = new ArrayList<>();
-            for (int i = 0; i < 8; i++) {
-                ids.add(hand.request());
-            }
-            hand.pass(50_000);
-            while (!ids.isEmpty()) { // what was held goes out as room comes
-                long id = ids.stream().filter(each -> !hand.sends(each).isEmpty()).findFirst().orElseThrow();
-                ids.remove(id);
-                hand.end(id, 0, Outcome.OK, spent[answers++ % spent.length]);
-            }
-        }
-        int sent = 0;
-        for (int i = 0; i < 8; i++) {
-            sent += hand.sends(hand.request()).size();
-        }
-        return sent;
-    }
-
-    /** Works vary. Failed before: one slow answer in nine outweighed the others, and idle servers were closed. */
-    @Test
-    void oneSlowAnswerInSevenLeavesAnIdleServerItsRoom() {
-        int sent = roomAfter(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 300_000);
-        assertTrue(sent >= 4, "sent " + sent);
-    }
-
-    /** Failed before: an answer was slow past half the aim, which is a second, though the work took as long. */
-    @Test
-    void workThatOftenTakesHalfTheAimLeavesAnIdleServerItsRoom() {
-        int sent = roomAfter(300_000, 550_000, 400_000, 600_000, 350_000, 500_000, 680_000, 450_000, 630_000);
-        assertTrue(sent >= 4, "sent " + sent);
-    }
-
-    /**
-     * Failed before: until it had seen fifty answers of one class, a light agent took what a jam took for
-     * the usual time, as long as that was within two thirds of the aim.
-     */
-    @Test
-    void beforeAnyClassIsKnownAnswersSlowerThanTheFirstOfAllClassesCloseAServer() {
-        var type = Hand.type(Semantics.SAFE, Scope.ALL);
-        Hand hand = new Hand(Hand.settings(List.of(type, type, type, type),
-            new Permits(3, false, true, true, false, 0), 1, 2)).full(Hand.server(1, 0));
-        for (int i = 0; i < 120; i++) {
-            long id = hand.request(i % 4, 0);
-            long spent = i < 60 ? 30_000 : 300_000; // an aim of a second, and thirty answers of each class
-            hand.pass(spent);
-            hand.end(id, 0, Outcome.OK, spent);
-        }
-        int sent = 0;
-        for (int i = 0; i < 8; i++) {
-            sent += hand.sends(hand.request(i % 4, 0)).size();
-        }
-        assertTrue(sent <= 2, "sent " + sent);
-    }
-
-    /** Else the limit would hold back nothing. */
-    @Test
-    void answersOfWhichEverySecondIsSlowCloseAServer() {
-        assertEquals(1, roomAfter(50_000, 700_000));
-    }
-
-    /** Failed before: every refused client was told the longest wait that it might be told. */
-    @Test
-    void aRefusedClientIsToldToComeBackWhenThereWillBeRoom() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int i = 0; i < 100; i++) {
-            hand.serve(50_000);
-        }
-        List<Long> ids = new ArrayList<>();
-        for (int i = 0; i < 40; i++) {
-            ids.add(hand.request());
-        }
+    hand.pass(5 * SECOND);
+    assertTrue(hand.all("probe").isEmpty());
+  }
+
+  @Test
+  void failedProbesInARowMakeUnhealthyAndOneSuccessHealthy() {
+    Hand hand = four();
+    failProbes(hand, 1, 1);
+    assertFalse(hand.logged("active Unhealthy"));
+    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
+    failProbes(hand, 1, 1);
+    assertFalse(hand.logged("active Unhealthy"), "the success in between resets the count");
+    failProbes(hand, 1, 1);
+    assertTrue(hand.logged("server 1 active Unhealthy"));
+    for (int i = 0; i < 30; i++) {
+      assertNotEquals(1, hand.target(hand.request()));
+    }
+    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
+    assertTrue(hand.logged("server 1 active Healthy"));
+  }
+
+  @Test
+  void aLateProbeOfAServerThatAnswersRealRequestsDoesNotCount() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 4; i++) {
+      hand.serve(10_000);
+      failProbes(hand, 1, 1);
+    }
+    assertFalse(hand.logged("active Unhealthy"));
+  }
+
+  /** Serves requests; those that go to server 1 end with the given outcome, the first so many. */
+  private static void failOnServerOne(Hand hand, int failures, Outcome outcome) {
+    int failed = 0;
+    for (int i = 0; i < 400 && failed < failures; i++) {
+      long id = hand.request();
+      boolean fails = hand.target(id) == 1;
+      failed += fails ? 1 : 0;
+      hand.end(id, 0, fails ? outcome : Outcome.OK, 10_000);
+      if (fails && hand.sends(id).size() > 1) {
+        hand.end(id, 1, Outcome.OK, 10_000);
+      }
+      hand.pass(20_000);
+    }
+    assertEquals(failures, failed, "server 1 drew too little");
+  }
+
+  @Test
+  void failuresOverTheLimitMakeThePassiveStateUnhealthyUntilReactivation() {
+    Hand hand = four();
+    failOnServerOne(hand, 4, Outcome.TIMEOUT);
+    assertFalse(hand.logged("passive Unhealthy"), "below the minimum count");
+    failOnServerOne(hand, 1, Outcome.TIMEOUT);
+    assertTrue(hand.logged("server 1 passive Unhealthy: 5 of 5 failed"));
+    for (int i = 0; i < 20; i++) {
+      long id = hand.request();
+      assertNotEquals(1, hand.target(id));
+      hand.end(id, 0, Outcome.OK, 10_000);
+    }
+    hand.pass(6 * SECOND);
+    Set<Long> seen = new HashSet<>();
+    for (int i = 0; i < 20; i++) {
+      seen.add(hand.target(hand.request()));
+    }
+    assertTrue(seen.contains(1L));
+    assertTrue(hand.logged("server 1 passive Unknown: reactivated"));
+  }
+
+  @Test
+  void aShareBelowTheLimitDoesNotCount() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 40; i++) {
+      long id = hand.request();
+      hand.end(id, 0, i % 4 == 3 ? Outcome.TIMEOUT : Outcome.OK, 10_000);
+      hand.pass(50_000);
+    }
+    assertFalse(hand.logged("passive Unhealthy"));
+  }
+
+  @Test
+  void whatFailsEverywhereAlikeRemovesNobody() {
+    Hand hand = four();
+    for (int i = 0; i < 100; i++) {
+      long id = hand.request();
+      if (hand.target(id) > 0) {
+        hand.pass(20_000);
+        hand.end(id, 0, i % 2 == 0 ? Outcome.TIMEOUT : Outcome.OK, 20_000);
+      }
+      hand.pass(100_000);
+    }
+    long removed = hand.lines.stream().filter(l -> l.contains("passive Unhealthy")).count();
+    assertTrue(removed <= 2, "removed " + removed);
+  }
+
+  @Test
+  void ofTwoTheOneWithFewerInFlightIsTaken() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    long first = hand.target(hand.request());
+    assertNotEquals(first, hand.target(hand.request()));
+  }
+
+  @Test
+  void theOwnZoneIsTakenWhileItHasRoomAndOthersOnceTheWaitIsWorthTheCrossing() {
+    Hand hand = four();
+    List<Long> ids = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      ids.add(hand.request());
+    }
+    assertTrue(
+        ids.stream().noneMatch(id -> hand.target(id) == 4), "first the own zone, and then wait");
+    assertTrue(ids.stream().anyMatch(id -> hand.target(id) == -1));
+    hand.pass(250_000);
+    assertTrue(
+        ids.stream().anyMatch(id -> hand.target(id) == 4), "the wait has cost as much as crossing");
+  }
+
+  @Test
+  void otherZonesAreTakenAtOnceWhenNoneIsAvailableHere() {
+    Hand hand = four();
+    for (long server = 1; server <= 3; server++) {
+      failProbes(hand, server, 2);
+    }
+    assertEquals(4, hand.target(hand.request()));
+  }
+
+  @Test
+  void allAreEligibleWhenNoneIsAvailableAnywhere() {
+    Hand hand = four();
+    for (long server = 1; server <= 4; server++) {
+      failProbes(hand, server, 2);
+    }
+    assertTrue(hand.target(hand.request()) > 0);
+  }
+
+  @Test
+  void aServerThatFailsAtOnceRestsAndDoesNotDrawEverything() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    for (int i = 0; i < 20; i++) {
+      hand.serve(50_000);
+    }
+    int toOne = 0;
+    for (int i = 0; i < 40; i++) {
+      long id = hand.request();
+      for (int a = 0; a < hand.sends(id).size(); a++) {
+        boolean one = hand.sends(id).get(a).server() == 1;
+        toOne += one ? 1 : 0;
+        hand.end(id, a, one ? Outcome.FULL : Outcome.OK, one ? 4_000 : 50_000);
+      }
+      hand.pass(10_000);
+    }
+    assertTrue(toOne <= 6, "sent " + toOne);
+  }
+
+  /**
+   * Failed before: where one attempt in seven is reset, a third of the servers rested at any time.
+   */
+  @ParameterizedTest
+  @EnumSource(
+      value = Outcome.class,
+      names = {"RESET", "FULL", "CONNECT_FAILED", "ERROR"})
+  void aSingleFailureBetweenAnswersIsNoReasonToRestAndASecondInARowIs(Outcome outcome) {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 20; i++) {
+      hand.serve(50_000);
+    }
+    hand.end(hand.request(), 0, outcome, 1000);
+    long next = hand.request();
+    assertEquals(1, hand.target(next));
+    hand.end(next, 0, outcome, 1000);
+    assertEquals(-1, hand.target(hand.request()));
+  }
+
+  @Test
+  void aServerThatTimesOutAndAnswersNothingElseRestsButOneHeavyRequestAmongOthersDoesNotMatter() {
+    Hand silent = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    long lost = silent.request();
+    silent.pass(SECOND / 2);
+    silent.end(lost, 0, Outcome.TIMEOUT, SECOND / 2);
+    assertEquals(0, silent.sends(silent.request()).size());
+
+    Hand busy = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    long heavy = busy.request();
+    busy.pass(SECOND / 4);
+    busy.serve(SECOND / 8);
+    busy.pass(SECOND / 8);
+    busy.end(heavy, 0, Outcome.TIMEOUT, SECOND / 2);
+    assertEquals(1, busy.sends(busy.request()).size());
+  }
+
+  @Test
+  void theMoreValuableOfTwoHeldClassesGoesFirst() {
+    var cheap =
+        new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
+    var dear =
+        new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
+    Hand hand =
+        new Hand(
+                Hand.settings(
+                    List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
+            .full(Hand.server(1, 0));
+    List<Long> first = new ArrayList<>();
+    while (first.isEmpty() || hand.target(first.get(first.size() - 1)) == 1) {
+      first.add(hand.request(0, 0));
+    }
+    long waiting = first.get(first.size() - 1);
+    long valuable = hand.request(1, 0);
+    hand.pass(100_000);
+    assertEquals(-1, hand.target(valuable));
+    hand.end(first.get(0), 0, Outcome.OK, 100_000);
+    assertEquals(1, hand.target(valuable));
+    assertEquals(-1, hand.target(waiting));
+  }
+
+  @Test
+  void aMarkedRepeatWhoseTimeIsAlreadySpentIsRefusedAtOnceAndNotWorkedFor() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 60; i++) {
+      hand.serve(300_000);
+    }
+    for (int i = 0; i < 60; i++) {
+      hand.request(); // more than one server can take: most wait and are refused
+    }
+    hand.pass(SECOND);
+    hand.balancer.request(
+        hand.now, new Balancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
+    assertEquals(1, hand.of("refuse", 9999).size());
+    assertTrue(hand.sends(9999).isEmpty());
+  }
+
+  @Test
+  void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
+    Hand hand = four();
+    List<Long> old = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      old.add(hand.request());
+    }
+    hand.pass(100_000);
+    List<Long> newer = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      newer.add(hand.request());
+    }
+    hand.pass(200_000); // the old may cross since 200 ms of waiting, and have filled the other zone
+    assertTrue(newer.stream().noneMatch(id -> hand.target(id) == 4));
+    hand.pass(30_000); // now the newer may, too
+    hand.acts.stream()
+        .filter(a -> a.what().equals("send") && a.server() == 4)
+        .toList()
+        .forEach(a -> hand.end(a.id(), 0, Outcome.OK, 200_000));
+    assertTrue(newer.stream().anyMatch(id -> hand.target(id) == 4));
+  }
+
+  @Test
+  void aColdServerGetsNothingThatItCannotBeExpectedToAnswerInTime() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    for (int i = 0; i < 40; i++) {
+      hand.serve(400_000);
+    }
+    hand.list(Balancer.ListKind.FULL, Hand.server(3, 0, Balancer.Phase.READY, hand.now));
+    long early =
+        hand.request(); // a fifth of its capacity: two seconds for a request wanted within one
+    assertEquals(-1, hand.target(early));
+    hand.pass(15 * SECOND);
+    assertEquals(3, hand.target(hand.request()));
+  }
+
+  @Test
+  void aSuspectedRestartIsDroppedUnlessTheListConfirmsIt() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 20; i++) {
+      hand.serve(50_000);
+    }
+    failProbes(hand, 1, 3); // the first is excused by the answers before it
+    hand.pass(SECOND);
+    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
+    hand.serve(50_000); // the one request a cold server may have at once
+    assertEquals(-1, hand.target(hand.request()));
+    hand.pass(6 * SECOND);
+    for (int i = 0; i < 3; i++) {
+      assertEquals(1, hand.target(hand.request()));
+    }
+  }
+
+  @Test
+  void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
+    Hand hand =
+        new Hand(
+                Hand.settings(
+                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                    new Permits(3, false, true, true, false, 0),
+                    1,
+                    13))
+            .full(Hand.server(1, 0));
+    for (int i = 0; i < 10; i++) {
+      hand.serve(900_000); // slow
+      hand.pass(2 * SECOND);
+    }
+    hand.serve(20_000);
+    long paused = hand.request();
+    assertEquals(
+        -1, hand.target(paused), "thirteen agents with one request each would be too much");
+    hand.pass(100_000);
+    assertEquals(1, hand.target(paused));
+    hand.end(paused, 0, Outcome.OK, 100_000);
+    hand.pass(SECOND);
+    hand.serve(20_000);
+    assertEquals(
+        1, hand.target(hand.request()), "three fast answers have lifted the limit over one");
+  }
+
+  /**
+   * First tries bring 3 of the 4 s for all tries; returns a hand with one busy server and requests
+   * held.
+   */
+  private static Hand afterManyFirstTries(boolean busy) {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 60; i++) {
+      hand.serve(100_000);
+    }
+    for (int i = 0; busy && i < 30; i++) {
+      hand.request();
+    }
+    return hand;
+  }
+
+  private static Hand.Act bring(Hand hand, long left) {
+    int before = hand.acts.size();
+    hand.balancer.request(
+        hand.now, new Balancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
+    return hand.acts.subList(before, hand.acts.size()).stream()
+        .filter(a -> a.id() == 777 && !a.what().equals("timer"))
+        .findFirst()
+        .orElse(null);
+  }
+
+  @Test
+  void anUnmarkedRepeatIsKnownByTheTimeItBringsAndNotWorkedForWhileOthersWait() {
+    assertEquals(
+        "refuse",
+        bring(afterManyFirstTries(true), 2 * SECOND).what(),
+        "two of four seconds are spent");
+    assertEquals(null, bring(afterManyFirstTries(true), 3 * SECOND), "a first try is held");
+    assertEquals(
+        null,
+        bring(afterManyFirstTries(true), 3 * SECOND + 900_000),
+        "an early repeat has time left");
+    assertEquals(
+        "send",
+        bring(afterManyFirstTries(false), 2 * SECOND).what(),
+        "while nobody waits it is served");
+  }
+
+  @Test
+  void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
+    Hand hand = afterManyFirstTries(false);
+    for (int i = 0; i < 3; i++) {
+      hand.balancer.request(
+          hand.now,
+          new Balancer.Request(900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
+      hand.end(900 + i, 0, Outcome.OK, 1000);
+    }
+    for (int i = 0; i < 30; i++) {
+      hand.request();
+    }
+    assertEquals(null, bring(hand, 3 * SECOND), "held, not refused");
+  }
+
+  @Test
+  void keysStayWithTheirTwoServersAtEveryAgent() {
+    var settings =
+        Hand.settings(
+            List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+            new Permits(3, false, true, true, false, 0),
+            1,
+            2,
+            false,
+            true,
+            List.of());
+    Hand one = new Hand(settings, 1);
+    Hand other = new Hand(settings, 2);
+    for (Hand hand : List.of(one, other)) {
+      hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+    }
+    for (long key = 1; key < 30; key++) {
+      long a = one.request(0, key);
+      long b = other.request(0, key);
+      assertEquals(one.target(a), other.target(b));
+      one.end(a, 0, Outcome.OK, 1000);
+      other.end(b, 0, Outcome.OK, 1000);
+    }
+  }
+
+  private static Balancer.Settings keyed(int zones) {
+    return Hand.settings(
+        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        new Permits(3, false, true, true, false, 0),
+        zones,
+        2,
+        false,
+        true,
+        List.of());
+  }
+
+  @Test
+  void aMuchAskedKeySpreadsBeforeItsServersAreFull() {
+    Hand hand = new Hand(keyed(1), 1);
+    hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+    Map<Long, Integer> sent = new HashMap<>();
+    for (int i = 0; i < 12; i++) {
+      sent.merge(hand.target(hand.request(0, 42)), 1, Integer::sum);
+    }
+    assertTrue(sent.size() >= 3, sent.toString());
+    assertTrue(Collections.max(sent.values()) <= 5, sent.toString());
+  }
+
+  @Test
+  void ofAKeysTwoServersTheLessBusyIsTakenAndTheFirstWhenEven() {
+    Hand hand = new Hand(keyed(1), 1);
+    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    List<Long> sent = new ArrayList<>();
+    for (int i = 0; i < 4; i++) {
+      sent.add(hand.target(hand.request(0, 42)));
+    }
+    long home = sent.get(0);
+    assertEquals(List.of(home, 3 - home, home, 3 - home), sent);
+  }
+
+  @Test
+  void whenRequestsMustWaitOutThePriceTheSameKeysCrossAtOnce() {
+    Hand hand = new Hand(keyed(2), 1);
+    hand.full(Hand.server(1, 0), Hand.server(2, 1));
+    Set<Long> early = crossers(hand);
+    assertEquals(Set.of(), early);
+    for (int round = 0; round < 20; round++) {
+      List<Long> out = new ArrayList<>();
+      for (int i = 0; i < 40; i++) {
+        out.add(hand.request(0, 1000 + i));
+      }
+      hand.pass(SECOND / 4);
+      while (!out.isEmpty()) {
+        List<Long> sent = out.stream().filter(r -> !hand.sends(r).isEmpty()).toList();
+        sent.forEach(r -> hand.end(r, 0, Outcome.OK, SECOND / 4));
+        out.removeAll(sent);
+        out.removeIf(r -> !hand.of("refuse", r).isEmpty());
+        hand.pass(Hand.TICK);
+      }
+      hand.pass(2 * SECOND);
+    }
+    Set<Long> some = crossers(hand);
+    assertTrue(!some.isEmpty() && some.size() < 100, some.size() + " of 100 keys cross");
+    assertTrue(some.containsAll(crossers(hand)), "the same keys, fewer as the zone is quiet");
+  }
+
+  /** Which of a hundred keys, asked for one at a time, are sent to zone 1 at once. */
+  private static Set<Long> crossers(Hand hand) {
+    Set<Long> crossed = new TreeSet<>();
+    for (long key = 1; key <= 100; key++) {
+      long id = hand.request(0, key);
+      if (hand.target(id) == 2) {
+        crossed.add(key);
+      }
+      hand.end(id, 0, Outcome.OK, SECOND / 4);
+    }
+    return crossed;
+  }
+
+  @Test
+  void aServerThatLeftAndComesBackWithARequestOutIsListedOnceAndLeavesWhole() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    long out = hand.request();
+    hand.full(Hand.server(2, 0));
+    hand.full(Hand.server(1, 0), Hand.server(2, 0)).full(Hand.server(1, 0), Hand.server(2, 0));
+    hand.full(Hand.server(2, 0));
+    hand.end(out, 0, Outcome.OK, 1000);
+    for (int i = 0; i < 5; i++) {
+      assertEquals(2, hand.target(hand.serve(1000)));
+    }
+    assertEquals(2, hand.lines.stream().filter(each -> each.contains("server 1 gone")).count());
+  }
+
+  private static Hand oneOfMany(int agents, int servers) {
+    Server[] list = new Server[servers];
+    for (int i = 0; i < servers; i++) {
+      list[i] = Hand.server(i + 1, 0);
+    }
+    return new Hand(
+            Hand.settings(
+                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                new Permits(4, false, true, false, false, 0),
+                1,
+                agents))
+        .full(list);
+  }
+
+  private static long used(Hand hand) {
+    return hand.all("send").stream().map(Hand.Act::server).distinct().count();
+  }
+
+  /** Failed before: a light agent among hundreds opened a connection to every server there was. */
+  @Test
+  void aLightAgentAmongManyKeepsToAFewServersAndAHeavyOneUsesMore() {
+    Hand light = oneOfMany(400, 40);
+    for (int i = 0; i < 60; i++) {
+      light.serve(50_000);
+      light.pass(SECOND);
+    }
+    assertTrue(used(light) >= 2 && used(light) <= 4, "used " + used(light));
+    Hand heavy = oneOfMany(400, 40);
+    for (int i = 0; i < 400; i++) {
+      List<Long> ids = new ArrayList<>();
+      for (int k = 0; k < 8; k++) {
+        ids.add(heavy.request());
+      }
+      heavy.pass(50_000);
+      for (long id : ids) {
+        if (!heavy.sends(id).isEmpty()) {
+          heavy.end(id, heavy.sends(id).size() - 1, Outcome.OK, 50_000);
+        }
+      }
+    }
+    assertTrue(used(heavy) >= 12, "used " + used(heavy));
+    Hand few = oneOfMany(4, 40);
+    for (int i = 0; i < 400; i++) {
+      few.serve(50_000);
+    }
+    assertTrue(used(few) >= 30, "used " + used(few));
+  }
+
+  /**
+   * Failed before (in a first draft): counted by what is out, the subset grew in a jam, and the jam
+   * with it.
+   */
+  @Test
+  void aJamDoesNotWidenTheSubset() {
+    Hand hand = oneOfMany(400, 40);
+    for (int i = 0; i < 20; i++) {
+      hand.serve(50_000);
+      hand.pass(SECOND / 2);
+    }
+    for (int i = 0; i < 60; i++) {
+      long id = hand.request();
+      hand.pass(2 * SECOND);
+      if (!hand.sends(id).isEmpty()) {
+        hand.end(id, 0, Outcome.OK, 2 * SECOND);
+      }
+    }
+    assertTrue(used(hand) <= 4, "used " + used(hand));
+  }
+
+  @Test
+  void aSubsetGivesWayWhenItsMembersFail() {
+    Hand hand = oneOfMany(400, 40);
+    for (int i = 0; i < 20; i++) {
+      hand.serve(50_000);
+    }
+    List<Long> first = hand.all("send").stream().map(Hand.Act::server).distinct().toList();
+    for (long server : first) {
+      hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
+      hand.pass(SECOND);
+      hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
+    }
+    long id = hand.request();
+    assertTrue(!first.contains(hand.target(id)) && hand.target(id) > 0);
+  }
+
+  @Test
+  void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
+    Hand hand =
+        new Hand(
+                Hand.settings(
+                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+                    new Permits(4, false, true, false, false, 0),
+                    1,
+                    4))
+            .full(Hand.server(1, 0), Hand.server(2, 0));
+    int toFast = 0;
+    for (int i = 0; i < 100; i++) {
+      long id = hand.request();
+      long spent = hand.target(id) == 1 ? 40_000 : 120_000;
+      hand.pass(spent);
+      hand.end(id, 0, Outcome.OK, spent);
+      toFast += hand.target(id) == 1 ? 1 : 0;
+    }
+    assertTrue(toFast >= 85, "to the faster " + toFast);
+  }
+
+  /**
+   * Failed before: each of hundreds of agents sent one request to every server of its subset at
+   * once.
+   */
+  @Test
+  void manyAgentsStartWithFewRequestsOutInAll() {
+    Hand hand = oneOfMany(400, 40);
+    for (int i = 0; i < 10; i++) {
+      hand.request();
+    }
+    assertEquals(1, hand.all("send").size());
+    Hand few = oneOfMany(2, 3);
+    for (int i = 0; i < 10; i++) {
+      few.request();
+    }
+    assertEquals(10, few.all("send").size());
+  }
+
+  /** Failed before: a late answer paused a server for no longer than a merely slow one. */
+  @Test
+  void anAnswerPastTheAimPausesAServerForALightAgentForLonger() {
+    long[] sentAgainAfter = new long[2];
+    for (int late = 0; late < 2; late++) {
+      Hand hand = oneOfMany(100, 1);
+      for (int i = 0; i < 5; i++) {
+        hand.serve(50_000);
         hand.pass(SECOND);
-        List<Long> told = hand.all("refuse").stream().map(Hand.Act::value).toList();
-        assertTrue(told.size() >= 20, "refused " + told.size());
-        for (long wait : told) {
-            assertTrue(wait >= 50_000 && wait <= SECOND, "told " + wait);
-        }
-        assertTrue(told.get(told.size() - 1) < SECOND / 2, "the last of the queue: " + told);
-    }
-
-    /** Failed before: heavy requests that timed out at servers that answered the rest closed them all. */
-    @Test
-    void timeOutsWhileTheServerAnswersOthersLeaveItItsRoom() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-        for (int round = 0; round < 60; round++) {
-            List<Long> ids = new ArrayList<>();
-            for (int i = 0; i < 7; i++) {
-                ids.add(hand.request());
-            }
-            hand.pass(50_000);
-            List<Long> heavy = ids.subList(0, 2).stream().filter(id -> !hand.sends(id).isEmpty()).toList();
-            for (long id : ids) {
-                if (!heavy.contains(id) && !hand.sends(id).isEmpty()) {
-                    hand.end(id, 0, Outcome.OK, 50_000);
-                }
-            }
-            hand.pass(300_000);
-            heavy.forEach(id -> hand.end(id, 0, Outcome.TIMEOUT, 350_000));
-            for (long id : ids) { // what has been sent again, or late
-                int attempts = hand.sends(id).size();
-                if (attempts > (heavy.contains(id) ? 1 : 0)) {
-                    hand.end(id, attempts - 1, Outcome.OK, 50_000);
-                }
-            }
-        }
-        int sent = 0;
-        for (int i = 0; i < 8; i++) {
-            sent += hand.sends(hand.request()).size();
-        }
-        assertTrue(sent >= 4, "sent " + sent);
-    }
+      }
+      long slow = hand.request();
+      long spent = late == 0 ? 900_000 : 1_100_000; // the aim is one second
+      hand.pass(spent);
+      hand.balancer.outcome(hand.now, slow, 0, hand.target(slow), Outcome.OK, spent, true, NO_LOAD);
+      long began = hand.now;
+      int sends = hand.all("send").size();
+      while (hand.all("send").size() == sends && hand.now < began + 60 * SECOND) {
+        hand.request();
+        hand.pass(SECOND / 10);
+      }
+      sentAgainAfter[late] = hand.now - began;
+    }
+    assertTrue(
+        sentAgainAfter[1] >= 2 * sentAgainAfter[0],
+        sentAgainAfter[0] + " and " + sentAgainAfter[1]);
+  }
+
+  /**
+   * How many of eight requests go out at once to one server after many answers of these times, in
+   * turn.
+   */
+  private static int roomAfter(long... spent) {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    int answers = 0;
+    for (int round = 0; round < 60; round++) {
+      List<Long> ids = new ArrayList<>();
+      for (int i = 0; i < 8; i++) {
+        ids.add(hand.request());
+      }
+      hand.pass(50_000);
+      while (!ids.isEmpty()) { // what was held goes out as room comes
+        long id =
+            ids.stream().filter(each -> !hand.sends(each).isEmpty()).findFirst().orElseThrow();
+        ids.remove(id);
+        hand.end(id, 0, Outcome.OK, spent[answers++ % spent.length]);
+      }
+    }
+    int sent = 0;
+    for (int i = 0; i < 8; i++) {
+      sent += hand.sends(hand.request()).size();
+    }
+    return sent;
+  }
+
+  /**
+   * Works vary. Failed before: one slow answer in nine outweighed the others, and idle servers were
+   * closed.
+   */
+  @Test
+  void oneSlowAnswerInSevenLeavesAnIdleServerItsRoom() {
+    int sent = roomAfter(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 300_000);
+    assertTrue(sent >= 4, "sent " + sent);
+  }
+
+  /**
+   * Failed before: an answer was slow past half the aim, which is a second, though the work took as
+   * long.
+   */
+  @Test
+  void workThatOftenTakesHalfTheAimLeavesAnIdleServerItsRoom() {
+    int sent =
+        roomAfter(300_000, 550_000, 400_000, 600_000, 350_000, 500_000, 680_000, 450_000, 630_000);
+    assertTrue(sent >= 4, "sent " + sent);
+  }
+
+  /**
+   * Failed before: until it had seen fifty answers of one class, a light agent took what a jam took
+   * for the usual time, as long as that was within two thirds of the aim.
+   */
+  @Test
+  void beforeAnyClassIsKnownAnswersSlowerThanTheFirstOfAllClassesCloseAServer() {
+    var type = Hand.type(Semantics.SAFE, Scope.ALL);
+    Hand hand =
+        new Hand(
+                Hand.settings(
+                    List.of(type, type, type, type),
+                    new Permits(3, false, true, true, false, 0),
+                    1,
+                    2))
+            .full(Hand.server(1, 0));
+    for (int i = 0; i < 120; i++) {
+      long id = hand.request(i % 4, 0);
+      long spent =
+          i < 60 ? 30_000 : 300_000; // an aim of a second, and thirty answers of each class
+      hand.pass(spent);
+      hand.end(id, 0, Outcome.OK, spent);
+    }
+    int sent = 0;
+    for (int i = 0; i < 8; i++) {
+      sent += hand.sends(hand.request(i % 4, 0)).size();
+    }
+    assertTrue(sent <= 2, "sent " + sent);
+  }
+
+  /** Else the limit would hold back nothing. */
+  @Test
+  void answersOfWhichEverySecondIsSlowCloseAServer() {
+    assertEquals(1, roomAfter(50_000, 700_000));
+  }
+
+  /** Failed before: every refused client was told the longest wait that it might be told. */
+  @Test
+  void aRefusedClientIsToldToComeBackWhenThereWillBeRoom() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int i = 0; i < 100; i++) {
+      hand.serve(50_000);
+    }
+    List<Long> ids = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      ids.add(hand.request());
+    }
+    hand.pass(SECOND);
+    List<Long> told = hand.all("refuse").stream().map(Hand.Act::value).toList();
+    assertTrue(told.size() >= 20, "refused " + told.size());
+    for (long wait : told) {
+      assertTrue(wait >= 50_000 && wait <= SECOND, "told " + wait);
+    }
+    assertTrue(told.get(told.size() - 1) < SECOND / 2, "the last of the queue: " + told);
+  }
+
+  /**
+   * Failed before: heavy requests that timed out at servers that answered the rest closed them all.
+   */
+  @Test
+  void timeOutsWhileTheServerAnswersOthersLeaveItItsRoom() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    for (int round = 0; round < 60; round++) {
+      List<Long> ids = new ArrayList<>();
+      for (int i = 0; i < 7; i++) {
+        ids.add(hand.request());
+      }
+      hand.pass(50_000);
+      List<Long> heavy =
+          ids.subList(0, 2).stream().filter(id -> !hand.sends(id).isEmpty()).toList();
+      for (long id : ids) {
+        if (!heavy.contains(id) && !hand.sends(id).isEmpty()) {
+          hand.end(id, 0, Outcome.OK, 50_000);
+        }
+      }
+      hand.pass(300_000);
+      heavy.forEach(id -> hand.end(id, 0, Outcome.TIMEOUT, 350_000));
+      for (long id : ids) { // what has been sent again, or late
+        int attempts = hand.sends(id).size();
+        if (attempts > (heavy.contains(id) ? 1 : 0)) {
+          hand.end(id, attempts - 1, Outcome.OK, 50_000);
+        }
+      }
+    }
+    int sent = 0;
+    for (int i = 0; i < 8; i++) {
+      sent += hand.sends(hand.request()).size();
+    }
+    assertTrue(sent >= 4, "sent " + sent);
+  }
 }
--- a/src/test/java/gatefront/OnCallTest.java
+++ b/src/test/java/gatefront/OnCallTest.java
@@ -3,6 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.Balancer.ListKind;
+import gatefront.Balancer.Outcome;
+import gatefront.Balancer.Phase;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,58 +13,59 @@
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Phase;
 import org.junit.jupiter.api.Test;
 
-/** The README's part for those on call shows the lines that the module really prints, all of them and no others. */
+/**
+ * The README's part for those on call shows the lines that the module really prints, all of them
+ * and no others.
+ */
 class OnCallTest {
-    private static final long SECOND = Hand.SECOND;
+  private static final long SECOND = Hand.SECOND;
 
-    /** Every change of state there is, brought about once. */
-    private static Set<String> printed() {
-        Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
-        for (int i = 0; i < 2; i++) {
-            hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
-        }
-        hand.pass(SECOND);
-        hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, new double[0]);
-        hand.pass(10 * SECOND);
-        for (int i = 0; i < 40; i++) {
-            long id = hand.request();
-            hand.pass(20_000);
-            if (!hand.sends(id).isEmpty()) {
-                hand.end(id, 0, hand.target(id) == 1 ? Outcome.ERROR : Outcome.OK, 20_000);
-                if (hand.sends(id).size() > 1) {
-                    hand.end(id, 1, Outcome.OK, 20_000);
-                }
-            }
-            hand.pass(SECOND / 4);
-        }
-        hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.DRAINING, 0));
-        hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.READY, 0));
-        hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.GONE, 0));
-        hand.list(ListKind.DELTA, Hand.server(3, 0, Phase.READY, hand.now));
-        Set<String> lines = new TreeSet<>();
-        for (String line : hand.lines) {
-            if (line.startsWith("waiting: ")) {
-                continue; // its figures vary; it is no change of a server's state
-            }
-            assertTrue(line.matches("server \\d+ .*"), line);
-            lines.add(line.replaceFirst("server \\d+ ", "").replaceFirst("\\d+ of \\d+", "F of N"));
+  /** Every change of state there is, brought about once. */
+  private static Set<String> printed() {
+    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    for (int i = 0; i < 2; i++) {
+      hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
+    }
+    hand.pass(SECOND);
+    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, new double[0]);
+    hand.pass(10 * SECOND);
+    for (int i = 0; i < 40; i++) {
+      long id = hand.request();
+      hand.pass(20_000);
+      if (!hand.sends(id).isEmpty()) {
+        hand.end(id, 0, hand.target(id) == 1 ? Outcome.ERROR : Outcome.OK, 20_000);
+        if (hand.sends(id).size() > 1) {
+          hand.end(id, 1, Outcome.OK, 20_000);
         }
-        return lines;
+      }
+      hand.pass(SECOND / 4);
     }
+    hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.DRAINING, 0));
+    hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.READY, 0));
+    hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.GONE, 0));
+    hand.list(ListKind.DELTA, Hand.server(3, 0, Phase.READY, hand.now));
+    Set<String> lines = new TreeSet<>();
+    for (String line : hand.lines) {
+      if (line.startsWith("waiting: ")) {
+        continue; // its figures vary; it is no change of a server's state
+      }
+      assertTrue(line.matches("server \\d+ .*"), line);
+      lines.add(line.replaceFirst("server \\d+ ", "").replaceFirst("\\d+ of \\d+", "F of N"));
+    }
+    return lines;
+  }
 
-    @Test
-    void thePageShowsEachLineAsItIsPrintedAndNoOther() throws IOException {
-        String page = Files.readString(Path.of("README.md"));
-        Set<String> shown = new TreeSet<>();
-        Matcher code = Pattern.compile("`((?:active|passive|cold|draining|ready|gone)[^`]*)`").matcher(page);
-        while (code.find()) {
-            shown.add(code.group(1));
-        }
-        assertEquals(printed(), shown);
+  @Test
+  void thePageShowsEachLineAsItIsPrintedAndNoOther() throws IOException {
+    String page = Files.readString(Path.of("README.md"));
+    Set<String> shown = new TreeSet<>();
+    Matcher code =
+        Pattern.compile("`((?:active|passive|cold|draining|ready|gone)[^`]*)`").matcher(page);
+    while (code.find()) {
+      shown.add(code.group(1));
     }
+    assertEquals(printed(), shown);
+  }
 }
--- a/src/test/java/gatefront/PolicyFilesTest.java
+++ b/src/test/java/gatefront/PolicyFilesTest.java
@@ -11,31 +11,36 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** The files that the deploy file names as deciding: all together are as short as the one once was. */
+/**
+ * The files that the deploy file names as deciding: all together are as short as the one once was.
+ */
 class PolicyFilesTest {
-    private static final int MOST_LINES = 1200;
-    private static final Pattern POLICY = Pattern.compile("(?m)^policy = \\[(.*)]$");
+  private static final int MOST_LINES = 1200;
+  private static final Pattern POLICY = Pattern.compile("(?m)^policy = \\[(.*)]$");
 
-    private static List<Path> named() throws IOException {
-        Matcher policy = POLICY.matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        assertTrue(policy.find(), "the deploy file names the policy in one line");
-        return Pattern.compile("\"([^\"]+)\"").matcher(policy.group(1)).results()
-            .map(file -> Path.of(file.group(1))).toList();
-    }
+  private static List<Path> named() throws IOException {
+    Matcher policy = POLICY.matcher(Files.readString(Path.of("deploy/balancer.toml")));
+    assertTrue(policy.find(), "the deploy file names the policy in one line");
+    return Pattern.compile("\"([^\"]+)\"")
+        .matcher(policy.group(1))
+        .results()
+        .map(file -> Path.of(file.group(1)))
+        .toList();
+  }
 
-    @Test
-    void theFilesThatDecideAreShortEnoughTogether() throws IOException {
-        long written = 0;
-        for (Path file : named()) {
-            written += Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
-        }
-        assertTrue(written <= MOST_LINES, written + " lines");
+  @Test
+  void theFilesThatDecideAreShortEnoughTogether() throws IOException {
+    long written = 0;
+    for (Path file : named()) {
+      written += Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
     }
+    assertTrue(written <= MOST_LINES, written + " lines");
+  }
 
-    @Test
-    void theModuleItselfIsNamedAndNoneTwice() throws IOException {
-        List<Path> named = named();
-        assertTrue(named.contains(Path.of("src/main/java/gatefront/Rules.java")), named.toString());
-        assertFalse(named.stream().distinct().count() < named.size(), "twice in " + named);
-    }
+  @Test
+  void theModuleItselfIsNamedAndNoneTwice() throws IOException {
+    List<Path> named = named();
+    assertTrue(named.contains(Path.of("src/main/java/gatefront/Rules.java")), named.toString());
+    assertFalse(named.stream().distinct().count() < named.size(), "twice in " + named);
+  }
 }
--- a/src/test/java/gatefront/QuantileTest.java
+++ b/src/test/java/gatefront/QuantileTest.java
@@ -8,39 +8,39 @@
 import org.junit.jupiter.api.Test;
 
 class QuantileTest {
-    @Test
-    void aFirstValueFarBelowTheOthersLeavesNoTraceInTheLowest() {
-        Quantile quantile = new Quantile(0.8);
-        quantile.add(0.01);
-        for (int i = 0; i < 200; i++) {
-            quantile.add(10);
-        }
-        assertEquals(10, quantile.lowest(), 2);
+  @Test
+  void aFirstValueFarBelowTheOthersLeavesNoTraceInTheLowest() {
+    Quantile quantile = new Quantile(0.8);
+    quantile.add(0.01);
+    for (int i = 0; i < 200; i++) {
+      quantile.add(10);
     }
+    assertEquals(10, quantile.lowest(), 2);
+  }
 
-    @Test
-    void theQuantileOfEvenValuesIsFoundAndFollowed() {
-        SplittableRandom random = new SplittableRandom(5);
-        Quantile quantile = new Quantile(0.8);
-        for (int i = 0; i < 3000; i++) {
-            quantile.add(random.nextDouble());
-        }
-        assertEquals(0.8, quantile.value(), 0.12);
-        for (int i = 0; i < 3000; i++) {
-            quantile.add(3 * random.nextDouble());
-        }
-        assertEquals(2.4, quantile.value(), 0.36);
-        assertEquals(0.8, quantile.lowest(), 0.25, "the lowest stays where it was quiet");
+  @Test
+  void theQuantileOfEvenValuesIsFoundAndFollowed() {
+    SplittableRandom random = new SplittableRandom(5);
+    Quantile quantile = new Quantile(0.8);
+    for (int i = 0; i < 3000; i++) {
+      quantile.add(random.nextDouble());
     }
+    assertEquals(0.8, quantile.value(), 0.12);
+    for (int i = 0; i < 3000; i++) {
+      quantile.add(3 * random.nextDouble());
+    }
+    assertEquals(2.4, quantile.value(), 0.36);
+    assertEquals(0.8, quantile.lowest(), 0.25, "the lowest stays where it was quiet");
+  }
 
-    @Test
-    void nothingIsKnownOfAFewValues() {
-        Quantile quantile = new Quantile(0.8);
-        for (int i = 0; i < 49; i++) {
-            quantile.add(1);
-        }
-        assertFalse(quantile.known());
-        quantile.add(1);
-        assertTrue(quantile.known());
+  @Test
+  void nothingIsKnownOfAFewValues() {
+    Quantile quantile = new Quantile(0.8);
+    for (int i = 0; i < 49; i++) {
+      quantile.add(1);
     }
+    assertFalse(quantile.known());
+    quantile.add(1);
+    assertTrue(quantile.known());
+  }
 }
--- a/src/test/java/gatefront/TakeoverTest.java
+++ b/src/test/java/gatefront/TakeoverTest.java
@@ -5,13 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.stream.IntStream;
 import gatefront.Balancer.ListKind;
 import gatefront.Balancer.Obligations;
 import gatefront.Balancer.Outcome;
@@ -23,392 +16,531 @@
 import gatefront.Balancer.Semantics;
 import gatefront.Balancer.Server;
 import gatefront.Balancer.Settings;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Other settings while the module runs: what stays, what changes, and what an open request may still do. */
+/**
+ * Other settings while the module runs: what stays, what changes, and what an open request may
+ * still do.
+ */
 class TakeoverTest {
-    private static final long SECOND = Hand.SECOND;
-    private static final Permits PERMITS = new Permits(4, false, true, true, false, SECOND);
+  private static final long SECOND = Hand.SECOND;
+  private static final Permits PERMITS = new Permits(4, false, true, true, false, SECOND);
 
-    private static RequestClass type(Semantics semantics, Scope scope, long window) {
-        return new RequestClass(2 * SECOND, 0, 4 * SECOND, semantics, scope, window, 1, 0, false);
-    }
+  private static RequestClass type(Semantics semantics, Scope scope, long window) {
+    return new RequestClass(2 * SECOND, 0, 4 * SECOND, semantics, scope, window, 1, 0, false);
+  }
 
-    private static RequestClass type(String word) {
-        String[] parts = word.split("-");
-        return type(Semantics.valueOf(parts[0]), parts.length > 1 ? Scope.valueOf(parts[1]) : Scope.ALL,
-            parts.length > 2 ? Long.parseLong(parts[2]) * SECOND : 2 * SECOND);
-    }
+  private static RequestClass type(String word) {
+    String[] parts = word.split("-");
+    return type(
+        Semantics.valueOf(parts[0]),
+        parts.length > 1 ? Scope.valueOf(parts[1]) : Scope.ALL,
+        parts.length > 2 ? Long.parseLong(parts[2]) * SECOND : 2 * SECOND);
+  }
 
-    private static Settings settings(int zone, int zones, Permits permits, RequestClass... classes) {
-        Settings s = Hand.settings(List.of(classes), permits, zones, 2);
-        return new Settings(s.agent(), s.agents(), zone, zones, s.tick(), false, false, false, false, 0.1, permits,
-            s.obligations(), s.prices(), s.goal(), s.classes(), List.of(), List.of());
-    }
+  private static Settings settings(int zone, int zones, Permits permits, RequestClass... classes) {
+    Settings s = Hand.settings(List.of(classes), permits, zones, 2);
+    return new Settings(
+        s.agent(),
+        s.agents(),
+        zone,
+        zones,
+        s.tick(),
+        false,
+        false,
+        false,
+        false,
+        0.1,
+        permits,
+        s.obligations(),
+        s.prices(),
+        s.goal(),
+        s.classes(),
+        List.of(),
+        List.of());
+  }
 
-    private static List<Integer> same(int n) {
-        return IntStream.range(0, n).boxed().toList();
-    }
+  private static List<Integer> same(int n) {
+    return IntStream.range(0, n).boxed().toList();
+  }
 
-    private static void take(Hand hand, Settings next, List<Integer> classes) {
-        hand.balancer.settings(hand.now, new Takeover(next, classes, same(2), same(1)));
-    }
+  private static void take(Hand hand, Settings next, List<Integer> classes) {
+    hand.balancer.settings(hand.now, new Takeover(next, classes, same(2), same(1)));
+  }
 
-    /** One request is out when its class changes or goes; then its first attempt ends, and others are there. */
-    @ParameterizedTest
-    @CsvSource({
-        // taken as, then, first attempt ends, after tenths of a second, sent again
-        "SAFE,SAFE,RESET,1,true", "SAFE,UNSAFE,RESET,1,false", "SAFE,UNSAFE,CONNECT_FAILED,1,true",
-        "SAFE,KEYED,RESET,1,false", "SAFE,,RESET,1,true", "UNSAFE,SAFE,RESET,1,false",
-        "KEYED,KEYED,RESET,8,true", "KEYED,KEYED-ALL-1,RESET,8,false", "KEYED,KEYED-ALL-1,RESET,1,true",
-        "KEYED-ALL-1,KEYED-ALL-2,RESET,8,false", "KEYED,UNSAFE,RESET,1,false", "KEYED,SAFE,RESET,8,true",
-        "KEYED-ALL-1,SAFE,RESET,8,false", "KEYED,,RESET,1,false", "KEYED,,FULL,1,true",
-        "KEYED-ZONE,KEYED-CELL,RESET,1,false", "KEYED-ZONE,KEYED,RESET,1,true"})
-    void anOpenRequestIsSentAgainOnlyWhereTheOldAndTheNewClassPermitIt(String taken, String then, Outcome outcome,
-                                                                       int tenths, boolean again) {
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
-        long id = hand.request(1, 0);
-        if (then == null) {
-            take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0, Takeover.REMOVED));
-        } else { // its place is taken by another
-            take(hand, settings(0, 2, PERMITS, type(then), type("SAFE")), List.of(1, 0));
-        }
-        hand.pass(tenths * SECOND / 10);
-        hand.end(id, 0, outcome, tenths * SECOND / 10);
-        hand.pass(SECOND / 10);
-        assertEquals(again ? 2 : 1, hand.sends(id).size());
-        hand.pass(4 * SECOND);
-        assertEquals(1, hand.of("fail", id).size() + hand.of("refuse", id).size(), "one answer, in time");
-        if (again) {
-            return;
-        }
-        boolean dropped = taken.startsWith("KEYED") && !taken.contains("ZONE") && then != null
-            && !then.equals("UNSAFE"); // by every server, so a client's repeat is harmless
-        assertEquals(dropped ? 0 : 1, hand.of("fail", id).size(), "a refusal would ask for a repeat");
+  /**
+   * One request is out when its class changes or goes; then its first attempt ends, and others are
+   * there.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    // taken as, then, first attempt ends, after tenths of a second, sent again
+    "SAFE,SAFE,RESET,1,true", "SAFE,UNSAFE,RESET,1,false", "SAFE,UNSAFE,CONNECT_FAILED,1,true",
+    "SAFE,KEYED,RESET,1,false", "SAFE,,RESET,1,true", "UNSAFE,SAFE,RESET,1,false",
+    "KEYED,KEYED,RESET,8,true", "KEYED,KEYED-ALL-1,RESET,8,false", "KEYED,KEYED-ALL-1,RESET,1,true",
+    "KEYED-ALL-1,KEYED-ALL-2,RESET,8,false", "KEYED,UNSAFE,RESET,1,false",
+        "KEYED,SAFE,RESET,8,true",
+    "KEYED-ALL-1,SAFE,RESET,8,false", "KEYED,,RESET,1,false", "KEYED,,FULL,1,true",
+    "KEYED-ZONE,KEYED-CELL,RESET,1,false", "KEYED-ZONE,KEYED,RESET,1,true"
+  })
+  void anOpenRequestIsSentAgainOnlyWhereTheOldAndTheNewClassPermitIt(
+      String taken, String then, Outcome outcome, int tenths, boolean again) {
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
+    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    long id = hand.request(1, 0);
+    if (then == null) {
+      take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0, Takeover.REMOVED));
+    } else { // its place is taken by another
+      take(hand, settings(0, 2, PERMITS, type(then), type("SAFE")), List.of(1, 0));
     }
-
-    /** Guards against its standing before others in the queue until its time is up. */
-    @Test
-    void aRequestHeldThatMayNotGoAgainAnyMoreIsAnsweredAtOnce() {
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-        hand.full(Hand.server(1, 0));
-        long id = hand.request();
-        hand.end(id, 0, Outcome.RESET, 1000);
-        assertEquals(0, hand.of("fail", id).size(), "held: there is no other server");
-        take(hand, settings(0, 2, PERMITS, type("UNSAFE")), List.of(0));
-        assertEquals(1, hand.of("fail", id).size());
+    hand.pass(tenths * SECOND / 10);
+    hand.end(id, 0, outcome, tenths * SECOND / 10);
+    hand.pass(SECOND / 10);
+    assertEquals(again ? 2 : 1, hand.sends(id).size());
+    hand.pass(4 * SECOND);
+    assertEquals(
+        1, hand.of("fail", id).size() + hand.of("refuse", id).size(), "one answer, in time");
+    if (again) {
+      return;
     }
+    boolean dropped =
+        taken.startsWith("KEYED")
+            && !taken.contains("ZONE")
+            && then != null
+            && !then.equals("UNSAFE"); // by every server, so a client's repeat is harmless
+    assertEquals(dropped ? 0 : 1, hand.of("fail", id).size(), "a refusal would ask for a repeat");
+  }
 
-    @Test
-    void deadlinesGivenStayAndRequestsOfARemovedClassThatAreHeldAreServed() {
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
-        long held = hand.request(1, 0);
-        long late = hand.request(1, 0);
-        RequestClass hasty = new RequestClass(1000, 0, 1000, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
-        take(hand, settings(0, 2, PERMITS, hasty), List.of(0, Takeover.REMOVED));
-        hand.pass(SECOND);
-        assertEquals(0, hand.of("refuse", held).size());
-        hand.full(Hand.server(1, 0));
-        assertEquals(2, hand.sends(held).size() + hand.sends(late).size());
-        hand.end(held, 0, Outcome.OK, 1000);
-        hand.pass(2 * SECOND);
-        assertEquals(1, hand.of("fail", late).size(), "at its own time");
-    }
+  /** Guards against its standing before others in the queue until its time is up. */
+  @Test
+  void aRequestHeldThatMayNotGoAgainAnyMoreIsAnsweredAtOnce() {
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(Hand.server(1, 0));
+    long id = hand.request();
+    hand.end(id, 0, Outcome.RESET, 1000);
+    assertEquals(0, hand.of("fail", id).size(), "held: there is no other server");
+    take(hand, settings(0, 2, PERMITS, type("UNSAFE")), List.of(0));
+    assertEquals(1, hand.of("fail", id).size());
+  }
 
-    /** A class's learned time, by which a request that comes too late for it is turned away, goes by its name. */
-    @Test
-    void whatIsLearntOfAClassStaysWithItWhenItsPlaceChanges() {
-        for (boolean swapped : new boolean[] {false, true}) {
-            Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
-            hand.full(Hand.server(1, 0));
-            for (int i = 0; i < 60; i++) {
-                hand.serve(SECOND); // of class 0
-            }
-            take(hand, settings(0, 2, PERMITS, type("SAFE"), type("SAFE")),
-                swapped ? List.of(1, 0) : List.of(0, 1));
-            long[] sent = new long[2];
-            for (int c = 0; c < 2; c++) {
-                long id = 900 + c; // held for a moment, then too late for a second's work
-                hand.full();
-                hand.balancer.request(hand.now,
-                    new Request(id, c, 0, 0, 0, hand.now + SECOND + SECOND / 2, false, false));
-                hand.pass(SECOND * 7 / 10);
-                hand.full(Hand.server(2 + c, 0));
-                sent[c] = hand.sends(id).size();
-            }
-            assertEquals(swapped ? List.of(1L, 0L) : List.of(0L, 1L), List.of(sent[0], sent[1]));
-        }
-    }
+  @Test
+  void deadlinesGivenStayAndRequestsOfARemovedClassThatAreHeldAreServed() {
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
+    long held = hand.request(1, 0);
+    long late = hand.request(1, 0);
+    RequestClass hasty = new RequestClass(1000, 0, 1000, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
+    take(hand, settings(0, 2, PERMITS, hasty), List.of(0, Takeover.REMOVED));
+    hand.pass(SECOND);
+    assertEquals(0, hand.of("refuse", held).size());
+    hand.full(Hand.server(1, 0));
+    assertEquals(2, hand.sends(held).size() + hand.sends(late).size());
+    hand.end(held, 0, Outcome.OK, 1000);
+    hand.pass(2 * SECOND);
+    assertEquals(1, hand.of("fail", late).size(), "at its own time");
+  }
 
-    /** Guards against the zone of one server being taken for another's, also where the list has forgotten it. */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void zonesThatChangePlacesKeepTheirServers(boolean forgotten) {
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
-        hand.full(Hand.server(1, 0));
-        long id = hand.request();
-        hand.end(id, 0, Outcome.RESET, 1000);
-        if (forgotten) {
-            hand.full();
-        }
-        hand.balancer.settings(hand.now, new Takeover(settings(1, 2, PERMITS, type("KEYED-ZONE-4")), List.of(0),
-            List.of(1, 0), List.of(0)));
-        hand.list(ListKind.DELTA, Hand.server(2, 0));
-        hand.pass(SECOND);
-        assertEquals(1, hand.sends(id).size(), "server 2 is in the other zone");
-        hand.list(ListKind.DELTA, Hand.server(3, 1));
-        assertEquals(3, hand.target(id));
-        hand.list(ListKind.DELTA, Hand.server(3, 1, Phase.GONE, 0));
-        assertEquals(forgotten ? 2 : 1, hand.target(hand.request()), "the own zone is where server 1 is");
+  /**
+   * A class's learned time, by which a request that comes too late for it is turned away, goes by
+   * its name.
+   */
+  @Test
+  void whatIsLearntOfAClassStaysWithItWhenItsPlaceChanges() {
+    for (boolean swapped : new boolean[] {false, true}) {
+      Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
+      hand.full(Hand.server(1, 0));
+      for (int i = 0; i < 60; i++) {
+        hand.serve(SECOND); // of class 0
+      }
+      take(
+          hand,
+          settings(0, 2, PERMITS, type("SAFE"), type("SAFE")),
+          swapped ? List.of(1, 0) : List.of(0, 1));
+      long[] sent = new long[2];
+      for (int c = 0; c < 2; c++) {
+        long id = 900 + c; // held for a moment, then too late for a second's work
+        hand.full();
+        hand.balancer.request(
+            hand.now, new Request(id, c, 0, 0, 0, hand.now + SECOND + SECOND / 2, false, false));
+        hand.pass(SECOND * 7 / 10);
+        hand.full(Hand.server(2 + c, 0));
+        sent[c] = hand.sends(id).size();
+      }
+      assertEquals(swapped ? List.of(1L, 0L) : List.of(0L, 1L), List.of(sent[0], sent[1]));
     }
+  }
 
-    @Test
-    void aChangeEarnsAColdServerNothing() {
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-        hand.full(Hand.server(1, 0, Phase.READY, hand.now));
-        hand.pass(3 * SECOND);
-        int sent = sentOf(30, hand);
-        assertTrue(sent > 0 && sent <= 2, "it is cold: " + sent);
-        for (int i = 0; i < 50; i++) {
-            take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
-        }
-        assertEquals(0, sentOf(30, hand));
-        assertEquals(sent, hand.all("send").size(), "nor of those held");
+  /**
+   * Guards against the zone of one server being taken for another's, also where the list has
+   * forgotten it.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void zonesThatChangePlacesKeepTheirServers(boolean forgotten) {
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
+    hand.full(Hand.server(1, 0));
+    long id = hand.request();
+    hand.end(id, 0, Outcome.RESET, 1000);
+    if (forgotten) {
+      hand.full();
     }
+    hand.balancer.settings(
+        hand.now,
+        new Takeover(
+            settings(1, 2, PERMITS, type("KEYED-ZONE-4")), List.of(0), List.of(1, 0), List.of(0)));
+    hand.list(ListKind.DELTA, Hand.server(2, 0));
+    hand.pass(SECOND);
+    assertEquals(1, hand.sends(id).size(), "server 2 is in the other zone");
+    hand.list(ListKind.DELTA, Hand.server(3, 1));
+    assertEquals(3, hand.target(id));
+    hand.list(ListKind.DELTA, Hand.server(3, 1, Phase.GONE, 0));
+    assertEquals(
+        forgotten ? 2 : 1, hand.target(hand.request()), "the own zone is where server 1 is");
+  }
 
-    @Test
-    void aLongerWarmUpHoldsForAServerThatIsCold() {
-        Settings s = settings(0, 2, PERMITS, type("SAFE"));
-        Settings slow = new Settings(0, 2, 0, 2, s.tick(), false, false, false, false, 0.1, PERMITS,
-            new Obligations(20_000, 500_000, 0.2, 60 * SECOND, 3, SECOND, 10 * SECOND), s.prices(), s.goal(),
-            s.classes(), List.of(), List.of());
-        for (Settings next : List.of(s, slow)) {
-            Hand hand = new Hand(s).full(Hand.server(1, 0, Phase.READY, Hand.SECOND * 100));
-            take(hand, next, List.of(0));
-            hand.pass(22 * SECOND);
-            assertEquals(next == s, sentOf(30, hand) > 3, "warm after 20 s or 60 s");
-        }
+  @Test
+  void aChangeEarnsAColdServerNothing() {
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(Hand.server(1, 0, Phase.READY, hand.now));
+    hand.pass(3 * SECOND);
+    int sent = sentOf(30, hand);
+    assertTrue(sent > 0 && sent <= 2, "it is cold: " + sent);
+    for (int i = 0; i < 50; i++) {
+      take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
     }
+    assertEquals(0, sentOf(30, hand));
+    assertEquals(sent, hand.all("send").size(), "nor of those held");
+  }
 
-    private static int sentOf(int requests, Hand hand) {
-        int before = hand.all("send").size();
-        for (int i = 0; i < requests; i++) {
-            hand.request();
-        }
-        return hand.all("send").size() - before;
+  @Test
+  void aLongerWarmUpHoldsForAServerThatIsCold() {
+    Settings s = settings(0, 2, PERMITS, type("SAFE"));
+    Settings slow =
+        new Settings(
+            0,
+            2,
+            0,
+            2,
+            s.tick(),
+            false,
+            false,
+            false,
+            false,
+            0.1,
+            PERMITS,
+            new Obligations(20_000, 500_000, 0.2, 60 * SECOND, 3, SECOND, 10 * SECOND),
+            s.prices(),
+            s.goal(),
+            s.classes(),
+            List.of(),
+            List.of());
+    for (Settings next : List.of(s, slow)) {
+      Hand hand = new Hand(s).full(Hand.server(1, 0, Phase.READY, Hand.SECOND * 100));
+      take(hand, next, List.of(0));
+      hand.pass(22 * SECOND);
+      assertEquals(next == s, sentOf(30, hand) > 3, "warm after 20 s or 60 s");
     }
+  }
 
-    /** Guards against a server that only a probe could have made available again. */
-    @Test
-    void probesThatAreNotPermittedAnyMoreLeaveNoServerShutAndBeginWhereTheyAre() {
-        Permits none = new Permits(4, false, true, false, false, SECOND);
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-        hand.full(Hand.server(1, 0), Hand.server(2, 1));
-        for (int i = 0; i < 3; i++) {
-            hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, 1000, new double[0]);
-        }
-        assertEquals(2, hand.target(hand.request()));
-        take(hand, settings(0, 2, none, type("SAFE")), List.of(0));
-        assertEquals(1, hand.target(hand.request()));
-        hand.pass(2 * SECOND);
-        int before = hand.all("probe").size();
-        hand.pass(9 * SECOND);
-        assertEquals(before, hand.all("probe").size());
-        take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
-        hand.pass(9 * SECOND);
-        assertTrue(hand.all("probe").size() > before);
+  private static int sentOf(int requests, Hand hand) {
+    int before = hand.all("send").size();
+    for (int i = 0; i < requests; i++) {
+      hand.request();
     }
+    return hand.all("send").size() - before;
+  }
 
-    @Test
-    void fewerAttemptsHoldForRequestsThatAreOpen() {
-        Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-        hand.full(Hand.server(1, 0), Hand.server(2, 0));
-        long id = hand.request();
-        take(hand, settings(0, 2, new Permits(1, false, true, true, false, SECOND), type("SAFE")), List.of(0));
-        hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-        assertEquals(1, hand.sends(id).size());
-        assertEquals(1, hand.of("refuse", id).size());
+  /** Guards against a server that only a probe could have made available again. */
+  @Test
+  void probesThatAreNotPermittedAnyMoreLeaveNoServerShutAndBeginWhereTheyAre() {
+    Permits none = new Permits(4, false, true, false, false, SECOND);
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(Hand.server(1, 0), Hand.server(2, 1));
+    for (int i = 0; i < 3; i++) {
+      hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, 1000, new double[0]);
     }
+    assertEquals(2, hand.target(hand.request()));
+    take(hand, settings(0, 2, none, type("SAFE")), List.of(0));
+    assertEquals(1, hand.target(hand.request()));
+    hand.pass(2 * SECOND);
+    int before = hand.all("probe").size();
+    hand.pass(9 * SECOND);
+    assertEquals(before, hand.all("probe").size());
+    take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
+    hand.pass(9 * SECOND);
+    assertTrue(hand.all("probe").size() > before);
+  }
 
-    @Test
-    void settingsThatDoNotFitAreNamed() {
-        Settings one = settings(0, 2, PERMITS, type("SAFE"));
-        Hand hand = new Hand(one);
-        Balancer checked = new CheckedBalancer(one, 1, hand.now, hand);
-        for (String[] wrong : new String[][] {
-                {"0,0", "0,1", "classes: position 0"}, {"1", "0,1", "classes: position 1"},
-                {"0", "0,2", "zones: position 2"}, {"0,-1", "0,1", "classes: 2 instead of 1"},
-                {"0", "0", "zones: 1 instead of 2"}, {"0", "1,0", "own zone: 0 instead of 1"}}) {
-            assertEquals(wrong[2], assertThrows(IllegalArgumentException.class, () -> checked.settings(hand.now,
-                new Takeover(one, numbers(wrong[0]), numbers(wrong[1]), List.of()))).getMessage());
-        }
-        assertThrows(IllegalArgumentException.class,
-            () -> new Takeover(settings(0, 2, PERMITS), List.of(), same(2), List.of()));
-        assertThrows(NullPointerException.class, () -> checked.settings(hand.now, null));
-        checked.settings(hand.now, new Takeover(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")), List.of(1),
-            same(2), List.of()));
-        checked.request(hand.now, new Request(5, 1, 0, 0, 0, hand.now + SECOND, false, false));
-        assertThrows(IndexOutOfBoundsException.class,
-            () -> checked.request(hand.now, new Request(6, 2, 0, 0, 0, hand.now + SECOND, false, false)));
-    }
+  @Test
+  void fewerAttemptsHoldForRequestsThatAreOpen() {
+    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    long id = hand.request();
+    take(
+        hand,
+        settings(0, 2, new Permits(1, false, true, true, false, SECOND), type("SAFE")),
+        List.of(0));
+    hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
+    assertEquals(1, hand.sends(id).size());
+    assertEquals(1, hand.of("refuse", id).size());
+  }
 
-    private static List<Integer> numbers(String text) {
-        return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
+  @Test
+  void settingsThatDoNotFitAreNamed() {
+    Settings one = settings(0, 2, PERMITS, type("SAFE"));
+    Hand hand = new Hand(one);
+    Balancer checked = new CheckedBalancer(one, 1, hand.now, hand);
+    for (String[] wrong :
+        new String[][] {
+          {"0,0", "0,1", "classes: position 0"}, {"1", "0,1", "classes: position 1"},
+          {"0", "0,2", "zones: position 2"}, {"0,-1", "0,1", "classes: 2 instead of 1"},
+          {"0", "0", "zones: 1 instead of 2"}, {"0", "1,0", "own zone: 0 instead of 1"}
+        }) {
+      assertEquals(
+          wrong[2],
+          assertThrows(
+                  IllegalArgumentException.class,
+                  () ->
+                      checked.settings(
+                          hand.now,
+                          new Takeover(one, numbers(wrong[0]), numbers(wrong[1]), List.of())))
+              .getMessage());
     }
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new Takeover(settings(0, 2, PERMITS), List.of(), same(2), List.of()));
+    assertThrows(NullPointerException.class, () -> checked.settings(hand.now, null));
+    checked.settings(
+        hand.now,
+        new Takeover(
+            settings(0, 2, PERMITS, type("SAFE"), type("SAFE")), List.of(1), same(2), List.of()));
+    checked.request(hand.now, new Request(5, 1, 0, 0, 0, hand.now + SECOND, false, false));
+    assertThrows(
+        IndexOutOfBoundsException.class,
+        () ->
+            checked.request(hand.now, new Request(6, 2, 0, 0, 0, hand.now + SECOND, false, false)));
+  }
 
-    // ---- At random ----
+  private static List<Integer> numbers(String text) {
+    return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
+  }
 
-    /** What the checker knows of a request: what its class has been since, null for removed. */
-    private static final class Known {
-        final List<RequestClass> types = new ArrayList<>();
-        final long deadline;
-        String name;
-        final List<Long> servers = new ArrayList<>();
-        final List<Long> sentAt = new ArrayList<>();
-        final List<Outcome> outcomes = new ArrayList<>();
-        int answers;
+  // ---- At random ----
 
-        Known(String name, long deadline) {
-            this.name = name;
-            this.deadline = deadline;
-        }
+  /** What the checker knows of a request: what its class has been since, null for removed. */
+  private static final class Known {
+    final List<RequestClass> types = new ArrayList<>();
+    final long deadline;
+    String name;
+    final List<Long> servers = new ArrayList<>();
+    final List<Long> sentAt = new ArrayList<>();
+    final List<Outcome> outcomes = new ArrayList<>();
+    int answers;
+
+    Known(String name, long deadline) {
+      this.name = name;
+      this.deadline = deadline;
     }
+  }
 
-    private final Map<Long, Known> requests = new HashMap<>();
-    private final Map<Long, String> zoneOf = new HashMap<>();
-    private List<String> classes = List.of("a", "b", "c", "d");
-    private List<String> zones = List.of("x", "y", "z");
-    private final Map<String, RequestClass> types = new HashMap<>();
-    private int seen;
+  private final Map<Long, Known> requests = new HashMap<>();
+  private final Map<Long, String> zoneOf = new HashMap<>();
+  private List<String> classes = List.of("a", "b", "c", "d");
+  private List<String> zones = List.of("x", "y", "z");
+  private final Map<String, RequestClass> types = new HashMap<>();
+  private int seen;
 
-    private static List<String> shuffled(SplittableRandom random, List<String> names) {
-        List<String> order = new ArrayList<>();
-        names.forEach(name -> order.add(random.nextInt(order.size() + 1), name));
-        return order;
-    }
+  private static List<String> shuffled(SplittableRandom random, List<String> names) {
+    List<String> order = new ArrayList<>();
+    names.forEach(name -> order.add(random.nextInt(order.size() + 1), name));
+    return order;
+  }
 
-    private Settings drawn(SplittableRandom random) {
-        classes.forEach(name -> types.put(name, type(Semantics.values()[random.nextInt(3)],
-            Scope.values()[random.nextInt(3)], SECOND + random.nextLong(2 * SECOND))));
-        return settings(zones.indexOf("x"), zones.size(), PERMITS,
-            classes.stream().map(types::get).toArray(RequestClass[]::new));
-    }
+  private Settings drawn(SplittableRandom random) {
+    classes.forEach(
+        name ->
+            types.put(
+                name,
+                type(
+                    Semantics.values()[random.nextInt(3)],
+                    Scope.values()[random.nextInt(3)],
+                    SECOND + random.nextLong(2 * SECOND))));
+    return settings(
+        zones.indexOf("x"),
+        zones.size(),
+        PERMITS,
+        classes.stream().map(types::get).toArray(RequestClass[]::new));
+  }
 
-    /** Whatever classes and zones become, each request has one answer, and no effect can happen twice. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void theRulesHoldWhateverFollowsAndTheSameEventsGiveTheSameActions(long seed) {
-        List<Hand.Act> first = play(seed);
-        long sent = first.stream().filter(act -> act.what().equals("send")).count();
-        assertTrue(sent > 100, "too little was sent: " + sent);
-        assertEquals(first, new TakeoverTest().play(seed));
-    }
+  /**
+   * Whatever classes and zones become, each request has one answer, and no effect can happen twice.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
+  void theRulesHoldWhateverFollowsAndTheSameEventsGiveTheSameActions(long seed) {
+    List<Hand.Act> first = play(seed);
+    long sent = first.stream().filter(act -> act.what().equals("send")).count();
+    assertTrue(sent > 100, "too little was sent: " + sent);
+    assertEquals(first, new TakeoverTest().play(seed));
+  }
 
-    private List<Hand.Act> play(long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        Hand hand = new Hand(drawn(random), seed);
-        for (int step = 0; step < 3000; step++) {
-            int what = step < 8 ? 0 : random.nextInt(20);
-            if (what == 0) {
-                long id = 1 + random.nextInt(8);
-                String zone = zoneOf.computeIfAbsent(id, any -> List.of("x", "y", "z").get(random.nextInt(3)));
-                hand.list(ListKind.DELTA, new Server(id, zones.indexOf(zone), (int) id % 3, 0,
-                    random.nextInt(9) == 0 ? Phase.GONE : Phase.READY, 1, 0));
-            } else if (what < 3) {
-                List<String> before = classes;
-                List<String> zonesBefore = zones;
-                classes = shuffled(random, List.of("a", "b", "c", "d", "e")).subList(0, 1 + random.nextInt(5));
-                zones = shuffled(random, List.of("x", "y", "z", "new")).stream()
-                    .filter(zone -> !zone.equals("new") || random.nextBoolean()).toList();
-                Settings next = drawn(random);
-                requests.values().forEach(each -> {
-                    each.name = each.name != null && classes.contains(each.name) ? each.name : null;
-                    each.types.add(each.name == null ? null : types.get(each.name));
+  private List<Hand.Act> play(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    Hand hand = new Hand(drawn(random), seed);
+    for (int step = 0; step < 3000; step++) {
+      int what = step < 8 ? 0 : random.nextInt(20);
+      if (what == 0) {
+        long id = 1 + random.nextInt(8);
+        String zone =
+            zoneOf.computeIfAbsent(id, any -> List.of("x", "y", "z").get(random.nextInt(3)));
+        hand.list(
+            ListKind.DELTA,
+            new Server(
+                id,
+                zones.indexOf(zone),
+                (int) id % 3,
+                0,
+                random.nextInt(9) == 0 ? Phase.GONE : Phase.READY,
+                1,
+                0));
+      } else if (what < 3) {
+        List<String> before = classes;
+        List<String> zonesBefore = zones;
+        classes =
+            shuffled(random, List.of("a", "b", "c", "d", "e")).subList(0, 1 + random.nextInt(5));
+        zones =
+            shuffled(random, List.of("x", "y", "z", "new")).stream()
+                .filter(zone -> !zone.equals("new") || random.nextBoolean())
+                .toList();
+        Settings next = drawn(random);
+        requests
+            .values()
+            .forEach(
+                each -> {
+                  each.name = each.name != null && classes.contains(each.name) ? each.name : null;
+                  each.types.add(each.name == null ? null : types.get(each.name));
                 });
-                hand.balancer.settings(hand.now, new Takeover(next, Takeover.positions(before, classes),
-                    Takeover.positions(zonesBefore, zones), List.of(0)));
-            } else if (what < 12) {
-                int c = random.nextInt(classes.size());
-                Known known = new Known(classes.get(c), hand.now + 300_000 + random.nextLong(3 * SECOND));
-                known.types.add(types.get(classes.get(c)));
-                requests.put((long) step, known);
-                hand.balancer.request(hand.now, new Request(step, c, 0, 0, 0, known.deadline, false, false));
-            } else {
-                for (long id = Math.max(0, step - 60); id < step; id++) {
-                    end(hand, random, id);
-                }
-            }
-            check(hand);
-            hand.pass(Hand.TICK);
-            check(hand);
+        hand.balancer.settings(
+            hand.now,
+            new Takeover(
+                next,
+                Takeover.positions(before, classes),
+                Takeover.positions(zonesBefore, zones),
+                List.of(0)));
+      } else if (what < 12) {
+        int c = random.nextInt(classes.size());
+        Known known = new Known(classes.get(c), hand.now + 300_000 + random.nextLong(3 * SECOND));
+        known.types.add(types.get(classes.get(c)));
+        requests.put((long) step, known);
+        hand.balancer.request(
+            hand.now, new Request(step, c, 0, 0, 0, known.deadline, false, false));
+      } else {
+        for (long id = Math.max(0, step - 60); id < step; id++) {
+          end(hand, random, id);
         }
-        for (int i = 0; i < 5 * SECOND / Hand.TICK; i++) {
-            hand.pass(Hand.TICK);
-            check(hand);
-        }
-        requests.forEach((id, known) ->
-            assertEquals(1, known.answers + (known.outcomes.contains(Outcome.OK) ? 1 : 0), "request " + id));
-        return List.copyOf(hand.acts);
+      }
+      check(hand);
+      hand.pass(Hand.TICK);
+      check(hand);
+    }
+    for (int i = 0; i < 5 * SECOND / Hand.TICK; i++) {
+      hand.pass(Hand.TICK);
+      check(hand);
     }
+    requests.forEach(
+        (id, known) ->
+            assertEquals(
+                1, known.answers + (known.outcomes.contains(Outcome.OK) ? 1 : 0), "request " + id));
+    return List.copyOf(hand.acts);
+  }
 
-    private void end(Hand hand, SplittableRandom random, long id) {
-        Known known = requests.get(id);
-        for (int a = 0; known != null && a < known.outcomes.size(); a++) {
-            if (known.outcomes.get(a) == null && random.nextInt(3) == 0) {
-                Outcome outcome = random.nextInt(4) > 0 ? Outcome.OK : random.nextBoolean() ? Outcome.RESET
-                    : Outcome.CONNECT_FAILED;
-                known.outcomes.set(a, outcome);
-                hand.balancer.outcome(hand.now, id, a, known.servers.get(a), outcome, 1000,
-                    known.answers > 0 || outcome == Outcome.OK, new double[0]);
-                check(hand);
-            }
-        }
+  private void end(Hand hand, SplittableRandom random, long id) {
+    Known known = requests.get(id);
+    for (int a = 0; known != null && a < known.outcomes.size(); a++) {
+      if (known.outcomes.get(a) == null && random.nextInt(3) == 0) {
+        Outcome outcome =
+            random.nextInt(4) > 0
+                ? Outcome.OK
+                : random.nextBoolean() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+        known.outcomes.set(a, outcome);
+        hand.balancer.outcome(
+            hand.now,
+            id,
+            a,
+            known.servers.get(a),
+            outcome,
+            1000,
+            known.answers > 0 || outcome == Outcome.OK,
+            new double[0]);
+        check(hand);
+      }
     }
+  }
 
-    private void check(Hand hand) {
-        for (; seen < hand.acts.size(); seen++) {
-            Hand.Act act = hand.acts.get(seen);
-            Known known = requests.get(act.id());
-            if (act.what().equals("refuse") || act.what().equals("fail")) {
-                assertEquals(0, known.answers);
-                assertFalse(known.outcomes.contains(Outcome.OK));
-                assertTrue(hand.now <= known.deadline + 20_000, "in time");
-                known.answers++;
-                for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
-                    boolean ran = known.outcomes.get(a) == null || !known.outcomes.get(a).neverRan();
-                    assertTrue(!ran || known.types.stream().allMatch(type -> type == null
-                        ? known.types.get(0).semantics() == Semantics.SAFE : type.semantics() == Semantics.SAFE
-                        || type.semantics() == Semantics.KEYED && type.scope() == Scope.ALL), "harmless");
-                }
-            } else if (act.what().equals("send")) {
-                assertEquals(0, known.answers);
-                assertFalse(known.outcomes.contains(Outcome.OK));
-                for (int a = 0; a < known.outcomes.size(); a++) {
-                    assertTrue(known.outcomes.get(a) != null, "one at a time");
-                    for (RequestClass type : known.types) {
-                        assertTrue(known.outcomes.get(a).neverRan() || permits(hand, known, a, type, act), "repeat");
-                    }
-                }
-                known.servers.add(act.server());
-                known.sentAt.add(hand.now);
-                known.outcomes.add(null);
-            }
+  private void check(Hand hand) {
+    for (; seen < hand.acts.size(); seen++) {
+      Hand.Act act = hand.acts.get(seen);
+      Known known = requests.get(act.id());
+      if (act.what().equals("refuse") || act.what().equals("fail")) {
+        assertEquals(0, known.answers);
+        assertFalse(known.outcomes.contains(Outcome.OK));
+        assertTrue(hand.now <= known.deadline + 20_000, "in time");
+        known.answers++;
+        for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
+          boolean ran = known.outcomes.get(a) == null || !known.outcomes.get(a).neverRan();
+          assertTrue(
+              !ran
+                  || known.types.stream()
+                      .allMatch(
+                          type ->
+                              type == null
+                                  ? known.types.get(0).semantics() == Semantics.SAFE
+                                  : type.semantics() == Semantics.SAFE
+                                      || type.semantics() == Semantics.KEYED
+                                          && type.scope() == Scope.ALL),
+              "harmless");
         }
+      } else if (act.what().equals("send")) {
+        assertEquals(0, known.answers);
+        assertFalse(known.outcomes.contains(Outcome.OK));
+        for (int a = 0; a < known.outcomes.size(); a++) {
+          assertTrue(known.outcomes.get(a) != null, "one at a time");
+          for (RequestClass type : known.types) {
+            assertTrue(
+                known.outcomes.get(a).neverRan() || permits(hand, known, a, type, act), "repeat");
+          }
+        }
+        known.servers.add(act.server());
+        known.sentAt.add(hand.now);
+        known.outcomes.add(null);
+      }
     }
+  }
 
-    /** Whether a class that the request has been under permits a repeat of what may have run. */
-    private boolean permits(Hand hand, Known known, int attempt, RequestClass type, Hand.Act act) {
-        long old = known.servers.get(attempt);
-        boolean group = type == null || type.scope() == Scope.ALL
+  /** Whether a class that the request has been under permits a repeat of what may have run. */
+  private boolean permits(Hand hand, Known known, int attempt, RequestClass type, Hand.Act act) {
+    long old = known.servers.get(attempt);
+    boolean group =
+        type == null
+            || type.scope() == Scope.ALL
             || type.scope() == Scope.ZONE && zoneOf.get(old).equals(zoneOf.get(act.server()))
             || type.scope() == Scope.CELL && old % 3 == act.server() % 3;
-        boolean keyed = known.types.get(0).semantics() == Semantics.KEYED;
-        return type == null ? known.types.get(0).semantics() == Semantics.SAFE
-            : type.semantics() == Semantics.SAFE || type.semantics() == Semantics.KEYED && keyed && group
-            && hand.now < known.sentAt.get(attempt) + type.window();
-    }
+    boolean keyed = known.types.get(0).semantics() == Semantics.KEYED;
+    return type == null
+        ? known.types.get(0).semantics() == Semantics.SAFE
+        : type.semantics() == Semantics.SAFE
+            || type.semantics() == Semantics.KEYED
+                && keyed
+                && group
+                && hand.now < known.sentAt.get(attempt) + type.window();
+  }
 }
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/gatefront/drill/DrillTest.java
@@ -4,185 +4,265 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gatefront.drill.Frames.Reply;
 import java.io.IOException;
 import java.util.List;
-import gatefront.drill.Frames.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The adapter: frames in, replies out, and plain words for what is malformed. */
 class DrillTest {
-    private static final int SEND = 16;
-    private static final int LOG = 24;
-
-    private static List<Reply> of(List<Reply> replies, int code) {
-        return replies.stream().filter(r -> r.code() == code).toList();
-    }
-
-    private static String failure(Frames frames) {
-        return assertThrows(WireException.class, frames::run).getMessage();
-    }
-
-    @Test
-    void anEmptyBatchIsAnsweredEmpty() throws IOException {
-        assertEquals(List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
-    }
-
-    @Test
-    void aRequestIsSentToAListedServerAndItsOutcomeClosesIt() throws IOException {
-        var replies = new Frames().spawn(3).list(0, 0x91f03b7cL).announce(3, 0, 2).frame(1000)
-            .submit(3, 77, 5_000_000).frame(2000).finished(3, 77, 0x91f03b7cL, 200, 2).frame(3000).run();
-        List<Reply> sends = of(replies.get(1), SEND);
-        assertEquals(1, sends.size());
-        assertEquals(3, sends.get(0).instance());
-        assertEquals(77, sends.get(0).fields().getLong());
-        assertEquals(0x91f03b7c, sends.get(0).fields().getInt());
-        int timeout = sends.get(0).fields().getInt();
-        assertTrue(timeout > 0 && timeout <= 1_000_000, "timeout " + timeout);
-        assertTrue(of(replies.get(2), SEND).isEmpty());
-    }
-
-    @Test
-    void aRestartInOneBatchForgetsTheList() throws IOException {
-        var replies = new Frames().spawn(3).list(0, 5).announce(3, 0, 2)
-            .record(19, out -> out.writeShort(3)).spawn(3).submit(3, 1, 5_000_000).frame(1000).run();
-        assertTrue(of(replies.get(0), SEND).isEmpty());
-    }
-
-    @Test
-    void aListNumberUsedAgainInOneBatchIsResolvedByOrder() throws IOException {
-        var replies = new Frames().spawn(1).spawn(2).list(0, 5).announce(1, 0, 2).list(0, 6).announce(2, 0, 2)
-            .submit(1, 1, 5_000_000).submit(2, 2, 5_000_000).frame(1000).run();
-        List<Reply> sends = of(replies.get(0), SEND);
-        sends.forEach(s -> s.fields().getLong());
-        assertEquals(List.of(5, 6), sends.stream().map(s -> s.fields().getInt()).toList());
-    }
-
-    @Test
-    void anExceptionInTheModuleIsToldAsItsDeath() throws IOException {
-        var replies = new Frames().spawn(1).record(20, out -> {
-            out.writeShort(1);
-            out.writeLong(9);
-            out.writeLong(0);
-            out.writeByte(0);
-            out.writeLong(5_000_000);
-            out.writeByte(200); // no such class
-            out.writeShort(0);
-            out.writeInt(0);
-        }).frame(1000).run();
-        assertEquals(1, of(replies.get(0), 25).size());
-    }
-
-    @Test
-    void logLinesCarryTheServersState() throws IOException {
-        var replies = new Frames().spawn(1).list(0, 5).announce(1, 0, 3).list(1).announce(1, 1, 3).frame(1000).run();
-        assertEquals(1, of(replies.get(0), LOG).size());
-    }
-
-    // ---- malformed input ----
-
-    @Test
-    void aTruncatedLengthIsNamed() {
-        assertEquals("frame 1: input ends inside the length", failure(new Frames().raw(new byte[] {0, 0})));
-    }
-
-    @Test
-    void aTruncatedFrameIsNamed() {
-        assertEquals("frame 2: input ends inside the frame",
-            failure(new Frames().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
-    }
-
-    @Test
-    void aFrameLengthThatCannotBeIsNamed() {
-        assertEquals("frame 1: length 4294967295 is not possible",
-            failure(new Frames().raw(new byte[] {-1, -1, -1, -1})));
-    }
-
-    /** Failed before: two gigabytes were set aside for a frame that said it had them. */
-    @Test
-    void aFrameLargerThanAnyHostSendsIsNamedAndNotSetAside() {
-        assertEquals("frame 1: length 1879048192 is not possible",
-            failure(new Frames().raw(new byte[] {0x70, 0, 0, 0})));
-    }
-
-    @Test
-    void aRecordTooShortForItsFieldsIsNamed() {
-        assertEquals("frame 1 record 2 (code 20): too short for its fields",
-            failure(new Frames().spawn(1).record(20, out -> out.writeShort(1)).frame(1)));
-    }
-
-    @Test
-    void aRecordLongerThanItsFieldsIsNamed() {
-        assertEquals("frame 1 record 2 (code 26): 1 bytes too many",
-            failure(new Frames().spawn(1).record(26, out -> {
-                out.writeShort(1);
-                out.writeLong(0);
-                out.writeByte(0);
-            }).frame(1)));
-    }
-
-    @Test
-    void aRecordOverTheFrameIsNamed() {
-        assertTrue(failure(new Frames().raw(Frames.bytes(out -> {
-            out.writeInt(17);
-            out.writeInt(1);
-            out.writeLong(0);
-            out.writeByte(19);
-            out.writeInt(100);
-        }))).startsWith("frame 1 record 1 (code 19): size 100 is over the frame"));
-    }
-
-    @Test
-    void unknownCodesInstancesListsAndOutcomesAreNamed() {
-        assertEquals("frame 1 record 2 (code 99): unknown code",
-            failure(new Frames().spawn(1).record(99, out -> out.writeShort(1)).frame(1)));
-        assertEquals("frame 1 record 1 (code 20): instance 4 was never started",
-            failure(new Frames().submit(4, 1, 1).frame(1)));
-        assertEquals("frame 1 record 2 (code 21): list 2 was never defined",
-            failure(new Frames().spawn(1).announce(1, 2, 3).frame(1)));
-        assertEquals("frame 1 record 2 (code 22): unknown outcome 999",
-            failure(new Frames().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
-    }
-
-    // ---- settings ----
-
-    @ParameterizedTest
-    @ValueSource(strings = {"caps.max-attempts", "classes.0.semantics", "discovery", "granularity-us", "me"})
-    void aMissingSettingIsNamed(String key) {
-        String without = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
-        assertEquals("settings: " + key + " is missing", failure(new Frames().spawn(1, without).frame(1)));
-    }
-
-    @Test
-    void anUnusableSettingIsNamed() {
-        String bad = Frames.SETTINGS.replace("semantics=safe", "semantics=perhaps");
-        assertEquals("settings: classes.0.semantics has an unusable value: perhaps",
-            failure(new Frames().spawn(1, bad).frame(1)));
-        String letters = Frames.SETTINGS.replace("group-size=2", "group-size=two");
-        assertEquals("settings: group-size has an unusable value: two",
-            failure(new Frames().spawn(1, letters).frame(1)));
-    }
-
-    /** Failed before: these were taken, and showed only as a failed decision or a stack trace later. */
-    @ParameterizedTest
-    @ValueSource(strings = {"group-size=0", "granularity-us=0", "caps.max-attempts=-1", "locality=7", "me=-1",
-        "classes.0.aim-us=0", "group-size=Infinity"})
-    void aSettingOutOfRangeIsNamed(String pair) {
-        String key = pair.substring(0, pair.indexOf('='));
-        String bad = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
-        assertEquals("settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
-            failure(new Frames().spawn(1, bad).frame(1)));
-    }
-
-    @Test
-    void unknownSettingsAreIgnored() throws IOException {
-        assertEquals(1, new Frames().spawn(1, Frames.SETTINGS + "new.thing=1\n").frame(1).run().size());
-    }
-
-    @Test
-    void unknownLoadValuesAreIgnored() throws IOException {
-        String loads = Frames.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
-        assertEquals(1, new Frames().spawn(1, loads).frame(1).run().size());
-    }
+  private static final int SEND = 16;
+  private static final int LOG = 24;
+
+  private static List<Reply> of(List<Reply> replies, int code) {
+    return replies.stream().filter(r -> r.code() == code).toList();
+  }
+
+  private static String failure(Frames frames) {
+    return assertThrows(WireException.class, frames::run).getMessage();
+  }
+
+  @Test
+  void anEmptyBatchIsAnsweredEmpty() throws IOException {
+    assertEquals(List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
+  }
+
+  @Test
+  void aRequestIsSentToAListedServerAndItsOutcomeClosesIt() throws IOException {
+    var replies =
+        new Frames()
+            .spawn(3)
+            .list(0, 0x91f03b7cL)
+            .announce(3, 0, 2)
+            .frame(1000)
+            .submit(3, 77, 5_000_000)
+            .frame(2000)
+            .finished(3, 77, 0x91f03b7cL, 200, 2)
+            .frame(3000)
+            .run();
+    List<Reply> sends = of(replies.get(1), SEND);
+    assertEquals(1, sends.size());
+    assertEquals(3, sends.get(0).instance());
+    assertEquals(77, sends.get(0).fields().getLong());
+    assertEquals(0x91f03b7c, sends.get(0).fields().getInt());
+    int timeout = sends.get(0).fields().getInt();
+    assertTrue(timeout > 0 && timeout <= 1_000_000, "timeout " + timeout);
+    assertTrue(of(replies.get(2), SEND).isEmpty());
+  }
+
+  @Test
+  void aRestartInOneBatchForgetsTheList() throws IOException {
+    var replies =
+        new Frames()
+            .spawn(3)
+            .list(0, 5)
+            .announce(3, 0, 2)
+            .record(19, out -> out.writeShort(3))
+            .spawn(3)
+            .submit(3, 1, 5_000_000)
+            .frame(1000)
+            .run();
+    assertTrue(of(replies.get(0), SEND).isEmpty());
+  }
+
+  @Test
+  void aListNumberUsedAgainInOneBatchIsResolvedByOrder() throws IOException {
+    var replies =
+        new Frames()
+            .spawn(1)
+            .spawn(2)
+            .list(0, 5)
+            .announce(1, 0, 2)
+            .list(0, 6)
+            .announce(2, 0, 2)
+            .submit(1, 1, 5_000_000)
+            .submit(2, 2, 5_000_000)
+            .frame(1000)
+            .run();
+    List<Reply> sends = of(replies.get(0), SEND);
+    sends.forEach(s -> s.fields().getLong());
+    assertEquals(List.of(5, 6), sends.stream().map(s -> s.fields().getInt()).toList());
+  }
+
+  @Test
+  void anExceptionInTheModuleIsToldAsItsDeath() throws IOException {
+    var replies =
+        new Frames()
+            .spawn(1)
+            .record(
+                20,
+                out -> {
+                  out.writeShort(1);
+                  out.writeLong(9);
+                  out.writeLong(0);
+                  out.writeByte(0);
+                  out.writeLong(5_000_000);
+                  out.writeByte(200); // no such class
+                  out.writeShort(0);
+                  out.writeInt(0);
+                })
+            .frame(1000)
+            .run();
+    assertEquals(1, of(replies.get(0), 25).size());
+  }
+
+  @Test
+  void logLinesCarryTheServersState() throws IOException {
+    var replies =
+        new Frames()
+            .spawn(1)
+            .list(0, 5)
+            .announce(1, 0, 3)
+            .list(1)
+            .announce(1, 1, 3)
+            .frame(1000)
+            .run();
+    assertEquals(1, of(replies.get(0), LOG).size());
+  }
+
+  // ---- malformed input ----
+
+  @Test
+  void aTruncatedLengthIsNamed() {
+    assertEquals(
+        "frame 1: input ends inside the length", failure(new Frames().raw(new byte[] {0, 0})));
+  }
+
+  @Test
+  void aTruncatedFrameIsNamed() {
+    assertEquals(
+        "frame 2: input ends inside the frame",
+        failure(new Frames().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
+  }
+
+  @Test
+  void aFrameLengthThatCannotBeIsNamed() {
+    assertEquals(
+        "frame 1: length 4294967295 is not possible",
+        failure(new Frames().raw(new byte[] {-1, -1, -1, -1})));
+  }
+
+  /** Failed before: two gigabytes were set aside for a frame that said it had them. */
+  @Test
+  void aFrameLargerThanAnyHostSendsIsNamedAndNotSetAside() {
+    assertEquals(
+        "frame 1: length 1879048192 is not possible",
+        failure(new Frames().raw(new byte[] {0x70, 0, 0, 0})));
+  }
+
+  @Test
+  void aRecordTooShortForItsFieldsIsNamed() {
+    assertEquals(
+        "frame 1 record 2 (code 20): too short for its fields",
+        failure(new Frames().spawn(1).record(20, out -> out.writeShort(1)).frame(1)));
+  }
+
+  @Test
+  void aRecordLongerThanItsFieldsIsNamed() {
+    assertEquals(
+        "frame 1 record 2 (code 26): 1 bytes too many",
+        failure(
+            new Frames()
+                .spawn(1)
+                .record(
+                    26,
+                    out -> {
+                      out.writeShort(1);
+                      out.writeLong(0);
+                      out.writeByte(0);
+                    })
+                .frame(1)));
+  }
+
+  @Test
+  void aRecordOverTheFrameIsNamed() {
+    assertTrue(
+        failure(
+                new Frames()
+                    .raw(
+                        Frames.bytes(
+                            out -> {
+                              out.writeInt(17);
+                              out.writeInt(1);
+                              out.writeLong(0);
+                              out.writeByte(19);
+                              out.writeInt(100);
+                            })))
+            .startsWith("frame 1 record 1 (code 19): size 100 is over the frame"));
+  }
+
+  @Test
+  void unknownCodesInstancesListsAndOutcomesAreNamed() {
+    assertEquals(
+        "frame 1 record 2 (code 99): unknown code",
+        failure(new Frames().spawn(1).record(99, out -> out.writeShort(1)).frame(1)));
+    assertEquals(
+        "frame 1 record 1 (code 20): instance 4 was never started",
+        failure(new Frames().submit(4, 1, 1).frame(1)));
+    assertEquals(
+        "frame 1 record 2 (code 21): list 2 was never defined",
+        failure(new Frames().spawn(1).announce(1, 2, 3).frame(1)));
+    assertEquals(
+        "frame 1 record 2 (code 22): unknown outcome 999",
+        failure(new Frames().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
+  }
+
+  // ---- settings ----
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {"caps.max-attempts", "classes.0.semantics", "discovery", "granularity-us", "me"})
+  void aMissingSettingIsNamed(String key) {
+    String without = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
+    assertEquals(
+        "settings: " + key + " is missing", failure(new Frames().spawn(1, without).frame(1)));
+  }
+
+  @Test
+  void anUnusableSettingIsNamed() {
+    String bad = Frames.SETTINGS.replace("semantics=safe", "semantics=perhaps");
+    assertEquals(
+        "settings: classes.0.semantics has an unusable value: perhaps",
+        failure(new Frames().spawn(1, bad).frame(1)));
+    String letters = Frames.SETTINGS.replace("group-size=2", "group-size=two");
+    assertEquals(
+        "settings: group-size has an unusable value: two",
+        failure(new Frames().spawn(1, letters).frame(1)));
+  }
+
+  /**
+   * Failed before: these were taken, and showed only as a failed decision or a stack trace later.
+   */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "group-size=0",
+        "granularity-us=0",
+        "caps.max-attempts=-1",
+        "locality=7",
+        "me=-1",
+        "classes.0.aim-us=0",
+        "group-size=Infinity"
+      })
+  void aSettingOutOfRangeIsNamed(String pair) {
+    String key = pair.substring(0, pair.indexOf('='));
+    String bad =
+        Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
+    assertEquals(
+        "settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
+        failure(new Frames().spawn(1, bad).frame(1)));
+  }
+
+  @Test
+  void unknownSettingsAreIgnored() throws IOException {
+    assertEquals(1, new Frames().spawn(1, Frames.SETTINGS + "new.thing=1\n").frame(1).run().size());
+  }
+
+  @Test
+  void unknownLoadValuesAreIgnored() throws IOException {
+    String loads = Frames.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
+    assertEquals(1, new Frames().spawn(1, loads).frame(1).run().size());
+  }
 }
--- a/src/test/java/gatefront/drill/Frames.java
+++ b/src/test/java/gatefront/drill/Frames.java
@@ -11,7 +11,8 @@
 
 /** Builds frames for the drill and takes its replies apart. */
 final class Frames {
-    static final String SETTINGS = """
+  static final String SETTINGS =
+      """
         caps.cancel=true
         caps.max-attempts=3
         caps.may-duplicate=false
@@ -38,143 +39,157 @@
         zones=north,south
         """;
 
-    /** A field writer that does not throw. */
-    interface Fields {
-        void write(DataOutputStream out) throws IOException;
-    }
-
-    /** A record of a reply. */
-    record Reply(int code, int instance, ByteBuffer fields) { }
-
-    private final ByteArrayOutputStream all = new ByteArrayOutputStream();
-    private final List<byte[]> records = new ArrayList<>();
-
-    static byte[] bytes(Fields fields) {
-        var bytes = new ByteArrayOutputStream();
-        try {
-            fields.write(new DataOutputStream(bytes));
-        } catch (IOException e) {
-            throw new AssertionError(e);
-        }
-        return bytes.toByteArray();
-    }
-
-    Frames record(int code, Fields fields) {
-        byte[] body = bytes(fields);
-        records.add(bytes(out -> {
-            out.writeByte(code);
-            out.writeInt(body.length);
-            out.write(body);
-        }));
-        return this;
-    }
-
-    Frames frame(long clock) {
-        int length = 12 + records.stream().mapToInt(r -> r.length).sum();
-        all.writeBytes(bytes(out -> {
-            out.writeInt(length);
-            out.writeInt(records.size());
-            out.writeLong(clock);
-        }));
-        records.forEach(all::writeBytes);
-        records.clear();
-        return this;
-    }
-
-    Frames raw(byte[] bytes) {
-        all.writeBytes(bytes);
-        return this;
-    }
+  /** A field writer that does not throw. */
+  interface Fields {
+    void write(DataOutputStream out) throws IOException;
+  }
 
-    Frames spawn(int instance) {
-        return spawn(instance, SETTINGS);
-    }
+  /** A record of a reply. */
+  record Reply(int code, int instance, ByteBuffer fields) {}
 
-    Frames spawn(int instance, String settings) {
-        return record(24, out -> {
-            byte[] text = settings.getBytes(StandardCharsets.UTF_8);
-            out.writeShort(instance);
-            out.writeLong(42);
-            out.writeInt(text.length);
-            out.write(text);
-        });
-    }
+  private final ByteArrayOutputStream all = new ByteArrayOutputStream();
+  private final List<byte[]> records = new ArrayList<>();
 
-    Frames list(int number, long... servers) {
-        return record(25, out -> {
-            out.writeByte(number);
-            out.writeInt(servers.length);
-            for (long server : servers) {
-                out.writeInt((int) server);
-                out.writeShort(0);
-                out.writeByte(0);
-                out.writeShort(0);
-                out.writeByte(3);
-                out.writeFloat(1);
-                out.writeLong(0);
-            }
-        });
+  static byte[] bytes(Fields fields) {
+    var bytes = new ByteArrayOutputStream();
+    try {
+      fields.write(new DataOutputStream(bytes));
+    } catch (IOException e) {
+      throw new AssertionError(e);
     }
-
-    Frames announce(int instance, int number, int kind) {
-        return record(21, out -> {
-            out.writeShort(instance);
-            out.writeByte(number);
-            out.writeByte(kind);
-            out.writeInt(1);
+    return bytes.toByteArray();
+  }
+
+  Frames record(int code, Fields fields) {
+    byte[] body = bytes(fields);
+    records.add(
+        bytes(
+            out -> {
+              out.writeByte(code);
+              out.writeInt(body.length);
+              out.write(body);
+            }));
+    return this;
+  }
+
+  Frames frame(long clock) {
+    int length = 12 + records.stream().mapToInt(r -> r.length).sum();
+    all.writeBytes(
+        bytes(
+            out -> {
+              out.writeInt(length);
+              out.writeInt(records.size());
+              out.writeLong(clock);
+            }));
+    records.forEach(all::writeBytes);
+    records.clear();
+    return this;
+  }
+
+  Frames raw(byte[] bytes) {
+    all.writeBytes(bytes);
+    return this;
+  }
+
+  Frames spawn(int instance) {
+    return spawn(instance, SETTINGS);
+  }
+
+  Frames spawn(int instance, String settings) {
+    return record(
+        24,
+        out -> {
+          byte[] text = settings.getBytes(StandardCharsets.UTF_8);
+          out.writeShort(instance);
+          out.writeLong(42);
+          out.writeInt(text.length);
+          out.write(text);
         });
-    }
-
-    Frames submit(int instance, long id, long deadline) {
-        return record(20, out -> {
-            out.writeShort(instance);
-            out.writeLong(id);
-            out.writeLong(0);
-            out.writeByte(0);
-            out.writeLong(deadline);
+  }
+
+  Frames list(int number, long... servers) {
+    return record(
+        25,
+        out -> {
+          out.writeByte(number);
+          out.writeInt(servers.length);
+          for (long server : servers) {
+            out.writeInt((int) server);
+            out.writeShort(0);
             out.writeByte(0);
             out.writeShort(0);
-            out.writeInt(0);
+            out.writeByte(3);
+            out.writeFloat(1);
+            out.writeLong(0);
+          }
         });
-    }
-
-    Frames finished(int instance, long id, long server, int outcome, int loads) {
-        return record(22, out -> {
-            out.writeShort(instance);
-            out.writeLong(id);
-            out.writeShort(0);
-            out.writeInt((int) server);
-            out.writeShort(outcome);
-            out.writeInt(1000);
-            out.writeByte(outcome == 200 ? 1 : 0);
-            out.writeByte(loads);
-            for (int i = 0; i < loads; i++) {
-                out.writeFloat(i);
-            }
+  }
+
+  Frames announce(int instance, int number, int kind) {
+    return record(
+        21,
+        out -> {
+          out.writeShort(instance);
+          out.writeByte(number);
+          out.writeByte(kind);
+          out.writeInt(1);
         });
+  }
+
+  Frames submit(int instance, long id, long deadline) {
+    return record(
+        20,
+        out -> {
+          out.writeShort(instance);
+          out.writeLong(id);
+          out.writeLong(0);
+          out.writeByte(0);
+          out.writeLong(deadline);
+          out.writeByte(0);
+          out.writeShort(0);
+          out.writeInt(0);
+        });
+  }
+
+  Frames finished(int instance, long id, long server, int outcome, int loads) {
+    return record(
+        22,
+        out -> {
+          out.writeShort(instance);
+          out.writeLong(id);
+          out.writeShort(0);
+          out.writeInt((int) server);
+          out.writeShort(outcome);
+          out.writeInt(1000);
+          out.writeByte(outcome == 200 ? 1 : 0);
+          out.writeByte(loads);
+          for (int i = 0; i < loads; i++) {
+            out.writeFloat(i);
+          }
+        });
+  }
+
+  /** Runs the drill over all frames; one list of records for each reply. */
+  List<List<Reply>> run() throws IOException {
+    var out = new ByteArrayOutputStream();
+    new Drill(new ByteArrayInputStream(all.toByteArray()), out).run();
+    List<List<Reply>> replies = new ArrayList<>();
+    ByteBuffer in = ByteBuffer.wrap(out.toByteArray());
+    while (in.hasRemaining()) {
+      int end = in.getInt() + in.position();
+      int count = in.getInt();
+      List<Reply> reply = new ArrayList<>();
+      for (int i = 0; i < count; i++) {
+        int code = in.get();
+        ByteBuffer fields = in.slice(in.position() + 4, in.getInt());
+        in.position(in.position() + fields.capacity());
+        reply.add(new Reply(code, fields.getShort(), fields));
+      }
+      if (in.position() != end) {
+        throw new AssertionError("a reply's length is wrong");
+      }
+      replies.add(reply);
     }
-
-    /** Runs the drill over all frames; one list of records for each reply. */
-    List<List<Reply>> run() throws IOException {
-        var out = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(all.toByteArray()), out).run();
-        List<List<Reply>> replies = new ArrayList<>();
-        ByteBuffer in = ByteBuffer.wrap(out.toByteArray());
-        while (in.hasRemaining()) {
-            int end = in.getInt() + in.position();
-            int count = in.getInt();
-            List<Reply> reply = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                int code = in.get();
-                ByteBuffer fields = in.slice(in.position() + 4, in.getInt());
-                in.position(in.position() + fields.capacity());
-                reply.add(new Reply(code, fields.getShort(), fields));
-            }
-            if (in.position() != end) {
-                throw new AssertionError("a reply's length is wrong");
-            }
-            replies.add(reply);
-        }
-        return replies;
-    }
+    return replies;
+  }
 }
--- a/src/test/java/gatefront/example/EmbeddingTest.java
+++ b/src/test/java/gatefront/example/EmbeddingTest.java
@@ -9,20 +9,24 @@
 import org.junit.jupiter.api.Test;
 
 class EmbeddingTest {
-    @Test
-    void theExampleSendsItsRequestToTheServerOfItsZone() {
-        Embedding host = new Embedding();
-        Embedding.run(host);
-        assertEquals("send 1 to 7", host.did.stream().filter(d -> d.startsWith("send")).findFirst().orElse(""));
-        assertTrue(host.did.stream().noneMatch(d -> d.startsWith("refuse") || d.startsWith("fail")));
-    }
+  @Test
+  void theExampleSendsItsRequestToTheServerOfItsZone() {
+    Embedding host = new Embedding();
+    Embedding.run(host);
+    assertEquals(
+        "send 1 to 7", host.did.stream().filter(d -> d.startsWith("send")).findFirst().orElse(""));
+    assertTrue(host.did.stream().noneMatch(d -> d.startsWith("refuse") || d.startsWith("fail")));
+  }
 
-    @Test
-    void theReadmePrintsTheExampleAsItIsCompiledHere() throws IOException {
-        String source = Files.readString(Path.of("src/test/java/gatefront/example/Embedding.java"));
-        String block = source.substring(source.indexOf("    // README begins\n") + 21,
-            source.indexOf("    // README ends")).replaceAll("(?m)^ {4}", "");
-        String readme = Files.readString(Path.of("README.md"));
-        assertTrue(readme.contains("```java\n" + block + "```"), block);
-    }
+  @Test
+  void theReadmePrintsTheExampleAsItIsCompiledHere() throws IOException {
+    String source = Files.readString(Path.of("src/test/java/gatefront/example/Embedding.java"));
+    String block =
+        source
+            .substring(
+                source.indexOf("    // README begins\n") + 21, source.indexOf("    // README ends"))
+            .replaceAll("(?m)^ {4}", "");
+    String readme = Files.readString(Path.of("README.md"));
+    assertTrue(readme.contains("```java\n" + block + "```"), block);
+  }
 }
