--- a/src/test/java/gatefront/net/LiveSettingsTest.java
+++ b/src/test/java/gatefront/net/LiveSettingsTest.java
@@ -34,259 +34,281 @@
 
 /** Settings with a version, taken over while the agent runs, over loopback sockets. */
 class LiveSettingsTest {
-    private static final Peer.Script SERVES = (message, socket) -> Peer.answer(socket, 200, "", "served");
-
-    @TempDir
-    private Path dir;
-    private final PrintStream usualLog = System.err;
-    private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private Stage stage;
-    private Path file;
-
-    @BeforeEach
-    void set() throws IOException {
-        System.setErr(new PrintStream(log, true));
-        stage = new Stage();
-        stage.config.putObject("live_settings").put("version", 41);
-        file = dir.resolve("config.json");
+  private static final Peer.Script SERVES =
+      (message, socket) -> Peer.answer(socket, 200, "", "served");
+
+  @TempDir private Path dir;
+  private final PrintStream usualLog = System.err;
+  private final ByteArrayOutputStream log = new ByteArrayOutputStream();
+  private Stage stage;
+  private Path file;
+
+  @BeforeEach
+  void set() throws IOException {
+    System.setErr(new PrintStream(log, true));
+    stage = new Stage();
+    stage.config.putObject("live_settings").put("version", 41);
+    file = dir.resolve("config.json");
+  }
+
+  @AfterEach
+  void strike() throws IOException {
+    stage.close();
+    System.setErr(usualLog);
+  }
+
+  /** The configuration under another version and otherwise changed; replaced in one step. */
+  private void write(long version, Consumer<ObjectNode> change) throws IOException {
+    ObjectNode copy = stage.config.deepCopy();
+    ((ObjectNode) copy.get("live_settings")).put("version", version);
+    change.accept(copy);
+    Path fresh = Files.writeString(dir.resolve("fresh"), copy.toString());
+    Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+  }
+
+  private void take(long version, Consumer<ObjectNode> change) throws IOException {
+    write(version, change);
+    stage.agent.reload(file);
+    Stage.await(() -> version == inForce());
+  }
+
+  private static ObjectNode settings(ObjectNode config) {
+    return (ObjectNode) config.get("settings");
+  }
+
+  private static ArrayNode classes(ObjectNode config) {
+    return (ArrayNode) config.get("settings").get("classes");
+  }
+
+  /** A class with another name becomes the first of all: each index changes. */
+  private static void addFirst(ObjectNode config, String name) {
+    classes(config).insert(0, ((ObjectNode) classes(config).get(0).deepCopy()).put("name", name));
+  }
+
+  private Peer.Message health() throws IOException {
+    return Stage.exchange(
+        stage.dial(), "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+  }
+
+  private long inForce() {
+    try {
+      return Long.parseLong(health().header("Settings-Version"));
+    } catch (IOException e) {
+      throw new AssertionError(e);
     }
-
-    @AfterEach
-    void strike() throws IOException {
-        stage.close();
-        System.setErr(usualLog);
-    }
-
-    /** The configuration under another version and otherwise changed; replaced in one step. */
-    private void write(long version, Consumer<ObjectNode> change) throws IOException {
-        ObjectNode copy = stage.config.deepCopy();
-        ((ObjectNode) copy.get("live_settings")).put("version", version);
-        change.accept(copy);
-        Path fresh = Files.writeString(dir.resolve("fresh"), copy.toString());
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    }
-
-    private void take(long version, Consumer<ObjectNode> change) throws IOException {
-        write(version, change);
-        stage.agent.reload(file);
-        Stage.await(() -> version == inForce());
-    }
-
-    private static ObjectNode settings(ObjectNode config) {
-        return (ObjectNode) config.get("settings");
+  }
+
+  private String logged() {
+    return log.toString(StandardCharsets.UTF_8);
+  }
+
+  private void awaitLogged(String line) {
+    Stage.await(() -> logged().lines().anyMatch(each -> each.startsWith(line)));
+  }
+
+  private int status(String type) throws IOException {
+    String request = stage.request("lookup", 8000, "").replace("lookup", type);
+    return Stage.exchange(stage.dial(), request).status();
+  }
+
+  // ---- Taken ----
+
+  @Test
+  void classesAreAddedMovedAndRemovedByNameAndTheVersionIsShown() throws Exception {
+    Peer server = stage.server(SERVES);
+    stage.start();
+    assertEquals(400, status("extra"));
+    assertEquals("settings: version 41\n", health().text());
+    take(42, config -> addFirst(config, "extra"));
+    assertEquals(200, status("extra"));
+    for (String type : List.of("lookup", "pay", "order")) {
+      assertEquals(200, stage.call(type).status(), "each is what it was: " + type);
     }
-
-    private static ArrayNode classes(ObjectNode config) {
-        return (ArrayNode) config.get("settings").get("classes");
+    take(43, config -> classes(config).remove(0));
+    assertEquals(400, status("lookup"));
+    assertEquals(200, stage.call("pay").status());
+    assertEquals(5, server.requests.size());
+    assertTrue(
+        logged()
+            .contains(
+                "settings: version 42 in force, was 41 (classes 4, tenants 0, zones 2, kinds 1); "
+                    + "read "),
+        logged());
+  }
+
+  /** Guards against the class of one list being taken for what has its place in the next. */
+  @Test
+  void aRequestWhoseBodyComesAfterTheChangeIsOfTheClassThatItNames() throws Exception {
+    Peer server = stage.server(SERVES);
+    stage.start();
+    Socket[] halves = new Socket[2];
+    for (int i = 0; i < 2; i++) {
+      halves[i] = stage.dial();
+      String whole = stage.request(i == 0 ? "pay" : "order", 8000, "body");
+      Peer.write(halves[i], whole.substring(0, whole.length() - 4));
     }
-
-    /** A class with another name becomes the first of all: each index changes. */
-    private static void addFirst(ObjectNode config, String name) {
-        classes(config).insert(0, ((ObjectNode) classes(config).get(0).deepCopy()).put("name", name));
+    Stage.await(() -> inForce() == 41); // the heads have been read before this
+    take(42, config -> classes(config).remove(1));
+    Peer.write(halves[0], "body");
+    Peer.write(halves[1], "body");
+    assertEquals(400, Peer.read(halves[0].getInputStream()).status());
+    assertEquals(200, Peer.read(halves[1].getInputStream()).status());
+    assertEquals("/order?q=1", server.requests.get(0).target());
+  }
+
+  @Test
+  void underLoadNoRequestIsLostOverChangesInTurn() throws Exception {
+    stage.server(SERVES);
+    stage.server(SERVES);
+    stage.start();
+    AtomicBoolean over = new AtomicBoolean();
+    AtomicInteger served = new AtomicInteger();
+    List<String> others = new ArrayList<>();
+    List<Thread> clients = new ArrayList<>();
+    for (String type : List.of("lookup", "pay", "order")) {
+      Socket socket = stage.dial();
+      clients.add(
+          Peer.daemon(
+              () -> {
+                while (!over.get()) {
+                  String request;
+                  synchronized (stage) {
+                    request = stage.request(type, 8000, type.equals("lookup") ? "" : "body");
+                  }
+                  Peer.Message answer = Stage.exchange(socket, request);
+                  if (answer.status() == 200) {
+                    served.incrementAndGet();
+                  } else {
+                    synchronized (others) {
+                      others.add(type + " " + answer.first());
+                    }
+                  }
+                }
+              }));
     }
-
-    private Peer.Message health() throws IOException {
-        return Stage.exchange(stage.dial(), "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    for (int version = 42; version < 72; version++) {
+      int before = served.get();
+      boolean first = version % 2 == 0;
+      take(
+          version,
+          config -> {
+            if (first) {
+              addFirst(config, "extra");
+              settings(config).putArray("zones").add("b").add("a");
+              settings(config).put("locality", 1).put("group-size", 7);
+            }
+          });
+      Stage.await(() -> served.get() >= before + 10 || !others.isEmpty());
     }
-
-    private long inForce() {
-        try {
-            return Long.parseLong(health().header("Settings-Version"));
-        } catch (IOException e) {
-            throw new AssertionError(e);
-        }
+    over.set(true);
+    for (Thread client : clients) {
+      client.join();
     }
-
-    private String logged() {
-        return log.toString(StandardCharsets.UTF_8);
+    assertEquals(List.of(), others);
+  }
+
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void aClassMadeUnsafeWhileItsRequestIsOutIsNotSentAgain(boolean changed) throws Exception {
+    CountDownLatch go = new CountDownLatch(1);
+    AtomicBoolean first = new AtomicBoolean(true);
+    for (int i = 0; i < 2; i++) {
+      stage.server(
+          (message, socket) -> {
+            if (first.getAndSet(false)) {
+              go.await();
+              Peer.reset(socket);
+            } else {
+              Peer.answer(socket, 200, "", "served");
+            }
+          });
     }
-
-    private void awaitLogged(String line) {
-        Stage.await(() -> logged().lines().anyMatch(each -> each.startsWith(line)));
+    stage.start();
+    Socket client = stage.dial();
+    Peer.write(client, stage.request("lookup", 8000, ""));
+    Stage.await(() -> stage.arrived() == 1);
+    if (changed) {
+      take(42, config -> ((ObjectNode) classes(config).get(0)).put("semantics", "unsafe"));
     }
-
-    private int status(String type) throws IOException {
-        String request = stage.request("lookup", 8000, "").replace("lookup", type);
-        return Stage.exchange(stage.dial(), request).status();
+    go.countDown();
+    assertEquals(changed ? 502 : 200, Peer.read(client.getInputStream()).status());
+    assertEquals(changed ? 1 : 2, stage.arrived());
+  }
+
+  @Test
+  void connectionsAreKeptAndDialledByTheNewSettings() throws Exception {
+    ((ObjectNode) settings(stage.config).get("caps")).put("probes", false); // they dial, too
+    Peer server = stage.server(SERVES);
+    stage.start();
+    for (int i = 0; i < 3; i++) {
+      assertEquals(200, stage.call("lookup").status());
+      Thread.sleep(60); // over the rest of a connection
     }
-
-    // ---- Taken ----
-
-    @Test
-    void classesAreAddedMovedAndRemovedByNameAndTheVersionIsShown() throws Exception {
-        Peer server = stage.server(SERVES);
-        stage.start();
-        assertEquals(400, status("extra"));
-        assertEquals("settings: version 41\n", health().text());
-        take(42, config -> addFirst(config, "extra"));
-        assertEquals(200, status("extra"));
-        for (String type : List.of("lookup", "pay", "order")) {
-            assertEquals(200, stage.call(type).status(), "each is what it was: " + type);
-        }
-        take(43, config -> classes(config).remove(0));
-        assertEquals(400, status("lookup"));
-        assertEquals(200, stage.call("pay").status());
-        assertEquals(5, server.requests.size());
-        assertTrue(logged().contains("settings: version 42 in force, was 41 (classes 4, tenants 0, zones 2, kinds 1); "
-            + "read "), logged());
+    int kept = server.sockets.size();
+    take(42, config -> ((ObjectNode) settings(config).get("caps")).put("idle-close-us", 1000));
+    for (int i = 0; i < 3; i++) {
+      assertEquals(200, stage.call("lookup").status());
+      Thread.sleep(60);
     }
-
-    /** Guards against the class of one list being taken for what has its place in the next. */
-    @Test
-    void aRequestWhoseBodyComesAfterTheChangeIsOfTheClassThatItNames() throws Exception {
-        Peer server = stage.server(SERVES);
-        stage.start();
-        Socket[] halves = new Socket[2];
-        for (int i = 0; i < 2; i++) {
-            halves[i] = stage.dial();
-            String whole = stage.request(i == 0 ? "pay" : "order", 8000, "body");
-            Peer.write(halves[i], whole.substring(0, whole.length() - 4));
-        }
-        Stage.await(() -> inForce() == 41); // the heads have been read before this
-        take(42, config -> classes(config).remove(1));
-        Peer.write(halves[0], "body");
-        Peer.write(halves[1], "body");
-        assertEquals(400, Peer.read(halves[0].getInputStream()).status());
-        assertEquals(200, Peer.read(halves[1].getInputStream()).status());
-        assertEquals("/order?q=1", server.requests.get(0).target());
+    assertEquals(kept + 3, server.sockets.size(), "none is kept for a millisecond");
+    take(43, config -> ((ObjectNode) config.get("limits")).put("sockets", 64));
+    List<Socket> many = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      many.add(stage.dial());
+      Peer.write(many.get(i), stage.request("order", 8000, "body"));
     }
-
-    @Test
-    void underLoadNoRequestIsLostOverChangesInTurn() throws Exception {
-        stage.server(SERVES);
-        stage.server(SERVES);
-        stage.start();
-        AtomicBoolean over = new AtomicBoolean();
-        AtomicInteger served = new AtomicInteger();
-        List<String> others = new ArrayList<>();
-        List<Thread> clients = new ArrayList<>();
-        for (String type : List.of("lookup", "pay", "order")) {
-            Socket socket = stage.dial();
-            clients.add(Peer.daemon(() -> {
-                while (!over.get()) {
-                    String request;
-                    synchronized (stage) {
-                        request = stage.request(type, 8000, type.equals("lookup") ? "" : "body");
-                    }
-                    Peer.Message answer = Stage.exchange(socket, request);
-                    if (answer.status() == 200) {
-                        served.incrementAndGet();
-                    } else {
-                        synchronized (others) {
-                            others.add(type + " " + answer.first());
-                        }
-                    }
-                }
-            }));
-        }
-        for (int version = 42; version < 72; version++) {
-            int before = served.get();
-            boolean first = version % 2 == 0;
-            take(version, config -> {
-                if (first) {
-                    addFirst(config, "extra");
-                    settings(config).putArray("zones").add("b").add("a");
-                    settings(config).put("locality", 1).put("group-size", 7);
-                }
-            });
-            Stage.await(() -> served.get() >= before + 10 || !others.isEmpty());
-        }
-        over.set(true);
-        for (Thread client : clients) {
-            client.join();
-        }
-        assertEquals(List.of(), others);
+    for (Socket each : many) {
+      assertEquals(200, Peer.read(each.getInputStream()).status(), "in their turn");
     }
-
-    @ParameterizedTest
-    @ValueSource(booleans = {true, false})
-    void aClassMadeUnsafeWhileItsRequestIsOutIsNotSentAgain(boolean changed) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        AtomicBoolean first = new AtomicBoolean(true);
-        for (int i = 0; i < 2; i++) {
-            stage.server((message, socket) -> {
-                if (first.getAndSet(false)) {
-                    go.await();
-                    Peer.reset(socket);
-                } else {
-                    Peer.answer(socket, 200, "", "served");
-                }
-            });
-        }
-        stage.start();
-        Socket client = stage.dial();
-        Peer.write(client, stage.request("lookup", 8000, ""));
-        Stage.await(() -> stage.arrived() == 1);
-        if (changed) {
-            take(42, config -> ((ObjectNode) classes(config).get(0)).put("semantics", "unsafe"));
-        }
-        go.countDown();
-        assertEquals(changed ? 502 : 200, Peer.read(client.getInputStream()).status());
-        assertEquals(changed ? 1 : 2, stage.arrived());
-    }
-
-    @Test
-    void connectionsAreKeptAndDialledByTheNewSettings() throws Exception {
-        ((ObjectNode) settings(stage.config).get("caps")).put("probes", false); // they dial, too
-        Peer server = stage.server(SERVES);
-        stage.start();
-        for (int i = 0; i < 3; i++) {
-            assertEquals(200, stage.call("lookup").status());
-            Thread.sleep(60); // over the rest of a connection
-        }
-        int kept = server.sockets.size();
-        take(42, config -> ((ObjectNode) settings(config).get("caps")).put("idle-close-us", 1000));
-        for (int i = 0; i < 3; i++) {
-            assertEquals(200, stage.call("lookup").status());
-            Thread.sleep(60);
-        }
-        assertEquals(kept + 3, server.sockets.size(), "none is kept for a millisecond");
-        take(43, config -> ((ObjectNode) config.get("limits")).put("sockets", 64));
-        List<Socket> many = new ArrayList<>();
-        for (int i = 0; i < 12; i++) {
-            many.add(stage.dial());
-            Peer.write(many.get(i), stage.request("order", 8000, "body"));
-        }
-        for (Socket each : many) {
-            assertEquals(200, Peer.read(each.getInputStream()).status(), "in their turn");
-        }
-    }
-
-    @Test
-    void listsAreReadByTheNamesOfTheNewZones() throws Exception {
-        stage.server(SERVES);
-        stage.start();
-        Peer other = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "other"));
-        take(42, config -> {
-            settings(config).putArray("zones").add("new").add("b").add("a");
-            settings(config).put("locality", 2);
+  }
+
+  @Test
+  void listsAreReadByTheNamesOfTheNewZones() throws Exception {
+    stage.server(SERVES);
+    stage.start();
+    Peer other = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "other"));
+    take(
+        42,
+        config -> {
+          settings(config).putArray("zones").add("new").add("b").add("a");
+          settings(config).put("locality", 2);
         });
-        take(43, config -> { // no server is in the new one: the listed one has moved with its zone
-            settings(config).putArray("zones").add("b").add("a");
-            settings(config).put("locality", 1);
+    take(
+        43,
+        config -> { // no server is in the new one: the listed one has moved with its zone
+          settings(config).putArray("zones").add("b").add("a");
+          settings(config).put("locality", 1);
         });
-        take(44, config -> settings(config).putArray("zones").add("a").add("new"));
-        stage.news.add(Stage.delta(1, Stage.endpoint(1, stage.servers.get(0).address(), "Gone"),
+    take(44, config -> settings(config).putArray("zones").add("a").add("new"));
+    stage.news.add(
+        Stage.delta(
+            1,
+            Stage.endpoint(1, stage.servers.get(0).address(), "Gone"),
             Stage.endpoint(2, other.address(), "Ready").put("zone", "new"))); // unknown before
-        Stage.await(() -> stage.news.isEmpty());
-        Stage.await(() -> {
-            try {
-                return "other".equals(stage.call("lookup").text());
-            } catch (IOException e) {
-                return false;
-            }
+    Stage.await(() -> stage.news.isEmpty());
+    Stage.await(
+        () -> {
+          try {
+            return "other".equals(stage.call("lookup").text());
+          } catch (IOException e) {
+            return false;
+          }
         });
-        write(45, config -> settings(config).putArray("zones").add("a"));
-        stage.agent.reload(file);
-        awaitLogged("settings: version 45 refused: zones lacks new, which has servers; 44 stays");
-    }
-
-    // ---- Not taken ----
-
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "''|settings: refused: cannot read", "'{'|settings: refused: cannot read",
-        "half|settings: refused: cannot read", "twice|settings: refused: cannot read",
+    write(45, config -> settings(config).putArray("zones").add("a"));
+    stage.agent.reload(file);
+    awaitLogged("settings: version 45 refused: zones lacks new, which has servers; 44 stays");
+  }
+
+  // ---- Not taken ----
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "''|settings: refused: cannot read",
+        "'{'|settings: refused: cannot read",
+        "half|settings: refused: cannot read",
+        "twice|settings: refused: cannot read",
         "'{}'|settings: refused: settings is missing",
         "no caps|settings: version 42 refused: caps.max-attempts is missing; 41 stays",
         "aim|settings: version 42 refused: classes.0.aim-us has an unusable value: 0; 41 stays",
@@ -300,231 +322,255 @@
         "not live|settings: refused: live_settings is missing; 41 stays",
         "version|settings: refused: live_settings.version has an unusable value: \"42\"; 41 stays",
         "lower|settings: version 40 refused: live_settings.version is lower",
-        "same|settings: version 41 refused: live_settings.version is the same, but the content is another"})
-    void whatIsUnusableChangesNothingButDiscoveryAndTheNextGoodOneIsTaken(String what, String line)
-            throws Exception {
-        stage.server(SERVES);
-        Peer elsewhere = stage.peer((message, socket) -> {
-            if (!message.target().contains("since")) {
+        "same|settings: version 41 refused: live_settings.version is the same, but the content is another"
+      })
+  void whatIsUnusableChangesNothingButDiscoveryAndTheNextGoodOneIsTaken(String what, String line)
+      throws Exception {
+    stage.server(SERVES);
+    Peer elsewhere =
+        stage.peer(
+            (message, socket) -> {
+              if (!message.target().contains("since")) {
                 Peer.answer(socket, 200, "", stage.config.get("known").toString());
-            }
-        });
-        stage.start();
-        write(what.equals("lower") ? 40 : what.equals("same") ? 41 : 42, config -> {
-            addFirst(config, "extra"); // nothing of it may be in force
-            config.put("discovery", elsewhere.address());
-            ObjectNode settings = settings(config);
-            switch (what) {
-                case "no caps" -> settings.putObject("caps");
-                case "aim" -> ((ObjectNode) classes(config).get(0)).put("aim-us", 0);
-                case "worth" -> ((ObjectNode) classes(config).get(1)).put("worth", -1);
-                case "names" -> ((ObjectNode) classes(config).get(1)).put("name", "pay");
-                case "sockets" -> ((ObjectNode) config.get("limits")).put("sockets", 3);
-                case "listen" -> config.put("listen", "127.0.0.1:1");
-                case "me" -> settings.put("me", 1).put("group-size", 2);
-                case "locality" -> settings.put("locality", 1);
-                case "zones" -> settings.put("locality", 0).putArray("zones").add("b");
-                case "not live" -> config.remove("live_settings");
-                case "version" -> ((ObjectNode) config.get("live_settings")).put("version", "42");
-                default -> { }
-            }
+              }
+            });
+    stage.start();
+    write(
+        what.equals("lower") ? 40 : what.equals("same") ? 41 : 42,
+        config -> {
+          addFirst(config, "extra"); // nothing of it may be in force
+          config.put("discovery", elsewhere.address());
+          ObjectNode settings = settings(config);
+          switch (what) {
+            case "no caps" -> settings.putObject("caps");
+            case "aim" -> ((ObjectNode) classes(config).get(0)).put("aim-us", 0);
+            case "worth" -> ((ObjectNode) classes(config).get(1)).put("worth", -1);
+            case "names" -> ((ObjectNode) classes(config).get(1)).put("name", "pay");
+            case "sockets" -> ((ObjectNode) config.get("limits")).put("sockets", 3);
+            case "listen" -> config.put("listen", "127.0.0.1:1");
+            case "me" -> settings.put("me", 1).put("group-size", 2);
+            case "locality" -> settings.put("locality", 1);
+            case "zones" -> settings.put("locality", 0).putArray("zones").add("b");
+            case "not live" -> config.remove("live_settings");
+            case "version" -> ((ObjectNode) config.get("live_settings")).put("version", "42");
+            default -> {}
+          }
         });
-        String text = Files.readString(file);
-        switch (what) {
-            case "half" -> Files.writeString(file, text.substring(0, text.length() / 2));
-            case "twice" -> Files.writeString(file, text + text);
-            case "", "{", "{}" -> Files.writeString(file, what);
-            default -> { }
-        }
-        stage.agent.reload(file);
-        if (what.equals("zones")) { // the own zone has gone with it: its name is another
-            awaitLogged("settings: version 42 refused: locality cannot change while the agent runs");
-        } else {
-            awaitLogged(line);
-        }
-        assertEquals(41, inForce());
-        assertEquals(400, status("extra"));
-        for (String type : List.of("lookup", "pay", "order")) {
-            assertEquals(200, stage.call(type).status(), type);
-        }
-        if (text.equals(Files.readString(file))) { // else discovery's address is not there to read
-            Stage.await(() -> !elsewhere.requests.isEmpty());
-        } else {
-            assertEquals(0, elsewhere.requests.size());
-        }
-        take(44, config -> addFirst(config, "extra"));
-        assertEquals(200, status("extra"));
-        assertEquals(1, logged().lines().filter(each -> each.contains(" in force, was ")).count());
+    String text = Files.readString(file);
+    switch (what) {
+      case "half" -> Files.writeString(file, text.substring(0, text.length() / 2));
+      case "twice" -> Files.writeString(file, text + text);
+      case "", "{", "{}" -> Files.writeString(file, what);
+      default -> {}
     }
-
-    @Test
-    void theSameVersionWithTheSameContentIsNothingNewButDiscoveryMoves() throws Exception {
-        Peer server = stage.server(SERVES);
-        Peer elsewhere = stage.peer((message, socket) -> { });
-        stage.start();
-        write(41, config -> config.put("discovery", elsewhere.address()).put("seed", "77"));
-        stage.agent.reload(file);
-        Stage.await(() -> !elsewhere.requests.isEmpty());
-        assertEquals(200, stage.call("lookup").status());
-        assertEquals(1, server.requests.size());
-        assertFalse(logged().contains("refused: "), logged());
+    stage.agent.reload(file);
+    if (what.equals("zones")) { // the own zone has gone with it: its name is another
+      awaitLogged("settings: version 42 refused: locality cannot change while the agent runs");
+    } else {
+      awaitLogged(line);
     }
-
-    @Test
-    void withoutLiveSettingsOnlyDiscoveryIsTakenAndNoVersionIsShown() throws Exception {
-        stage.config.remove("live_settings");
-        stage.server(SERVES);
-        Peer elsewhere = stage.peer((message, socket) -> { });
-        stage.start();
-        stage.config.putObject("live_settings").put("check_ms", 10);
-        write(42, config -> {
-            addFirst(config, "extra");
-            config.put("discovery", elsewhere.address());
-        });
-        stage.agent.reload(file);
-        Stage.await(() -> !elsewhere.requests.isEmpty());
-        assertEquals(400, status("extra"));
-        assertNull(health().header("Settings-Version"));
-        assertEquals("", health().text());
-        assertFalse(logged().contains("settings: "));
-        assertTrue(Thread.getAllStackTraces().keySet().stream().noneMatch(each -> each.getName().equals("config")));
+    assertEquals(41, inForce());
+    assertEquals(400, status("extra"));
+    for (String type : List.of("lookup", "pay", "order")) {
+      assertEquals(200, stage.call(type).status(), type);
     }
-
-    @ParameterizedTest
-    @ValueSource(strings = {"{}", "{\"version\":-1}", "{\"version\":4.5}", "{\"version\":1,\"check_ms\":-5}",
-        "{\"version\":1,\"check_ms\":5}", "{\"version\":1,\"check_ms\":\"10\"}", "null", "7"})
-    void unusableLiveSettingsEndTheStart(String live) throws Exception {
-        Files.writeString(file, stage.config.toString().replace("{\"version\":41}", live));
-        String why = assertThrows(IllegalArgumentException.class, () -> Config.read(file)).getMessage();
-        assertTrue(why.matches("config: live_settings\\.\\S+ has an unusable value: .*"), why);
+    if (text.equals(Files.readString(file))) { // else discovery's address is not there to read
+      Stage.await(() -> !elsewhere.requests.isEmpty());
+    } else {
+      assertEquals(0, elsewhere.requests.size());
     }
-
-    // ---- When it is read ----
-
-    /** A lost signal must not leave an agent behind, nor a file that was seen half-written. */
-    @ParameterizedTest
-    @ValueSource(ints = {10, 0})
-    void aFileThatChangesIsTakenWithoutASignal(int checkMs) throws Exception {
-        stage.server(SERVES);
-        ((ObjectNode) stage.config.get("live_settings")).put("check_ms", checkMs);
-        write(41, config -> { });
-        stage.agent = Agent.start(file);
-        Stage.await(() -> logged().contains("settings: version 41 in force from the start"));
-        if (checkMs > 0) {
-            write(42, config -> addFirst(config, "extra"));
-            Stage.await(() -> inForce() == 42);
-        }
-        write(43, config -> { });
-        String whole = Files.readString(file);
-        Files.writeString(file, whole.substring(0, whole.length() - 9));
-        if (checkMs == 0) {
-            stage.agent.reload(file); // nobody looks otherwise, but then until it is whole
-        }
-        awaitLogged("settings: refused: cannot read");
-        Files.writeString(file, whole);
-        Stage.await(() -> inForce() == 43);
-        assertEquals(400, status("extra"));
-        long refused = logged().lines().filter(each -> each.contains("refused")).count();
-        assertTrue(refused <= 2, "an unusable file is told of once: " + logged());
-        stage.hangUp();
-        stage.agent.stop(); // it would tell the next test that its file has gone
-    }
-
-    private Path pipe() throws Exception {
-        Path pipe = dir.resolve("pipe");
-        assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        return pipe;
+    take(44, config -> addFirst(config, "extra"));
+    assertEquals(200, status("extra"));
+    assertEquals(1, logged().lines().filter(each -> each.contains(" in force, was ")).count());
+  }
+
+  @Test
+  void theSameVersionWithTheSameContentIsNothingNewButDiscoveryMoves() throws Exception {
+    Peer server = stage.server(SERVES);
+    Peer elsewhere = stage.peer((message, socket) -> {});
+    stage.start();
+    write(41, config -> config.put("discovery", elsewhere.address()).put("seed", "77"));
+    stage.agent.reload(file);
+    Stage.await(() -> !elsewhere.requests.isEmpty());
+    assertEquals(200, stage.call("lookup").status());
+    assertEquals(1, server.requests.size());
+    assertFalse(logged().contains("refused: "), logged());
+  }
+
+  @Test
+  void withoutLiveSettingsOnlyDiscoveryIsTakenAndNoVersionIsShown() throws Exception {
+    stage.config.remove("live_settings");
+    stage.server(SERVES);
+    Peer elsewhere = stage.peer((message, socket) -> {});
+    stage.start();
+    stage.config.putObject("live_settings").put("check_ms", 10);
+    write(
+        42,
+        config -> {
+          addFirst(config, "extra");
+          config.put("discovery", elsewhere.address());
+        });
+    stage.agent.reload(file);
+    Stage.await(() -> !elsewhere.requests.isEmpty());
+    assertEquals(400, status("extra"));
+    assertNull(health().header("Settings-Version"));
+    assertEquals("", health().text());
+    assertFalse(logged().contains("settings: "));
+    assertTrue(
+        Thread.getAllStackTraces().keySet().stream()
+            .noneMatch(each -> each.getName().equals("config")));
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "{}",
+        "{\"version\":-1}",
+        "{\"version\":4.5}",
+        "{\"version\":1,\"check_ms\":-5}",
+        "{\"version\":1,\"check_ms\":5}",
+        "{\"version\":1,\"check_ms\":\"10\"}",
+        "null",
+        "7"
+      })
+  void unusableLiveSettingsEndTheStart(String live) throws Exception {
+    Files.writeString(file, stage.config.toString().replace("{\"version\":41}", live));
+    String why = assertThrows(IllegalArgumentException.class, () -> Config.read(file)).getMessage();
+    assertTrue(why.matches("config: live_settings\\.\\S+ has an unusable value: .*"), why);
+  }
+
+  // ---- When it is read ----
+
+  /** A lost signal must not leave an agent behind, nor a file that was seen half-written. */
+  @ParameterizedTest
+  @ValueSource(ints = {10, 0})
+  void aFileThatChangesIsTakenWithoutASignal(int checkMs) throws Exception {
+    stage.server(SERVES);
+    ((ObjectNode) stage.config.get("live_settings")).put("check_ms", checkMs);
+    write(41, config -> {});
+    stage.agent = Agent.start(file);
+    Stage.await(() -> logged().contains("settings: version 41 in force from the start"));
+    if (checkMs > 0) {
+      write(42, config -> addFirst(config, "extra"));
+      Stage.await(() -> inForce() == 42);
     }
-
-    /** A read that is under way takes in what is asked for meanwhile: one more read, of the last file. */
-    @Test
-    void whatIsAskedForDuringAReadIsOneMoreReadAndTheLastWins() throws Exception {
-        stage.server(SERVES);
-        stage.start();
-        Path pipe = pipe();
-        Thread reader = Peer.daemon(() -> stage.agent.reload(pipe));
-        Stage.await(() -> reader.getState() == Thread.State.RUNNABLE && Stage.inside(reader, "readAgain"));
-        for (int version = 43; version <= 45; version++) {
-            write(version, config -> addFirst(config, "extra"));
-            stage.agent.reload(file);
-        }
-        assertEquals(41, inForce(), "requests are served while a read waits");
-        assertEquals(200, stage.call("lookup").status());
-        ObjectNode copy = stage.config.deepCopy();
-        ((ObjectNode) copy.get("live_settings")).put("version", 42);
-        Files.writeString(pipe, copy.toString());
-        reader.join();
-        Stage.await(() -> inForce() == 45);
-        assertEquals(List.of("42 in force, was 41", "45 in force, was 42"), changes());
-        assertEquals(200, status("extra"));
+    write(43, config -> {});
+    String whole = Files.readString(file);
+    Files.writeString(file, whole.substring(0, whole.length() - 9));
+    if (checkMs == 0) {
+      stage.agent.reload(file); // nobody looks otherwise, but then until it is whole
     }
-
-    private List<String> changes() {
-        return Pattern.compile("settings: version (\\d+ in force, was \\d+)").matcher(logged()).results()
-            .map((MatchResult each) -> each.group(1)).toList();
+    awaitLogged("settings: refused: cannot read");
+    Files.writeString(file, whole);
+    Stage.await(() -> inForce() == 43);
+    assertEquals(400, status("extra"));
+    long refused = logged().lines().filter(each -> each.contains("refused")).count();
+    assertTrue(refused <= 2, "an unusable file is told of once: " + logged());
+    stage.hangUp();
+    stage.agent.stop(); // it would tell the next test that its file has gone
+  }
+
+  private Path pipe() throws Exception {
+    Path pipe = dir.resolve("pipe");
+    assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
+    return pipe;
+  }
+
+  /**
+   * A read that is under way takes in what is asked for meanwhile: one more read, of the last file.
+   */
+  @Test
+  void whatIsAskedForDuringAReadIsOneMoreReadAndTheLastWins() throws Exception {
+    stage.server(SERVES);
+    stage.start();
+    Path pipe = pipe();
+    Thread reader = Peer.daemon(() -> stage.agent.reload(pipe));
+    Stage.await(
+        () -> reader.getState() == Thread.State.RUNNABLE && Stage.inside(reader, "readAgain"));
+    for (int version = 43; version <= 45; version++) {
+      write(version, config -> addFirst(config, "extra"));
+      stage.agent.reload(file);
     }
-
-    @Test
-    void aBurstOfVersionsEndsAtTheLastEachWholeOrSkipped() throws Exception {
-        stage.server(SERVES);
-        stage.start();
-        for (int i = 0; i < 100; i++) {
-            String name = "extra" + i;
-            write(42 + i, config -> addFirst(config, name));
-            Peer.daemon(() -> stage.agent.reload(file));
-        }
-        stage.agent.reload(file);
-        Stage.await(() -> inForce() == 141);
-        assertEquals(200, status("extra99"));
-        assertEquals(400, status("extra98"));
-        long last = 41;
-        for (String change : changes()) {
-            assertTrue(change.endsWith(" in force, was " + last), change);
-            last = Long.parseLong(change.split(" ")[0]);
-        }
-        assertEquals(141, last);
-        assertFalse(logged().contains("refused: "), logged());
+    assertEquals(41, inForce(), "requests are served while a read waits");
+    assertEquals(200, stage.call("lookup").status());
+    ObjectNode copy = stage.config.deepCopy();
+    ((ObjectNode) copy.get("live_settings")).put("version", 42);
+    Files.writeString(pipe, copy.toString());
+    reader.join();
+    Stage.await(() -> inForce() == 45);
+    assertEquals(List.of("42 in force, was 41", "45 in force, was 42"), changes());
+    assertEquals(200, status("extra"));
+  }
+
+  private List<String> changes() {
+    return Pattern.compile("settings: version (\\d+ in force, was \\d+)")
+        .matcher(logged())
+        .results()
+        .map((MatchResult each) -> each.group(1))
+        .toList();
+  }
+
+  @Test
+  void aBurstOfVersionsEndsAtTheLastEachWholeOrSkipped() throws Exception {
+    stage.server(SERVES);
+    stage.start();
+    for (int i = 0; i < 100; i++) {
+      String name = "extra" + i;
+      write(42 + i, config -> addFirst(config, name));
+      Peer.daemon(() -> stage.agent.reload(file));
     }
-
-    @Test
-    void theEndDoesNotWaitForAReadThatIsUnderWay() throws Exception {
-        stage.start();
-        Path pipe = pipe();
-        Thread reader = Peer.daemon(() -> stage.agent.reload(pipe));
-        Stage.await(() -> Stage.inside(reader, "readAgain"));
-        stage.hangUp();
-        stage.agent.stop();
-        ObjectNode copy = stage.config.deepCopy();
-        ((ObjectNode) copy.get("live_settings")).put("version", 42);
-        Files.writeString(pipe, copy.toString());
-        reader.join();
-        assertTrue(logged().contains("reload: not taken, the agent has ended"));
+    stage.agent.reload(file);
+    Stage.await(() -> inForce() == 141);
+    assertEquals(200, status("extra99"));
+    assertEquals(400, status("extra98"));
+    long last = 41;
+    for (String change : changes()) {
+      assertTrue(change.endsWith(" in force, was " + last), change);
+      last = Long.parseLong(change.split(" ")[0]);
     }
-
-    // ---- For those on call ----
-
-    @Test
-    void theTallyNamesTheVersionAndThePageShowsTheLines() throws Exception {
-        Tally tally = new Tally();
-        tally.settings(new LiveSettings().told(Config.of(stage.config)));
-        tally.answered(Tally.Answer.SERVED, 1);
-        String told = "settings 41 (taken 0, refused 0)";
-        assertTrue(tally.take(0, 0).get(0).endsWith("; " + told));
-        stage.start();
-        take(42, config -> { });
-        write(40, config -> { });
-        stage.agent.reload(file);
-        awaitLogged("settings: version 40 refused");
-        String page = figures(Files.readString(Path.of("README.md")).replaceAll("\\s+", " "));
-        assertTrue(page.contains(figures(told)));
-        List<String> lines = logged().lines().filter(each -> each.startsWith("settings: ")).toList();
-        assertEquals(3, lines.size());
-        for (String line : lines) {
-            assertTrue(page.contains("`" + figures(line) + "`"), line);
-        }
+    assertEquals(141, last);
+    assertFalse(logged().contains("refused: "), logged());
+  }
+
+  @Test
+  void theEndDoesNotWaitForAReadThatIsUnderWay() throws Exception {
+    stage.start();
+    Path pipe = pipe();
+    Thread reader = Peer.daemon(() -> stage.agent.reload(pipe));
+    Stage.await(() -> Stage.inside(reader, "readAgain"));
+    stage.hangUp();
+    stage.agent.stop();
+    ObjectNode copy = stage.config.deepCopy();
+    ((ObjectNode) copy.get("live_settings")).put("version", 42);
+    Files.writeString(pipe, copy.toString());
+    reader.join();
+    assertTrue(logged().contains("reload: not taken, the agent has ended"));
+  }
+
+  // ---- For those on call ----
+
+  @Test
+  void theTallyNamesTheVersionAndThePageShowsTheLines() throws Exception {
+    Tally tally = new Tally();
+    tally.settings(new LiveSettings().told(Config.of(stage.config)));
+    tally.answered(Tally.Answer.SERVED, 1);
+    String told = "settings 41 (taken 0, refused 0)";
+    assertTrue(tally.take(0, 0).get(0).endsWith("; " + told));
+    stage.start();
+    take(42, config -> {});
+    write(40, config -> {});
+    stage.agent.reload(file);
+    awaitLogged("settings: version 40 refused");
+    String page = figures(Files.readString(Path.of("README.md")).replaceAll("\\s+", " "));
+    assertTrue(page.contains(figures(told)));
+    List<String> lines = logged().lines().filter(each -> each.startsWith("settings: ")).toList();
+    assertEquals(3, lines.size());
+    for (String line : lines) {
+      assertTrue(page.contains("`" + figures(line) + "`"), line);
     }
+  }
 
-    private static String figures(String line) {
-        return line.replaceAll("[0-9.]+", "N");
-    }
+  private static String figures(String line) {
+    return line.replaceAll("[0-9.]+", "N");
+  }
 }
--- a/src/test/java/gatefront/net/Peer.java
+++ b/src/test/java/gatefront/net/Peer.java
@@ -16,143 +16,159 @@
 
 /** A small peer on a loopback port that does with each message what the test's script says. */
 public final class Peer implements Closeable {
-    /** What to do with a message; returning without an answer leaves the peer silent. */
-    public interface Script {
-        void handle(Message message, Socket socket) throws Exception;
+  /** What to do with a message; returning without an answer leaves the peer silent. */
+  public interface Script {
+    void handle(Message message, Socket socket) throws Exception;
+  }
+
+  /** One HTTP message as it stood on the wire. */
+  public record Message(String first, Map<String, String> headers, byte[] body) {
+    public String header(String name) {
+      return headers.get(name);
     }
 
-    /** One HTTP message as it stood on the wire. */
-    public record Message(String first, Map<String, String> headers, byte[] body) {
-        public String header(String name) {
-            return headers.get(name);
-        }
-
-        public int status() {
-            return Integer.parseInt(first.split(" ")[1]);
-        }
+    public int status() {
+      return Integer.parseInt(first.split(" ")[1]);
+    }
 
-        public String target() {
-            return first.split(" ")[1];
-        }
+    public String target() {
+      return first.split(" ")[1];
+    }
 
-        public String text() {
-            return new String(body, StandardCharsets.ISO_8859_1);
-        }
+    public String text() {
+      return new String(body, StandardCharsets.ISO_8859_1);
     }
+  }
 
-    public final ServerSocket listener;
-    /** All requests but health checks, in the order of their arrival. */
-    public final List<Message> requests = new CopyOnWriteArrayList<>();
-    public final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    /** Connections that the other side has ended. */
-    public final List<Socket> ended = new CopyOnWriteArrayList<>();
-    private final Script script;
+  public final ServerSocket listener;
 
-    public Peer(Script script) throws IOException {
-        this(0, script);
-    }
+  /** All requests but health checks, in the order of their arrival. */
+  public final List<Message> requests = new CopyOnWriteArrayList<>();
 
-    /** One at this port, where another has been before. */
-    public Peer(int port, Script script) throws IOException {
-        this.script = script;
-        this.listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        daemon(() -> {
-            while (true) {
-                Socket socket = listener.accept();
-                sockets.add(socket);
-                daemon(() -> serve(socket));
-            }
-        });
-    }
+  public final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-    public String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
-    }
+  /** Connections that the other side has ended. */
+  public final List<Socket> ended = new CopyOnWriteArrayList<>();
 
-    /** Does what it does with each connection to it. */
-    void serve(Socket socket) throws Exception {
-        try (socket) {
-            while (true) {
-                Message message = read(socket.getInputStream());
-                if (message.target().equals("/healthz")) {
-                    write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-                    continue;
-                }
-                requests.add(message);
-                script.handle(message, socket);
-            }
-        } finally {
-            ended.add(socket);
-        }
-    }
+  private final Script script;
+
+  public Peer(Script script) throws IOException {
+    this(0, script);
+  }
 
-    @Override
-    public void close() throws IOException {
-        listener.close();
-        for (Socket socket : sockets) {
-            socket.close();
+  /** One at this port, where another has been before. */
+  public Peer(int port, Script script) throws IOException {
+    this.script = script;
+    this.listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
+    daemon(
+        () -> {
+          while (true) {
+            Socket socket = listener.accept();
+            sockets.add(socket);
+            daemon(() -> serve(socket));
+          }
+        });
+  }
+
+  public String address() {
+    return "127.0.0.1:" + listener.getLocalPort();
+  }
+
+  /** Does what it does with each connection to it. */
+  void serve(Socket socket) throws Exception {
+    try (socket) {
+      while (true) {
+        Message message = read(socket.getInputStream());
+        if (message.target().equals("/healthz")) {
+          write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+          continue;
         }
+        requests.add(message);
+        script.handle(message, socket);
+      }
+    } finally {
+      ended.add(socket);
     }
+  }
 
-    /** Something that runs on a thread of its own and may fail when its sockets close. */
-    public interface Task {
-        void run() throws Exception;
+  @Override
+  public void close() throws IOException {
+    listener.close();
+    for (Socket socket : sockets) {
+      socket.close();
     }
-
-    public static Thread daemon(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
+  }
+
+  /** Something that runs on a thread of its own and may fail when its sockets close. */
+  public interface Task {
+    void run() throws Exception;
+  }
+
+  public static Thread daemon(Task task) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
                 task.run();
-            } catch (Exception e) {
+              } catch (Exception e) {
                 // the sockets have been closed
-            }
-        });
-        thread.setDaemon(true);
-        thread.start();
-        return thread;
-    }
-
-    public static void write(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        socket.getOutputStream().flush();
-    }
-
-    /** An answer with a body. */
-    public static void answer(Socket socket, int status, String headers, String body) throws IOException {
-        write(socket, "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
+              }
+            });
+    thread.setDaemon(true);
+    thread.start();
+    return thread;
+  }
+
+  public static void write(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    socket.getOutputStream().flush();
+  }
+
+  /** An answer with a body. */
+  public static void answer(Socket socket, int status, String headers, String body)
+      throws IOException {
+    write(
+        socket,
+        "HTTP/1.1 "
+            + status
+            + " X\r\n"
+            + headers
+            + "Content-Length: "
+            + body.length()
+            + "\r\n\r\n"
             + body);
+  }
+
+  /** Ends a connection with a reset. */
+  public static void reset(Socket socket) throws IOException {
+    socket.setSoLinger(true, 0);
+    socket.close();
+  }
+
+  /** Reads one message; EOFException where the connection ends first. */
+  public static Message read(InputStream in) throws IOException {
+    String first = line(in);
+    Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+    for (String line = line(in); !line.isEmpty(); line = line(in)) {
+      int colon = line.indexOf(':');
+      headers.put(line.substring(0, colon), line.substring(colon + 1).trim());
     }
-
-    /** Ends a connection with a reset. */
-    public static void reset(Socket socket) throws IOException {
-        socket.setSoLinger(true, 0);
-        socket.close();
+    int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
+    byte[] body = in.readNBytes(length);
+    if (body.length < length) {
+      throw new EOFException();
     }
-
-    /** Reads one message; EOFException where the connection ends first. */
-    public static Message read(InputStream in) throws IOException {
-        String first = line(in);
-        Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
-            int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon), line.substring(colon + 1).trim());
-        }
-        int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
-        byte[] body = in.readNBytes(length);
-        if (body.length < length) {
-            throw new EOFException();
-        }
-        return new Message(first, headers, body);
-    }
-
-    private static String line(InputStream in) throws IOException {
-        ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) {
-                throw new EOFException();
-            }
-            line.write(c);
-        }
-        return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+    return new Message(first, headers, body);
+  }
+
+  private static String line(InputStream in) throws IOException {
+    ByteArrayOutputStream line = new ByteArrayOutputStream();
+    for (int c = in.read(); c != '\n'; c = in.read()) {
+      if (c < 0) {
+        throw new EOFException();
+      }
+      line.write(c);
     }
+    return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+  }
 }
--- a/src/test/java/gatefront/net/ReloadTest.java
+++ b/src/test/java/gatefront/net/ReloadTest.java
@@ -24,217 +24,249 @@
 
 /** A new configuration under way, over loopback sockets. */
 class ReloadTest {
-    @TempDir
-    private Path dir;
-    private Stage stage;
-    private Path file;
-
-    @BeforeEach
-    void set() throws IOException {
-        stage = new Stage();
-        file = dir.resolve("config.json");
-    }
+  @TempDir private Path dir;
+  private Stage stage;
+  private Path file;
 
-    @AfterEach
-    void strike() throws IOException {
-        stage.close();
-    }
+  @BeforeEach
+  void set() throws IOException {
+    stage = new Stage();
+    file = dir.resolve("config.json");
+  }
 
-    /** The file as it is, but with discovery elsewhere. */
-    private void write(String discovery) throws IOException {
-        ObjectNode copy = stage.config.deepCopy();
-        Files.writeString(file, copy.put("discovery", discovery).toString());
-    }
+  @AfterEach
+  void strike() throws IOException {
+    stage.close();
+  }
+
+  /** The file as it is, but with discovery elsewhere. */
+  private void write(String discovery) throws IOException {
+    ObjectNode copy = stage.config.deepCopy();
+    Files.writeString(file, copy.put("discovery", discovery).toString());
+  }
 
-    /** Another discovery that lists this one server and then has no news; it notes the calls. */
-    private Peer discoveryOf(Peer server) throws IOException {
-        return stage.peer((message, socket) -> {
-            if (!message.target().contains("since")) {
-                Peer.answer(socket, 200, "", "{\"index\":1,\"snapshot\":true,\"endpoints\":["
-                    + Stage.endpoint(9, server.address(), "Ready") + "]}");
-            }
+  /** Another discovery that lists this one server and then has no news; it notes the calls. */
+  private Peer discoveryOf(Peer server) throws IOException {
+    return stage.peer(
+        (message, socket) -> {
+          if (!message.target().contains("since")) {
+            Peer.answer(
+                socket,
+                200,
+                "",
+                "{\"index\":1,\"snapshot\":true,\"endpoints\":["
+                    + Stage.endpoint(9, server.address(), "Ready")
+                    + "]}");
+          }
         });
-    }
+  }
 
-    private static List<String> asked(Peer discovery) {
-        return discovery.requests.stream().map(Peer.Message::target).toList();
-    }
+  private static List<String> asked(Peer discovery) {
+    return discovery.requests.stream().map(Peer.Message::target).toList();
+  }
 
-    @Test
-    void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        Peer old = stage.server((message, socket) -> {
-            go.await();
-            Peer.answer(socket, 200, "", "old");
-        });
-        Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-        Peer other = discoveryOf(fresh);
-        stage.start();
-        Socket held = stage.dial();
-        Peer.write(held, stage.request("order", 8000, "body"));
-        Stage.await(() -> old.requests.size() == 1);
-        write(other.address());
-        for (int i = 0; i < 5; i++) { // several in a row do no more than one
-            stage.agent.reload(file);
-        }
-        Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
-        assertEquals("/v1/servers", asked(other).get(0));
-        assertEquals(1, asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
-        for (int i = 0; i < 5; i++) {
-            assertEquals("new", stage.call("order").text(), "the new list is the whole list");
-        }
-        go.countDown();
-        assertEquals("old", Peer.read(held.getInputStream()).text());
+  @Test
+  void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
+    CountDownLatch go = new CountDownLatch(1);
+    Peer old =
+        stage.server(
+            (message, socket) -> {
+              go.await();
+              Peer.answer(socket, 200, "", "old");
+            });
+    Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
+    Peer other = discoveryOf(fresh);
+    stage.start();
+    Socket held = stage.dial();
+    Peer.write(held, stage.request("order", 8000, "body"));
+    Stage.await(() -> old.requests.size() == 1);
+    write(other.address());
+    for (int i = 0; i < 5; i++) { // several in a row do no more than one
+      stage.agent.reload(file);
     }
-
-    /** Guards against an agent without servers while the new discovery is not up yet. */
-    @Test
-    void theOldListStaysUntilTheNewOneComes() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-        Peer up = discoveryOf(fresh);
-        Peer down = stage.peer((message, socket) -> Peer.reset(socket));
-        stage.start();
-        write(down.address());
-        stage.agent.reload(file);
-        Stage.await(() -> down.requests.size() >= 2);
-        assertEquals("old", stage.call("lookup").text());
-        write(up.address());
-        stage.agent.reload(file);
-        Stage.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
-        assertEquals("new", stage.call("lookup").text());
+    Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+    assertEquals("/v1/servers", asked(other).get(0));
+    assertEquals(1, asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
+    for (int i = 0; i < 5; i++) {
+      assertEquals("new", stage.call("order").text(), "the new list is the whole list");
     }
+    go.countDown();
+    assertEquals("old", Peer.read(held.getInputStream()).text());
+  }
+
+  /** Guards against an agent without servers while the new discovery is not up yet. */
+  @Test
+  void theOldListStaysUntilTheNewOneComes() throws Exception {
+    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
+    Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
+    Peer up = discoveryOf(fresh);
+    Peer down = stage.peer((message, socket) -> Peer.reset(socket));
+    stage.start();
+    write(down.address());
+    stage.agent.reload(file);
+    Stage.await(() -> down.requests.size() >= 2);
+    assertEquals("old", stage.call("lookup").text());
+    write(up.address());
+    stage.agent.reload(file);
+    Stage.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
+    assertEquals("new", stage.call("lookup").text());
+  }
 
-    /**
-     * Guards against the module's wait after a failed call, which doubles: after a move the new list is owed
-     * within 4 s, and a discovery that all agents call at once may turn some away.
-     */
-    @Test
-    void callsThatFailAfterAMoveAreMadeAgainWithoutTheWaitOfOthers() throws Exception {
-        ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-        Peer busy = stage.peer((message, socket) -> {
-            if (message.target().contains("since")) {
+  /**
+   * Guards against the module's wait after a failed call, which doubles: after a move the new list
+   * is owed within 4 s, and a discovery that all agents call at once may turn some away.
+   */
+  @Test
+  void callsThatFailAfterAMoveAreMadeAgainWithoutTheWaitOfOthers() throws Exception {
+    ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
+    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
+    Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
+    Peer busy =
+        stage.peer(
+            (message, socket) -> {
+              if (message.target().contains("since")) {
                 return;
-            }
-            if (asked(stage.peers.get(1)).size() <= 3) {
+              }
+              if (asked(stage.peers.get(1)).size() <= 3) {
                 Peer.answer(socket, 503, "", "");
-            } else {
-                Peer.answer(socket, 200, "", "{\"index\":1,\"snapshot\":true,\"endpoints\":["
-                    + Stage.endpoint(9, fresh.address(), "Ready") + "]}");
-            }
-        });
-        AtomicInteger waits = new AtomicInteger();
-        stage.start(stage.overheard((event, details) -> {
-            if (event.equals("servers") && details[1] == Balancer.ListKind.FAILED) {
+              } else {
+                Peer.answer(
+                    socket,
+                    200,
+                    "",
+                    "{\"index\":1,\"snapshot\":true,\"endpoints\":["
+                        + Stage.endpoint(9, fresh.address(), "Ready")
+                        + "]}");
+              }
+            });
+    AtomicInteger waits = new AtomicInteger();
+    stage.start(
+        stage.overheard(
+            (event, details) -> {
+              if (event.equals("servers") && details[1] == Balancer.ListKind.FAILED) {
                 waits.incrementAndGet();
-            }
-        }));
-        write(busy.address());
-        stage.agent.reload(file);
-        Stage.await(() -> asked(busy).stream().anyMatch(each -> each.contains("since=1&")));
-        assertEquals(0, waits.get());
-        assertEquals("new", stage.call("lookup").text());
-    }
+              }
+            }));
+    write(busy.address());
+    stage.agent.reload(file);
+    Stage.await(() -> asked(busy).stream().anyMatch(each -> each.contains("since=1&")));
+    assertEquals(0, waits.get());
+    assertEquals("new", stage.call("lookup").text());
+  }
 
-    @Test
-    void anUnusableFileChangesNothing() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        stage.start();
-        for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
-            Files.writeString(file, text);
-            stage.agent.reload(file);
-        }
-        stage.agent.reload(dir.resolve("missing"));
-        int before = stage.discovery.requests.size();
-        stage.news.add(Stage.delta(1, Stage.endpoint(2, "127.0.0.1:9", "Terminating")));
-        Stage.await(() -> stage.discovery.requests.size() > before);
-        assertEquals("old", stage.call("lookup").text());
+  @Test
+  void anUnusableFileChangesNothing() throws Exception {
+    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
+    stage.start();
+    for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
+      Files.writeString(file, text);
+      stage.agent.reload(file);
     }
+    stage.agent.reload(dir.resolve("missing"));
+    int before = stage.discovery.requests.size();
+    stage.news.add(Stage.delta(1, Stage.endpoint(2, "127.0.0.1:9", "Terminating")));
+    Stage.await(() -> stage.discovery.requests.size() > before);
+    assertEquals("old", stage.call("lookup").text());
+  }
 
-    /** Guards against the signal's usual effect, which is the end of the JVM, also while it ends in order. */
-    @Test
-    void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
-        Peer old = stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-        Peer other = discoveryOf(old);
-        write(stage.discovery.address());
-        Process process = program("-Xmx48m");
-        try {
-            Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
-            write(other.address());
-            signal(process, "HUP");
-            Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
-            assertTrue(process.isAlive());
-            signal(process, "TERM");
-            for (int i = 0; i < 3; i++) {
-                signal(process, "HUP");
-            }
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
-            assertEquals(0, process.exitValue());
-            assertFalse(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
-        } finally {
-            process.destroyForcibly();
-        }
+  /**
+   * Guards against the signal's usual effect, which is the end of the JVM, also while it ends in
+   * order.
+   */
+  @Test
+  void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
+    Peer old = stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
+    Peer other = discoveryOf(old);
+    write(stage.discovery.address());
+    Process process = program("-Xmx48m");
+    try {
+      Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+      write(other.address());
+      signal(process, "HUP");
+      Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+      assertTrue(process.isAlive());
+      signal(process, "TERM");
+      for (int i = 0; i < 3; i++) {
+        signal(process, "HUP");
+      }
+      assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertEquals(0, process.exitValue());
+      assertFalse(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
+    } finally {
+      process.destroyForcibly();
     }
+  }
 
-    /** Guards against an agent that follows an old discovery, and nothing tells why: the JVM cannot hear it. */
-    @Test
-    void aStartThatIgnoresSighupSaysSo() throws Exception {
-        write(stage.discovery.address());
-        ProcessBuilder program = builder("-Xmx48m");
-        program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
-        Process process = program.start();
-        try {
-            Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
-            signal(process, "TERM");
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
-            assertTrue(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
-        } finally {
-            process.destroyForcibly();
-        }
+  /**
+   * Guards against an agent that follows an old discovery, and nothing tells why: the JVM cannot
+   * hear it.
+   */
+  @Test
+  void aStartThatIgnoresSighupSaysSo() throws Exception {
+    write(stage.discovery.address());
+    ProcessBuilder program = builder("-Xmx48m");
+    program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
+    Process process = program.start();
+    try {
+      Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+      signal(process, "TERM");
+      assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
+    } finally {
+      process.destroyForcibly();
     }
+  }
 
-    /**
-     * Guards against a start that takes its time over what serves no request: making the library's mapper or
-     * code for concatenations is a quarter of it on a part of a core, and nobody is served meanwhile.
-     */
-    @Test
-    void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
-        stage.server((message, socket) -> Peer.answer(socket, 200, "", ""));
-        write(stage.discovery.address());
-        Process process = program("-Xlog:class+load");
-        try {
-            Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
-            signal(process, "TERM");
-            assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
-            String loaded = Files.readString(dir.resolve("log"));
-            assertTrue(loaded.contains(" gatefront.net.Discovery$Answers "));
-            assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
-            try (InputStream code = Config.class.getResourceAsStream("Config.class")) {
-                String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
-                assertFalse(text.contains("makeConcatWithConstants"), "concatenations are made by the compiler");
-            }
-        } finally {
-            process.destroyForcibly();
-        }
+  /**
+   * Guards against a start that takes its time over what serves no request: making the library's
+   * mapper or code for concatenations is a quarter of it on a part of a core, and nobody is served
+   * meanwhile.
+   */
+  @Test
+  void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
+    stage.server((message, socket) -> Peer.answer(socket, 200, "", ""));
+    write(stage.discovery.address());
+    Process process = program("-Xlog:class+load");
+    try {
+      Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+      signal(process, "TERM");
+      assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      String loaded = Files.readString(dir.resolve("log"));
+      assertTrue(loaded.contains(" gatefront.net.Discovery$Answers "));
+      assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
+      try (InputStream code = Config.class.getResourceAsStream("Config.class")) {
+        String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
+        assertFalse(
+            text.contains("makeConcatWithConstants"), "concatenations are made by the compiler");
+      }
+    } finally {
+      process.destroyForcibly();
     }
+  }
 
-    private Process program(String option) throws IOException {
-        return builder(option).start();
-    }
+  private Process program(String option) throws IOException {
+    return builder(option).start();
+  }
 
-    private ProcessBuilder builder(String option) {
-        List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), option, "-cp",
-            System.getProperty("java.class.path"), "gatefront.Main", "serve"));
-        ProcessBuilder program = new ProcessBuilder(command).redirectErrorStream(true)
+  private ProcessBuilder builder(String option) {
+    List<String> command =
+        new ArrayList<>(
+            List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                option,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "gatefront.Main",
+                "serve"));
+    ProcessBuilder program =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
             .redirectOutput(dir.resolve("log").toFile());
-        program.environment().put("RELAY_CONFIG", file.toString());
-        return program;
-    }
+    program.environment().put("RELAY_CONFIG", file.toString());
+    return program;
+  }
 
-    private static void signal(Process process, String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
-    }
+  private static void signal(Process process, String name) throws Exception {
+    new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
+  }
 }
--- a/src/test/java/gatefront/net/Stage.java
+++ b/src/test/java/gatefront/net/Stage.java
@@ -27,193 +27,231 @@
 
 /** An agent on a loopback port with a scripted discovery and scripted servers. */
 final class Stage implements Closeable {
-    static final long GENEROUS_MS = 20_000;
-    private static final ObjectMapper JSON = new ObjectMapper();
-
-    final ObjectNode config;
-    final List<Peer> servers = new ArrayList<>();
-    /** Others that close with the stage. */
-    final List<Peer> peers = new ArrayList<>();
-    /** What discovery answers to the calls after the first, one each; it waits while there is none. */
-    final BlockingQueue<Peer.Script> news = new LinkedBlockingQueue<>();
-    final Peer discovery;
-    Agent agent;
-    private final List<Socket> clients = new ArrayList<>();
-    private int requests;
-
-    Stage() throws IOException {
-        config = (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
-        discovery = new Peer((message, socket) -> {
-            if (message.target().contains("since")) {
+  static final long GENEROUS_MS = 20_000;
+  private static final ObjectMapper JSON = new ObjectMapper();
+
+  final ObjectNode config;
+  final List<Peer> servers = new ArrayList<>();
+
+  /** Others that close with the stage. */
+  final List<Peer> peers = new ArrayList<>();
+
+  /**
+   * What discovery answers to the calls after the first, one each; it waits while there is none.
+   */
+  final BlockingQueue<Peer.Script> news = new LinkedBlockingQueue<>();
+
+  final Peer discovery;
+  Agent agent;
+  private final List<Socket> clients = new ArrayList<>();
+  private int requests;
+
+  Stage() throws IOException {
+    config =
+        (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
+    discovery =
+        new Peer(
+            (message, socket) -> {
+              if (message.target().contains("since")) {
                 news.take().handle(message, socket);
-            } else {
+              } else {
                 Peer.answer(socket, 200, "", config.get("known").toString());
-            }
-        });
-        config.put("discovery", discovery.address());
-    }
+              }
+            });
+    config.put("discovery", discovery.address());
+  }
 
-    /** Adds a server to the known list, which is also discovery's first answer. */
-    Peer server(Peer.Script script) throws IOException {
-        Peer peer = new Peer(script);
-        servers.add(peer);
-        ((ArrayNode) config.get("known").get("endpoints")).add(endpoint(servers.size(), peer.address(), "Ready"));
-        return peer;
-    }
+  /** Adds a server to the known list, which is also discovery's first answer. */
+  Peer server(Peer.Script script) throws IOException {
+    Peer peer = new Peer(script);
+    servers.add(peer);
+    ((ArrayNode) config.get("known").get("endpoints"))
+        .add(endpoint(servers.size(), peer.address(), "Ready"));
+    return peer;
+  }
 
-    /** A server that is not listed. */
-    Peer peer(Peer.Script script) throws IOException {
-        Peer peer = new Peer(script);
-        peers.add(peer);
-        return peer;
-    }
+  /** A server that is not listed. */
+  Peer peer(Peer.Script script) throws IOException {
+    Peer peer = new Peer(script);
+    peers.add(peer);
+    return peer;
+  }
 
-    static ObjectNode endpoint(int number, String address, String status) {
-        return JSON.createObjectNode().put("name", "s-" + number).put("address", address).put("zone", "a")
-            .put("type", "small").put("group", 0).put("status", status).put("weight", 1.0).put("since_ms", 0);
-    }
+  static ObjectNode endpoint(int number, String address, String status) {
+    return JSON.createObjectNode()
+        .put("name", "s-" + number)
+        .put("address", address)
+        .put("zone", "a")
+        .put("type", "small")
+        .put("group", 0)
+        .put("status", status)
+        .put("weight", 1.0)
+        .put("since_ms", 0);
+  }
 
-    /** Discovery's answer with changes. */
-    static Peer.Script delta(int index, ObjectNode... entries) {
-        ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
-        list.putArray("endpoints").addAll(List.of(entries));
-        return (message, socket) -> Peer.answer(socket, 200, "", list.toString());
-    }
+  /** Discovery's answer with changes. */
+  static Peer.Script delta(int index, ObjectNode... entries) {
+    ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
+    list.putArray("endpoints").addAll(List.of(entries));
+    return (message, socket) -> Peer.answer(socket, 200, "", list.toString());
+  }
 
-    Stage settings(String group, Consumer<ObjectNode> change) {
-        change.accept((ObjectNode) config.get("settings").get(group));
-        return this;
-    }
+  Stage settings(String group, Consumer<ObjectNode> change) {
+    change.accept((ObjectNode) config.get("settings").get(group));
+    return this;
+  }
 
-    Stage start() throws IOException {
-        agent = Agent.start(Config.of(config));
-        awaitReady();
-        return this;
-    }
+  Stage start() throws IOException {
+    agent = Agent.start(Config.of(config));
+    awaitReady();
+    return this;
+  }
 
-    Stage start(Function<Agent, Balancer> module) throws IOException {
-        agent = Agent.start(Config.of(config), module);
-        awaitReady();
-        return this;
-    }
+  Stage start(Function<Agent, Balancer> module) throws IOException {
+    agent = Agent.start(Config.of(config), module);
+    awaitReady();
+    return this;
+  }
 
-    /** The usual module behind one that is told of each event before it, and may fail. */
-    Function<Agent, Balancer> overheard(BiConsumer<String, Object[]> before) {
-        return agent -> {
-            Balancer rules = new Rules(Config.of(config).settings(), 1, 0, agent);
-            return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class}, (proxy, method, details) -> {
-                    before.accept(method.getName(), details);
-                    return method.invoke(rules, details);
-                });
-        };
-    }
+  /** The usual module behind one that is told of each event before it, and may fail. */
+  Function<Agent, Balancer> overheard(BiConsumer<String, Object[]> before) {
+    return agent -> {
+      Balancer rules = new Rules(Config.of(config).settings(), 1, 0, agent);
+      return (Balancer)
+          Proxy.newProxyInstance(
+              Balancer.class.getClassLoader(),
+              new Class<?>[] {Balancer.class},
+              (proxy, method, details) -> {
+                before.accept(method.getName(), details);
+                return method.invoke(rules, details);
+              });
+    };
+  }
 
-    void awaitReady() {
-        await(() -> {
-            try (Socket socket = dial()) {
-                Peer.write(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-                return Peer.read(socket.getInputStream()).status() == 200;
-            } catch (IOException e) {
-                return false;
-            }
+  void awaitReady() {
+    await(
+        () -> {
+          try (Socket socket = dial()) {
+            Peer.write(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+            return Peer.read(socket.getInputStream()).status() == 200;
+          } catch (IOException e) {
+            return false;
+          }
         });
-    }
+  }
 
-    /** A connection of the application's. */
-    Socket dial() throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), agent.address().getPort());
-        socket.setSoTimeout((int) GENEROUS_MS);
-        clients.add(socket);
-        return socket;
-    }
+  /** A connection of the application's. */
+  Socket dial() throws IOException {
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), agent.address().getPort());
+    socket.setSoTimeout((int) GENEROUS_MS);
+    clients.add(socket);
+    return socket;
+  }
 
-    /** A request as a client sends it; the classes are safe, keyed and unsafe: lookup, pay, order. */
-    String request(String type, long timeoutMs, String body) {
-        String method = type.equals("lookup") ? "GET" : "POST";
-        return method + " /" + type + "?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: id" + ++requests
-            + "\r\nRequest-Class: " + type + "\r\nRequest-Timeout-Ms: " + timeoutMs + "\r\n"
-            + (type.equals("pay") ? "Idempotency-Key: k" + requests + "\r\n" : "")
-            + (method.equals("POST") ? "Content-Length: " + body.length() + "\r\n" : "") + "\r\n" + body;
-    }
+  /** A request as a client sends it; the classes are safe, keyed and unsafe: lookup, pay, order. */
+  String request(String type, long timeoutMs, String body) {
+    String method = type.equals("lookup") ? "GET" : "POST";
+    return method
+        + " /"
+        + type
+        + "?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: id"
+        + ++requests
+        + "\r\nRequest-Class: "
+        + type
+        + "\r\nRequest-Timeout-Ms: "
+        + timeoutMs
+        + "\r\n"
+        + (type.equals("pay") ? "Idempotency-Key: k" + requests + "\r\n" : "")
+        + (method.equals("POST") ? "Content-Length: " + body.length() + "\r\n" : "")
+        + "\r\n"
+        + body;
+  }
 
-    /** Sends a request on a new connection and returns its answer. */
-    Peer.Message call(String type) throws IOException {
-        return exchange(dial(), request(type, 8000, "body"));
-    }
+  /** Sends a request on a new connection and returns its answer. */
+  Peer.Message call(String type) throws IOException {
+    return exchange(dial(), request(type, 8000, "body"));
+  }
 
-    static Peer.Message exchange(Socket socket, String request) throws IOException {
-        Peer.write(socket, request);
-        return Peer.read(socket.getInputStream());
-    }
+  static Peer.Message exchange(Socket socket, String request) throws IOException {
+    Peer.write(socket, request);
+    return Peer.read(socket.getInputStream());
+  }
 
-    /** How many requests have reached the servers. */
-    int arrived() {
-        return servers.stream().mapToInt(each -> each.requests.size()).sum();
-    }
+  /** How many requests have reached the servers. */
+  int arrived() {
+    return servers.stream().mapToInt(each -> each.requests.size()).sum();
+  }
 
-    /** Connects to a listener with room for one that nobody accepts from: the next who dials has to wait. */
-    static List<Socket> fill(ServerSocket full) {
-        List<Socket> filling = new ArrayList<>();
-        for (int i = 0; i < 4; i++) {
-            Socket socket = new Socket();
-            filling.add(socket);
-            Peer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
-        }
-        await(() -> filling.stream().filter(Socket::isConnected).count() >= 2); // one more than it has room for
-        return filling;
+  /**
+   * Connects to a listener with room for one that nobody accepts from: the next who dials has to
+   * wait.
+   */
+  static List<Socket> fill(ServerSocket full) {
+    List<Socket> filling = new ArrayList<>();
+    for (int i = 0; i < 4; i++) {
+      Socket socket = new Socket();
+      filling.add(socket);
+      Peer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
     }
+    await(
+        () ->
+            filling.stream().filter(Socket::isConnected).count()
+                >= 2); // one more than it has room for
+    return filling;
+  }
 
-    /** Counts what comes on the connections to such a listener, once they are accepted. */
-    static AtomicInteger accept(ServerSocket full) {
-        AtomicInteger written = new AtomicInteger();
-        Peer.daemon(() -> {
-            while (true) {
-                Socket accepted = full.accept();
-                Peer.daemon(() -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
-            }
+  /** Counts what comes on the connections to such a listener, once they are accepted. */
+  static AtomicInteger accept(ServerSocket full) {
+    AtomicInteger written = new AtomicInteger();
+    Peer.daemon(
+        () -> {
+          while (true) {
+            Socket accepted = full.accept();
+            Peer.daemon(() -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
+          }
         });
-        return written;
-    }
+    return written;
+  }
 
-    /** Whether a thread is within a method of this name. */
-    static boolean inside(Thread thread, String method) {
-        return Arrays.stream(thread.getStackTrace()).anyMatch(each -> each.getMethodName().equals(method));
-    }
+  /** Whether a thread is within a method of this name. */
+  static boolean inside(Thread thread, String method) {
+    return Arrays.stream(thread.getStackTrace())
+        .anyMatch(each -> each.getMethodName().equals(method));
+  }
 
-    static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GENEROUS_MS);
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("did not come about");
-            }
-            try {
-                Thread.sleep(5);
-            } catch (InterruptedException e) {
-                throw new AssertionError(e);
-            }
-        }
+  static void await(BooleanSupplier condition) {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GENEROUS_MS);
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > end) {
+        throw new AssertionError("did not come about");
+      }
+      try {
+        Thread.sleep(5);
+      } catch (InterruptedException e) {
+        throw new AssertionError(e);
+      }
     }
+  }
 
-    /** Closes the application's connections. */
-    void hangUp() throws IOException {
-        for (Socket socket : clients) {
-            socket.close();
-        }
+  /** Closes the application's connections. */
+  void hangUp() throws IOException {
+    for (Socket socket : clients) {
+      socket.close();
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        hangUp();
-        if (agent != null) {
-            Peer.daemon(agent::stop); // it lingers; the next test need not wait for that
-        }
-        discovery.close();
-        for (Peer server : servers) {
-            server.close();
-        }
-        for (Peer peer : peers) {
-            peer.close();
-        }
+  @Override
+  public void close() throws IOException {
+    hangUp();
+    if (agent != null) {
+      Peer.daemon(agent::stop); // it lingers; the next test need not wait for that
+    }
+    discovery.close();
+    for (Peer server : servers) {
+      server.close();
+    }
+    for (Peer peer : peers) {
+      peer.close();
     }
+  }
 }
--- a/src/test/java/gatefront/policy/BackendHealthTest.java
+++ b/src/test/java/gatefront/policy/BackendHealthTest.java
@@ -9,139 +9,140 @@
 import org.junit.jupiter.api.Test;
 
 class BackendHealthTest {
-    private static final long SECOND = 1_000_000;
-    private static final long START = 1_000 * SECOND;
-    private static final HealthParameters YARP = HealthParameters.YARP;
+  private static final long SECOND = 1_000_000;
+  private static final long START = 1_000 * SECOND;
+  private static final HealthParameters YARP = HealthParameters.YARP;
 
-    private final BackendHealth health = new BackendHealth(YARP);
+  private final BackendHealth health = new BackendHealth(YARP);
 
-    private static void count(BackendHealth health, long now, int ended, int failed) {
-        for (int i = 0; i < ended; i++) {
-            health.requestEnded(now, i < failed);
-        }
-    }
-
-    @Test
-    void nothingKnownIsAvailable() {
-        assertThat(health.available(), is(true));
-        assertThat(health.active(), is(State.UNKNOWN));
-        assertThat(health.passive(), is(State.UNKNOWN));
-    }
-
-    @Test
-    void twoFailedProbesInARowMakeItUnhealthyAndOneSuccessHealthy() {
-        assertThat(health.probeFailed(), is(false));
-        assertThat(health.available(), is(true));
-        assertThat(health.probeFailed(), is(true));
-        assertThat(health.available(), is(false));
-        assertThat("told once", health.probeFailed(), is(false));
-        assertThat(health.probeSucceeded(), is(true));
-        assertThat(health.available(), is(true));
-        assertThat(health.active(), is(State.HEALTHY));
-    }
-
-    @Test
-    void aSuccessOrAnAnswerBetweenFailuresCountsThemAnew() {
-        health.probeFailed();
-        assertThat(health.probeSucceeded(), is(false));
-        health.probeFailed();
-        health.probeInconclusive();
-        assertThat(health.probeFailed(), is(false));
-        assertThat(health.available(), is(true));
-    }
-
-    @Test
-    void fewRequestsAreNotJudged() {
-        count(health, START, 9, 9);
-        assertThat(health.ejectIfFailing(START, List.of()), is(false));
-        health.requestEnded(START, true);
-        assertThat(health.ejectIfFailing(START, List.of()), is(true));
-        assertThat(health.available(), is(false));
-    }
-
-    @Test
-    void theShareMustBeExceeded() {
-        count(health, START, 10, 3);
-        assertThat(health.ejectIfFailing(START, List.of()), is(false));
-        health.requestEnded(START, true);
-        assertThat(health.ejectIfFailing(START, List.of()), is(true));
-    }
-
-    @Test
-    void whatIsOlderThanTheWindowIsForgotten() {
-        count(health, START, 10, 10);
-        count(health, START + YARP.window() + YARP.window() / 10, 10, 0);
-        assertThat(health.requestsInWindow(), is(10));
-        assertThat(health.failuresInWindow(), is(0));
-        assertThat(health.ejectIfFailing(START + 2 * YARP.window(), List.of()), is(false));
-    }
-
-    @Test
-    void reactivationResetsThePassiveStateAndTheWindow() {
-        count(health, START, 10, 10);
-        health.ejectIfFailing(START, List.of());
-        assertThat(health.reactivateIfDue(START + YARP.reactivation() - 1), is(false));
-        assertThat(health.available(), is(false));
-        assertThat(health.reactivateIfDue(START + YARP.reactivation()), is(true));
-        assertThat(health.passive(), is(State.UNKNOWN));
-        assertThat(health.available(), is(true));
-        assertThat(health.requestsInWindow(), is(0));
-    }
-
-    @Test
-    void anEjectedOneIsNotEjectedAgainAndItsTimeDoesNotGrow() {
-        count(health, START, 10, 10);
-        health.ejectIfFailing(START, List.of());
-        assertThat(health.ejectIfFailing(START + SECOND, List.of()), is(false));
-        assertThat(health.reactivateIfDue(START + YARP.reactivation()), is(true));
-    }
-
-    @Test
-    void whatFailsEverywhereAlikeEjectsNone() {
-        HealthParameters parameters = new HealthParameters(2, 10 * SECOND, 5, 0.3, 1, 5 * SECOND);
-        BackendHealth one = new BackendHealth(parameters);
-        BackendHealth peer = new BackendHealth(parameters);
-        count(one, START, 10, 6);
-        count(peer, START, 100, 60);
-        assertThat(one.ejectIfFailing(START, List.of(peer)), is(false));
-        BackendHealth sound = new BackendHealth(parameters);
-        count(sound, START, 100, 0);
-        assertThat(one.ejectIfFailing(START, List.of(sound)), is(true));
-    }
-
-    @Test
-    void aPeersOldFailuresExcuseNothing() {
-        HealthParameters parameters = new HealthParameters(2, 10 * SECOND, 5, 0.3, 1, 5 * SECOND);
-        BackendHealth one = new BackendHealth(parameters);
-        BackendHealth peer = new BackendHealth(parameters);
-        count(peer, START, 100, 100);
-        count(one, START + 20 * SECOND, 10, 10);
-        assertThat(one.ejectIfFailing(START + 20 * SECOND, List.of(peer)), is(true));
-    }
-
-    @Test
-    void theTwoStatesAreIndependent() {
-        health.probeFailed();
-        health.probeFailed();
-        count(health, START, 10, 10);
-        health.ejectIfFailing(START, List.of());
-        health.probeSucceeded();
-        assertThat("still ejected", health.available(), is(false));
-        health.resetActive();
-        assertThat(health.active(), is(State.UNKNOWN));
-        health.reset();
-        assertThat(health.available(), is(true));
-    }
-
-    @Test
-    void parametersThatCannotBeJudgedByAreRefused() {
-        assertThrows(IllegalArgumentException.class,
-            () -> new HealthParameters(0, SECOND, 1, 0.3, 0, SECOND));
-        assertThrows(IllegalArgumentException.class,
-            () -> new HealthParameters(2, 0, 1, 0.3, 0, SECOND));
-        assertThrows(IllegalArgumentException.class,
-            () -> new HealthParameters(2, SECOND, 1, 1.5, 0, SECOND));
-        assertThrows(IllegalArgumentException.class,
-            () -> new HealthParameters(2, SECOND, 1, Double.NaN, 0, SECOND));
+  private static void count(BackendHealth health, long now, int ended, int failed) {
+    for (int i = 0; i < ended; i++) {
+      health.requestEnded(now, i < failed);
     }
+  }
+
+  @Test
+  void nothingKnownIsAvailable() {
+    assertThat(health.available(), is(true));
+    assertThat(health.active(), is(State.UNKNOWN));
+    assertThat(health.passive(), is(State.UNKNOWN));
+  }
+
+  @Test
+  void twoFailedProbesInARowMakeItUnhealthyAndOneSuccessHealthy() {
+    assertThat(health.probeFailed(), is(false));
+    assertThat(health.available(), is(true));
+    assertThat(health.probeFailed(), is(true));
+    assertThat(health.available(), is(false));
+    assertThat("told once", health.probeFailed(), is(false));
+    assertThat(health.probeSucceeded(), is(true));
+    assertThat(health.available(), is(true));
+    assertThat(health.active(), is(State.HEALTHY));
+  }
+
+  @Test
+  void aSuccessOrAnAnswerBetweenFailuresCountsThemAnew() {
+    health.probeFailed();
+    assertThat(health.probeSucceeded(), is(false));
+    health.probeFailed();
+    health.probeInconclusive();
+    assertThat(health.probeFailed(), is(false));
+    assertThat(health.available(), is(true));
+  }
+
+  @Test
+  void fewRequestsAreNotJudged() {
+    count(health, START, 9, 9);
+    assertThat(health.ejectIfFailing(START, List.of()), is(false));
+    health.requestEnded(START, true);
+    assertThat(health.ejectIfFailing(START, List.of()), is(true));
+    assertThat(health.available(), is(false));
+  }
+
+  @Test
+  void theShareMustBeExceeded() {
+    count(health, START, 10, 3);
+    assertThat(health.ejectIfFailing(START, List.of()), is(false));
+    health.requestEnded(START, true);
+    assertThat(health.ejectIfFailing(START, List.of()), is(true));
+  }
+
+  @Test
+  void whatIsOlderThanTheWindowIsForgotten() {
+    count(health, START, 10, 10);
+    count(health, START + YARP.window() + YARP.window() / 10, 10, 0);
+    assertThat(health.requestsInWindow(), is(10));
+    assertThat(health.failuresInWindow(), is(0));
+    assertThat(health.ejectIfFailing(START + 2 * YARP.window(), List.of()), is(false));
+  }
+
+  @Test
+  void reactivationResetsThePassiveStateAndTheWindow() {
+    count(health, START, 10, 10);
+    health.ejectIfFailing(START, List.of());
+    assertThat(health.reactivateIfDue(START + YARP.reactivation() - 1), is(false));
+    assertThat(health.available(), is(false));
+    assertThat(health.reactivateIfDue(START + YARP.reactivation()), is(true));
+    assertThat(health.passive(), is(State.UNKNOWN));
+    assertThat(health.available(), is(true));
+    assertThat(health.requestsInWindow(), is(0));
+  }
+
+  @Test
+  void anEjectedOneIsNotEjectedAgainAndItsTimeDoesNotGrow() {
+    count(health, START, 10, 10);
+    health.ejectIfFailing(START, List.of());
+    assertThat(health.ejectIfFailing(START + SECOND, List.of()), is(false));
+    assertThat(health.reactivateIfDue(START + YARP.reactivation()), is(true));
+  }
+
+  @Test
+  void whatFailsEverywhereAlikeEjectsNone() {
+    HealthParameters parameters = new HealthParameters(2, 10 * SECOND, 5, 0.3, 1, 5 * SECOND);
+    BackendHealth one = new BackendHealth(parameters);
+    BackendHealth peer = new BackendHealth(parameters);
+    count(one, START, 10, 6);
+    count(peer, START, 100, 60);
+    assertThat(one.ejectIfFailing(START, List.of(peer)), is(false));
+    BackendHealth sound = new BackendHealth(parameters);
+    count(sound, START, 100, 0);
+    assertThat(one.ejectIfFailing(START, List.of(sound)), is(true));
+  }
+
+  @Test
+  void aPeersOldFailuresExcuseNothing() {
+    HealthParameters parameters = new HealthParameters(2, 10 * SECOND, 5, 0.3, 1, 5 * SECOND);
+    BackendHealth one = new BackendHealth(parameters);
+    BackendHealth peer = new BackendHealth(parameters);
+    count(peer, START, 100, 100);
+    count(one, START + 20 * SECOND, 10, 10);
+    assertThat(one.ejectIfFailing(START + 20 * SECOND, List.of(peer)), is(true));
+  }
+
+  @Test
+  void theTwoStatesAreIndependent() {
+    health.probeFailed();
+    health.probeFailed();
+    count(health, START, 10, 10);
+    health.ejectIfFailing(START, List.of());
+    health.probeSucceeded();
+    assertThat("still ejected", health.available(), is(false));
+    health.resetActive();
+    assertThat(health.active(), is(State.UNKNOWN));
+    health.reset();
+    assertThat(health.available(), is(true));
+  }
+
+  @Test
+  void parametersThatCannotBeJudgedByAreRefused() {
+    assertThrows(
+        IllegalArgumentException.class, () -> new HealthParameters(0, SECOND, 1, 0.3, 0, SECOND));
+    assertThrows(
+        IllegalArgumentException.class, () -> new HealthParameters(2, 0, 1, 0.3, 0, SECOND));
+    assertThrows(
+        IllegalArgumentException.class, () -> new HealthParameters(2, SECOND, 1, 1.5, 0, SECOND));
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new HealthParameters(2, SECOND, 1, Double.NaN, 0, SECOND));
+  }
 }
--- a/src/test/java/gatefront/policy/RetryAllowanceTest.java
+++ b/src/test/java/gatefront/policy/RetryAllowanceTest.java
@@ -6,32 +6,32 @@
 import org.junit.jupiter.api.Test;
 
 class RetryAllowanceTest {
-    private static int spendAll(RetryAllowance allowance) {
-        int spent = 0;
-        for (; allowance.permits(); spent++) {
-            allowance.spend();
-        }
-        return spent;
+  private static int spendAll(RetryAllowance allowance) {
+    int spent = 0;
+    for (; allowance.permits(); spent++) {
+      allowance.spend();
     }
+    return spent;
+  }
 
-    @Test
-    void itStartsFullAndIsThenEarned() {
-        RetryAllowance allowance = new RetryAllowance(0.25, 10);
-        assertThat(spendAll(allowance), is(10));
-        for (int i = 0; i < 3; i++) {
-            allowance.earn();
-        }
-        assertThat(allowance.permits(), is(false));
-        allowance.earn();
-        assertThat(spendAll(allowance), is(1));
+  @Test
+  void itStartsFullAndIsThenEarned() {
+    RetryAllowance allowance = new RetryAllowance(0.25, 10);
+    assertThat(spendAll(allowance), is(10));
+    for (int i = 0; i < 3; i++) {
+      allowance.earn();
     }
+    assertThat(allowance.permits(), is(false));
+    allowance.earn();
+    assertThat(spendAll(allowance), is(1));
+  }
 
-    @Test
-    void noMoreThanTheMostIsSavedUp() {
-        RetryAllowance allowance = new RetryAllowance(0.5, 3);
-        for (int i = 0; i < 1000; i++) {
-            allowance.earn();
-        }
-        assertThat(spendAll(allowance), is(3));
+  @Test
+  void noMoreThanTheMostIsSavedUp() {
+    RetryAllowance allowance = new RetryAllowance(0.5, 3);
+    for (int i = 0; i < 1000; i++) {
+      allowance.earn();
     }
+    assertThat(spendAll(allowance), is(3));
+  }
 }
--- a/src/test/java/gatefront/policy/TwoRandomChoicesTest.java
+++ b/src/test/java/gatefront/policy/TwoRandomChoicesTest.java
@@ -12,44 +12,48 @@
 import org.junit.jupiter.api.Test;
 
 class TwoRandomChoicesTest {
-    private static final Comparator<Integer> FIRST = (first, second) -> 0;
-    private static final int PICKS = 30_000;
-
-    private final SplittableRandom random = new SplittableRandom(7);
-
-    @Test
-    void noneAndOneNeedNoDraw() {
-        assertThat(TwoRandomChoices.pick(List.<Integer>of(), each -> 0, FIRST, null), nullValue());
-        assertThat(TwoRandomChoices.pick(List.of(5), each -> 0, FIRST, null), is(5));
-    }
-
-    @Test
-    void theFullestIsNeverPicked() {
-        List<Integer> inFlight = List.of(3, 1, 2);
-        Map<Integer, Integer> picks = new HashMap<>();
-        for (int i = 0; i < PICKS; i++) {
-            picks.merge(TwoRandomChoices.pick(inFlight, each -> each, FIRST, random), 1, Integer::sum);
-        }
-        assertThat(picks.containsKey(3), is(false));
-        // The emptiest is in two of the three pairs.
-        assertThat(Math.abs(picks.get(1) - PICKS * 2 / 3) < PICKS / 50, is(true));
+  private static final Comparator<Integer> FIRST = (first, second) -> 0;
+  private static final int PICKS = 30_000;
+
+  private final SplittableRandom random = new SplittableRandom(7);
+
+  @Test
+  void noneAndOneNeedNoDraw() {
+    assertThat(TwoRandomChoices.pick(List.<Integer>of(), each -> 0, FIRST, null), nullValue());
+    assertThat(TwoRandomChoices.pick(List.of(5), each -> 0, FIRST, null), is(5));
+  }
+
+  @Test
+  void theFullestIsNeverPicked() {
+    List<Integer> inFlight = List.of(3, 1, 2);
+    Map<Integer, Integer> picks = new HashMap<>();
+    for (int i = 0; i < PICKS; i++) {
+      picks.merge(TwoRandomChoices.pick(inFlight, each -> each, FIRST, random), 1, Integer::sum);
     }
-
-    @Test
-    void equalOnesAreDrawnEvenly() {
-        Map<Integer, Integer> picks = new HashMap<>();
-        for (int i = 0; i < PICKS; i++) {
-            picks.merge(TwoRandomChoices.pick(List.of(0, 1, 2, 3, 4), each -> 9, FIRST, random), 1, Integer::sum);
-        }
-        picks.values().forEach(n -> assertThat(Math.abs(n - PICKS / 5) < PICKS / 50, is(true)));
+    assertThat(picks.containsKey(3), is(false));
+    // The emptiest is in two of the three pairs.
+    assertThat(Math.abs(picks.get(1) - PICKS * 2 / 3) < PICKS / 50, is(true));
+  }
+
+  @Test
+  void equalOnesAreDrawnEvenly() {
+    Map<Integer, Integer> picks = new HashMap<>();
+    for (int i = 0; i < PICKS; i++) {
+      picks.merge(
+          TwoRandomChoices.pick(List.of(0, 1, 2, 3, 4), each -> 9, FIRST, random), 1, Integer::sum);
     }
-
-    @Test
-    void tiesGoToTheLesser() {
-        for (int i = 0; i < 100; i++) {
-            int pick = TwoRandomChoices.pick(List.of(8, 4), each -> 1, Comparator.<Integer>naturalOrder(), random);
-            assertThat(pick, is(4));
-        }
-        assertThat(TwoRandomChoices.less(1, 2, each -> 10 - each, Comparator.<Integer>naturalOrder()), is(2));
+    picks.values().forEach(n -> assertThat(Math.abs(n - PICKS / 5) < PICKS / 50, is(true)));
+  }
+
+  @Test
+  void tiesGoToTheLesser() {
+    for (int i = 0; i < 100; i++) {
+      int pick =
+          TwoRandomChoices.pick(
+              List.of(8, 4), each -> 1, Comparator.<Integer>naturalOrder(), random);
+      assertThat(pick, is(4));
     }
+    assertThat(
+        TwoRandomChoices.less(1, 2, each -> 10 - each, Comparator.<Integer>naturalOrder()), is(2));
+  }
 }
--- a/src/test/java/gatefront/scale/ClientLoadTest.java
+++ b/src/test/java/gatefront/scale/ClientLoadTest.java
@@ -21,69 +21,74 @@
 import org.junit.jupiter.api.Test;
 
 class ClientLoadTest {
-    private static final List<Kind> KINDS = List.of(new Kind("lookup", Semantics.SAFE, 2, 60_000),
-        new Kind("pay", Semantics.KEYED, 1, 60_000));
+  private static final List<Kind> KINDS =
+      List.of(
+          new Kind("lookup", Semantics.SAFE, 2, 60_000),
+          new Kind("pay", Semantics.KEYED, 1, 60_000));
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
 
-    @AfterEach
-    void end() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-    }
+  @AfterEach
+  void end() {
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
 
-    private Map<Outcome, Long> load(InetSocketAddress to, int calls, List<Kind> kinds)
-        throws InterruptedException {
-        CountDownLatch ended = new CountDownLatch(calls);
-        var stream = new ClientLoad.Stream("c", List.of(to), 500, 1, 0);
-        ClientLoad load = new ClientLoad(group, List.of(stream), kinds,
-            (index, number, outcome, nanos) -> ended.countDown());
-        load.begin();
-        ended.await();
-        load.close();
-        return load.counts();
-    }
+  private Map<Outcome, Long> load(InetSocketAddress to, int calls, List<Kind> kinds)
+      throws InterruptedException {
+    CountDownLatch ended = new CountDownLatch(calls);
+    var stream = new ClientLoad.Stream("c", List.of(to), 500, 1, 0);
+    ClientLoad load =
+        new ClientLoad(
+            group, List.of(stream), kinds, (index, number, outcome, nanos) -> ended.countDown());
+    load.begin();
+    ended.await();
+    load.close();
+    return load.counts();
+  }
 
-    @Test
-    void callsAreServedTurnedAwayOrTimeOutAsTheBackendWants() throws Exception {
-        try (BackendStandIns backends = new BackendStandIns(group, BackendStandIns.Options.atOnce())) {
-            var backend = backends.add(new InetSocketAddress("127.0.0.1", 0));
-            var served = load(backend.address(), 50, KINDS);
-            assertTrue(served.get(Outcome.SERVED) >= 50, served::toString);
-            assertEquals(served.get(Outcome.SERVED), served.values().stream().mapToLong(each -> each).sum());
-            assertEquals(served.get(Outcome.SERVED), backend.counts().calls());
+  @Test
+  void callsAreServedTurnedAwayOrTimeOutAsTheBackendWants() throws Exception {
+    try (BackendStandIns backends = new BackendStandIns(group, BackendStandIns.Options.atOnce())) {
+      var backend = backends.add(new InetSocketAddress("127.0.0.1", 0));
+      var served = load(backend.address(), 50, KINDS);
+      assertTrue(served.get(Outcome.SERVED) >= 50, served::toString);
+      assertEquals(
+          served.get(Outcome.SERVED), served.values().stream().mapToLong(each -> each).sum());
+      assertEquals(served.get(Outcome.SERVED), backend.counts().calls());
 
-            backend.set(Mode.DRAINS);
-            var refused = load(backend.address(), 5, KINDS);
-            assertEquals(refused.get(Outcome.REFUSED), backend.counts().turnedAway());
-            assertEquals(0, refused.get(Outcome.SERVED));
+      backend.set(Mode.DRAINS);
+      var refused = load(backend.address(), 5, KINDS);
+      assertEquals(refused.get(Outcome.REFUSED), backend.counts().turnedAway());
+      assertEquals(0, refused.get(Outcome.SERVED));
 
-            backend.set(Mode.HANGS);
-            var silent = load(backend.address(), 5, List.of(new Kind("lookup", Semantics.SAFE, 1, 20)));
-            assertTrue(silent.get(Outcome.TIMED_OUT) >= 5, silent::toString);
-            assertEquals(silent.get(Outcome.TIMED_OUT),
-                silent.values().stream().mapToLong(each -> each).sum());
-        }
-        var unreached = load(new InetSocketAddress("127.0.0.1", 1), 3, KINDS);
-        assertTrue(unreached.get(Outcome.UNREACHED) >= 3, unreached::toString);
+      backend.set(Mode.HANGS);
+      var silent = load(backend.address(), 5, List.of(new Kind("lookup", Semantics.SAFE, 1, 20)));
+      assertTrue(silent.get(Outcome.TIMED_OUT) >= 5, silent::toString);
+      assertEquals(
+          silent.get(Outcome.TIMED_OUT), silent.values().stream().mapToLong(each -> each).sum());
     }
+    var unreached = load(new InetSocketAddress("127.0.0.1", 1), 3, KINDS);
+    assertTrue(unreached.get(Outcome.UNREACHED) >= 3, unreached::toString);
+  }
 
-    @Test
-    void sameSeedMakesTheSameCallsAndTimes() {
-        Arrivals one = new Arrivals(5, 49);
-        Arrivals other = new Arrivals(5, 49);
-        long last = 0;
-        for (int i = 0; i < 10_000; i++) {
-            last = one.next();
-            assertEquals(last, other.next());
-        }
-        assertEquals(10_000 / 49.0, last / 1e9, 10, "so many calls take about that long");
-        Work work = new Work(4_000, 0.6);
-        assertEquals(work.nanos(3, "/lookup?n=7"), work.nanos(3, "/lookup?n=7"));
-        long[] times = new long[1001];
-        for (int i = 0; i < times.length; i++) {
-            times[i] = work.nanos(3, "/lookup?n=" + i);
-        }
-        Arrays.sort(times);
-        assertEquals(4e6, times[500], 0.5e6, "the median");
+  @Test
+  void sameSeedMakesTheSameCallsAndTimes() {
+    Arrivals one = new Arrivals(5, 49);
+    Arrivals other = new Arrivals(5, 49);
+    long last = 0;
+    for (int i = 0; i < 10_000; i++) {
+      last = one.next();
+      assertEquals(last, other.next());
+    }
+    assertEquals(10_000 / 49.0, last / 1e9, 10, "so many calls take about that long");
+    Work work = new Work(4_000, 0.6);
+    assertEquals(work.nanos(3, "/lookup?n=7"), work.nanos(3, "/lookup?n=7"));
+    long[] times = new long[1001];
+    for (int i = 0; i < times.length; i++) {
+      times[i] = work.nanos(3, "/lookup?n=" + i);
     }
+    Arrays.sort(times);
+    assertEquals(4e6, times[500], 0.5e6, "the median");
+  }
 }
--- a/src/test/java/gatefront/scale/DiscoveryStandInTest.java
+++ b/src/test/java/gatefront/scale/DiscoveryStandInTest.java
@@ -27,152 +27,177 @@
 import org.junit.jupiter.api.Test;
 
 class DiscoveryStandInTest {
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final LinkedBlockingQueue<Long> has = new LinkedBlockingQueue<>();
-    private final DiscoveryStandIn discovery = new DiscoveryStandIn(group,
-        new InetSocketAddress("127.0.0.1", 0), new DiscoveryStandIn.Options(7, 3, null, List.of(), false,
-            (agent, version, at) -> has.add(version)));
-    private final HttpClient client = HttpClient.newHttpClient();
-
-    @AfterEach
-    void end() {
-        discovery.close();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-    }
-
-    private static ServerEntry entry(String name, Status status) {
-        return new ServerEntry(name, "127.0.0.1:3000", "a", "small", 0, status, 1, 0);
-    }
-
-    private void assertTold(String told, String query) {
-        assertEquals(told, told(ask(query).join()));
-    }
-
-    private CompletableFuture<JsonNode> ask(String query) {
-        var at = URI.create("http://127.0.0.1:" + discovery.address().getPort() + "/v1/servers" + query);
-        return client.sendAsync(HttpRequest.newBuilder(at).build(), BodyHandlers.ofString())
-            .thenApply(answer -> Json.read(answer.body()));
-    }
-
-    private static String told(JsonNode list) {
-        StringBuilder told = new StringBuilder(list.get("index").asText())
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final LinkedBlockingQueue<Long> has = new LinkedBlockingQueue<>();
+  private final DiscoveryStandIn discovery =
+      new DiscoveryStandIn(
+          group,
+          new InetSocketAddress("127.0.0.1", 0),
+          new DiscoveryStandIn.Options(
+              7, 3, null, List.of(), false, (agent, version, at) -> has.add(version)));
+  private final HttpClient client = HttpClient.newHttpClient();
+
+  @AfterEach
+  void end() {
+    discovery.close();
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
+
+  private static ServerEntry entry(String name, Status status) {
+    return new ServerEntry(name, "127.0.0.1:3000", "a", "small", 0, status, 1, 0);
+  }
+
+  private void assertTold(String told, String query) {
+    assertEquals(told, told(ask(query).join()));
+  }
+
+  private CompletableFuture<JsonNode> ask(String query) {
+    var at =
+        URI.create("http://127.0.0.1:" + discovery.address().getPort() + "/v1/servers" + query);
+    return client
+        .sendAsync(HttpRequest.newBuilder(at).build(), BodyHandlers.ofString())
+        .thenApply(answer -> Json.read(answer.body()));
+  }
+
+  private static String told(JsonNode list) {
+    StringBuilder told =
+        new StringBuilder(list.get("index").asText())
             .append(list.get("snapshot").asBoolean() ? " whole" : " changes");
-        list.get("endpoints").forEach(each -> told.append(' ').append(each.get("name").asText())
-            .append('=').append(each.get("status").asText()));
-        return told.toString();
+    list.get("endpoints")
+        .forEach(
+            each ->
+                told.append(' ')
+                    .append(each.get("name").asText())
+                    .append('=')
+                    .append(each.get("status").asText()));
+    return told.toString();
+  }
+
+  @Test
+  void tellsWhatChangedSinceAVersionOrTheWholeList() {
+    discovery.replace(List.of(entry("a", Status.READY), entry("b", Status.READY)));
+    discovery.change(List.of(entry("a", Status.TERMINATING)));
+    discovery.change(List.of(entry("a", Status.GONE), entry("c", Status.READY)));
+
+    assertTold("10 whole b=Ready c=Ready", "");
+    assertTold("10 changes a=Gone c=Ready", "?since=8&timeout_ms=1000");
+    assertTold("10 whole b=Ready c=Ready", "?since=7&timeout_ms=1000"); // before the log
+    assertTold("10 whole b=Ready c=Ready", "?since=11&timeout_ms=1000"); // not yet there
+    assertTold("10 changes", "?since=10&timeout_ms=1");
+    discovery.change(List.of(entry("b", Status.GONE)));
+    assertTold("11 whole c=Ready", "?since=8&timeout_ms=1000"); // no longer in the bounded log
+    assertTold("11 changes a=Gone c=Ready b=Gone", "?since=9&timeout_ms=1");
+  }
+
+  @Test
+  void watchWaitsForNewsAndTheNextCallShowsThatTheAgentHasIt() throws Exception {
+    var watch = ask("?since=7&timeout_ms=60000");
+    assertEquals(7, has.take());
+    assertEquals(8, discovery.change(List.of(entry("a", Status.READY), entry("b", Status.READY))));
+    assertEquals("8 changes a=Ready b=Ready", told(watch.join()));
+    ask("?since=8&timeout_ms=1").join();
+    assertEquals(8, has.take());
+    var counts = discovery.counts();
+    assertEquals(
+        List.of(2L, 0L, 0L, 1L, 1L, 0L),
+        List.of(
+            counts.calls(),
+            counts.watching(),
+            counts.wholes(),
+            counts.deltas(),
+            counts.empties(),
+            counts.refused()));
+    assertEquals(
+        counts.bytesOut(),
+        discovery.countsByAgent().values().stream()
+            .mapToLong(DiscoveryStandIn.Counts::bytesOut)
+            .sum());
+  }
+
+  @Test
+  void deathResetsWatchesAndALaterProcessGoesOnFromItsVersion() throws Exception {
+    var watch = ask("?since=7&timeout_ms=60000");
+    has.take();
+    discovery.down();
+    assertThrows(RuntimeException.class, watch::join);
+    var connect = assertThrows(RuntimeException.class, () -> ask("").join());
+    assertTrue(connect.getCause() instanceof IOException, () -> "refused: " + connect);
+    discovery.up();
+    discovery.restore(40, List.of(entry("a", Status.READY)));
+    assertTold("40 whole a=Ready", "?since=7&timeout_ms=60000");
+    assertTold("40 changes", "?since=40&timeout_ms=1");
+  }
+
+  @Test
+  void whatIsCutOffSaysNothingUntilItsConnectionsAreReset() throws Exception {
+    // A plain socket: the library's client would ask again by itself after the reset.
+    try (Socket watch = new Socket("127.0.0.1", discovery.address().getPort())) {
+      String call = "GET /v1/servers?since=7&timeout_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n";
+      watch.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
+      has.take();
+      discovery.cutOff();
+      discovery.change(List.of(entry("a", Status.READY)));
+      discovery.reachable();
+      assertThrows(
+          IOException.class, () -> watch.getInputStream().read(), "no byte before the reset");
     }
-
-    @Test
-    void tellsWhatChangedSinceAVersionOrTheWholeList() {
-        discovery.replace(List.of(entry("a", Status.READY), entry("b", Status.READY)));
-        discovery.change(List.of(entry("a", Status.TERMINATING)));
-        discovery.change(List.of(entry("a", Status.GONE), entry("c", Status.READY)));
-
-        assertTold("10 whole b=Ready c=Ready", "");
-        assertTold("10 changes a=Gone c=Ready", "?since=8&timeout_ms=1000");
-        assertTold("10 whole b=Ready c=Ready", "?since=7&timeout_ms=1000"); // before the log
-        assertTold("10 whole b=Ready c=Ready", "?since=11&timeout_ms=1000"); // not yet there
-        assertTold("10 changes", "?since=10&timeout_ms=1");
-        discovery.change(List.of(entry("b", Status.GONE)));
-        assertTold("11 whole c=Ready", "?since=8&timeout_ms=1000"); // no longer in the bounded log
-        assertTold("11 changes a=Gone c=Ready b=Gone", "?since=9&timeout_ms=1");
+    assertTold("8 changes a=Ready", "?since=7&timeout_ms=60000");
+  }
+
+  @Test
+  void aProcessThatIsKilledIsFollowedByOneAtTheSameAddressWithTheSameVersion() throws Exception {
+    List<ServerEntry> servers = List.of(entry("a", Status.READY), entry("b", Status.READY));
+    try (Children children = new Children()) {
+      DiscoveryProcess first = new DiscoveryProcess(children, List.of());
+      first.replace(servers);
+      long version = first.change(List.of(entry("c", Status.READY))).get("version").asLong();
+      first.kill();
+      assertThrows(IOException.class, () -> first.ask("stats"));
+      DiscoveryProcess second =
+          new DiscoveryProcess(
+              children, List.of("--down", "--listen", Addresses.text(first.address())));
+      assertEquals(version, second.restore(version, servers));
+      second.ask("up");
+      assertEquals(first.address(), second.address());
+      var counts = second.ask("stats");
+      assertEquals(version, counts.get("version").asLong());
+      assertEquals(0, counts.get("counts").get("calls").asLong());
+      assertThrows(IOException.class, () -> second.ask("dance"));
     }
-
-    @Test
-    void watchWaitsForNewsAndTheNextCallShowsThatTheAgentHasIt() throws Exception {
-        var watch = ask("?since=7&timeout_ms=60000");
-        assertEquals(7, has.take());
-        assertEquals(8, discovery.change(List.of(entry("a", Status.READY), entry("b", Status.READY))));
-        assertEquals("8 changes a=Ready b=Ready", told(watch.join()));
-        ask("?since=8&timeout_ms=1").join();
-        assertEquals(8, has.take());
-        var counts = discovery.counts();
-        assertEquals(List.of(2L, 0L, 0L, 1L, 1L, 0L), List.of(counts.calls(), counts.watching(),
-            counts.wholes(), counts.deltas(), counts.empties(), counts.refused()));
-        assertEquals(counts.bytesOut(), discovery.countsByAgent().values().stream()
-            .mapToLong(DiscoveryStandIn.Counts::bytesOut).sum());
-    }
-
-    @Test
-    void deathResetsWatchesAndALaterProcessGoesOnFromItsVersion() throws Exception {
-        var watch = ask("?since=7&timeout_ms=60000");
-        has.take();
-        discovery.down();
-        assertThrows(RuntimeException.class, watch::join);
-        var connect = assertThrows(RuntimeException.class, () -> ask("").join());
-        assertTrue(connect.getCause() instanceof IOException, () -> "refused: " + connect);
-        discovery.up();
-        discovery.restore(40, List.of(entry("a", Status.READY)));
-        assertTold("40 whole a=Ready", "?since=7&timeout_ms=60000");
-        assertTold("40 changes", "?since=40&timeout_ms=1");
-    }
-
-    @Test
-    void whatIsCutOffSaysNothingUntilItsConnectionsAreReset() throws Exception {
-        // A plain socket: the library's client would ask again by itself after the reset.
-        try (Socket watch = new Socket("127.0.0.1", discovery.address().getPort())) {
-            String call = "GET /v1/servers?since=7&timeout_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n";
-            watch.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
-            has.take();
-            discovery.cutOff();
-            discovery.change(List.of(entry("a", Status.READY)));
-            discovery.reachable();
-            assertThrows(IOException.class, () -> watch.getInputStream().read(), "no byte before the reset");
-        }
-        assertTold("8 changes a=Ready", "?since=7&timeout_ms=60000");
-    }
-
-    @Test
-    void aProcessThatIsKilledIsFollowedByOneAtTheSameAddressWithTheSameVersion() throws Exception {
-        List<ServerEntry> servers = List.of(entry("a", Status.READY), entry("b", Status.READY));
-        try (Children children = new Children()) {
-            DiscoveryProcess first = new DiscoveryProcess(children, List.of());
-            first.replace(servers);
-            long version = first.change(List.of(entry("c", Status.READY))).get("version").asLong();
-            first.kill();
-            assertThrows(IOException.class, () -> first.ask("stats"));
-            DiscoveryProcess second = new DiscoveryProcess(children,
-                List.of("--down", "--listen", Addresses.text(first.address())));
-            assertEquals(version, second.restore(version, servers));
-            second.ask("up");
-            assertEquals(first.address(), second.address());
-            var counts = second.ask("stats");
-            assertEquals(version, counts.get("version").asLong());
-            assertEquals(0, counts.get("counts").get("calls").asLong());
-            assertThrows(IOException.class, () -> second.ask("dance"));
-        }
+  }
+
+  @Test
+  void fixedCapacityAnswersInTurnAndRefusesWhoWaitsTooLong() {
+    long[] now = {0};
+    List<String> did = new ArrayList<>();
+    EmbeddedChannel host = new EmbeddedChannel();
+    host.freezeTime();
+    AnswerQueue queue = new AnswerQueue(host.eventLoop(), 3, 25, () -> now[0]);
+    for (String name : List.of("a", "b", "c", "d")) {
+      queue.add(
+          new AnswerQueue.Call() {
+            @Override
+            public long costNanos() {
+              return 20;
+            }
+
+            @Override
+            public void answer() {
+              did.add(name + now[0]);
+            }
+
+            @Override
+            public void refuse() {
+              did.add(name + " refused");
+            }
+          });
     }
-
-    @Test
-    void fixedCapacityAnswersInTurnAndRefusesWhoWaitsTooLong() {
-        long[] now = {0};
-        List<String> did = new ArrayList<>();
-        EmbeddedChannel host = new EmbeddedChannel();
-        host.freezeTime();
-        AnswerQueue queue = new AnswerQueue(host.eventLoop(), 3, 25, () -> now[0]);
-        for (String name : List.of("a", "b", "c", "d")) {
-            queue.add(new AnswerQueue.Call() {
-                @Override
-                public long costNanos() {
-                    return 20;
-                }
-
-                @Override
-                public void answer() {
-                    did.add(name + now[0]);
-                }
-
-                @Override
-                public void refuse() {
-                    did.add(name + " refused");
-                }
-            });
-        }
-        for (int i = 0; i < 6; i++) {
-            now[0] += 10;
-            host.advanceTimeBy(10, TimeUnit.NANOSECONDS);
-            host.runScheduledPendingTasks();
-        }
-        assertEquals(List.of("d refused", "a20", "b40", "c refused"), did);
+    for (int i = 0; i < 6; i++) {
+      now[0] += 10;
+      host.advanceTimeBy(10, TimeUnit.NANOSECONDS);
+      host.runScheduledPendingTasks();
     }
+    assertEquals(List.of("d refused", "a20", "b40", "c refused"), did);
+  }
 }
--- a/src/test/java/gatefront/scale/DrainWatchTest.java
+++ b/src/test/java/gatefront/scale/DrainWatchTest.java
@@ -7,38 +7,38 @@
 import org.junit.jupiter.api.Test;
 
 class DrainWatchTest {
-    private final Map<String, Long> sends = new HashMap<>(Map.of("a", 10L, "b", 20L));
-    private final DrainWatch watch = new DrainWatch(500, sends::get);
+  private final Map<String, Long> sends = new HashMap<>(Map.of("a", 10L, "b", 20L));
+  private final DrainWatch watch = new DrainWatch(500, sends::get);
 
-    @Test
-    void whatComesAfterTheGraceIsLateUntilTheServerIsBack() {
-        watch.leaves("a", 7);
-        assertEquals(7, watch.waitsFor());
-        watch.told(7, 1_000);
-        assertEquals(0, watch.waitsFor());
-        sends.put("a", 13L);
-        watch.pass(1_500); // the grace has just passed and no more
-        sends.put("a", 14L);
-        watch.pass(1_501);
-        assertEquals(0, watch.late());
-        sends.put("a", 16L);
-        assertEquals(2, watch.late());
-        watch.leaves("a", 8); // it has gone meanwhile: the grace counts from the first telling
-        watch.returns("a");
-        sends.put("a", 99L);
-        assertEquals(2, watch.late());
-        assertEquals(1, watch.judged());
-    }
+  @Test
+  void whatComesAfterTheGraceIsLateUntilTheServerIsBack() {
+    watch.leaves("a", 7);
+    assertEquals(7, watch.waitsFor());
+    watch.told(7, 1_000);
+    assertEquals(0, watch.waitsFor());
+    sends.put("a", 13L);
+    watch.pass(1_500); // the grace has just passed and no more
+    sends.put("a", 14L);
+    watch.pass(1_501);
+    assertEquals(0, watch.late());
+    sends.put("a", 16L);
+    assertEquals(2, watch.late());
+    watch.leaves("a", 8); // it has gone meanwhile: the grace counts from the first telling
+    watch.returns("a");
+    sends.put("a", 99L);
+    assertEquals(2, watch.late());
+    assertEquals(1, watch.judged());
+  }
 
-    @Test
-    void whatWasNotToldToAllIsNotJudged() {
-        watch.leaves("a", 7);
-        watch.leaves("b", 9);
-        watch.told(8, 1_000);
-        watch.pass(5_000);
-        sends.put("b", 30L);
-        watch.returns("b");
-        assertEquals(0, watch.late());
-        assertEquals(1, watch.judged());
-    }
+  @Test
+  void whatWasNotToldToAllIsNotJudged() {
+    watch.leaves("a", 7);
+    watch.leaves("b", 9);
+    watch.told(8, 1_000);
+    watch.pass(5_000);
+    sends.put("b", 30L);
+    watch.returns("b");
+    assertEquals(0, watch.late());
+    assertEquals(1, watch.judged());
+  }
 }
--- a/src/test/java/gatefront/scale/ExperimentFileTest.java
+++ b/src/test/java/gatefront/scale/ExperimentFileTest.java
@@ -13,8 +13,10 @@
 import picocli.CommandLine;
 
 class ExperimentFileTest {
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "{'is':'latency','agentz':3,'classes':[{'name':'a','semantics':'safe'}]} | f: agentz is unknown",
         "{'is':'latency','agents':0,'classes':[{'name':'a','semantics':'safe'}]} | f: agents is no whole",
         "{'is':'latency','agents':1.5} | f: agents is no whole number from 1 to 100: 1.5",
@@ -26,37 +28,41 @@
         "{'is':'dance'} | f: experiment is none of",
         "{} | f: experiment is missing",
         "[] | f: no JSON object",
-        "{'experiment' | f: not JSON"})
-    void aBadFileGetsALineThatNamesTheKeyAtFault(String text, String complaint) {
-        var bad = assertThrows(BadExperiment.class,
-            () -> RunCommand.read(Keys.of("f", text.replace("'is'", "'experiment'").replace('\'', '"')),
-                "run"));
-        assertTrue(bad.getMessage().startsWith(complaint), bad::getMessage);
-        assertEquals(1, bad.getMessage().lines().count());
-    }
+        "{'experiment' | f: not JSON"
+      })
+  void aBadFileGetsALineThatNamesTheKeyAtFault(String text, String complaint) {
+    var bad =
+        assertThrows(
+            BadExperiment.class,
+            () ->
+                RunCommand.read(
+                    Keys.of("f", text.replace("'is'", "'experiment'").replace('\'', '"')), "run"));
+    assertTrue(bad.getMessage().startsWith(complaint), bad::getMessage);
+    assertEquals(1, bad.getMessage().lines().count());
+  }
 
-    @Test
-    void theExamplesAreGoodAndNotPlayedByTheWrongCommand() throws Exception {
-        try (var files = Files.list(Path.of("src/scale/experiments"))) {
-            List<Path> examples = files.filter(each -> !each.endsWith("agent.json")).toList();
-            assertTrue(examples.size() >= 3);
-            for (Path each : examples) {
-                RunCommand.read(Keys.read(each), "run");
-            }
-        }
-        var other = Path.of("src/scale/experiments/latency.json");
-        assertThrows(BadExperiment.class, () -> RunCommand.read(Keys.read(other), "slopes"));
-        assertEquals(2, new CommandLine(new Main()).execute("slopes", other.toString()));
+  @Test
+  void theExamplesAreGoodAndNotPlayedByTheWrongCommand() throws Exception {
+    try (var files = Files.list(Path.of("src/scale/experiments"))) {
+      List<Path> examples = files.filter(each -> !each.endsWith("agent.json")).toList();
+      assertTrue(examples.size() >= 3);
+      for (Path each : examples) {
+        RunCommand.read(Keys.read(each), "run");
+      }
     }
+    var other = Path.of("src/scale/experiments/latency.json");
+    assertThrows(BadExperiment.class, () -> RunCommand.read(Keys.read(other), "slopes"));
+    assertEquals(2, new CommandLine(new Main()).execute("slopes", other.toString()));
+  }
 
-    @Test
-    void aLineIsFittedWithTheLeastSquares() {
-        LeastSquares exact = LeastSquares.of(new double[] {1, 10, 100}, new double[] {5, 23, 203});
-        assertEquals(3, exact.at(), 1e-9);
-        assertEquals(2, exact.slope(), 1e-9);
-        assertEquals(0, exact.error(), 1e-9);
-        LeastSquares off = LeastSquares.of(new double[] {0, 0, 2, 2}, new double[] {0, 2, 2, 4});
-        assertEquals(new LeastSquares(1, 1, 1), off);
-        assertEquals(11, off.predict(10));
-    }
+  @Test
+  void aLineIsFittedWithTheLeastSquares() {
+    LeastSquares exact = LeastSquares.of(new double[] {1, 10, 100}, new double[] {5, 23, 203});
+    assertEquals(3, exact.at(), 1e-9);
+    assertEquals(2, exact.slope(), 1e-9);
+    assertEquals(0, exact.error(), 1e-9);
+    LeastSquares off = LeastSquares.of(new double[] {0, 0, 2, 2}, new double[] {0, 2, 2, 4});
+    assertEquals(new LeastSquares(1, 1, 1), off);
+    assertEquals(11, off.predict(10));
+  }
 }
--- a/src/test/java/gatefront/scale/FleetOutcomeTest.java
+++ b/src/test/java/gatefront/scale/FleetOutcomeTest.java
@@ -11,45 +11,50 @@
 
 /** A check that cannot fail is a defect: each verdict is shown a result on which it has to. */
 class FleetOutcomeTest {
-    private static final FleetOutcome GOOD =
-        new FleetOutcome(40, 40, 1_000, 0, 0, 0, 400, 400, 2, 2, 1_000, 0, 0, 0, 10, true, 5, 100, 42, 42);
+  private static final FleetOutcome GOOD =
+      new FleetOutcome(
+          40, 40, 1_000, 0, 0, 0, 400, 400, 2, 2, 1_000, 0, 0, 0, 10, true, 5, 100, 42, 42);
 
-    /** A value that is wrong, and the words that have to be said of it. */
-    private static final Map<String, Map.Entry<Integer, String>> BAD = Map.ofEntries(
-        Map.entry("hollowAgree", Map.entry(39, "the last list is at 39 of 40 hollow agents")),
-        Map.entry("hollowRequests", Map.entry(0, "no request came to the hollow agents")),
-        Map.entry("hollowLost", Map.entry(1, "1 requests were lost by hollow agents")),
-        Map.entry("lateSends", Map.entry(3, "3 sends came after the grace")),
-        Map.entry("emptied", Map.entry(1, "1 times an agent lost its list")),
-        Map.entry("hollowHad", Map.entry(399, "changes were had 399 of 400 times")),
-        Map.entry("realAgree", Map.entry(1, "the last version is at 1 of 2 real agents")),
-        Map.entry("realRequests", Map.entry(0, "no request came to the real agents")),
-        Map.entry("realLost", Map.entry(2, "2 requests were lost by real agents")),
-        Map.entry("realLate", Map.entry(4, "4 requests came from real agents to servers that have left")),
-        Map.entry("realDied", Map.entry(1, "1 real agents ended")),
-        Map.entry("changesAfter", Map.entry(0, "no change after its return")),
-        Map.entry("settingsAgree", Map.entry(41, "settings is at 41 of 42 agents")));
+  /** A value that is wrong, and the words that have to be said of it. */
+  private static final Map<String, Map.Entry<Integer, String>> BAD =
+      Map.ofEntries(
+          Map.entry("hollowAgree", Map.entry(39, "the last list is at 39 of 40 hollow agents")),
+          Map.entry("hollowRequests", Map.entry(0, "no request came to the hollow agents")),
+          Map.entry("hollowLost", Map.entry(1, "1 requests were lost by hollow agents")),
+          Map.entry("lateSends", Map.entry(3, "3 sends came after the grace")),
+          Map.entry("emptied", Map.entry(1, "1 times an agent lost its list")),
+          Map.entry("hollowHad", Map.entry(399, "changes were had 399 of 400 times")),
+          Map.entry("realAgree", Map.entry(1, "the last version is at 1 of 2 real agents")),
+          Map.entry("realRequests", Map.entry(0, "no request came to the real agents")),
+          Map.entry("realLost", Map.entry(2, "2 requests were lost by real agents")),
+          Map.entry(
+              "realLate",
+              Map.entry(4, "4 requests came from real agents to servers that have left")),
+          Map.entry("realDied", Map.entry(1, "1 real agents ended")),
+          Map.entry("changesAfter", Map.entry(0, "no change after its return")),
+          Map.entry("settingsAgree", Map.entry(41, "settings is at 41 of 42 agents")));
 
-    @Test
-    void eachVerdictFailsOnWhatItIsFor() {
-        assertEquals(List.of(), GOOD.complaints());
-        BAD.forEach((name, bad) -> {
-            ObjectNode made = Json.MAPPER.valueToTree(GOOD);
-            assertTrue(made.has(name), name);
-            List<String> wrong = of(made.put(name, bad.getKey())).complaints();
-            assertEquals(1, wrong.size(), name + " " + wrong);
-            assertTrue(wrong.get(0).contains(bad.getValue()), wrong.get(0));
+  @Test
+  void eachVerdictFailsOnWhatItIsFor() {
+    assertEquals(List.of(), GOOD.complaints());
+    BAD.forEach(
+        (name, bad) -> {
+          ObjectNode made = Json.MAPPER.valueToTree(GOOD);
+          assertTrue(made.has(name), name);
+          List<String> wrong = of(made.put(name, bad.getKey())).complaints();
+          assertEquals(1, wrong.size(), name + " " + wrong);
+          assertTrue(wrong.get(0).contains(bad.getValue()), wrong.get(0));
         });
-    }
+  }
 
-    @Test
-    void aRunWithoutAnyChangeShowsNothing() {
-        ObjectNode made = Json.MAPPER.valueToTree(GOOD);
-        made.put("changes", 0).put("settingsSent", 0);
-        assertEquals(List.of("discovery told no change: nothing was shown"), of(made).complaints());
-    }
+  @Test
+  void aRunWithoutAnyChangeShowsNothing() {
+    ObjectNode made = Json.MAPPER.valueToTree(GOOD);
+    made.put("changes", 0).put("settingsSent", 0);
+    assertEquals(List.of("discovery told no change: nothing was shown"), of(made).complaints());
+  }
 
-    private static FleetOutcome of(JsonNode made) {
-        return Json.MAPPER.convertValue(made, FleetOutcome.class);
-    }
+  private static FleetOutcome of(JsonNode made) {
+    return Json.MAPPER.convertValue(made, FleetOutcome.class);
+  }
 }
--- a/src/test/java/gatefront/scale/FleetPlanTest.java
+++ b/src/test/java/gatefront/scale/FleetPlanTest.java
@@ -9,29 +9,39 @@
 import org.junit.jupiter.api.Test;
 
 class FleetPlanTest {
-    private static String fault(String keys) {
-        return assertThrows(BadExperiment.class, () -> {
-            Keys read = Keys.of("file", "{\"name\":\"a\"," + keys + "}");
-            FleetPlan.of(read);
-            read.end();
-        }).getMessage();
-    }
+  private static String fault(String keys) {
+    return assertThrows(
+            BadExperiment.class,
+            () -> {
+              Keys read = Keys.of("file", "{\"name\":\"a\"," + keys + "}");
+              FleetPlan.of(read);
+              read.end();
+            })
+        .getMessage();
+  }
 
-    @Test
-    void aBadPlanNamesTheKeyAtFault() {
-        assertTrue(fault("\"events\":\"kill\",\"hollows\":1").startsWith("file: hollows "));
-        assertTrue(fault("\"events\":\"earthquake\"").startsWith("file: events knows"));
-        assertTrue(fault("\"events\":\"kill\",\"hollow\":0,\"real\":0").startsWith("file: hollow and real "));
-        assertTrue(fault("\"events\":\"kill\",\"servers\":5").startsWith("file: servers is less than zones"));
-    }
+  @Test
+  void aBadPlanNamesTheKeyAtFault() {
+    assertTrue(fault("\"events\":\"kill\",\"hollows\":1").startsWith("file: hollows "));
+    assertTrue(fault("\"events\":\"earthquake\"").startsWith("file: events knows"));
+    assertTrue(
+        fault("\"events\":\"kill\",\"hollow\":0,\"real\":0").startsWith("file: hollow and real "));
+    assertTrue(
+        fault("\"events\":\"kill\",\"servers\":5").startsWith("file: servers is less than zones"));
+  }
 
-    @Test
-    void ordinaryChangesNeverLeadBackToAnEarlierList() {
-        FleetServers servers = new FleetServers(FleetServers.made(4, 2));
-        List<Long> seen = Stream.iterate(1_000L, now -> now + 1).limit(24).map(now -> {
-            servers.apply(List.of(servers.next(now)));
-            return servers.fingerprint();
-        }).toList();
-        assertEquals(24, seen.stream().distinct().count());
-    }
+  @Test
+  void ordinaryChangesNeverLeadBackToAnEarlierList() {
+    FleetServers servers = new FleetServers(FleetServers.made(4, 2));
+    List<Long> seen =
+        Stream.iterate(1_000L, now -> now + 1)
+            .limit(24)
+            .map(
+                now -> {
+                  servers.apply(List.of(servers.next(now)));
+                  return servers.fingerprint();
+                })
+            .toList();
+    assertEquals(24, seen.stream().distinct().count());
+  }
 }
--- a/src/test/java/gatefront/scale/HollowAgentTest.java
+++ b/src/test/java/gatefront/scale/HollowAgentTest.java
@@ -19,109 +19,116 @@
 
 /** One hollow agent on a clock that only the test moves. */
 class HollowAgentTest {
-    private static final long ANSWER_MICROS = 3_000;
-    private static final int LOOKUP = 0;
+  private static final long ANSWER_MICROS = 3_000;
+  private static final int LOOKUP = 0;
 
-    private final EmbeddedChannel clock = new EmbeddedChannel();
-    private final ServerTruth truth = new ServerTruth();
-    private final List<Long> applied = new ArrayList<>();
-    private long micros = 1_000_000;
-    private final HollowAgent agent = new HollowAgent(clock.eventLoop(),
-        Config.read(Path.of("src/test/resources/config.json")), truth, new HollowLoad(0, ANSWER_MICROS, 0),
-        () -> micros, applied::add);
+  private final EmbeddedChannel clock = new EmbeddedChannel();
+  private final ServerTruth truth = new ServerTruth();
+  private final List<Long> applied = new ArrayList<>();
+  private long micros = 1_000_000;
+  private final HollowAgent agent =
+      new HollowAgent(
+          clock.eventLoop(),
+          Config.read(Path.of("src/test/resources/config.json")),
+          truth,
+          new HollowLoad(0, ANSWER_MICROS, 0),
+          () -> micros,
+          applied::add);
 
-    HollowAgentTest() {
-        clock.freezeTime();
-    }
+  HollowAgentTest() {
+    clock.freezeTime();
+  }
 
-    private static Endpoint server(int id, Phase phase) {
-        return new Endpoint(new Server(id, 0, 0, 0, phase, 1, 0), "s" + id,
-            new InetSocketAddress("127.0.0.1", 1));
-    }
+  private static Endpoint server(int id, Phase phase) {
+    return new Endpoint(
+        new Server(id, 0, 0, 0, phase, 1, 0), "s" + id, new InetSocketAddress("127.0.0.1", 1));
+  }
 
-    private void pass(long some) {
-        for (long left = some; left > 0; left -= 1_000) {
-            micros += 1_000;
-            clock.advanceTimeBy(1, TimeUnit.MILLISECONDS);
-            clock.runScheduledPendingTasks();
-        }
+  private void pass(long some) {
+    for (long left = some; left > 0; left -= 1_000) {
+      micros += 1_000;
+      clock.advanceTimeBy(1, TimeUnit.MILLISECONDS);
+      clock.runScheduledPendingTasks();
     }
+  }
 
-    @Test
-    void servesWhatServersAnswer() {
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
-        agent.request(LOOKUP);
-        assertEquals(1, agent.open());
-        pass(10_000);
-        assertEquals(1, agent.counts().served);
-        assertEquals(0, agent.open());
-    }
+  @Test
+  void servesWhatServersAnswer() {
+    agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
+    agent.request(LOOKUP);
+    assertEquals(1, agent.open());
+    pass(10_000);
+    assertEquals(1, agent.counts().served);
+    assertEquals(0, agent.open());
+  }
 
-    @Test
-    void aSendThatItWasNotToldToStopIsCountedByTheTruth() {
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
-        truth.leaves(1, micros, false);
-        pass(6_400_000); // the limit for telling, and less than the grace
-        agent.request(LOOKUP);
-        assertEquals(0, agent.counts().lateAfterMade);
-        pass(200_000);
-        agent.request(LOOKUP);
-        assertEquals(1, agent.counts().lateAfterMade);
-        assertEquals(0, agent.counts().lateAfterTold);
-    }
+  @Test
+  void aSendThatItWasNotToldToStopIsCountedByTheTruth() {
+    agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
+    truth.leaves(1, micros, false);
+    pass(6_400_000); // the limit for telling, and less than the grace
+    agent.request(LOOKUP);
+    assertEquals(0, agent.counts().lateAfterMade);
+    pass(200_000);
+    agent.request(LOOKUP);
+    assertEquals(1, agent.counts().lateAfterMade);
+    assertEquals(0, agent.counts().lateAfterTold);
+  }
 
-    @Test
-    void nothingIsSentToAServerThatDrains() {
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
-        agent.list(ListKind.DELTA, List.of(server(1, Phase.DRAINING)));
-        truth.leaves(1, micros, true);
-        pass(7_000_000);
-        for (int i = 0; i < 100; i++) {
-            agent.request(LOOKUP);
-            pass(5_000);
-        }
-        assertEquals(100, agent.counts().served);
-        assertEquals(0, agent.counts().lateAfterTold + agent.counts().lateAfterMade);
+  @Test
+  void nothingIsSentToAServerThatDrains() {
+    agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
+    agent.list(ListKind.DELTA, List.of(server(1, Phase.DRAINING)));
+    truth.leaves(1, micros, true);
+    pass(7_000_000);
+    for (int i = 0; i < 100; i++) {
+      agent.request(LOOKUP);
+      pass(5_000);
     }
+    assertEquals(100, agent.counts().served);
+    assertEquals(0, agent.counts().lateAfterTold + agent.counts().lateAfterMade);
+  }
 
-    @Test
-    void aRequestThatNobodyListensForIsAnsweredAndNotLost() {
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
-        truth.leaves(1, micros, true);
-        agent.request(LOOKUP);
-        pass(9_000_000);
-        HollowCounts counts = agent.counts();
-        assertEquals(1, counts.refused + counts.failed);
-        assertEquals(0, counts.lost + counts.served);
-        assertEquals(0, agent.open());
-    }
+  @Test
+  void aRequestThatNobodyListensForIsAnsweredAndNotLost() {
+    agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
+    truth.leaves(1, micros, true);
+    agent.request(LOOKUP);
+    pass(9_000_000);
+    HollowCounts counts = agent.counts();
+    assertEquals(1, counts.refused + counts.failed);
+    assertEquals(0, counts.lost + counts.served);
+    assertEquals(0, agent.open());
+  }
 
-    @Test
-    void settingsOfAnOlderVersionAreNotTakenOver() {
-        Config other = Config.read(Path.of("src/test/resources/config.json"));
-        assertTrue(agent.settings(5, other));
-        assertFalse(agent.settings(5, other));
-        assertFalse(agent.settings(4, other));
-        assertTrue(agent.settings(7, other));
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
-        agent.request(LOOKUP);
-        pass(10_000);
-        assertEquals(1, agent.counts().served);
-    }
+  @Test
+  void settingsOfAnOlderVersionAreNotTakenOver() {
+    Config other = Config.read(Path.of("src/test/resources/config.json"));
+    assertTrue(agent.settings(5, other));
+    assertFalse(agent.settings(5, other));
+    assertFalse(agent.settings(4, other));
+    assertTrue(agent.settings(7, other));
+    agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
+    agent.request(LOOKUP);
+    pass(10_000);
+    assertEquals(1, agent.counts().served);
+  }
 
-    @Test
-    void theFingerprintIsTheListsHoweverItCame() {
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY),
-            server(3, Phase.READY)));
-        agent.list(ListKind.DELTA, List.of(server(2, Phase.DRAINING), server(3, Phase.GONE)));
-        List<Server> same = List.of(server(2, Phase.DRAINING).server(), server(1, Phase.READY).server());
-        assertEquals(Fingerprint.of(same), agent.fingerprint());
-        agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
-        assertEquals(Fingerprint.of(List.of(server(1, Phase.READY).server())), agent.fingerprint());
-        assertEquals(agent.fingerprint(), applied.get(2));
-        assertEquals(0, agent.counts().emptied);
-        agent.list(ListKind.DELTA, List.of(server(1, Phase.GONE)));
-        assertEquals(1, agent.counts().emptied);
-        assertEquals(0, agent.fingerprint());
-    }
+  @Test
+  void theFingerprintIsTheListsHoweverItCame() {
+    agent.list(
+        ListKind.FULL,
+        List.of(server(1, Phase.READY), server(2, Phase.READY), server(3, Phase.READY)));
+    agent.list(ListKind.DELTA, List.of(server(2, Phase.DRAINING), server(3, Phase.GONE)));
+    List<Server> same =
+        List.of(server(2, Phase.DRAINING).server(), server(1, Phase.READY).server());
+    assertEquals(Fingerprint.of(same), agent.fingerprint());
+    agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
+    assertEquals(Fingerprint.of(List.of(server(1, Phase.READY).server())), agent.fingerprint());
+    assertEquals(agent.fingerprint(), applied.get(2));
+    assertEquals(0, agent.counts().emptied);
+    agent.list(ListKind.DELTA, List.of(server(1, Phase.GONE)));
+    assertEquals(1, agent.counts().emptied);
+    assertEquals(0, agent.fingerprint());
+  }
 }
