--- a/src/main/java/gatefront/Admission.java
+++ b/src/main/java/gatefront/Admission.java
@@ -109,7 +109,7 @@
       // another kind between answers is no reason: with one in ten half the servers would rest.
       int before = outcome == Outcome.TIMEOUT ? target.failuresInRow : target.failuresInRow - 1;
       if (before >= 0) {
-        long usual = (long) Math.max(req.state.typical, agent.settings.tick());
+        long usual = (long) Math.max(req.state.typical, (double) agent.settings.tick());
         target.restUntil = now + (usual << before);
       }
       target.failuresInRow = Math.min(REST_DOUBLINGS, target.failuresInRow + 1);
--- a/src/main/java/gatefront/AnswerTimes.java
+++ b/src/main/java/gatefront/AnswerTimes.java
@@ -57,8 +57,8 @@
     state.typical += (state.typical == 0 ? 1 : BLEND / 2) * (spent - state.typical);
     state.unhurried =
         state.unhurried == 0 ? state.typical : Math.min(state.unhurried, state.typical);
-    state.times.add(spent);
-    allTimes.add(spent);
+    state.times.add((double) spent);
+    allTimes.add((double) spent);
     if (state.times.known()) {
       target.pace.add(spent / state.times.lowest());
     }
--- a/src/main/java/gatefront/Main.java
+++ b/src/main/java/gatefront/Main.java
@@ -34,7 +34,7 @@
       out.println(USAGE);
       return 0;
     }
-    if (args.length != 1 || !args[0].equals("drill") && !args[0].equals("serve")) {
+    if (args.length != 1 || (!args[0].equals("drill") && !args[0].equals("serve"))) {
       err.println(USAGE);
       return 2;
     }
--- a/src/main/java/gatefront/RequestHistory.java
+++ b/src/main/java/gatefront/RequestHistory.java
@@ -32,7 +32,7 @@
             .allMatch(
                 attempt ->
                     !attempt.mayHaveRun()
-                        || semantics == Semantics.KEYED && now < attempt.sentAt + window);
+                        || (semantics == Semantics.KEYED && now < attempt.sentAt + window));
   }
 
   /** Whether a server is in the group of every earlier attempt that may have run. */
@@ -55,6 +55,6 @@
     Semantics semantics = req.type.semantics();
     return semantics == Semantics.SAFE
         || req.attempts.stream().noneMatch(Attempt::mayHaveRun)
-        || semantics == Semantics.KEYED && req.type.scope() == Scope.ALL;
+        || (semantics == Semantics.KEYED && req.type.scope() == Scope.ALL);
   }
 }
--- a/src/main/java/gatefront/Rules.java
+++ b/src/main/java/gatefront/Rules.java
@@ -261,7 +261,9 @@
     long ahead = 1 + classes.order().stream().mapToLong(each -> each.held.size()).sum();
     double wait = perSecond == 0 ? most : ahead / perSecond * SECOND;
     return (long)
-        Math.min(most, Math.max(agent.settings.tick(), Math.max(wait, req.state.typical)));
+        Math.min(
+            (double) most,
+            Math.max((double) agent.settings.tick(), Math.max(wait, req.state.typical)));
   }
 
   private void cancelAll(Open req) {
--- a/src/main/java/gatefront/ServerPick.java
+++ b/src/main/java/gatefront/ServerPick.java
@@ -18,7 +18,7 @@
   private static final double SPILL_STEP = 0.01;
 
   /** Of two with as many requests in flight the one that was drawn first. */
-  private static final Comparator<Target> FIRST = (first, second) -> 0;
+  private static final Comparator<Target> FIRST = (unusedFirst, unusedSecond) -> 0;
 
   private final AgentState agent;
   private final ServerHealth health;
--- a/src/main/java/gatefront/SettingsParser.java
+++ b/src/main/java/gatefront/SettingsParser.java
@@ -41,7 +41,7 @@
    */
   public static Balancer.Settings parse(String text) {
     Map<String, String> pairs = new HashMap<>();
-    for (String line : text.split("\n")) {
+    for (String line : text.split("\n", -1)) {
       int equals = line.indexOf('=');
       if (equals > 0) {
         pairs.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
--- a/src/main/java/gatefront/Takeover.java
+++ b/src/main/java/gatefront/Takeover.java
@@ -46,7 +46,7 @@
   private static void check(String what, List<Integer> positions, int size) {
     Set<Integer> used = new HashSet<>();
     for (int position : positions) {
-      if (position < REMOVED || position >= size || position != REMOVED && !used.add(position)) {
+      if (position < REMOVED || position >= size || (position != REMOVED && !used.add(position))) {
         throw new IllegalArgumentException(what + ": position " + position);
       }
     }
--- a/src/main/java/gatefront/drill/FrameReader.java
+++ b/src/main/java/gatefront/drill/FrameReader.java
@@ -125,7 +125,7 @@
         (buffer[at] & 0xff) << 24
             | (buffer[at + 1] & 0xff) << 16
             | (buffer[at + 2] & 0xff) << 8
-            | buffer[at + 3] & 0xff;
+            | (buffer[at + 3] & 0xff);
     at += 4;
     return value;
   }
--- a/src/main/java/gatefront/net/Backends.java
+++ b/src/main/java/gatefront/net/Backends.java
@@ -518,15 +518,18 @@
         }
       }
       Config under = config;
-      loop.execute(
-          () ->
-              then.accept(
-                  under == config
-                      ? result // else the report's fields may be others
-                      : new Result(outcome, NO_LOAD, result.served(), result.bad())));
+      loop.execute(() -> then.accept(reported(result, under)));
     }
   }
 
+  /** Without the report of load if that was read under another configuration's fields. */
+  @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
+  private Result reported(Result result, Config under) {
+    return under == config
+        ? result
+        : new Result(result.outcome(), NO_LOAD, result.served(), result.bad());
+  }
+
   /** One connection to a server. */
   private final class Connection extends ChannelInitializer<Inspectable> {
     private final Pool pool;
@@ -616,7 +619,7 @@
       // One that is too long is not waited for.
       return length == Decoders.CHUNKED
           || length == Decoders.NO_LENGTH
-          || length >= 0 && length <= BODY_MAX;
+          || (length >= 0 && length <= BODY_MAX);
     }
 
     private boolean add(HttpContent content) {
@@ -683,7 +686,7 @@
       return NO_LOAD;
     }
     Map<String, Double> values = new HashMap<>();
-    for (String pair : text.split(",")) {
+    for (String pair : text.split(",", 0)) {
       int equals = pair.indexOf('=');
       try {
         double value = Double.parseDouble(pair.substring(equals + 1).trim());
--- a/src/main/java/gatefront/net/ClientServer.java
+++ b/src/main/java/gatefront/net/ClientServer.java
@@ -275,6 +275,7 @@
    *
    * @return null if it is no request any more, as with a class that has been removed
    */
+  @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
   Incoming current(Incoming request) {
     if (request.under() == config) {
       return request;
@@ -784,7 +785,7 @@
         || hint < 0
         || !token(id)
         || headers.get("Host", "").isEmpty()
-        || tenant < 0 && !config.tenants().isEmpty()) {
+        || (tenant < 0 && !config.tenants().isEmpty())) {
       return null;
     }
     Balancer.Semantics semantics = config.settings().classes().get(requestClass).semantics();
@@ -798,7 +799,7 @@
     }
     HttpHeaders forwarded = new DefaultHttpHeaders().set(headers);
     for (String option : headers.getAllAsString(HttpHeaderNames.CONNECTION)) {
-      for (String name : option.split(",")) {
+      for (String name : option.split(",", 0)) {
         if (ONCE.stream().noneMatch(name.trim()::equalsIgnoreCase)) {
           forwarded.remove(name.trim());
         }
--- a/src/main/java/gatefront/net/Config.java
+++ b/src/main/java/gatefront/net/Config.java
@@ -257,32 +257,38 @@
       return nodes.missingNode();
     }
     switch (at) {
-      case START_OBJECT:
+      case START_OBJECT -> {
         ObjectNode object = nodes.objectNode();
         while (from.nextToken() != JsonToken.END_OBJECT) {
           String name = from.currentName();
           object.set(name, json(from, from.nextToken()));
         }
         return object;
-      case START_ARRAY:
+      }
+      case START_ARRAY -> {
         ArrayNode array = nodes.arrayNode();
         while (from.nextToken() != JsonToken.END_ARRAY) {
           array.add(json(from, from.currentToken()));
         }
         return array;
-      case VALUE_NUMBER_INT:
+      }
+      case VALUE_NUMBER_INT -> {
         return from.getNumberType() == JsonParser.NumberType.BIG_INTEGER
             ? nodes.numberNode(from.getBigIntegerValue())
             : nodes.numberNode(from.getLongValue());
-      case VALUE_NUMBER_FLOAT:
+      }
+      case VALUE_NUMBER_FLOAT -> {
         return nodes.numberNode(from.getDoubleValue());
-      case VALUE_NULL:
+      }
+      case VALUE_NULL -> {
         return nodes.nullNode();
-      case VALUE_TRUE:
-      case VALUE_FALSE:
+      }
+      case VALUE_TRUE, VALUE_FALSE -> {
         return nodes.booleanNode(from.getBooleanValue());
-      default:
+      }
+      default -> {
         return nodes.textNode(from.getText());
+      }
     }
   }
 
--- a/src/main/java/gatefront/net/Decoders.java
+++ b/src/main/java/gatefront/net/Decoders.java
@@ -170,7 +170,7 @@
 
     @Override
     protected HttpMessage createMessage(String[] line) {
-      if (!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0")
+      if ((!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0"))
           || line[1].length() != 3
           || digits(line[1], 0) < 100) {
         throw new IllegalArgumentException("status line"); // the library would take "+200" for 200
--- a/src/main/java/gatefront/net/KeptAge.java
+++ b/src/main/java/gatefront/net/KeptAge.java
@@ -84,6 +84,6 @@
   }
 
   private static long from(int at) {
-    return at == 0 ? 0 : YOUNGEST_NANOS << at - 1;
+    return at == 0 ? 0 : YOUNGEST_NANOS << (at - 1);
   }
 }
--- a/src/main/java/gatefront/net/LiveSettings.java
+++ b/src/main/java/gatefront/net/LiveSettings.java
@@ -169,10 +169,10 @@
       atLeastZero("realms." + i + ".quota-per-s", settings.tenants().get(i).quotaPerSecond());
       share("realms." + i + ".fraction", settings.tenants().get(i).fraction());
     }
-    atLeastZero("caps.max-retry-after-us", settings.permits().maxRetryAfter());
-    atLeastZero("obligations.answer-slack-us", settings.obligations().answerSlack());
-    atLeastZero("obligations.stop-sending-within-us", settings.obligations().drainGrace());
-    atLeastZero("obligations.ask-within-us", settings.obligations().askWithin());
+    atLeastZero("caps.max-retry-after-us", (double) settings.permits().maxRetryAfter());
+    atLeastZero("obligations.answer-slack-us", (double) settings.obligations().answerSlack());
+    atLeastZero("obligations.stop-sending-within-us", (double) settings.obligations().drainGrace());
+    atLeastZero("obligations.ask-within-us", (double) settings.obligations().askWithin());
     atLeastZero("obligations.fall-multiple", settings.obligations().overloadMultiple());
     share("obligations.cold-from", settings.obligations().coldFrom());
     atLeastZero("deductions.cross-zone", settings.prices().crossing());
--- a/src/main/java/gatefront/net/Tally.java
+++ b/src/main/java/gatefront/net/Tally.java
@@ -1,7 +1,7 @@
 package gatefront.net;
 
 import gatefront.Balancer.Outcome;
-import java.util.Arrays;
+import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -28,8 +28,8 @@
     LEFT
   }
 
-  private final int[] answers = new int[Answer.values().length];
-  private final int[] outcomes = new int[Outcome.values().length];
+  private final Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
+  private final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
   private int unsent;
   private int givenUp;
   private int dialled;
@@ -57,7 +57,7 @@
 
   /** A request has its final answer, after so many attempts. */
   void answered(Answer answer, int attempts) {
-    answers[answer.ordinal()]++;
+    answers.merge(answer, 1, Integer::sum);
     unsent += attempts == 0 && answer != Answer.LEFT ? 1 : 0;
   }
 
@@ -95,7 +95,7 @@
 
   /** An attempt has ended. */
   void ended(Outcome outcome) {
-    outcomes[outcome.ordinal()]++;
+    outcomes.merge(outcome, 1, Integer::sum);
   }
 
   /** The first attempt of a request begins so long after it came. */
@@ -136,19 +136,20 @@
     int total = 0;
     StringBuilder line = new StringBuilder("tally:");
     for (Answer answer : Answer.values()) {
-      line.append(' ').append(word(answer)).append(' ').append(answers[answer.ordinal()]);
-      total += answers[answer.ordinal()];
+      int count = answers.getOrDefault(answer, 0);
+      line.append(' ').append(word(answer)).append(' ').append(count);
+      total += count;
     }
     line.append(" (unsent ").append(unsent).append("), open ").append(open).append("; attempts:");
     int attempts = 0;
     for (Outcome outcome : Outcome.values()) {
-      int count = outcomes[outcome.ordinal()];
+      int count = outcomes.getOrDefault(outcome, 0);
       attempts += count;
       if (count > 0) {
         line.append(' ').append(word(outcome)).append(' ').append(count);
       }
     }
-    if (outcomes[Outcome.RESET.ordinal()] > 0) {
+    if (outcomes.getOrDefault(Outcome.RESET, 0) > 0) {
       line.append(" (of the resets on kept connections ")
           .append(brokeKept)
           .append(", at once ")
@@ -176,8 +177,8 @@
         total + attempts + dialled == 0
             ? List.of()
             : unserved == null ? List.of(line.toString()) : List.of(line.toString(), unserved);
-    Arrays.fill(answers, 0);
-    Arrays.fill(outcomes, 0);
+    answers.clear();
+    outcomes.clear();
     unsent = 0;
     givenUp = 0;
     dialled = 0;
--- a/src/scale/java/gatefront/scale/BackendStandIns.java
+++ b/src/scale/java/gatefront/scale/BackendStandIns.java
@@ -219,7 +219,7 @@
 
     private void accept(Call call) {
       boolean busy = working >= options.concurrent();
-      if (mode == Mode.DRAINS || busy && queue.size() >= options.queueLimit()) {
+      if (mode == Mode.DRAINS || (busy && queue.size() >= options.queueLimit())) {
         turnedAway.increment();
         call.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, true);
       } else if (busy) {
@@ -283,7 +283,8 @@
   /** A call on its connection. */
   private record Call(Channel channel, String target) {
     void answer(HttpResponseStatus status, boolean notStarted) {
-      ByteBuf body = status == HttpResponseStatus.OK ? BODY.duplicate() : Unpooled.EMPTY_BUFFER;
+      ByteBuf body =
+          status.equals(HttpResponseStatus.OK) ? BODY.duplicate() : Unpooled.EMPTY_BUFFER;
       var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
       response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
       if (notStarted) {
--- a/src/scale/java/gatefront/scale/ClientLoad.java
+++ b/src/scale/java/gatefront/scale/ClientLoad.java
@@ -31,7 +31,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLongArray;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
@@ -143,12 +143,18 @@
   /** How calls ended so far, those of one stream. */
   public Map<Outcome, Long> counts(int stream) {
     Map<Outcome, Long> counts = new EnumMap<>(Outcome.class);
-    for (Outcome each : Outcome.values()) {
-      counts.put(each, sources.get(stream).ended.get(each.ordinal()));
-    }
+    sources.get(stream).ended.forEach((outcome, count) -> counts.put(outcome, count.get()));
     return counts;
   }
 
+  private static Map<Outcome, AtomicLong> counters() {
+    Map<Outcome, AtomicLong> counters = new EnumMap<>(Outcome.class);
+    for (Outcome outcome : Outcome.values()) {
+      counters.put(outcome, new AtomicLong());
+    }
+    return counters;
+  }
+
   /** The same of all streams. */
   public Map<Outcome, Long> counts() {
     Map<Outcome, Long> sums = new EnumMap<>(Outcome.class);
@@ -222,7 +228,7 @@
     private final SplittableRandom random;
     private final Bootstrap bootstrap;
     private final Map<InetSocketAddress, Deque<Connection>> idle = new HashMap<>();
-    private final AtomicLongArray ended = new AtomicLongArray(Outcome.values().length);
+    private final Map<Outcome, AtomicLong> ended = counters();
     private final Histogram latencies = new ConcurrentHistogram(LONGEST_NANOS, 3);
     private final double shares = kinds.stream().mapToDouble(Kind::share).sum();
     private int connections;
@@ -249,8 +255,8 @@
 
     long ended() {
       long sum = 0;
-      for (int i = 0; i < ended.length(); i++) {
-        sum += ended.get(i);
+      for (AtomicLong count : ended.values()) {
+        sum += count.get();
       }
       return sum;
     }
@@ -336,7 +342,7 @@
       if (outcome == Outcome.SERVED) {
         source.latencies.recordValue(Math.min(LONGEST_NANOS, nanos));
       }
-      source.ended.incrementAndGet(outcome.ordinal());
+      source.ended.get(outcome).incrementAndGet();
       listener.done(source.index, number, outcome, nanos);
     }
 
--- a/src/scale/java/gatefront/scale/ControlExperiment.java
+++ b/src/scale/java/gatefront/scale/ControlExperiment.java
@@ -76,6 +76,8 @@
 
     private final String title;
     private final int places;
+
+    @SuppressWarnings("ImmutableEnumChecker") // the functions have no state
     private final ToDoubleFunction<FleetResult> of;
 
     Figure(String title, int places, ToDoubleFunction<FleetResult> of) {
--- a/src/scale/java/gatefront/scale/DiscoveryCommand.java
+++ b/src/scale/java/gatefront/scale/DiscoveryCommand.java
@@ -132,46 +132,57 @@
     String word = command.path("command").asText();
     long told = System.nanoTime();
     switch (word) {
-      case "servers":
+      case "servers" -> {
         return Map.of("version", discovery.replace(entries(command)), "told", told);
-      case "restore":
+      }
+      case "restore" -> {
         long version = command.path("version").asLong();
         return Map.of("version", discovery.restore(version, entries(command)), "told", told);
-      case "change":
+      }
+      case "change" -> {
         return Map.of("version", discovery.change(entries(command)), "told", told);
-      case "spread":
+      }
+      case "spread" -> {
         return Map.of(
             "spread",
             Json.MAPPER.valueToTree(
                 spread.of(command.path("version").asLong(), command.path("told").asLong())));
-      case "millis":
+      }
+      case "millis" -> {
         return Map.of(
             "millis",
             spread.millis(
                 command.path("version").asLong(),
                 command.path("told").asLong(),
                 command.path("prefix").asText()));
-      case "down":
+      }
+      case "down" -> {
         discovery.down();
         return Map.of("down", true);
-      case "up":
+      }
+      case "up" -> {
         discovery.up();
         return Map.of("up", true);
-      case "cut-off":
+      }
+      case "cut-off" -> {
         discovery.cutOff();
         return Map.of("cut-off", true);
-      case "reachable":
+      }
+      case "reachable" -> {
         discovery.reachable();
         return Map.of("reachable", true);
-      case "stats":
+      }
+      case "stats" -> {
         return Map.of(
             "version", discovery.version(), "counts", Json.MAPPER.valueToTree(discovery.counts()));
-      case "agents":
+      }
+      case "agents" -> {
         return new TreeMap<>(discovery.countsByAgent());
-      case "quit":
+      }
+      case "quit" -> {
         return Map.of("quit", true);
-      default:
-        throw new IllegalArgumentException("command: " + word);
+      }
+      default -> throw new IllegalArgumentException("command: " + word);
     }
   }
 
--- a/src/scale/java/gatefront/scale/DiscoveryMeter.java
+++ b/src/scale/java/gatefront/scale/DiscoveryMeter.java
@@ -83,7 +83,7 @@
     while (at - lastSecond.peekFirst().at > SECOND) {
       lastSecond.removeFirst();
     }
-    peak = Math.max(peak, calls - lastSecond.peekFirst().calls);
+    peak = Math.max(peak, (double) (calls - lastSecond.peekFirst().calls));
   }
 
   /** The process has ended; the next sample is of another. */
--- a/src/scale/java/gatefront/scale/Fingerprint.java
+++ b/src/scale/java/gatefront/scale/Fingerprint.java
@@ -1,5 +1,6 @@
 package gatefront.scale;
 
+import gatefront.Balancer.Phase;
 import gatefront.Balancer.Server;
 
 /**
@@ -14,11 +15,20 @@
     if (server == null) {
       return 0;
     }
-    long mixed = mix(server.id() + server.phase().ordinal());
+    long mixed = mix(server.id() + number(server.phase()));
     mixed = mix(mixed + server.startedAt());
     return mix(mixed + Double.doubleToLongBits(server.weight()));
   }
 
+  /** A number for each phase; agents of one run compare them, so that they only have to differ. */
+  private static int number(Phase phase) {
+    return switch (phase) {
+      case READY -> 0;
+      case DRAINING -> 1;
+      case GONE -> 2;
+    };
+  }
+
   /** Of a whole list. */
   static long of(Iterable<Server> servers) {
     long sum = 0;
--- a/src/scale/java/gatefront/scale/FleetPlan.java
+++ b/src/scale/java/gatefront/scale/FleetPlan.java
@@ -143,7 +143,7 @@
 
   private static List<Event> events(Keys keys) {
     List<Event> events = new ArrayList<>();
-    for (String each : keys.text("events", null).split(" +")) {
+    for (String each : keys.text("events", null).split(" +", 0)) {
       if (!words(Event.values()).contains(each)) {
         throw keys.bad("events", "knows " + words(Event.values()) + " only: " + each);
       }
--- a/src/scale/java/gatefront/scale/HollowAgent.java
+++ b/src/scale/java/gatefront/scale/HollowAgent.java
@@ -153,7 +153,7 @@
 
               @Override
               public void failed(String why) {
-                counts.lists[ListKind.FAILED.ordinal()]++;
+                counts.lists.merge(ListKind.FAILED, 1L, Long::sum);
                 if (HollowAgent.this.config.settings().askDiscovery()) {
                   event(() -> balancer().servers(now(), ListKind.FAILED, List.of()));
                 }
@@ -245,7 +245,7 @@
 
   /** Applies a list as a real agent does. */
   void list(ListKind kind, List<Discovery.Endpoint> endpoints) {
-    counts.lists[kind.ordinal()]++;
+    counts.lists.merge(kind, 1L, Long::sum);
     boolean had = !listed.isEmpty();
     Set<Long> gone = new HashSet<>(kind == ListKind.DELTA ? Set.of() : listed.keySet());
     List<Server> entries = endpoints.stream().map(Discovery.Endpoint::server).toList();
--- a/src/scale/java/gatefront/scale/HollowCounts.java
+++ b/src/scale/java/gatefront/scale/HollowCounts.java
@@ -3,7 +3,9 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatefront.Balancer.ListKind;
+import java.util.EnumMap;
 import java.util.Locale;
+import java.util.Map;
 
 /**
  * What hollow agents have counted since their start. Written on one event loop; the sums are made
@@ -41,7 +43,7 @@
   long probes;
 
   /** Lists applied, by kind. */
-  final long[] lists = new long[ListKind.values().length];
+  final Map<ListKind, Long> lists = new EnumMap<>(ListKind.class);
 
   /** Lists after which an agent that had servers had none. */
   long emptied;
@@ -61,9 +63,7 @@
     lateAfterMade += other.lateAfterMade;
     coldSends += other.coldSends;
     probes += other.probes;
-    for (int i = 0; i < lists.length; i++) {
-      lists[i] += other.lists[i];
-    }
+    other.lists.forEach((kind, count) -> lists.merge(kind, count, Long::sum));
     emptied += other.emptied;
     logLines += other.logLines;
   }
@@ -85,7 +85,7 @@
         .put("log_lines", logLines);
     ObjectNode kinds = json.putObject("lists");
     for (ListKind kind : ListKind.values()) {
-      kinds.put(kind.name().toLowerCase(Locale.ROOT), lists[kind.ordinal()]);
+      kinds.put(kind.name().toLowerCase(Locale.ROOT), lists.getOrDefault(kind, 0L));
     }
     return json;
   }
--- a/src/scale/java/gatefront/scale/LatencyExperiment.java
+++ b/src/scale/java/gatefront/scale/LatencyExperiment.java
@@ -10,6 +10,7 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,7 +30,8 @@
  * two equal streams differ on this machine.
  */
 final class LatencyExperiment implements Experiment {
-  private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress ANY_PORT =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   private static final double[] QUANTILES = {50, 90, 99, 99.9};
   private static final List<String> WAYS = List.of("agent", "direct", "again");
 
--- a/src/scale/java/gatefront/scale/LikenessExperiment.java
+++ b/src/scale/java/gatefront/scale/LikenessExperiment.java
@@ -37,15 +37,25 @@
     for (FleetPhase each : result.phases()) {
       DiscoveryMeter.Sums real = each.realDiscovery();
       DiscoveryMeter.Sums hollow = each.discovery().minus(real);
-      compare(rows, each.name(), "calls", real.calls(), hollow.calls());
+      compare(rows, each.name(), "calls", (double) real.calls(), (double) hollow.calls());
       compare(
           rows,
           each.name(),
           "lists and changes",
-          real.wholes() + real.deltas(),
-          hollow.wholes() + hollow.deltas());
-      compare(rows, each.name(), "bytes to discovery", real.bytesIn(), hollow.bytesIn());
-      compare(rows, each.name(), "bytes from discovery", real.bytesOut(), hollow.bytesOut());
+          (double) (real.wholes() + real.deltas()),
+          (double) (hollow.wholes() + hollow.deltas()));
+      compare(
+          rows,
+          each.name(),
+          "bytes to discovery",
+          (double) real.bytesIn(),
+          (double) hollow.bytesIn());
+      compare(
+          rows,
+          each.name(),
+          "bytes from discovery",
+          (double) real.bytesOut(),
+          (double) hollow.bytesOut());
     }
     compare(
         rows,
--- a/src/scale/java/gatefront/scale/ProcessFigures.java
+++ b/src/scale/java/gatefront/scale/ProcessFigures.java
@@ -27,7 +27,7 @@
   public static double cpuSeconds(long pid) {
     try {
       String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-      String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+      String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
       return (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])) / TICKS_PER_SECOND;
     } catch (IOException e) {
       return Double.NaN;
--- a/src/scale/java/gatefront/scale/RealSide.java
+++ b/src/scale/java/gatefront/scale/RealSide.java
@@ -119,7 +119,7 @@
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         return port;
       } catch (BindException e) {
-        continue; // another try
+        // another try
       }
     }
     throw new IOException("no port from " + PORT_LEAST + " to " + PORT_MOST + " is free");
--- a/src/scale/java/gatefront/scale/RunCommand.java
+++ b/src/scale/java/gatefront/scale/RunCommand.java
@@ -78,7 +78,7 @@
   static Experiment read(Keys keys, String command) {
     String kind = keys.text("experiment", null);
     Function<Keys, Experiment> of = KINDS.get(kind);
-    if (of == null || KINDS.containsKey(command) && !command.equals(kind)) {
+    if (of == null || (KINDS.containsKey(command) && !command.equals(kind))) {
       Set<String> known = KINDS.containsKey(command) ? Set.of(command) : KINDS.keySet();
       throw keys.bad("experiment", "is none of " + known + ": " + kind);
     }
--- a/src/scale/java/gatefront/scale/ServerTruth.java
+++ b/src/scale/java/gatefront/scale/ServerTruth.java
@@ -13,7 +13,10 @@
   static final long TOLD_AFTER_MICROS = 6_000_000;
 
   /**
-   * @param leftAt from when the server takes nothing new @param gone whether nobody listens there
+   * A server that was taken from the list.
+   *
+   * @param leftAt from when the server takes nothing new
+   * @param gone whether nobody listens there
    */
   private record Left(long leftAt, boolean gone) {}
 
--- a/src/scale/java/gatefront/scale/SlopesExperiment.java
+++ b/src/scale/java/gatefront/scale/SlopesExperiment.java
@@ -6,6 +6,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,10 +34,12 @@
  * all sizes but one, which it then predicts.
  */
 final class SlopesExperiment implements Experiment {
-  private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress ANY_PORT =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
   /** Nobody listens there: connections are refused at once. */
-  private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress NOBODY =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
   private static final int PORTS = 4;
   private static final int THREADS = 4;
@@ -57,7 +60,10 @@
     AGAIN_HAS("until it has that, ms", Sample::againMs, 0);
 
     private final String title;
+
+    @SuppressWarnings("ImmutableEnumChecker") // the functions have no state
     private final ToDoubleFunction<Sample> of;
+
     private final int places;
 
     Figure(String title, ToDoubleFunction<Sample> of, int places) {
--- a/src/scale/java/gatefront/scale/WatchersExperiment.java
+++ b/src/scale/java/gatefront/scale/WatchersExperiment.java
@@ -5,6 +5,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -27,7 +28,8 @@
   private static final int SPARE_SECONDS = 20;
   private static final long POLL_MS = 2;
   private static final int WARM_WATCHERS = 100;
-  private static final InetSocketAddress NOBODY = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress NOBODY =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
   /** What is measured. */
   private enum Figure {
--- a/src/test/java/gatefront/MainTest.java
+++ b/src/test/java/gatefront/MainTest.java
@@ -1,5 +1,6 @@
 package gatefront;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.ByteArrayOutputStream;
@@ -17,8 +18,8 @@
   @Test
   void helpIsPrintedToStandardOutput() {
     assertEquals(0, run("--help"));
-    assertEquals(Main.USAGE, out.toString().strip());
-    assertEquals("", err.toString());
+    assertEquals(Main.USAGE, out.toString(UTF_8).strip());
+    assertEquals("", err.toString(UTF_8));
   }
 
   @Test
@@ -29,14 +30,14 @@
         "gatefront: RELAY_CONFIG is not set"
             + System.lineSeparator()
             + "gatefront: cannot read no/such/file: no/such/file",
-        err.toString().strip());
+        err.toString(UTF_8).strip());
   }
 
   @Test
   void noCommandAndAnUnknownOneGiveTheUsageAsAnError() {
     assertEquals(2, run());
     assertEquals(2, run("sing"));
-    assertEquals("", out.toString());
-    assertEquals(Main.USAGE + System.lineSeparator() + Main.USAGE, err.toString().strip());
+    assertEquals("", out.toString(UTF_8));
+    assertEquals(Main.USAGE + System.lineSeparator() + Main.USAGE, err.toString(UTF_8).strip());
   }
 }
--- a/src/test/java/gatefront/MechanismTest.java
+++ b/src/test/java/gatefront/MechanismTest.java
@@ -341,9 +341,8 @@
   @Test
   void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
     Hand hand = four();
-    List<Long> old = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      old.add(hand.request());
+      hand.request();
     }
     hand.pass(100_000);
     List<Long> newer = new ArrayList<>();
@@ -829,9 +828,8 @@
     for (int i = 0; i < 100; i++) {
       hand.serve(50_000);
     }
-    List<Long> ids = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      ids.add(hand.request());
+      hand.request();
     }
     hand.pass(SECOND);
     List<Long> told = hand.all("refuse").stream().map(Hand.Act::value).toList();
--- a/src/test/java/gatefront/RandomRunTest.java
+++ b/src/test/java/gatefront/RandomRunTest.java
@@ -27,6 +27,8 @@
  * a server here.
  */
 class RandomRunTest {
+  private static final List<Phase> PHASES = List.of(Phase.values());
+  private static final List<Outcome> OUTCOMES = List.of(Outcome.values());
   private static final long SECOND = Hand.SECOND;
 
   /** What the checker knows of a request. */
@@ -119,7 +121,7 @@
       Known known = e.getValue();
       boolean served = known.outcomes.contains(Outcome.OK);
       assertTrue(
-          known.left || served && known.answers == 0 || known.answers == 1,
+          known.left || (served && known.answers == 0) || known.answers == 1,
           "request " + e.getKey());
     }
     return List.copyOf(hand.acts);
@@ -134,7 +136,7 @@
               random.nextInt(zones),
               random.nextInt(3),
               0,
-              Phase.values()[Math.max(0, random.nextInt(8) - 5)],
+              PHASES.get(Math.max(0, random.nextInt(8) - 5)),
               1,
               random.nextInt(9) == 0 ? hand.now : 0);
       Server before = listed.get(server.id());
@@ -155,7 +157,7 @@
       hand.balancer.probed(
           hand.now,
           1 + random.nextInt(8),
-          Outcome.values()[Math.max(0, random.nextInt(20) - 16)],
+          OUTCOMES.get(Math.max(0, random.nextInt(20) - 16)),
           1000,
           new double[0]);
     } else if (what == 2) {
@@ -163,7 +165,7 @@
     } else if (what < 10) {
       int c = random.nextInt(classes.size());
       long deadline = hand.now + 300_000 + random.nextLong(3 * SECOND);
-      long id = 1_000_000 + requests.size();
+      long id = 1_000_000L + requests.size();
       requests.put(id, new Known(classes.get(c), deadline));
       hand.balancer.request(
           hand.now,
@@ -195,7 +197,7 @@
     }
     for (int a = 0; a < known.outcomes.size(); a++) {
       if (known.outcomes.get(a) == null && roll < 20) {
-        Outcome outcome = Outcome.values()[Math.max(0, random.nextInt(40) - 32)];
+        Outcome outcome = OUTCOMES.get(Math.max(0, random.nextInt(40) - 32));
         boolean closed = known.left || known.answers > 0 || outcome == Outcome.OK;
         known.outcomes.set(a, outcome);
         hand.balancer.outcome(
@@ -221,7 +223,8 @@
             boolean harmless =
                 known.type.semantics() == Semantics.SAFE
                     || !known.mayHaveRun(a)
-                    || known.type.semantics() == Semantics.KEYED && known.type.scope() == Scope.ALL;
+                    || (known.type.semantics() == Semantics.KEYED
+                        && known.type.scope() == Scope.ALL);
             assertTrue(harmless, "a refusal is harmless");
           }
         }
@@ -249,8 +252,8 @@
           Server next = listed.get(act.server());
           assertTrue(
               known.type.scope() == Scope.ALL
-                  || known.type.scope() == Scope.ZONE && old.zone() == next.zone()
-                  || known.type.scope() == Scope.CELL && old.cell() == next.cell(),
+                  || (known.type.scope() == Scope.ZONE && old.zone() == next.zone())
+                  || (known.type.scope() == Scope.CELL && old.cell() == next.cell()),
               "group");
         }
       }
--- a/src/test/java/gatefront/TakeoverTest.java
+++ b/src/test/java/gatefront/TakeoverTest.java
@@ -33,6 +33,8 @@
  * still do.
  */
 class TakeoverTest {
+  private static final List<Semantics> SEMANTICS = List.of(Semantics.values());
+  private static final List<Scope> SCOPES = List.of(Scope.values());
   private static final long SECOND = Hand.SECOND;
   private static final Permits PERMITS = new Permits(4, false, true, true, false, SECOND);
 
@@ -41,7 +43,7 @@
   }
 
   private static RequestClass type(String word) {
-    String[] parts = word.split("-");
+    String[] parts = word.split("-", -1);
     return type(
         Semantics.valueOf(parts[0]),
         parts.length > 1 ? Scope.valueOf(parts[1]) : Scope.ALL,
@@ -167,7 +169,7 @@
           swapped ? List.of(1, 0) : List.of(0, 1));
       long[] sent = new long[2];
       for (int c = 0; c < 2; c++) {
-        long id = 900 + c; // held for a moment, then too late for a second's work
+        long id = 900L + c; // held for a moment, then too late for a second's work
         hand.full();
         hand.balancer.request(
             hand.now, new Request(id, c, 0, 0, 0, hand.now + SECOND + SECOND / 2, false, false));
@@ -247,7 +249,7 @@
       Hand hand = new Hand(s).full(Hand.server(1, 0, Phase.READY, Hand.SECOND * 100));
       take(hand, next, List.of(0));
       hand.pass(22 * SECOND);
-      assertEquals(next == s, sentOf(30, hand) > 3, "warm after 20 s or 60 s");
+      assertEquals(next.equals(s), sentOf(30, hand) > 3, "warm after 20 s or 60 s");
     }
   }
 
@@ -371,8 +373,8 @@
             types.put(
                 name,
                 type(
-                    Semantics.values()[random.nextInt(3)],
-                    Scope.values()[random.nextInt(3)],
+                    SEMANTICS.get(random.nextInt(3)),
+                    SCOPES.get(random.nextInt(3)),
                     SECOND + random.nextLong(2 * SECOND))));
     return settings(
         zones.indexOf("x"),
@@ -399,7 +401,7 @@
     for (int step = 0; step < 3000; step++) {
       int what = step < 8 ? 0 : random.nextInt(20);
       if (what == 0) {
-        long id = 1 + random.nextInt(8);
+        long id = 1L + random.nextInt(8);
         String zone =
             zoneOf.computeIfAbsent(id, any -> List.of("x", "y", "z").get(random.nextInt(3)));
         hand.list(
@@ -505,8 +507,8 @@
                               type == null
                                   ? known.types.get(0).semantics() == Semantics.SAFE
                                   : type.semantics() == Semantics.SAFE
-                                      || type.semantics() == Semantics.KEYED
-                                          && type.scope() == Scope.ALL),
+                                      || (type.semantics() == Semantics.KEYED
+                                          && type.scope() == Scope.ALL)),
               "harmless");
         }
       } else if (act.what().equals("send")) {
@@ -532,15 +534,15 @@
     boolean group =
         type == null
             || type.scope() == Scope.ALL
-            || type.scope() == Scope.ZONE && zoneOf.get(old).equals(zoneOf.get(act.server()))
-            || type.scope() == Scope.CELL && old % 3 == act.server() % 3;
+            || (type.scope() == Scope.ZONE && zoneOf.get(old).equals(zoneOf.get(act.server())))
+            || (type.scope() == Scope.CELL && old % 3 == act.server() % 3);
     boolean keyed = known.types.get(0).semantics() == Semantics.KEYED;
     return type == null
         ? known.types.get(0).semantics() == Semantics.SAFE
         : type.semantics() == Semantics.SAFE
-            || type.semantics() == Semantics.KEYED
+            || (type.semantics() == Semantics.KEYED
                 && keyed
                 && group
-                && hand.now < known.sentAt.get(attempt) + type.window();
+                && hand.now < known.sentAt.get(attempt) + type.window());
   }
 }
--- a/src/test/java/gatefront/net/AgentTest.java
+++ b/src/test/java/gatefront/net/AgentTest.java
@@ -24,7 +24,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -727,7 +726,7 @@
     for (JsonNode each : stage.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
     }
-    stage.start(neverAnswers()); // and a client that waits for longer than the test
+    stage.start(AgentTest::neverAnswers); // and a client that waits for longer than the test
     Socket client = stage.dial();
     Peer.write(client, stage.request("order", 2 * Stage.GENEROUS_MS, "body"));
     Thread.sleep(100);
@@ -745,7 +744,7 @@
     for (JsonNode each : stage.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("give-up-us", 3_000 * Stage.GENEROUS_MS);
     }
-    stage.start(neverAnswers());
+    stage.start(AgentTest::neverAnswers);
     Socket client = stage.dial();
     Peer.write(client, stage.request("order", 3 * Stage.GENEROUS_MS, "body"));
     Peer.daemon(stage.agent::stop);
@@ -754,13 +753,12 @@
   }
 
   /** A module that leaves its requests open. */
-  private static Function<Agent, Balancer> neverAnswers() {
-    return agent ->
-        (Balancer)
-            Proxy.newProxyInstance(
-                Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.class},
-                (proxy, method, details) -> null);
+  private static Balancer neverAnswers(Agent unusedAgent) {
+    return (Balancer)
+        Proxy.newProxyInstance(
+            Balancer.class.getClassLoader(),
+            new Class<?>[] {Balancer.class},
+            (proxy, method, details) -> null);
   }
 
   private int health() {
--- a/src/test/java/gatefront/net/AskedDiscoveryTest.java
+++ b/src/test/java/gatefront/net/AskedDiscoveryTest.java
@@ -1,5 +1,6 @@
 package gatefront.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -53,23 +54,21 @@
   }
 
   /** The usual module, whose waits before it asks discovery are noted and over at once. */
-  private Function<Agent, Balancer> hurried() {
-    return agent -> {
-      var actions =
-          (Balancer.Actions)
-              Proxy.newProxyInstance(
-                  Balancer.class.getClassLoader(),
-                  new Class<?>[] {Balancer.Actions.class},
-                  (proxy, method, details) -> {
-                    if (method.getName().equals("timer") && details[0].equals(TIMER_ASK)) {
-                      waits.add((Long) details[1]);
-                      agent.timer(TIMER_ASK, 0);
-                      return null;
-                    }
-                    return method.invoke(agent, details);
-                  });
-      return new Rules(Config.of(stage.config).settings(), 1, 0, actions);
-    };
+  private Balancer hurried(Agent agent) {
+    var actions =
+        (Balancer.Actions)
+            Proxy.newProxyInstance(
+                Balancer.class.getClassLoader(),
+                new Class<?>[] {Balancer.Actions.class},
+                (proxy, method, details) -> {
+                  if (method.getName().equals("timer") && details[0].equals(TIMER_ASK)) {
+                    waits.add((Long) details[1]);
+                    agent.timer(TIMER_ASK, 0);
+                    return null;
+                  }
+                  return method.invoke(agent, details);
+                });
+    return new Rules(Config.of(stage.config).settings(), 1, 0, actions);
   }
 
   private List<String> asked(Peer discovery) {
@@ -104,7 +103,7 @@
   @Test
   void theFirstCallIsAWatchForWhatIsNewerThanTheKnownList() throws Exception {
     ((ObjectNode) stage.config.get("known")).put("index", 3);
-    stage.start(hurried());
+    stage.start(this::hurried);
     stage.news.add(drain());
     assertDrainKnown(stage.discovery);
     assertTrue(
@@ -115,7 +114,7 @@
   @Test
   void anAgentThatKnowsNoServersFetchesTheWholeListFirst() throws Exception {
     ((ObjectNode) stage.config.get("known")).putArray("endpoints");
-    stage.start(hurried());
+    stage.start(this::hurried);
     Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
     assertEquals("/v1/servers", asked(stage.discovery).get(0));
   }
@@ -125,7 +124,7 @@
   void aVersionBeforeTheOneHeldMakesItFetchTheWholeList() throws Exception {
     ((ObjectNode) stage.config.get("known")).put("index", 7);
     stage.news.add(Stage.delta(4));
-    stage.start(hurried());
+    stage.start(this::hurried);
     Stage.await(() -> asked(stage.discovery).size() >= 3);
     assertTrue(asked(stage.discovery).get(0).contains("since=7&"));
     assertEquals("/v1/servers", asked(stage.discovery).get(1));
@@ -134,7 +133,7 @@
   @Test
   void aChangeIsKnownAfterARefusedFirstCallAndRefusedRepeats() throws Exception {
     stage.news.addAll(List.of(REFUSES, REFUSES, RESETS, REFUSES, drain()));
-    stage.start(hurried());
+    stage.start(this::hurried);
     assertDrainKnown(stage.discovery);
     assertEquals(1 + 4, waits.size(), "one before the first call and one after each that failed");
     assertWaitsInTime();
@@ -147,7 +146,7 @@
   @Test
   void aChangeIsKnownAfterACallThatHungAndARefusedOne() throws Exception {
     stage.news.addAll(List.of((message, socket) -> {}, REFUSES, drain()));
-    stage.start(hurried());
+    stage.start(this::hurried);
     assertDrainKnown(stage.discovery);
     assertEquals(2, waits.size(), "the call that hung is made again with no wait of the module's");
     long found = TimeUnit.MILLISECONDS.toMicros(Discovery.WATCH_MS + Discovery.SILENT_MS);
@@ -197,19 +196,19 @@
     var log = new ByteArrayOutputStream();
     System.setErr(new PrintStream(log, true));
     try {
-      stage.start(hurried());
+      stage.start(this::hurried);
       assertDrainKnown(stage.discovery);
     } finally {
       System.setErr(usual);
     }
     assertTrue(
-        log.toString()
+        log.toString(UTF_8)
             .lines()
             .anyMatch(
                 each ->
                     each.startsWith("discovery: broken: ")
                         && each.contains("TooLongHttpContentException")),
-        log.toString());
+        log.toString(UTF_8));
     assertEquals(2, waits.size(), "before the first call and after the one that failed");
   }
 
@@ -225,7 +224,7 @@
                   + "]}");
           socket.close();
         });
-    stage.start(hurried());
+    stage.start(this::hurried);
     assertDrainKnown(stage.discovery);
     assertEquals(1, waits.size(), "before the first call alone");
   }
@@ -234,7 +233,7 @@
   void aChangeIsKnownOnceDiscoveryIsBack() throws Exception {
     int port = stage.discovery.listener.getLocalPort();
     stage.discovery.close();
-    stage.start(hurried());
+    stage.start(this::hurried);
     Stage.await(() -> waits.size() >= 8);
     Peer back =
         new Peer(
--- a/src/test/java/gatefront/net/BadClientsTest.java
+++ b/src/test/java/gatefront/net/BadClientsTest.java
@@ -251,7 +251,7 @@
     stage.server(SERVES);
     stage.start();
     Socket client = stage.dial();
-    String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n");
+    String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n", -1);
     assertEquals(
         100, Stage.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n").status());
     assertEquals(200, Stage.exchange(client, parts[1]).status());
--- a/src/test/java/gatefront/net/DescriptorsTest.java
+++ b/src/test/java/gatefront/net/DescriptorsTest.java
@@ -15,6 +15,7 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -81,7 +82,9 @@
       loop.submit(
               () -> {
                 backends.self(
-                    1, new InetSocketAddress("127.0.0.1", server.listener.getLocalPort()));
+                    1,
+                    new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), server.listener.getLocalPort()));
                 backends.send(
                     1,
                     new Backends.Outgoing(
@@ -183,14 +186,15 @@
    */
   private void idle(boolean asks, AtomicInteger dialled) {
     while (!over) {
-      try (Socket client = new Socket("127.0.0.1", stage.agent.address().getPort())) {
+      try (Socket client =
+          new Socket(InetAddress.getLoopbackAddress(), stage.agent.address().getPort())) {
         dialled.incrementAndGet();
         if (asks) {
           Peer.write(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         client.getInputStream().readAllBytes();
       } catch (IOException e) {
-        continue; // closed with what it wrote unread
+        // closed with what it wrote unread
       }
     }
   }
--- a/src/test/java/gatefront/net/LateConnectionsTest.java
+++ b/src/test/java/gatefront/net/LateConnectionsTest.java
@@ -10,7 +10,6 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -44,7 +43,7 @@
 
     void comeUp() throws IOException {
       javaChannel().connect(to);
-      ((AbstractNioChannel.NioUnsafe) unsafe()).finishConnect();
+      unsafe().finishConnect();
     }
   }
 
--- a/src/test/java/gatefront/net/LiveSettingsTest.java
+++ b/src/test/java/gatefront/net/LiveSettingsTest.java
@@ -163,6 +163,7 @@
     stage.start();
     AtomicBoolean over = new AtomicBoolean();
     AtomicInteger served = new AtomicInteger();
+    Object requests = new Object();
     List<String> others = new ArrayList<>();
     List<Thread> clients = new ArrayList<>();
     for (String type : List.of("lookup", "pay", "order")) {
@@ -172,7 +173,7 @@
               () -> {
                 while (!over.get()) {
                   String request;
-                  synchronized (stage) {
+                  synchronized (requests) {
                     request = stage.request(type, 8000, type.equals("lookup") ? "" : "body");
                   }
                   Peer.Message answer = Stage.exchange(socket, request);
@@ -526,7 +527,7 @@
     long last = 41;
     for (String change : changes()) {
       assertTrue(change.endsWith(" in force, was " + last), change);
-      last = Long.parseLong(change.split(" ")[0]);
+      last = Long.parseLong(change.split(" ", 2)[0]);
     }
     assertEquals(141, last);
     assertFalse(logged().contains("refused: "), logged());
--- a/src/test/java/gatefront/net/Peer.java
+++ b/src/test/java/gatefront/net/Peer.java
@@ -28,11 +28,11 @@
     }
 
     public int status() {
-      return Integer.parseInt(first.split(" ")[1]);
+      return Integer.parseInt(first.split(" ", -1)[1]);
     }
 
     public String target() {
-      return first.split(" ")[1];
+      return first.split(" ", -1)[1];
     }
 
     public String text() {
--- a/src/test/java/gatefront/policy/TwoRandomChoicesTest.java
+++ b/src/test/java/gatefront/policy/TwoRandomChoicesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class TwoRandomChoicesTest {
-  private static final Comparator<Integer> FIRST = (first, second) -> 0;
+  private static final Comparator<Integer> FIRST = (unusedFirst, unusedSecond) -> 0;
   private static final int PICKS = 30_000;
 
   private final SplittableRandom random = new SplittableRandom(7);
--- a/src/test/java/gatefront/scale/ClientLoadTest.java
+++ b/src/test/java/gatefront/scale/ClientLoadTest.java
@@ -11,6 +11,7 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.List;
@@ -50,7 +51,7 @@
   @Test
   void callsAreServedTurnedAwayOrTimeOutAsTheBackendWants() throws Exception {
     try (BackendStandIns backends = new BackendStandIns(group, BackendStandIns.Options.atOnce())) {
-      var backend = backends.add(new InetSocketAddress("127.0.0.1", 0));
+      var backend = backends.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       var served = load(backend.address(), 50, KINDS);
       assertTrue(served.get(Outcome.SERVED) >= 50, served::toString);
       assertEquals(
@@ -68,7 +69,7 @@
       assertEquals(
           silent.get(Outcome.TIMED_OUT), silent.values().stream().mapToLong(each -> each).sum());
     }
-    var unreached = load(new InetSocketAddress("127.0.0.1", 1), 3, KINDS);
+    var unreached = load(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), 3, KINDS);
     assertTrue(unreached.get(Outcome.UNREACHED) >= 3, unreached::toString);
   }
 
@@ -89,6 +90,6 @@
       times[i] = work.nanos(3, "/lookup?n=" + i);
     }
     Arrays.sort(times);
-    assertEquals(4e6, times[500], 0.5e6, "the median");
+    assertEquals(4e6, (double) times[500], 0.5e6, "the median");
   }
 }
--- a/src/test/java/gatefront/scale/DiscoveryStandInTest.java
+++ b/src/test/java/gatefront/scale/DiscoveryStandInTest.java
@@ -11,6 +11,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.net.URI;
@@ -33,7 +34,7 @@
   private final DiscoveryStandIn discovery =
       new DiscoveryStandIn(
           group,
-          new InetSocketAddress("127.0.0.1", 0),
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
           new DiscoveryStandIn.Options(
               7, 3, null, List.of(), false, (agent, version, at) -> has.add(version)));
   private final HttpClient client = HttpClient.newHttpClient();
@@ -132,7 +133,8 @@
   @Test
   void whatIsCutOffSaysNothingUntilItsConnectionsAreReset() throws Exception {
     // A plain socket: the library's client would ask again by itself after the reset.
-    try (Socket watch = new Socket("127.0.0.1", discovery.address().getPort())) {
+    try (Socket watch =
+        new Socket(InetAddress.getLoopbackAddress(), discovery.address().getPort())) {
       String call = "GET /v1/servers?since=7&timeout_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n";
       watch.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
       has.take();
--- a/src/test/java/gatefront/scale/HollowAgentTest.java
+++ b/src/test/java/gatefront/scale/HollowAgentTest.java
@@ -10,6 +10,7 @@
 import gatefront.net.Config;
 import gatefront.net.Discovery.Endpoint;
 import io.netty.channel.embedded.EmbeddedChannel;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -41,7 +42,9 @@
 
   private static Endpoint server(int id, Phase phase) {
     return new Endpoint(
-        new Server(id, 0, 0, 0, phase, 1, 0), "s" + id, new InetSocketAddress("127.0.0.1", 1));
+        new Server(id, 0, 0, 0, phase, 1, 0),
+        "s" + id,
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
   }
 
   private void pass(long some) {
