--- a/src/main/java/gatefront/Balancer.java
+++ b/src/main/java/gatefront/Balancer.java
@@ -54,7 +54,7 @@
 
   /** How an attempt or a probe ended. */
   enum Outcome {
-    /** Answered. */
+    /** Responded. */
     OK(false),
     /** Error answer. */
     ERROR(false),
--- a/src/main/java/slateslip/configuration/DocumentParts.java
+++ b/src/main/java/slateslip/configuration/DocumentParts.java
@@ -39,7 +39,7 @@
       new DocumentParts(0, null, null, null, IngressLimits.DEFAULT, null, Map.of());
 
   /** With one part replaced whole. */
-  DocumentParts replaced(String field, JsonSlice value, Problems problems) {
+  DocumentParts replaced(String field, JsonSlice value, ValidationErrors problems) {
     return switch (field) {
       case VERSION -> withVersion(VersionNumber.read(value, problems));
       case ROUTES -> withRoutes(NamedItems.none(ROUTES, ROUTE).with(value, problems));
@@ -51,7 +51,7 @@
   }
 
   /** With items added to a list, or put in the place of those of their name. */
-  DocumentParts upserted(String field, JsonSlice items, Problems problems) {
+  DocumentParts upserted(String field, JsonSlice items, ValidationErrors problems) {
     return switch (field) {
       case ROUTES -> withRoutes(routes.with(items, problems));
       case SERVICES -> withServices(services.with(items, problems));
@@ -62,7 +62,7 @@
   }
 
   /** Without the items of these names. */
-  DocumentParts removed(String field, List<String> names, Problems problems) {
+  DocumentParts removed(String field, List<String> names, ValidationErrors problems) {
     return switch (field) {
       case ROUTES -> withRoutes(routes.without(names));
       case SERVICES -> withServices(services.without(names));
@@ -88,32 +88,32 @@
     return tenants == null ? NamedItems.none(TENANTS, TENANT) : tenants;
   }
 
-  private DocumentParts removedUnread(String field, List<String> names, Problems problems) {
+  private DocumentParts removedUnread(String field, List<String> names, ValidationErrors problems) {
     if (!others.containsKey(field)) {
       return this;
     }
     return withOther(field, unread(field, problems).without(names).toJson());
   }
 
-  private NamedItems<String> unread(String field, Problems problems) {
+  private NamedItems<String> unread(String field, ValidationErrors problems) {
     NamedItems<String> none = NamedItems.none(field, UNREAD);
     byte[] json = others.get(field);
     return json == null ? none : none.with(JsonSlice.ofWhole(json), problems);
   }
 
-  private DocumentParts withLimits(JsonSlice value, Problems problems) {
+  private DocumentParts withLimits(JsonSlice value, ValidationErrors problems) {
     if (!value.isObject()) {
       problems.report(LIMITS, "is not an object");
       return this;
     }
     byte[] json = value.toBytes();
-    Problems ofLimits = new Problems();
+    ValidationErrors ofLimits = new ValidationErrors();
     IngressLimits read = readLimits(json, ofLimits);
     problems.reportAll(LIMITS + ":", ofLimits);
     return new DocumentParts(version, routes, services, tenants, read, json, others);
   }
 
-  private static IngressLimits readLimits(byte[] json, Problems problems) {
+  private static IngressLimits readLimits(byte[] json, ValidationErrors problems) {
     try (FieldReader fields = new FieldReader(json, problems)) {
       fields.beginObject();
       return LimitsFormat.read(fields);
--- a/src/main/java/slateslip/configuration/DocumentReader.java
+++ b/src/main/java/slateslip/configuration/DocumentReader.java
@@ -43,12 +43,12 @@
   }
 
   private interface Reading {
-    DocumentParts read(Map<String, JsonSlice> fields, Problems problems);
+    DocumentParts read(Map<String, JsonSlice> fields, ValidationErrors problems);
   }
 
   /** Tells what is wrong with a document that was read; null if nothing is. */
   private interface Check {
-    String problem(DocumentParts parts, Problems problems);
+    String problem(DocumentParts parts, ValidationErrors problems);
   }
 
   private static final Check UNCHECKED = (parts, problems) -> null;
@@ -63,7 +63,7 @@
       return unreadable("it is not an object");
     }
     try {
-      Problems problems = new Problems();
+      ValidationErrors problems = new ValidationErrors();
       DocumentParts parts = reading.read(presentFields(whole), problems);
       String problem = check.problem(parts, problems);
       return problem == null
@@ -90,7 +90,7 @@
     return new ConfigurationOutcome.Parsed(new ConfigurationDocument(parts, configuration));
   }
 
-  private static DocumentParts readWhole(Map<String, JsonSlice> fields, Problems problems) {
+  private static DocumentParts readWhole(Map<String, JsonSlice> fields, ValidationErrors problems) {
     DocumentParts parts = DocumentParts.NONE;
     for (Map.Entry<String, JsonSlice> field : fields.entrySet()) {
       parts = parts.replaced(field.getKey(), field.getValue(), problems);
@@ -99,7 +99,7 @@
   }
 
   private static DocumentParts readPatch(
-      DocumentParts current, Map<String, JsonSlice> fields, Problems problems) {
+      DocumentParts current, Map<String, JsonSlice> fields, ValidationErrors problems) {
     DocumentParts parts = current.withVersion(0);
     Map<String, JsonSlice> removals = nested(fields.remove(REMOVE), REMOVE, problems);
     Map<String, JsonSlice> upserts = nested(fields.remove(UPSERT), UPSERT, problems);
@@ -116,7 +116,8 @@
     return parts;
   }
 
-  private static Map<String, JsonSlice> nested(JsonSlice value, String field, Problems problems) {
+  private static Map<String, JsonSlice> nested(
+      JsonSlice value, String field, ValidationErrors problems) {
     if (value == null) {
       return Map.of();
     }
@@ -139,8 +140,8 @@
     return fields;
   }
 
-  private static List<String> names(String field, JsonSlice list, Problems problems) {
-    Problems ofList = new Problems();
+  private static List<String> names(String field, JsonSlice list, ValidationErrors problems) {
+    ValidationErrors ofList = new ValidationErrors();
     List<String> names = List.of();
     if (list.isList()) {
       try (FieldReader reader = new FieldReader(list.toBytes(), ofList)) {
--- a/src/main/java/slateslip/configuration/FieldReader.java
+++ b/src/main/java/slateslip/configuration/FieldReader.java
@@ -16,7 +16,7 @@
       JsonStream.builder().bufferRecycling(BufferRecycleStrategy.THREAD_LOCAL).build();
 
   private final JsonReader reader;
-  private final Problems problems;
+  private final ValidationErrors problems;
   private String field = "";
 
   /**
@@ -25,7 +25,7 @@
    * @param json one value
    * @param problems where fields of a wrong type are reported
    */
-  public FieldReader(byte[] json, Problems problems) {
+  public FieldReader(byte[] json, ValidationErrors problems) {
     reader = STREAMS.reader(json);
     this.problems = problems;
   }
--- a/src/main/java/slateslip/configuration/JsonSlice.java
+++ b/src/main/java/slateslip/configuration/JsonSlice.java
@@ -71,7 +71,7 @@
     if (name.indexOf('\\') < 0) {
       return name.substring(1, name.length() - 1);
     }
-    try (FieldReader reader = new FieldReader(quoted.toBytes(), new Problems())) {
+    try (FieldReader reader = new FieldReader(quoted.toBytes(), new ValidationErrors())) {
       return reader.text();
     }
   }
--- a/src/main/java/slateslip/configuration/NamedItems.java
+++ b/src/main/java/slateslip/configuration/NamedItems.java
@@ -34,7 +34,7 @@
   }
 
   /** This list with the items of a JSON list added, or put in the place of those of their name. */
-  NamedItems<T> with(JsonSlice list, Problems problems) {
+  NamedItems<T> with(JsonSlice list, ValidationErrors problems) {
     if (!list.isList()) {
       problems.report(field, "is not a list");
       return this;
@@ -46,13 +46,16 @@
   }
 
   private void add(
-      Map<String, Item<T>> changed, Set<String> seen, JsonSlice element, Problems problems) {
+      Map<String, Item<T>> changed,
+      Set<String> seen,
+      JsonSlice element,
+      ValidationErrors problems) {
     if (!element.isObject()) {
       problems.report(field, "has an item that is not an object");
       return;
     }
     byte[] json = element.toBytes();
-    Problems ofItem = new Problems();
+    ValidationErrors ofItem = new ValidationErrors();
     T value = read(json, ofItem);
     String name = format.name(value);
     if (name == null || name.isEmpty()) {
@@ -66,7 +69,7 @@
     changed.put(name, new Item<>(json, ofItem.first() == null ? value : null));
   }
 
-  private T read(byte[] json, Problems problems) {
+  private T read(byte[] json, ValidationErrors problems) {
     try (FieldReader fields = new FieldReader(json, problems)) {
       fields.beginObject();
       return format.read(fields);
--- a/src/main/java/slateslip/configuration/Problems.java
+++ b/src/main/java/slateslip/configuration/ValidationErrors.java
@@ -1,7 +1,7 @@
 package slateslip.configuration;
 
 /** Keeps the first problem that was found in a document. */
-public final class Problems {
+public final class ValidationErrors {
   private String first;
 
   /** Remembers a problem, unless there is an earlier one. */
@@ -12,7 +12,7 @@
   }
 
   /** Takes over the problem of a part. */
-  void reportAll(String subject, Problems part) {
+  void reportAll(String subject, ValidationErrors part) {
     if (part.first != null) {
       report(subject, part.first);
     }
--- a/src/main/java/slateslip/configuration/VersionNumber.java
+++ b/src/main/java/slateslip/configuration/VersionNumber.java
@@ -7,7 +7,7 @@
   private VersionNumber() {}
 
   /** The whole number that a value is; 0, and a problem, if it is none. */
-  static long read(JsonSlice value, Problems problems) {
+  static long read(JsonSlice value, ValidationErrors problems) {
     try {
       return new BigDecimal(value.toString()).longValueExact();
     } catch (NumberFormatException | ArithmeticException notWhole) {
--- a/src/main/java/slateslip/controlplane/RequestBody.java
+++ b/src/main/java/slateslip/controlplane/AsyncBodyReader.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Reads the body of a call as its bytes come: a caller that is slow holds no thread. */
-final class RequestBody implements ReadListener {
+final class AsyncBodyReader implements ReadListener {
   private static final int PART_BYTES = 16 * 1024;
 
   private final ServletInputStream input;
@@ -16,7 +16,7 @@
   private final ByteArrayOutputStream content = new ByteArrayOutputStream();
   private final CompletableFuture<byte[]> whole = new CompletableFuture<>();
 
-  private RequestBody(ServletInputStream input, int limit) {
+  private AsyncBodyReader(ServletInputStream input, int limit) {
     this.input = input;
     this.limit = limit;
   }
@@ -24,11 +24,12 @@
   /**
    * Begins to read; the call must be asynchronous already.
    *
-   * @return completes with the body, or with a {@link TooLong} if it is longer than the limit
+   * @return completes with the body, or with a {@link BodyTooLargeException} if it is longer than
+   *     the limit
    */
   static CompletableFuture<byte[]> read(HttpServletRequest request, int limit) {
     try {
-      RequestBody body = new RequestBody(request.getInputStream(), limit);
+      AsyncBodyReader body = new AsyncBodyReader(request.getInputStream(), limit);
       body.input.setReadListener(body);
       return body.whole;
     } catch (IOException failed) {
@@ -46,7 +47,7 @@
       }
       content.write(part, 0, count);
       if (content.size() > limit) {
-        whole.completeExceptionally(new TooLong(limit));
+        whole.completeExceptionally(new BodyTooLargeException(limit));
       }
     }
   }
@@ -62,10 +63,10 @@
   }
 
   /** The body is longer than it may be. */
-  static final class TooLong extends IOException {
+  static final class BodyTooLargeException extends IOException {
     private static final long serialVersionUID = 1;
 
-    private TooLong(int limit) {
+    private BodyTooLargeException(int limit) {
       super("the body is longer than " + limit + " bytes");
     }
   }
--- a/src/main/java/slateslip/controlplane/ControlApi.java
+++ b/src/main/java/slateslip/controlplane/ControlApi.java
@@ -17,8 +17,8 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import slateslip.controlplane.agent.ControlAgent;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 
 /**
  * The HTTP interface of a control agent: the operator's configuration, calls of backends, status
@@ -67,8 +67,8 @@
     this.status = status;
     this.metrics = metrics;
     server = Javalin.create(config -> configure(config, address));
-    server.put("/config", context -> change(context, OperatorCall.Method.PUT));
-    server.patch("/config", context -> change(context, OperatorCall.Method.PATCH));
+    server.put("/config", context -> change(context, OperatorRequest.Method.PUT));
+    server.patch("/config", context -> change(context, OperatorRequest.Method.PATCH));
     server.get("/config", this::readConfiguration);
     server.put("/instances/{id}", this::heartbeat);
     server.delete("/instances/{id}", this::depart);
@@ -112,25 +112,26 @@
     server.stop();
   }
 
-  private void change(Context context, OperatorCall.Method method) {
-    Long base = IfMatch.version(context.header("If-Match"));
+  private void change(Context context, OperatorRequest.Method method) {
+    Long base = IfMatchHeader.version(context.header("If-Match"));
     if (base == null) {
       fail(context, BAD_REQUEST, "If-Match is not the version that the change builds on");
       return;
     }
-    withBody(context, MAX_BODY_BYTES, body -> call(context, new OperatorCall(method, base, body)));
+    withBody(
+        context, MAX_BODY_BYTES, body -> call(context, new OperatorRequest(method, base, body)));
   }
 
   private void readConfiguration(Context context) {
-    OperatorCall call = new OperatorCall(OperatorCall.Method.GET, 0, new byte[0]);
+    OperatorRequest call = new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0]);
     context.future(() -> call(context, call));
   }
 
-  private CompletableFuture<?> call(Context context, OperatorCall call) {
+  private CompletableFuture<?> call(Context context, OperatorRequest call) {
     return onLoop(
         answer -> agent.call(call, answer),
-        (OperatorAnswer answer) -> {
-          if (answer.status() == OperatorAnswer.OK) {
+        (OperatorResponse answer) -> {
+          if (answer.status() == OperatorResponse.OK) {
             context.contentType(JSON).result(answer.body());
           } else {
             fail(context, answer.status(), new String(answer.body(), StandardCharsets.UTF_8));
@@ -141,16 +142,16 @@
   private void heartbeat(Context context) {
     String id = context.pathParam("id");
     withBody(
-        context, MAX_INSTANCE_BYTES, body -> heartbeat(context, InstanceReader.read(id, body)));
+        context, MAX_INSTANCE_BYTES, body -> heartbeat(context, InstanceParser.read(id, body)));
   }
 
-  private CompletableFuture<?> heartbeat(Context context, InstanceReading reading) {
-    if (reading instanceof InstanceReading.Valid valid) {
+  private CompletableFuture<?> heartbeat(Context context, InstanceParseResult reading) {
+    if (reading instanceof InstanceParseResult.Valid valid) {
       return onLoop(
           acknowledged -> agent.heartbeat(valid.session(), acknowledged),
           (Boolean acknowledged) -> acknowledge(context, acknowledged));
     }
-    fail(context, BAD_REQUEST, ((InstanceReading.Invalid) reading).message());
+    fail(context, BAD_REQUEST, ((InstanceParseResult.Invalid) reading).message());
     return CompletableFuture.completedFuture(null);
   }
 
@@ -184,7 +185,7 @@
       Context context, int limit, Function<byte[], CompletableFuture<?>> next) {
     context.future(
         () ->
-            RequestBody.read(context.req(), limit)
+            AsyncBodyReader.read(context.req(), limit)
                 .handle((body, failure) -> goOn(context, body, failure, next))
                 .thenCompose(answered -> answered));
   }
@@ -197,7 +198,7 @@
     if (failure == null) {
       return next.apply(body);
     }
-    if (failure instanceof RequestBody.TooLong) {
+    if (failure instanceof AsyncBodyReader.BodyTooLargeException) {
       context.header("Connection", "close");
       fail(context, TOO_LARGE, failure.getMessage());
     } else {
--- a/src/main/java/slateslip/controlplane/ControlPlane.java
+++ b/src/main/java/slateslip/controlplane/ControlPlane.java
@@ -13,7 +13,7 @@
 import slateslip.controlplane.agent.AgentSettings;
 import slateslip.controlplane.agent.ControlAgent;
 import slateslip.controlplane.agent.PeerConnector;
-import slateslip.protocol.exchange.ExchangeCodec;
+import slateslip.protocol.exchange.ControlPeerCodec;
 import slateslip.settings.NodeSettings;
 import slateslip.storage.RingOptions;
 
@@ -28,7 +28,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final RecordDisk disk;
+  private final DiskWriteAheadLog disk;
   private final ControlAgent agent;
   private final InternalServer internal;
   private final ControlApi api;
@@ -38,17 +38,17 @@
     AgentIdentity identity =
         new AgentIdentity(agentSettings.address(), ThreadLocalRandom.current().nextLong());
     disk =
-        RecordDisk.open(
+        DiskWriteAheadLog.open(
             settings.dataDirectory(), new RingOptions(RING_FILES, RING_FILE_BYTES), loop);
     agent =
         new ControlAgent(
-            new LoopScheduler(loop, new SteadyClock()),
+            new EventLoopScheduler(loop, new MonotonicClock()),
             (address, greeting, listener) -> connect(settings, address, greeting, listener),
             agentSettings,
             identity,
             disk,
             ControlPlane::stopAtOnce);
-    internal = new InternalServer(group, new ExchangeCodec().encode(identity.greeting()), agent);
+    internal = new InternalServer(group, new ControlPeerCodec().encode(identity.greeting()), agent);
     api =
         new ControlApi(
             settings.controlListen(),
@@ -77,7 +77,8 @@
   private PeerConnector.PeerConnection connect(
       NodeSettings settings, String address, byte[] greeting, PeerConnector.Listener listener) {
     InetSocketAddress peer = new InetSocketAddress(address, settings.ports().first());
-    PeerLink link = new PeerLink(loop, peer, greeting, listener);
+    ReconnectingPeerConnection link =
+        new ReconnectingPeerConnection(loop, peer, greeting, listener);
     link.dial();
     return link;
   }
--- a/src/main/java/slateslip/controlplane/ControlPlaneMain.java
+++ b/src/main/java/slateslip/controlplane/ControlPlaneMain.java
@@ -5,7 +5,7 @@
 import slateslip.cli.CommandLine;
 import slateslip.cli.Program;
 import slateslip.settings.NodeSettings;
-import slateslip.settings.SettingsWatch;
+import slateslip.settings.SettingsFileWatcher;
 import sun.misc.Signal;
 
 /** Entry point of the control plane binary. */
@@ -32,7 +32,8 @@
       throw new IOException("listen.control and data_dir are needed by the control plane");
     }
     ControlPlane controlPlane = ControlPlane.start(settings);
-    SettingsWatch watch = new SettingsWatch(settingsFile, controlPlane::settingsChanged);
+    SettingsFileWatcher watch =
+        new SettingsFileWatcher(settingsFile, controlPlane::settingsChanged);
     Signal.handle(new Signal("HUP"), signal -> watch.read());
     Signal.handle(new Signal("TERM"), signal -> leave(controlPlane, settings));
     watch.start();
--- a/src/main/java/slateslip/controlplane/RecordDisk.java
+++ b/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.jboss.logging.Logger;
-import slateslip.controlplane.agent.RecordLog;
+import slateslip.controlplane.agent.WriteAheadLog;
 import slateslip.coordination.DurableRecord;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.coordination.DurableRecordCodec;
@@ -24,8 +24,8 @@
  * The disk of a control agent, with a thread of its own that writes in the order of the calls.
  * Records that wait together are synced together.
  */
-final class RecordDisk implements RecordLog {
-  private static final Logger LOG = Logger.getLogger(RecordDisk.class);
+final class DiskWriteAheadLog implements WriteAheadLog {
+  private static final Logger LOG = Logger.getLogger(DiskWriteAheadLog.class);
 
   /** Between two parts of the preallocation: writes that come meanwhile go first. */
   private static final long PREALLOCATION_PAUSE_MILLIS = 50;
@@ -33,10 +33,10 @@
   private final RingStorage ring;
   private final Executor loop;
   private final List<DurableRecord> recovered;
-  private final BlockingQueue<Write> queue = new LinkedBlockingQueue<>();
+  private final BlockingQueue<QueuedWrite> queue = new LinkedBlockingQueue<>();
   private final Thread thread = new Thread(this::writeForEver, "disk");
 
-  private RecordDisk(RingStorage ring, List<DurableRecord> recovered, Executor loop) {
+  private DiskWriteAheadLog(RingStorage ring, List<DurableRecord> recovered, Executor loop) {
     this.ring = ring;
     this.loop = loop;
     this.recovered = recovered;
@@ -48,7 +48,8 @@
    * @param loop the event loop, on which outcomes of writes are told
    * @throws IOException if the folder cannot be read, or holds what this program cannot read
    */
-  static RecordDisk open(Path folder, RingOptions options, Executor loop) throws IOException {
+  static DiskWriteAheadLog open(Path folder, RingOptions options, Executor loop)
+      throws IOException {
     Files.createDirectories(folder);
     RingStorage ring = RingStorage.open(new DiskFolder(folder), options);
     List<DurableRecord> recovered = new ArrayList<>();
@@ -58,7 +59,7 @@
       }
       recovered.add(record.value());
     }
-    return new RecordDisk(ring, recovered, loop);
+    return new DiskWriteAheadLog(ring, recovered, loop);
   }
 
   @Override
@@ -85,13 +86,13 @@
 
   @Override
   public void write(DurableRecord record, Consumer<Boolean> done) {
-    queue.add(new Write(record, done));
+    queue.add(new QueuedWrite(record, done));
   }
 
   private void writeForEver() {
     try {
       while (true) {
-        Write next = queue.poll(PREALLOCATION_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        QueuedWrite next = queue.poll(PREALLOCATION_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         if (next == null) {
           preallocate();
         } else {
@@ -110,13 +111,13 @@
     }
   }
 
-  private void write(Write first) throws InterruptedException {
+  private void write(QueuedWrite first) throws InterruptedException {
     if (first.record instanceof DurableRecord.Snapshot) {
       StorageOutcome outcome = ring.begin(DurableRecordCodec.encode(first.record));
       tell(List.of(first), outcome);
       return;
     }
-    List<Write> together = new ArrayList<>();
+    List<QueuedWrite> together = new ArrayList<>();
     together.add(first);
     while (queue.peek() != null && !(queue.peek().record instanceof DurableRecord.Snapshot)) {
       together.add(queue.take());
@@ -126,7 +127,7 @@
     tell(together, ring.append(payloads));
   }
 
-  private void tell(List<Write> writes, StorageOutcome outcome) {
+  private void tell(List<QueuedWrite> writes, StorageOutcome outcome) {
     boolean durable = outcome == StorageOutcome.DURABLE;
     if (!durable) {
       LOG.warnf("a write to disk failed: %s", outcome);
@@ -134,5 +135,5 @@
     writes.forEach(write -> loop.execute(() -> write.done.accept(durable)));
   }
 
-  private record Write(DurableRecord record, Consumer<Boolean> done) {}
+  private record QueuedWrite(DurableRecord record, Consumer<Boolean> done) {}
 }
--- a/src/main/java/slateslip/controlplane/LoopScheduler.java
+++ b/src/main/java/slateslip/controlplane/EventLoopScheduler.java
@@ -6,11 +6,11 @@
 import slateslip.controlplane.agent.Scheduler;
 
 /** Steady time and timers of a Netty event loop. */
-final class LoopScheduler implements Scheduler {
+final class EventLoopScheduler implements Scheduler {
   private final EventLoop loop;
-  private final SteadyClock clock;
+  private final MonotonicClock clock;
 
-  LoopScheduler(EventLoop loop, SteadyClock clock) {
+  EventLoopScheduler(EventLoop loop, MonotonicClock clock) {
     this.loop = loop;
     this.clock = clock;
   }
--- a/src/main/java/slateslip/controlplane/IfMatch.java
+++ b/src/main/java/slateslip/controlplane/IfMatchHeader.java
@@ -1,8 +1,8 @@
 package slateslip.controlplane;
 
 /** The {@code If-Match} header: the version that a change builds on. */
-final class IfMatch {
-  private IfMatch() {}
+final class IfMatchHeader {
+  private IfMatchHeader() {}
 
   /** The version, with or without quotes; null if the header is missing or no whole number. */
   static Long version(String header) {
--- a/src/main/java/slateslip/controlplane/InstanceReader.java
+++ b/src/main/java/slateslip/controlplane/InstanceParser.java
@@ -2,12 +2,12 @@
 
 import slateslip.configuration.FieldReader;
 import slateslip.configuration.JsonSyntax;
-import slateslip.configuration.Problems;
+import slateslip.configuration.ValidationErrors;
 import slateslip.coordination.NodeAddress;
 import slateslip.distribution.BackendSession;
 
 /** Reads the body of {@code PUT /instances/ID}. Fields that are not known are skipped. */
-final class InstanceReader {
+final class InstanceParser {
   private static final String DRAINING = "draining";
   private static final String READY = "ready";
   private static final int MAX_PORT = 65_535;
@@ -23,28 +23,28 @@
   private long coldLeftMillis;
   private long sequence = -1;
 
-  private InstanceReader(String id) {
+  private InstanceParser(String id) {
     this.id = id;
   }
 
   /** Reads a call of this instance. */
-  static InstanceReading read(String id, byte[] body) {
+  static InstanceParseResult read(String id, byte[] body) {
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
-      return new InstanceReading.Invalid("the instance's id is empty or too long");
+      return new InstanceParseResult.Invalid("the instance's id is empty or too long");
     }
     String problem = isObject(body) ? JsonSyntax.problem(body) : "the document is not an object";
     if (problem != null) {
-      return new InstanceReading.Invalid(problem);
+      return new InstanceParseResult.Invalid(problem);
     }
-    InstanceReader reader = new InstanceReader(id);
-    Problems problems = new Problems();
+    InstanceParser reader = new InstanceParser(id);
+    ValidationErrors problems = new ValidationErrors();
     try (FieldReader fields = new FieldReader(body, problems)) {
       reader.readFields(fields);
     }
     problem = problems.first() == null ? reader.missing() : problems.first();
     return problem == null
-        ? new InstanceReading.Valid(reader.session())
-        : new InstanceReading.Invalid(problem);
+        ? new InstanceParseResult.Valid(reader.session())
+        : new InstanceParseResult.Invalid(problem);
   }
 
   private static boolean isObject(byte[] body) {
--- a/src/main/java/slateslip/controlplane/InternalServer.java
+++ b/src/main/java/slateslip/controlplane/InternalServer.java
@@ -97,7 +97,8 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      connection = new IncomingConnection(new ChannelStream(context.channel()), greeting, listener);
+      connection =
+          new IncomingConnection(new NettyDataPlaneStream(context.channel()), greeting, listener);
     }
 
     @Override
--- a/src/main/java/slateslip/controlplane/SteadyClock.java
+++ b/src/main/java/slateslip/controlplane/MonotonicClock.java
@@ -1,7 +1,7 @@
 package slateslip.controlplane;
 
 /** Steady time of this process. */
-final class SteadyClock {
+final class MonotonicClock {
   private static final long NANOS_PER_MICRO = 1_000;
   private static final long FIRST_MICROS = 1_000_000;
 
--- a/src/main/java/slateslip/controlplane/ChannelStream.java
+++ b/src/main/java/slateslip/controlplane/NettyDataPlaneStream.java
@@ -9,7 +9,7 @@
  *
  * @param channel the connection, which frames what comes in
  */
-record ChannelStream(Channel channel) implements DataPlaneStream {
+record NettyDataPlaneStream(Channel channel) implements DataPlaneStream {
   @Override
   public boolean isWritable() {
     return channel.isWritable();
--- a/src/main/java/slateslip/controlplane/PeerLink.java
+++ b/src/main/java/slateslip/controlplane/ReconnectingPeerConnection.java
@@ -22,8 +22,8 @@
  * breaks; the first message that comes back on it is the peer's greeting. Confined to the event
  * loop.
  */
-final class PeerLink implements PeerConnector.PeerConnection {
-  private static final Logger LOG = Logger.getLogger(PeerLink.class);
+final class ReconnectingPeerConnection implements PeerConnector.PeerConnection {
+  private static final Logger LOG = Logger.getLogger(ReconnectingPeerConnection.class);
   private static final int CONNECT_MILLIS = 500;
   private static final long FIRST_PAUSE_MILLIS = 30;
   private static final long LONGEST_PAUSE_MILLIS = 400;
@@ -40,7 +40,7 @@
   private boolean closed;
   private long pauseMillis = FIRST_PAUSE_MILLIS;
 
-  PeerLink(
+  ReconnectingPeerConnection(
       EventLoop loop, InetSocketAddress address, byte[] greeting, PeerConnector.Listener listener) {
     this.loop = loop;
     this.address = address;
--- a/src/main/java/slateslip/controlplane/agent/AgentIdentity.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentIdentity.java
@@ -1,6 +1,6 @@
 package slateslip.controlplane.agent;
 
-import slateslip.distribution.exchange.ExchangeMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
 
 /**
  * This process, as other agents know it.
@@ -10,7 +10,7 @@
  */
 public record AgentIdentity(String address, long incarnation) {
   /** What it says first on a connection. */
-  public ExchangeMessage.Greeting greeting() {
-    return new ExchangeMessage.Greeting(address, incarnation);
+  public ControlPeerMessage.Hello greeting() {
+    return new ControlPeerMessage.Hello(address, incarnation);
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -15,16 +15,16 @@
 import slateslip.coordination.NodeId;
 import slateslip.coordination.ReplicaSettings;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.delivery.ConfigurationSource;
 import slateslip.distribution.delivery.PeerProgress;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.distribution.sessions.SessionTable;
 import slateslip.logging.LogContext;
-import slateslip.protocol.coordination.PeerFrame;
+import slateslip.protocol.coordination.ReplicaFrame;
 
 /** One control agent: its parts, and what each tells the others. Confined to the event loop. */
 public final class ControlAgent implements IncomingConnection.Listener {
@@ -47,17 +47,17 @@
   private final SessionTable table;
   private final PeerLinks links;
   private final ReplicaHost replica;
-  private final Subscribers subscribers;
-  private final DeliveryWaits waits;
+  private final DataPlaneSubscriptions subscribers;
+  private final PendingAcknowledgements waits;
   private final SessionService sessions;
-  private final OperatorCalls calls;
+  private final OperatorRequestHandler calls;
   private final PeerProgress peerProgress = new PeerProgress();
 
   /** Peers whose whole table has been taken over. */
   private final Set<String> copiedFrom = new HashSet<>();
 
   private final long startMicros;
-  private final ShareService shares;
+  private final QuotaService shares;
   private AgentSettings settings;
   private long reportedVersion = -1;
 
@@ -72,14 +72,14 @@
       PeerConnector connector,
       AgentSettings settings,
       AgentIdentity identity,
-      RecordLog log,
+      WriteAheadLog log,
       Consumer<RuntimeException> brokenInvariant) {
     this.scheduler = scheduler;
     this.settings = settings;
     startMicros = scheduler.nowMicros();
     table = new SessionTable(EXPIRY_HEARTBEATS * settings.heartbeatMillis() * MICROS_PER_MILLI);
     table.holdExpiry(startMicros);
-    waits = new DeliveryWaits(scheduler);
+    waits = new PendingAcknowledgements(scheduler);
     links = new PeerLinks(scheduler, identity.greeting(), connector, new LinkListener());
     ControlReplica machine =
         new ControlReplica(replicaSettings(identity), state, identity.incarnation());
@@ -91,7 +91,9 @@
             (to, message) -> links.send(to.toString(), message),
             this::configurationChanged,
             brokenInvariant);
-    subscribers = new Subscribers(new Committed(), table, this::heartbeat, new StreamListener());
+    subscribers =
+        new DataPlaneSubscriptions(
+            new CommittedConfigurations(), table, this::heartbeat, new StreamListener());
     sessions =
         new SessionService(
             identity.incarnation(),
@@ -102,9 +104,11 @@
             waits,
             this::reachesMajority);
     calls =
-        new OperatorCalls(
+        new OperatorRequestHandler(
             identity.incarnation(), scheduler, replica, state, links, this::awaitDelivery);
-    shares = new ShareService(identity.address(), scheduler, links, subscribers, new Allocator());
+    shares =
+        new QuotaService(
+            identity.address(), scheduler, links, subscribers, new PrimaryAllocatorRole());
   }
 
   private ReplicaSettings replicaSettings(AgentIdentity identity) {
@@ -163,7 +167,7 @@
   }
 
   /** A call of the operator's; answered once. */
-  public void call(OperatorCall call, Consumer<OperatorAnswer> answer) {
+  public void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
     calls.call(call, answer);
   }
 
@@ -233,7 +237,7 @@
     }
     reportedVersion = version;
     String primary = replica.role().primary().address().toString();
-    links.send(primary, new ExchangeMessage.Delivered(version));
+    links.send(primary, new ControlPeerMessage.DeliveryReport(version));
   }
 
   private void awaitDelivery(long version, long boundMillis, Runnable then) {
@@ -252,15 +256,15 @@
     return true;
   }
 
-  private ToDataPlane.Heartbeat heartbeat() {
+  private ControlPlaneMessage.Heartbeat heartbeat() {
     List<String> agents = new ArrayList<>(links.reachability().reached(scheduler.nowMicros()));
     agents.add(settings.address());
     boolean current = replica.hearsPrimary() && reachesMajority();
-    return new ToDataPlane.Heartbeat(current, state.version(), table.revision(), agents);
+    return new ControlPlaneMessage.Heartbeat(current, state.version(), table.revision(), agents);
   }
 
   @Override
-  public void fromDataPlane(DataPlaneStream stream, ToControl message) {
+  public void fromDataPlane(DataPlaneStream stream, DataPlaneMessage message) {
     subscribers.received(stream, message);
   }
 
@@ -275,27 +279,27 @@
   }
 
   @Override
-  public void fromReplica(PeerFrame frame) {
+  public void fromReplica(ReplicaFrame frame) {
     replica.received(frame);
   }
 
   @Override
-  public void fromPeer(ExchangeMessage.Greeting sender, ExchangeMessage message) {
+  public void fromPeer(ControlPeerMessage.Hello sender, ControlPeerMessage message) {
     String peer = sender.address();
-    if (message instanceof ExchangeMessage.Beat beat) {
+    if (message instanceof ControlPeerMessage.Heartbeat beat) {
       links.heard(peer, beat);
       if (beat.complete() && copiedFrom.contains(peer)) {
         table.markComplete();
       }
       sessions.confirmed(peer, links.reachability().echoedMicros(peer));
-    } else if (message instanceof ExchangeMessage.SessionChanges changes) {
+    } else if (message instanceof ControlPeerMessage.SessionChanges changes) {
       sessions.merge(peer, changes);
       if (changes.whole()) {
         copiedFrom.add(peer);
       }
-    } else if (message instanceof ExchangeMessage.SessionRenewals renewals) {
+    } else if (message instanceof ControlPeerMessage.SessionRenewals renewals) {
       sessions.merge(peer, renewals);
-    } else if (message instanceof ExchangeMessage.SessionsStored stored) {
+    } else if (message instanceof ControlPeerMessage.SessionChangesAcknowledged stored) {
       sessions.stored(peer, stored.number());
     } else {
       fromPeerAboutConfiguration(sender, message);
@@ -303,29 +307,29 @@
   }
 
   private void fromPeerAboutConfiguration(
-      ExchangeMessage.Greeting sender, ExchangeMessage message) {
+      ControlPeerMessage.Hello sender, ControlPeerMessage message) {
     String peer = sender.address();
-    if (message instanceof ExchangeMessage.Greeting) {
+    if (message instanceof ControlPeerMessage.Hello) {
       links.reachability().restarted(peer);
       peerProgress.introduced(peer, sender.incarnation());
       links.learn(List.of(peer));
-    } else if (message instanceof ExchangeMessage.Forwarded forwarded) {
+    } else if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
       calls.forwarded(peer, forwarded);
-    } else if (message instanceof ExchangeMessage.Answered answered) {
+    } else if (message instanceof ControlPeerMessage.ForwardedResponse answered) {
       calls.answered(peer, answered);
-    } else if (message instanceof ExchangeMessage.Delivered delivered) {
+    } else if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
       peerProgress.reported(
           peer, sender.incarnation(), replica.role().epoch(), delivered.slowestVersion());
       waits.check();
-    } else if (message instanceof ExchangeMessage.Demands demands) {
+    } else if (message instanceof ControlPeerMessage.DemandReport demands) {
       shares.demands(peer, demands);
-    } else if (message instanceof ExchangeMessage.Allotted allotted) {
+    } else if (message instanceof ControlPeerMessage.QuotaAllocations allotted) {
       shares.allotted(allotted);
     }
   }
 
   /** The committed configurations. */
-  private final class Committed implements ConfigurationSource {
+  private final class CommittedConfigurations implements ConfigurationSource {
     @Override
     public long version() {
       return state.version();
@@ -363,7 +367,7 @@
   }
 
   /** The primary divides the fleet-wide limits. */
-  private final class Allocator implements ShareService.Holder {
+  private final class PrimaryAllocatorRole implements QuotaService.AllocatorRole {
     @Override
     public String address() {
       return replica.role().primary().address().toString();
@@ -375,7 +379,7 @@
     }
   }
 
-  private final class StreamListener implements Subscribers.Listener {
+  private final class StreamListener implements DataPlaneSubscriptions.Listener {
     @Override
     public void progressed() {
       reportProgress(false);
@@ -383,7 +387,7 @@
     }
 
     @Override
-    public void demand(ToControl.Subscribe subscriber, ToControl.Demand demand) {
+    public void demand(DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demand) {
       shares.demand(subscriber, demand);
     }
   }
--- a/src/main/java/slateslip/controlplane/agent/Subscribers.java
+++ b/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import org.jboss.logging.Logger;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.delivery.ConfigurationSource;
 import slateslip.distribution.delivery.DeliveryProgress;
 import slateslip.distribution.delivery.SubscriberDelivery;
@@ -15,14 +15,14 @@
 import slateslip.protocol.distribution.DistributionCodec;
 
 /** The streams of data planes at this agent. Confined to the event loop. */
-final class Subscribers {
-  private static final Logger LOG = Logger.getLogger(Subscribers.class);
+final class DataPlaneSubscriptions {
+  private static final Logger LOG = Logger.getLogger(DataPlaneSubscriptions.class);
 
   private final DistributionCodec codec = new DistributionCodec();
   private final Map<DataPlaneStream, SubscriberDelivery> streams = new LinkedHashMap<>();
   private final ConfigurationSource configurations;
   private final SessionTable sessions;
-  private final Supplier<ToDataPlane.Heartbeat> heartbeat;
+  private final Supplier<ControlPlaneMessage.Heartbeat> heartbeat;
   private final Listener listener;
 
   /** Is told what data planes say. */
@@ -31,13 +31,13 @@
     void progressed();
 
     /** A data plane tells its demand. */
-    void demand(ToControl.Subscribe subscriber, ToControl.Demand demand);
+    void demand(DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demand);
   }
 
-  Subscribers(
+  DataPlaneSubscriptions(
       ConfigurationSource configurations,
       SessionTable sessions,
-      Supplier<ToDataPlane.Heartbeat> heartbeat,
+      Supplier<ControlPlaneMessage.Heartbeat> heartbeat,
       Listener listener) {
     this.configurations = configurations;
     this.sessions = sessions;
@@ -45,23 +45,23 @@
     this.listener = listener;
   }
 
-  void received(DataPlaneStream stream, ToControl message) {
+  void received(DataPlaneStream stream, DataPlaneMessage message) {
     SubscriberDelivery delivery = streams.get(stream);
-    if (message instanceof ToControl.Subscribe subscribe) {
+    if (message instanceof DataPlaneMessage.Subscribe subscribe) {
       subscribe(stream, subscribe);
     } else if (delivery == null) {
       stream.close();
-    } else if (message instanceof ToControl.Acknowledge acknowledge) {
+    } else if (message instanceof DataPlaneMessage.Acknowledge acknowledge) {
       delivery.acknowledge(acknowledge);
       listener.progressed();
-    } else if (message instanceof ToControl.Demand demand) {
+    } else if (message instanceof DataPlaneMessage.Demand demand) {
       delivery.subscription().ifPresent(subscriber -> listener.demand(subscriber, demand));
-    } else if (message instanceof ToControl.Ping ping) {
-      send(stream, new ToDataPlane.Pong(ping.nonce()));
+    } else if (message instanceof DataPlaneMessage.Ping ping) {
+      send(stream, new ControlPlaneMessage.Pong(ping.nonce()));
     }
   }
 
-  private void subscribe(DataPlaneStream stream, ToControl.Subscribe message) {
+  private void subscribe(DataPlaneStream stream, DataPlaneMessage.Subscribe message) {
     if (!streams.containsKey(stream)) {
       LOG.infof("data plane %s subscribed", message.node());
     }
@@ -97,7 +97,7 @@
     if (!stream.isWritable()) {
       return;
     }
-    for (ToDataPlane message : delivery.pending()) {
+    for (ControlPlaneMessage message : delivery.pending()) {
       stream.write(codec.encode(message));
     }
     stream.flush();
@@ -105,12 +105,12 @@
 
   /** Sends a heartbeat on every stream that takes more. */
   void beat() {
-    ToDataPlane.Heartbeat message = heartbeat.get();
+    ControlPlaneMessage.Heartbeat message = heartbeat.get();
     streams.keySet().forEach(stream -> send(stream, message));
   }
 
   /** Sends a message to the active stream of a data plane. */
-  void sendTo(String node, ToDataPlane message) {
+  void sendTo(String node, ControlPlaneMessage message) {
     streams.forEach(
         (stream, delivery) -> {
           if (delivery.isActive() && delivery.subscription().get().node().equals(node)) {
@@ -119,7 +119,7 @@
         });
   }
 
-  private void send(DataPlaneStream stream, ToDataPlane message) {
+  private void send(DataPlaneStream stream, ControlPlaneMessage message) {
     if (stream.isWritable()) {
       stream.write(codec.encode(message));
       stream.flush();
--- a/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
+++ b/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
@@ -1,14 +1,14 @@
 package slateslip.controlplane.agent;
 
 import org.jboss.logging.Logger;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.exchange.ExchangeMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageReader;
-import slateslip.protocol.coordination.PeerFrame;
-import slateslip.protocol.coordination.PeerMessageCodec;
+import slateslip.protocol.coordination.ReplicaFrame;
+import slateslip.protocol.coordination.ReplicaMessageCodec;
 import slateslip.protocol.distribution.DistributionCodec;
-import slateslip.protocol.exchange.ExchangeCodec;
+import slateslip.protocol.exchange.ControlPeerCodec;
 
 /**
  * One connection that came in at the port for other agents: the stream of a data plane, or a peer's
@@ -22,14 +22,14 @@
   private final byte[] greeting;
   private final Listener listener;
   private final DistributionCodec distribution = new DistributionCodec();
-  private final ExchangeCodec exchange = new ExchangeCodec();
-  private ExchangeMessage.Greeting peer;
+  private final ControlPeerCodec exchange = new ControlPeerCodec();
+  private ControlPeerMessage.Hello peer;
   private boolean dataPlane;
 
   /** Takes what comes in. */
   public interface Listener {
     /** A message of a data plane. */
-    void fromDataPlane(DataPlaneStream stream, ToControl message);
+    void fromDataPlane(DataPlaneStream stream, DataPlaneMessage message);
 
     /** The stream of a data plane takes more again. */
     void dataPlaneWritable(DataPlaneStream stream);
@@ -38,10 +38,10 @@
     void dataPlaneClosed(DataPlaneStream stream);
 
     /** A peer's message; {@code sender} is the greeting of the connection that it came on. */
-    void fromPeer(ExchangeMessage.Greeting sender, ExchangeMessage message);
+    void fromPeer(ControlPeerMessage.Hello sender, ControlPeerMessage message);
 
     /** A message about the replicated control state. */
-    void fromReplica(PeerFrame frame);
+    void fromReplica(ReplicaFrame frame);
   }
 
   /**
@@ -59,7 +59,7 @@
   public void received(byte[] message) {
     if (peer != null) {
       fromPeer(message);
-    } else if (dataPlane || MessageReader.schemaOf(message) != ExchangeCodec.SCHEMA_ID) {
+    } else if (dataPlane || MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID) {
       fromDataPlane(message);
     } else {
       greet(message);
@@ -81,8 +81,8 @@
   }
 
   private void greet(byte[] message) {
-    if (exchange.decode(message) instanceof Decoded.Message<ExchangeMessage> decoded
-        && decoded.value() instanceof ExchangeMessage.Greeting first) {
+    if (exchange.decode(message) instanceof Decoded.Message<ControlPeerMessage> decoded
+        && decoded.value() instanceof ControlPeerMessage.Hello first) {
       peer = first;
       stream.write(greeting);
       stream.flush();
@@ -93,11 +93,11 @@
   }
 
   private void fromDataPlane(byte[] message) {
-    Decoded<ToControl> decoded = distribution.decodeToControl(message);
-    if (decoded instanceof Decoded.Message<ToControl> known) {
+    Decoded<DataPlaneMessage> decoded = distribution.decodeToControl(message);
+    if (decoded instanceof Decoded.Message<DataPlaneMessage> known) {
       dataPlane = true;
       listener.fromDataPlane(stream, known.value());
-    } else if (decoded instanceof Decoded.Malformed<ToControl> malformed) {
+    } else if (decoded instanceof Decoded.Malformed<DataPlaneMessage> malformed) {
       close(malformed.reason());
     } else if (!dataPlane) {
       close("a first message of another protocol");
@@ -105,19 +105,19 @@
   }
 
   private void fromPeer(byte[] message) {
-    if (MessageReader.schemaOf(message) == ExchangeCodec.SCHEMA_ID) {
-      Decoded<ExchangeMessage> decoded = exchange.decode(message);
-      if (decoded instanceof Decoded.Message<ExchangeMessage> known) {
+    if (MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID) {
+      Decoded<ControlPeerMessage> decoded = exchange.decode(message);
+      if (decoded instanceof Decoded.Message<ControlPeerMessage> known) {
         listener.fromPeer(peer, known.value());
-      } else if (decoded instanceof Decoded.Malformed<ExchangeMessage> malformed) {
+      } else if (decoded instanceof Decoded.Malformed<ControlPeerMessage> malformed) {
         close(malformed.reason());
       }
       return;
     }
-    Decoded<PeerFrame> decoded = PeerMessageCodec.decode(message);
-    if (decoded instanceof Decoded.Message<PeerFrame> known) {
+    Decoded<ReplicaFrame> decoded = ReplicaMessageCodec.decode(message);
+    if (decoded instanceof Decoded.Message<ReplicaFrame> known) {
       listener.fromReplica(known.value());
-    } else if (decoded instanceof Decoded.Malformed<PeerFrame> malformed) {
+    } else if (decoded instanceof Decoded.Malformed<ReplicaFrame> malformed) {
       close(malformed.reason());
     }
   }
--- a/src/main/java/slateslip/controlplane/agent/OperatorCalls.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -9,16 +9,16 @@
 import slateslip.controlplane.state.ConfigurationState;
 import slateslip.coordination.ClientResult;
 import slateslip.coordination.NodeId;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
-import slateslip.protocol.exchange.AnswerCodec;
-import slateslip.protocol.exchange.ChangeCodec;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.protocol.exchange.OperatorRequestCodec;
+import slateslip.protocol.exchange.OperatorResponseCodec;
 
 /**
  * Calls of the operator's: handled by the primary, forwarded by all others. Confined to the loop.
  */
-final class OperatorCalls {
+final class OperatorRequestHandler {
   /** Callers try another agent after a second of silence. */
   private static final long FORWARD_BOUND_MICROS = 900_000;
 
@@ -29,17 +29,17 @@
   private final ReplicaHost replica;
   private final ConfigurationState state;
   private final PeerLinks links;
-  private final FleetDelivery delivery;
-  private final Map<Long, ForwardedCall> forwarded = new HashMap<>();
+  private final ConfigurationRollout delivery;
+  private final Map<Long, PendingForward> forwarded = new HashMap<>();
 
   /** Begins at a number drawn at random, so that no two lives of an agent use one id. */
   private long lastId;
 
   /** A call that another agent was asked to answer. */
-  private record ForwardedCall(String peer, Consumer<OperatorAnswer> answer) {}
+  private record PendingForward(String peer, Consumer<OperatorResponse> answer) {}
 
   /** Waits for deliveries at all agents. */
-  interface FleetDelivery {
+  interface ConfigurationRollout {
     /** Calls back once all data planes in reach have this version, or after the bound. */
     void await(long version, long boundMillis, Runnable then);
   }
@@ -50,13 +50,13 @@
    * @param incarnation of this process, drawn at random: an answer to a call that an earlier
    *     process forwarded must not be taken for the answer to a call of this one
    */
-  OperatorCalls(
+  OperatorRequestHandler(
       long incarnation,
       Scheduler scheduler,
       ReplicaHost replica,
       ConfigurationState state,
       PeerLinks links,
-      FleetDelivery delivery) {
+      ConfigurationRollout delivery) {
     lastId = incarnation;
     this.scheduler = scheduler;
     this.replica = replica;
@@ -66,7 +66,7 @@
   }
 
   /** A call that came to this agent; answered once. */
-  void call(OperatorCall call, Consumer<OperatorAnswer> answer) {
+  void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
     if (replica.isServing()) {
       handle(call, answer);
       return;
@@ -74,82 +74,83 @@
     NodeId primary = replica.role().primary();
     String peer = primary.address().toString();
     if (!links.isUsable(peer)) {
-      answer.accept(OperatorAnswer.unavailable("no primary in reach"));
+      answer.accept(OperatorResponse.unavailable("no primary in reach"));
       return;
     }
     lastId++;
     long id = lastId;
-    forwarded.put(id, new ForwardedCall(peer, answer));
-    links.send(peer, new ExchangeMessage.Forwarded(id, call));
+    forwarded.put(id, new PendingForward(peer, answer));
+    links.send(peer, new ControlPeerMessage.ForwardedRequest(id, call));
     scheduler.schedule(FORWARD_BOUND_MICROS, () -> giveUp(id));
   }
 
   private void giveUp(long id) {
-    ForwardedCall call = forwarded.remove(id);
+    PendingForward call = forwarded.remove(id);
     if (call != null) {
-      call.answer.accept(OperatorAnswer.unavailable("no answer of the primary"));
+      call.answer.accept(OperatorResponse.unavailable("no answer of the primary"));
     }
   }
 
   /** A call that came to another agent. */
-  void forwarded(String peer, ExchangeMessage.Forwarded message) {
-    Consumer<OperatorAnswer> back =
-        answer -> links.send(peer, new ExchangeMessage.Answered(message.id(), answer));
+  void forwarded(String peer, ControlPeerMessage.ForwardedRequest message) {
+    Consumer<OperatorResponse> back =
+        answer -> links.send(peer, new ControlPeerMessage.ForwardedResponse(message.id(), answer));
     if (replica.isServing()) {
       handle(message.call(), back);
     } else {
-      back.accept(OperatorAnswer.unavailable("not the primary"));
+      back.accept(OperatorResponse.unavailable("not the primary"));
     }
   }
 
   /** The answer of the agent that a call was forwarded to. */
-  void answered(String peer, ExchangeMessage.Answered message) {
-    ForwardedCall call = forwarded.get(message.id());
+  void answered(String peer, ControlPeerMessage.ForwardedResponse message) {
+    PendingForward call = forwarded.get(message.id());
     if (call != null && call.peer.equals(peer)) {
       forwarded.remove(message.id());
       call.answer.accept(message.answer());
     }
   }
 
-  private void handle(OperatorCall call, Consumer<OperatorAnswer> answer) {
-    if (call.method() == OperatorCall.Method.GET) {
+  private void handle(OperatorRequest call, Consumer<OperatorResponse> answer) {
+    if (call.method() == OperatorRequest.Method.GET) {
       replica.confirm(result -> answer.accept(readAnswer(result)));
     } else {
-      replica.propose(ChangeCodec.encode(call), result -> changed(result, answer));
+      replica.propose(OperatorRequestCodec.encode(call), result -> changed(result, answer));
     }
   }
 
-  private OperatorAnswer readAnswer(ClientResult result) {
+  private OperatorResponse readAnswer(ClientResult result) {
     if (!(result instanceof ClientResult.Confirmed)) {
-      return OperatorAnswer.unavailable("the state may not be current");
+      return OperatorResponse.unavailable("the state may not be current");
     }
     Optional<ConfigurationDocument> document = state.document();
     return document
-        .map(found -> new OperatorAnswer(OperatorAnswer.OK, found.version(), found.toJson()))
-        .orElseGet(() -> OperatorAnswer.of(OperatorAnswer.NOT_FOUND, 0, "no configuration yet"));
+        .map(found -> new OperatorResponse(OperatorResponse.OK, found.version(), found.toJson()))
+        .orElseGet(
+            () -> OperatorResponse.of(OperatorResponse.NOT_FOUND, 0, "no configuration yet"));
   }
 
-  private void changed(ClientResult result, Consumer<OperatorAnswer> answer) {
+  private void changed(ClientResult result, Consumer<OperatorResponse> answer) {
     if (result instanceof ClientResult.Committed) {
       acknowledge(state.version(), answer);
-    } else if (result instanceof ClientResult.Answered answered) {
-      OperatorAnswer prepared = AnswerCodec.decode(answered.answer());
-      if (prepared.status() == OperatorAnswer.OK) {
+    } else if (result instanceof ClientResult.Responded answered) {
+      OperatorResponse prepared = OperatorResponseCodec.decode(answered.answer());
+      if (prepared.status() == OperatorResponse.OK) {
         acknowledge(prepared.version(), answer);
       } else {
         answer.accept(prepared);
       }
     } else {
-      answer.accept(OperatorAnswer.unavailable("the change may or may not come into force"));
+      answer.accept(OperatorResponse.unavailable("the change may or may not come into force"));
     }
   }
 
   /** A committed change is acknowledged once it is in force, as far as that is seen in time. */
-  private void acknowledge(long version, Consumer<OperatorAnswer> answer) {
+  private void acknowledge(long version, Consumer<OperatorResponse> answer) {
     byte[] body = ("{\"version\":" + version + "}").getBytes(StandardCharsets.UTF_8);
     delivery.await(
         version,
         DELIVERY_BOUND_MILLIS,
-        () -> answer.accept(new OperatorAnswer(OperatorAnswer.OK, version, body)));
+        () -> answer.accept(new OperatorResponse(OperatorResponse.OK, version, body)));
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import slateslip.distribution.exchange.ExchangeMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
 import slateslip.distribution.exchange.Reachability;
 import slateslip.protocol.Decoded;
-import slateslip.protocol.exchange.ExchangeCodec;
+import slateslip.protocol.exchange.ControlPeerCodec;
 
 /**
  * The links to all other control agents, and which of them are in reach. Confined to the event
@@ -15,8 +15,8 @@
  */
 final class PeerLinks {
   private final Scheduler scheduler;
-  private final ExchangeCodec codec = new ExchangeCodec();
-  private final ExchangeMessage.Greeting self;
+  private final ControlPeerCodec codec = new ControlPeerCodec();
+  private final ControlPeerMessage.Hello self;
   private final PeerConnector connector;
   private final Reachability reachability;
   private final Map<String, Long> upSince = new TreeMap<>();
@@ -35,7 +35,7 @@
   /** No links yet. */
   PeerLinks(
       Scheduler scheduler,
-      ExchangeMessage.Greeting self,
+      ControlPeerMessage.Hello self,
       PeerConnector connector,
       Listener listener) {
     this.scheduler = scheduler;
@@ -57,7 +57,7 @@
   }
 
   /** A beat has come. */
-  void heard(String peer, ExchangeMessage.Beat beat) {
+  void heard(String peer, ControlPeerMessage.Heartbeat beat) {
     learn(List.of(peer));
     reachability.heard(scheduler.nowMicros(), peer, beat);
     learn(beat.knownAgents());
@@ -75,7 +75,7 @@
     links.forEach(
         (peer, link) -> {
           long echoed = reachability.newestBeat(peer);
-          send(peer, new ExchangeMessage.Beat(number, echoed, complete, known));
+          send(peer, new ControlPeerMessage.Heartbeat(number, echoed, complete, known));
           resetIfSilent(now, peer, link);
         });
   }
@@ -89,7 +89,7 @@
   }
 
   /** Sends a message; it may be lost. */
-  void send(String peer, ExchangeMessage message) {
+  void send(String peer, ControlPeerMessage message) {
     send(peer, codec.encode(message));
   }
 
@@ -119,8 +119,8 @@
 
     @Override
     public void up(byte[] peerGreeting) {
-      if (codec.decode(peerGreeting) instanceof Decoded.Message<ExchangeMessage> message
-          && message.value() instanceof ExchangeMessage.Greeting greeting) {
+      if (codec.decode(peerGreeting) instanceof Decoded.Message<ControlPeerMessage> message
+          && message.value() instanceof ControlPeerMessage.Hello greeting) {
         upSince.put(peer, scheduler.nowMicros());
         listener.linkUp(peer, greeting.incarnation());
       } else {
--- a/src/main/java/slateslip/controlplane/agent/DeliveryWaits.java
+++ b/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 
 /** Answers that wait for deliveries, each for a bounded time. Confined to the event loop. */
-final class DeliveryWaits {
+final class PendingAcknowledgements {
   private static final long MICROS_PER_MILLI = 1_000;
 
   private final Scheduler scheduler;
-  private final Set<Wait> waits = new LinkedHashSet<>();
+  private final Set<PendingAcknowledgement> waits = new LinkedHashSet<>();
 
-  DeliveryWaits(Scheduler scheduler) {
+  PendingAcknowledgements(Scheduler scheduler) {
     this.scheduler = scheduler;
   }
 
@@ -29,15 +29,15 @@
       then.accept(true);
       return;
     }
-    Wait wait = new Wait(delivered, then);
+    PendingAcknowledgement wait = new PendingAcknowledgement(delivered, then);
     waits.add(wait);
     scheduler.schedule(boundMillis * MICROS_PER_MILLI, () -> end(wait, false));
   }
 
   /** Something was delivered, or somebody has gone who was waited for. */
   void check() {
-    List<Wait> ended = new ArrayList<>();
-    for (Wait wait : waits) {
+    List<PendingAcknowledgement> ended = new ArrayList<>();
+    for (PendingAcknowledgement wait : waits) {
       if (wait.delivered.getAsBoolean()) {
         ended.add(wait);
       }
@@ -45,17 +45,17 @@
     ended.forEach(wait -> end(wait, true));
   }
 
-  private void end(Wait wait, boolean delivered) {
+  private void end(PendingAcknowledgement wait, boolean delivered) {
     if (waits.remove(wait)) {
       wait.then.accept(delivered);
     }
   }
 
-  private static final class Wait {
+  private static final class PendingAcknowledgement {
     private final BooleanSupplier delivered;
     private final Consumer<Boolean> then;
 
-    private Wait(BooleanSupplier delivered, Consumer<Boolean> then) {
+    private PendingAcknowledgement(BooleanSupplier delivered, Consumer<Boolean> then) {
       this.delivered = delivered;
       this.then = then;
     }
--- a/src/main/java/slateslip/controlplane/agent/ShareService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -5,19 +5,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.ExchangeMessage.AgentDemand;
-import slateslip.distribution.exchange.ExchangeMessage.AllottedShares;
-import slateslip.distribution.quota.ShareAllocator;
-import slateslip.distribution.quota.ShareAllocator.AgentAllocation;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.quota.QuotaAllocator;
+import slateslip.distribution.quota.QuotaAllocator.DataPlaneAllocation;
 
 /**
  * Carries the demand of data planes to the agent that divides the fleet-wide limits, and their
  * shares back. Confined to the event loop.
  */
-final class ShareService {
+final class QuotaService {
   /** A new allocator listens for this long first, so that it divides among all data planes. */
   private static final long LISTEN_MICROS = 800_000;
 
@@ -27,17 +27,17 @@
   private final String self;
   private final Scheduler scheduler;
   private final PeerLinks links;
-  private final Subscribers subscribers;
-  private final Holder holder;
-  private final Map<String, AgentDemand> unsent = new LinkedHashMap<>();
-  private ShareAllocator allocator;
+  private final DataPlaneSubscriptions subscribers;
+  private final AllocatorRole holder;
+  private final Map<String, DataPlaneDemand> unsent = new LinkedHashMap<>();
+  private QuotaAllocator allocator;
   private long allocatorSinceMicros;
 
   /** The data planes that report to this allocator: where from, and when last. */
-  private final Map<String, Origin> origins = new HashMap<>();
+  private final Map<String, DemandSource> origins = new HashMap<>();
 
   /** Says which agent divides the limits. */
-  interface Holder {
+  interface AllocatorRole {
     /** Its IPv4 address. */
     String address();
 
@@ -45,10 +45,14 @@
     boolean isSelf();
   }
 
-  private record Origin(String peer, long reportedMicros) {}
+  private record DemandSource(String peer, long reportedMicros) {}
 
-  ShareService(
-      String self, Scheduler scheduler, PeerLinks links, Subscribers subscribers, Holder holder) {
+  QuotaService(
+      String self,
+      Scheduler scheduler,
+      PeerLinks links,
+      DataPlaneSubscriptions subscribers,
+      AllocatorRole holder) {
     this.self = self;
     this.scheduler = scheduler;
     this.links = links;
@@ -57,32 +61,32 @@
   }
 
   /** A data plane at this agent tells its demand. */
-  void demand(ToControl.Subscribe from, ToControl.Demand demand) {
-    unsent.put(from.node(), new AgentDemand(from.node(), from.incarnation(), demand.tenants()));
+  void demand(DataPlaneMessage.Subscribe from, DataPlaneMessage.Demand demand) {
+    unsent.put(from.node(), new DataPlaneDemand(from.node(), from.incarnation(), demand.tenants()));
   }
 
   /** Another agent tells the demand of its data planes. */
-  void demands(String peer, ExchangeMessage.Demands demands) {
+  void demands(String peer, ControlPeerMessage.DemandReport demands) {
     if (holder.isSelf()) {
       demands.agents().forEach(demand -> report(peer, demand));
     }
   }
 
   /** The allocator tells the shares of data planes here. */
-  void allotted(ExchangeMessage.Allotted allotted) {
+  void allotted(ControlPeerMessage.QuotaAllocations allotted) {
     allotted.agents().forEach(this::deliver);
   }
 
   /** Sends demand on and, at the allocator, divides. */
   void tick() {
     takeRole();
-    List<AgentDemand> demands = List.copyOf(unsent.values());
+    List<DataPlaneDemand> demands = List.copyOf(unsent.values());
     unsent.clear();
     if (holder.isSelf()) {
       demands.forEach(demand -> report(self, demand));
       divide();
     } else if (!demands.isEmpty()) {
-      links.send(holder.address(), new ExchangeMessage.Demands(demands));
+      links.send(holder.address(), new ControlPeerMessage.DemandReport(demands));
     }
   }
 
@@ -92,17 +96,17 @@
       allocator = null;
       origins.clear();
     } else if (allocator == null) {
-      allocator = new ShareAllocator();
+      allocator = new QuotaAllocator();
       allocatorSinceMicros = scheduler.nowMicros();
     }
   }
 
-  private void report(String peer, AgentDemand demand) {
+  private void report(String peer, DataPlaneDemand demand) {
     if (allocator == null) {
       return;
     }
     long now = scheduler.nowMicros();
-    origins.put(demand.node(), new Origin(peer, now));
+    origins.put(demand.node(), new DemandSource(peer, now));
     allocator.report(now, demand.node(), demand.incarnation(), demand.tenants());
   }
 
@@ -118,27 +122,27 @@
           }
         });
     origins.values().removeIf(origin -> now - origin.reportedMicros > ENDED_MICROS);
-    Map<String, List<AllottedShares>> byPeer = new LinkedHashMap<>();
-    for (AgentAllocation allocation : allocator.allocate(now)) {
-      Origin origin = origins.get(allocation.agent());
+    Map<String, List<DataPlaneQuota>> byPeer = new LinkedHashMap<>();
+    for (DataPlaneAllocation allocation : allocator.allocate(now)) {
+      DemandSource origin = origins.get(allocation.agent());
       if (origin != null) {
         byPeer
             .computeIfAbsent(origin.peer, key -> new ArrayList<>())
-            .add(new AllottedShares(allocation.agent(), allocation.shares()));
+            .add(new DataPlaneQuota(allocation.agent(), allocation.shares()));
       }
     }
     byPeer.forEach(this::send);
   }
 
-  private void send(String peer, List<AllottedShares> shares) {
+  private void send(String peer, List<DataPlaneQuota> shares) {
     if (peer.equals(self)) {
       shares.forEach(this::deliver);
     } else {
-      links.send(peer, new ExchangeMessage.Allotted(shares));
+      links.send(peer, new ControlPeerMessage.QuotaAllocations(shares));
     }
   }
 
-  private void deliver(AllottedShares allotted) {
-    subscribers.sendTo(allotted.node(), new ToDataPlane.Shares(allotted.shares()));
+  private void deliver(DataPlaneQuota allotted) {
+    subscribers.sendTo(allotted.node(), new ControlPlaneMessage.QuotaUpdate(allotted.shares()));
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -12,8 +12,8 @@
 import slateslip.coordination.ReplicaInput;
 import slateslip.coordination.View;
 import slateslip.logging.LogContext;
-import slateslip.protocol.coordination.PeerFrame;
-import slateslip.protocol.coordination.PeerMessageCodec;
+import slateslip.protocol.coordination.ReplicaFrame;
+import slateslip.protocol.coordination.ReplicaMessageCodec;
 
 /** Carries out what the replica of the control state asks for. Confined to the event loop. */
 final class ReplicaHost {
@@ -21,7 +21,7 @@
 
   private final Scheduler scheduler;
   private final ControlReplica replica;
-  private final RecordLog disk;
+  private final WriteAheadLog disk;
   private final PeerSender sender;
   private final Runnable applied;
   private final Consumer<RuntimeException> brokenInvariant;
@@ -45,7 +45,7 @@
   ReplicaHost(
       Scheduler scheduler,
       ControlReplica replica,
-      RecordLog disk,
+      WriteAheadLog disk,
       PeerSender sender,
       Runnable applied,
       Consumer<RuntimeException> brokenInvariant) {
@@ -62,7 +62,7 @@
     disk.start();
   }
 
-  void received(PeerFrame frame) {
+  void received(ReplicaFrame frame) {
     handle(new ReplicaInput.Received(frame.from(), frame.message()));
   }
 
@@ -95,7 +95,7 @@
 
   /** Others are to take over what this node does in the view. */
   void leave() {
-    handle(new ReplicaInput.Leave());
+    handle(new ReplicaInput.Shutdown());
   }
 
   /** Whether the newest view counts on this node's copy of the state. */
@@ -151,7 +151,7 @@
   }
 
   private void send(Effects.Send send) {
-    sender.send(send.to(), PeerMessageCodec.encode(role.self(), send.message()));
+    sender.send(send.to(), ReplicaMessageCodec.encode(role.self(), send.message()));
   }
 
   private void answer(ClientResult result) {
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ExchangeMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
 import slateslip.distribution.sessions.HeartbeatResult;
 import slateslip.distribution.sessions.SessionReplication;
-import slateslip.distribution.sessions.SessionReplication.Send;
+import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
 import slateslip.distribution.sessions.SessionTable;
 
 /** Calls of backends, and what other agents say of them. Confined to the event loop. */
@@ -25,8 +25,8 @@
   private final SessionTable table;
   private final SessionReplication replication;
   private final PeerLinks links;
-  private final Subscribers subscribers;
-  private final DeliveryWaits waits;
+  private final DataPlaneSubscriptions subscribers;
+  private final PendingAcknowledgements waits;
   private final Majority majority;
   private final Map<Long, Set<String>> unstored = new TreeMap<>();
 
@@ -49,8 +49,8 @@
       Scheduler scheduler,
       SessionTable table,
       PeerLinks links,
-      Subscribers subscribers,
-      DeliveryWaits waits,
+      DataPlaneSubscriptions subscribers,
+      PendingAcknowledgements waits,
       Majority majority) {
     lastNumber = incarnation;
     this.scheduler = scheduler;
@@ -134,12 +134,12 @@
     subscribers.pump();
   }
 
-  private void send(List<Send> sends) {
+  private void send(List<OutboundMessage> sends) {
     sends.forEach(each -> links.send(each.peer(), each.message()));
   }
 
   /** Changes at another agent. */
-  void merge(String peer, ExchangeMessage.SessionChanges changes) {
+  void merge(String peer, ControlPeerMessage.SessionChanges changes) {
     long now = scheduler.nowMicros();
     changes.entries().forEach(entry -> table.merge(now, peer, entry));
     changes.departed().forEach(id -> table.depart(now, id));
@@ -149,12 +149,14 @@
       waits.await(
           () -> subscribers.progress().slowestRevision() >= revision,
           STORED_WAIT_MILLIS,
-          inTime -> links.send(peer, new ExchangeMessage.SessionsStored(changes.number())));
+          inTime ->
+              links.send(
+                  peer, new ControlPeerMessage.SessionChangesAcknowledged(changes.number())));
     }
   }
 
   /** Renewals at another agent. */
-  void merge(String peer, ExchangeMessage.SessionRenewals renewals) {
+  void merge(String peer, ControlPeerMessage.SessionRenewals renewals) {
     long now = scheduler.nowMicros();
     renewals.renewals().forEach(renewal -> table.merge(now, peer, renewal));
   }
--- a/src/main/java/slateslip/controlplane/agent/RecordLog.java
+++ b/src/main/java/slateslip/controlplane/agent/WriteAheadLog.java
@@ -5,7 +5,7 @@
 import slateslip.coordination.DurableRecord;
 
 /** The records that a control agent keeps on disk. */
-public interface RecordLog {
+public interface WriteAheadLog {
   /** What was on disk when it was opened, from the newest snapshot on. */
   List<DurableRecord> recovered();
 
--- a/src/main/java/slateslip/controlplane/state/ConfigurationState.java
+++ b/src/main/java/slateslip/controlplane/state/ConfigurationState.java
@@ -9,17 +9,17 @@
 import slateslip.configuration.ChangeDigest;
 import slateslip.configuration.ConfigurationDocument;
 import slateslip.configuration.ConfigurationOutcome;
-import slateslip.coordination.Preparation;
+import slateslip.coordination.PreparedCommand;
 import slateslip.coordination.ReplicatedState;
 import slateslip.distribution.delivery.ConfigurationSource;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
-import slateslip.distribution.exchange.StateImage;
-import slateslip.distribution.exchange.StateImage.CommittedChange;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot.CommittedChange;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.protocol.Decoded;
-import slateslip.protocol.exchange.AnswerCodec;
-import slateslip.protocol.exchange.ChangeCodec;
-import slateslip.protocol.exchange.StateImageCodec;
+import slateslip.protocol.exchange.ConfigurationStateCodec;
+import slateslip.protocol.exchange.OperatorRequestCodec;
+import slateslip.protocol.exchange.OperatorResponseCodec;
 
 /**
  * The operator's configuration as replicated state: a command is a call of the operator's, a record
@@ -35,7 +35,7 @@
   private final Map<ChangeDigest, CommittedChange> changes = new LinkedHashMap<>();
   private final Map<Long, ConfigurationSource.Patch> patches = new LinkedHashMap<>();
   private ConfigurationDocument document;
-  private CheckedCall checked;
+  private ValidatedRequest checked;
 
   /** The newest configuration; empty before the first. */
   public Optional<ConfigurationDocument> document() {
@@ -53,36 +53,37 @@
   }
 
   @Override
-  public Preparation prepare(byte[] command) {
-    if (!(ChangeCodec.decode(command) instanceof Decoded.Message<OperatorCall> message)) {
-      return answer(OperatorAnswer.INVALID, "not a change");
+  public PreparedCommand prepare(byte[] command) {
+    if (!(OperatorRequestCodec.decode(command)
+        instanceof Decoded.Message<OperatorRequest> message)) {
+      return answer(OperatorResponse.INVALID, "not a change");
     }
-    OperatorCall call = message.value();
+    OperatorRequest call = message.value();
     CommittedChange earlier = changes.get(digest(call));
     if (earlier != null) {
-      return answer(new OperatorAnswer(OperatorAnswer.OK, earlier.version(), new byte[0]));
+      return answer(new OperatorResponse(OperatorResponse.OK, earlier.version(), new byte[0]));
     }
     if (call.baseVersion() != version()) {
-      return answer(OperatorAnswer.CONFLICT, "the current version is " + version());
+      return answer(OperatorResponse.CONFLICT, "the current version is " + version());
     }
     ConfigurationOutcome outcome = read(call);
     if (outcome instanceof ConfigurationOutcome.Invalid invalid) {
-      return answer(OperatorAnswer.INVALID, invalid.message());
+      return answer(OperatorResponse.INVALID, invalid.message());
     }
-    checked = new CheckedCall(call, outcome);
-    return new Preparation.Change(command);
+    checked = new ValidatedRequest(call, outcome);
+    return new PreparedCommand.Change(command);
   }
 
-  private Preparation answer(int status, String message) {
-    return answer(OperatorAnswer.of(status, version(), message));
+  private PreparedCommand answer(int status, String message) {
+    return answer(OperatorResponse.of(status, version(), message));
   }
 
-  private Preparation answer(OperatorAnswer answer) {
-    return new Preparation.Answer(AnswerCodec.encode(answer));
+  private PreparedCommand answer(OperatorResponse answer) {
+    return new PreparedCommand.Response(OperatorResponseCodec.encode(answer));
   }
 
-  private ConfigurationOutcome read(OperatorCall call) {
-    if (call.method() == OperatorCall.Method.PUT) {
+  private ConfigurationOutcome read(OperatorRequest call) {
+    if (call.method() == OperatorRequest.Method.PUT) {
       return ConfigurationDocument.parse(call.body(), version());
     }
     if (document == null) {
@@ -93,10 +94,11 @@
 
   @Override
   public void apply(byte[] record) {
-    if (!(ChangeCodec.decode(record) instanceof Decoded.Message<OperatorCall> message)) {
+    if (!(OperatorRequestCodec.decode(record)
+        instanceof Decoded.Message<OperatorRequest> message)) {
       throw new IllegalStateException("a committed record that is no change");
     }
-    OperatorCall call = message.value();
+    OperatorRequest call = message.value();
     if (!(outcomeOf(call) instanceof ConfigurationOutcome.Parsed parsed)) {
       throw new IllegalStateException("a committed change that cannot be read");
     }
@@ -105,8 +107,8 @@
   }
 
   /** What reading the call gave; the primary has read it once already. */
-  private ConfigurationOutcome outcomeOf(OperatorCall call) {
-    CheckedCall earlier = checked;
+  private ConfigurationOutcome outcomeOf(OperatorRequest call) {
+    ValidatedRequest earlier = checked;
     checked = null;
     if (earlier != null && digest(earlier.call()).equals(digest(call))) {
       return earlier.outcome();
@@ -115,20 +117,20 @@
   }
 
   /** Whether the change is valid was decided by the primary that took it. */
-  private ConfigurationOutcome readCommitted(OperatorCall call) {
-    return call.method() == OperatorCall.Method.PUT || document == null
+  private ConfigurationOutcome readCommitted(OperatorRequest call) {
+    return call.method() == OperatorRequest.Method.PUT || document == null
         ? ConfigurationDocument.committed(call.body())
         : document.committedPatch(call.body());
   }
 
-  private void remember(OperatorCall call) {
+  private void remember(OperatorRequest call) {
     ChangeDigest digest = digest(call);
     ByteBuffer halves = ByteBuffer.wrap(digest.toBytes());
     changes.put(
         digest,
         new CommittedChange(call.baseVersion(), version(), halves.getLong(), halves.getLong()));
     dropOldest(changes, KEPT_CHANGES);
-    if (call.method() == OperatorCall.Method.PATCH) {
+    if (call.method() == OperatorRequest.Method.PATCH) {
       patches.put(call.baseVersion(), new ConfigurationSource.Patch(version(), call.body()));
       dropOldest(patches, KEPT_PATCHES);
     }
@@ -143,7 +145,8 @@
   @Override
   public byte[] snapshot() {
     byte[] json = document == null ? new byte[0] : document.toJson();
-    return StateImageCodec.encode(new StateImage(new ArrayList<>(changes.values()), json));
+    return ConfigurationStateCodec.encode(
+        new ConfigurationStateSnapshot(new ArrayList<>(changes.values()), json));
   }
 
   @Override
@@ -157,14 +160,15 @@
     }
   }
 
-  private static StateImage decode(byte[] snapshot) {
-    if (StateImageCodec.decode(snapshot) instanceof Decoded.Message<StateImage> message) {
+  private static ConfigurationStateSnapshot decode(byte[] snapshot) {
+    if (ConfigurationStateCodec.decode(snapshot)
+        instanceof Decoded.Message<ConfigurationStateSnapshot> message) {
       return message.value();
     }
     throw new IllegalStateException("a snapshot that is none");
   }
 
-  private void restore(StateImage image) {
+  private void restore(ConfigurationStateSnapshot image) {
     List<CommittedChange> committed = image.changes();
     committed.forEach(change -> changes.put(digest(change), change));
     if (image.document().length == 0) {
@@ -177,7 +181,7 @@
     document = parsed.document();
   }
 
-  private static ChangeDigest digest(OperatorCall call) {
+  private static ChangeDigest digest(OperatorRequest call) {
     return ChangeDigest.of(call.method().name(), call.baseVersion(), call.body());
   }
 
@@ -187,5 +191,5 @@
     return ChangeDigest.ofBytes(bytes.array());
   }
 
-  private record CheckedCall(OperatorCall call, ConfigurationOutcome outcome) {}
+  private record ValidatedRequest(OperatorRequest call, ConfigurationOutcome outcome) {}
 }
--- a/src/main/java/slateslip/coordination/ClientResult.java
+++ b/src/main/java/slateslip/coordination/ClientResult.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Answer to a client's call. */
+/** Response to a client's call. */
 public sealed interface ClientResult {
   /** Names the call. */
   long clientToken();
@@ -21,7 +21,7 @@
    * @param clientToken names the call
    * @param answer of {@link ReplicatedState#prepare}
    */
-  record Answered(long clientToken, byte[] answer) implements ClientResult {}
+  record Responded(long clientToken, byte[] answer) implements ClientResult {}
 
   /**
    * The state is current.
--- a/src/main/java/slateslip/coordination/ControlReplica.java
+++ b/src/main/java/slateslip/coordination/ControlReplica.java
@@ -9,7 +9,7 @@
 /** One core node's part in keeping the control state. */
 public final class ControlReplica {
   private final ReplicaContext context;
-  private final ClientCalls calls;
+  private final PendingRequests calls;
   private final PeerTable peers;
   private final PrimaryRole primary;
   private final FollowerRole follower;
@@ -26,7 +26,7 @@
    */
   public ControlReplica(ReplicaSettings settings, ReplicatedState state, long randomSeed) {
     context = new ReplicaContext(settings, state, randomSeed);
-    calls = new ClientCalls(context);
+    calls = new PendingRequests(context);
     peers = new PeerTable(context);
     primary = new PrimaryRole(context, peers, calls);
     follower = new FollowerRole(context);
@@ -62,7 +62,7 @@
       written(written.token());
     } else if (input instanceof ReplicaInput.WriteFailed failed) {
       context.disk.failed(context.now, failed.token());
-    } else if (input instanceof ReplicaInput.Leave) {
+    } else if (input instanceof ReplicaInput.Shutdown) {
       context.leaving = true;
     } else if (input instanceof ReplicaInput.Propose propose) {
       propose(propose);
@@ -97,7 +97,7 @@
     if (founds) {
       context.self = new NodeId(address, NodeId.FOUNDER_DISK);
       context.witness = WitnessState.decided(View.founding(context.settings.seeds()));
-      context.store.beginTenure(new Tenure(1, 0));
+      context.store.beginTenure(new PrimaryTerm(1, 0));
     } else {
       long diskId = context.random.nextLong(1, Long.MAX_VALUE);
       context.self = new NodeId(address, diskId);
@@ -114,7 +114,7 @@
   }
 
   private void written(long token) {
-    DurableMark before = context.disk.durable();
+    DurablePosition before = context.disk.durable();
     if (!context.disk.written(token)) {
       return;
     }
@@ -142,52 +142,52 @@
     }
   }
 
-  private void receive(NodeId from, PeerMessage message) {
-    if (message instanceof PeerMessage.Prepare prepare) {
+  private void receive(NodeId from, ReplicaMessage message) {
+    if (message instanceof ReplicaMessage.Prepare prepare) {
       prepare(from, prepare);
-    } else if (message instanceof PeerMessage.Promise promise) {
+    } else if (message instanceof ReplicaMessage.Promise promise) {
       proposer.promise(from, promise);
-    } else if (message instanceof PeerMessage.Accept accept) {
+    } else if (message instanceof ReplicaMessage.Accept accept) {
       accept(from, accept);
-    } else if (message instanceof PeerMessage.Accepted accepted) {
+    } else if (message instanceof ReplicaMessage.Accepted accepted) {
       proposer.accepted(from, accepted);
-    } else if (message instanceof PeerMessage.Refused refused) {
+    } else if (message instanceof ReplicaMessage.Rejected refused) {
       proposer.refused(from, refused);
-    } else if (message instanceof PeerMessage.Decided decided) {
+    } else if (message instanceof ReplicaMessage.Decided decided) {
       adopt(decided.view());
     } else if (!from.equals(context.self)) {
       receiveFromOther(from, message);
     }
   }
 
-  private void receiveFromOther(NodeId from, PeerMessage message) {
-    if (message instanceof PeerMessage.Hello hello) {
+  private void receiveFromOther(NodeId from, ReplicaMessage message) {
+    if (message instanceof ReplicaMessage.Hello hello) {
       hello(from, hello);
-    } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
+    } else if (message instanceof ReplicaMessage.Heartbeat heartbeat) {
       heartbeat(from, heartbeat);
-    } else if (message instanceof PeerMessage.HeartbeatReply reply) {
+    } else if (message instanceof ReplicaMessage.HeartbeatReply reply) {
       primary.heartbeatReply(from, reply);
-    } else if (message instanceof PeerMessage.Synced synced) {
+    } else if (message instanceof ReplicaMessage.Synced synced) {
       primary.synced(from, synced);
     } else if (!primary.leading()) {
       receiveAsFollower(from, message);
     }
   }
 
-  private void receiveAsFollower(NodeId from, PeerMessage message) {
+  private void receiveAsFollower(NodeId from, ReplicaMessage message) {
     if (!from.equals(context.view().primary())) {
       return;
     }
-    if (message instanceof PeerMessage.Install install) {
+    if (message instanceof ReplicaMessage.Install install) {
       follower.install(install);
-    } else if (message instanceof PeerMessage.Append append) {
+    } else if (message instanceof ReplicaMessage.Append append) {
       follower.append(append);
-    } else if (message instanceof PeerMessage.TakeOver takeOver) {
+    } else if (message instanceof ReplicaMessage.TransferLeadership takeOver) {
       follower.takeOver(from, takeOver);
     }
   }
 
-  private void prepare(NodeId from, PeerMessage.Prepare message) {
+  private void prepare(NodeId from, ReplicaMessage.Prepare message) {
     adopt(message.base());
     if (message.base().epoch() < context.view().epoch()) {
       tellView(from);
@@ -196,7 +196,7 @@
     }
   }
 
-  private void accept(NodeId from, PeerMessage.Accept message) {
+  private void accept(NodeId from, ReplicaMessage.Accept message) {
     if (message.baseEpoch() < context.view().epoch()) {
       tellView(from);
     } else {
@@ -204,7 +204,7 @@
     }
   }
 
-  private void hello(NodeId from, PeerMessage.Hello message) {
+  private void hello(NodeId from, ReplicaMessage.Hello message) {
     adopt(message.view());
     if (message.view().epoch() < context.view().epoch()) {
       tellView(from);
@@ -214,7 +214,7 @@
     }
   }
 
-  private void heartbeat(NodeId from, PeerMessage.Heartbeat message) {
+  private void heartbeat(NodeId from, ReplicaMessage.Heartbeat message) {
     adopt(message.view());
     long epoch = message.tenure().epoch();
     if (epoch < context.view().epoch()) {
@@ -225,7 +225,7 @@
   }
 
   private void tellView(NodeId to) {
-    context.outbox.send(to.address(), new PeerMessage.Decided(context.view()));
+    context.outbox.send(to.address(), new ReplicaMessage.Decided(context.view()));
   }
 
   /** Takes a decided view if it is newer than the one known. */
@@ -295,14 +295,14 @@
 
   private long wakeAt() {
     long due = proposer.dueAt();
-    long tick = context.now + Timing.TICK;
+    long tick = context.now + ReplicationTimeouts.TICK;
     return due > context.now ? Math.min(due, tick) : tick;
   }
 
   /** Chooses and announces views. */
   private final class Proposals implements Proposer.Host {
     @Override
-    public Optional<View> ownValue(View base, Map<NodeId, PeerMessage.Promise> promises) {
+    public Optional<View> ownValue(View base, Map<NodeId, ReplicaMessage.Promise> promises) {
       if (primary.leading()) {
         View same = new View(base.epoch() + 1, base.primary(), base.members(), base.witnesses());
         return Optional.of(primary.wantedView().orElse(same));
@@ -325,7 +325,7 @@
               base, context.self, context.settings.faultTolerance(), answering, installed));
     }
 
-    private long installedEpoch(PeerMessage.Promise promise) {
+    private long installedEpoch(ReplicaMessage.Promise promise) {
       return promise.status().durable().epoch();
     }
 
@@ -335,7 +335,7 @@
       told.addAll(view.witnesses());
       told.remove(context.self);
       adopt(view);
-      PeerMessage decided = new PeerMessage.Decided(view);
+      ReplicaMessage decided = new ReplicaMessage.Decided(view);
       told.forEach(node -> context.outbox.send(node.address(), decided));
     }
   }
--- a/src/main/java/slateslip/coordination/DurableMark.java
+++ b/src/main/java/slateslip/coordination/DurablePosition.java
@@ -6,6 +6,6 @@
  * @param tenure installed
  * @param sequence last record
  */
-record DurableMark(Tenure tenure, long sequence) {
-  static final DurableMark NONE = new DurableMark(Tenure.NONE, 0);
+record DurablePosition(PrimaryTerm tenure, long sequence) {
+  static final DurablePosition NONE = new DurablePosition(PrimaryTerm.NONE, 0);
 }
--- a/src/main/java/slateslip/coordination/DurableRecord.java
+++ b/src/main/java/slateslip/coordination/DurableRecord.java
@@ -10,7 +10,7 @@
    * @param installed newest tenure whose state it has installed
    * @param state the replica's state, whole
    */
-  record Snapshot(NodeId self, WitnessState witness, Tenure installed, StateTransfer state)
+  record Snapshot(NodeId self, WitnessState witness, PrimaryTerm installed, StateTransfer state)
       implements DurableRecord {}
 
   /**
@@ -26,7 +26,7 @@
    * @param tenure of that primary
    * @param state replaces what is there from its base on
    */
-  record Installation(Tenure tenure, StateTransfer state) implements DurableRecord {}
+  record Installation(PrimaryTerm tenure, StateTransfer state) implements DurableRecord {}
 
   /**
    * One record.
--- a/src/main/java/slateslip/coordination/DurableQueue.java
+++ b/src/main/java/slateslip/coordination/DurableWriteQueue.java
@@ -8,16 +8,16 @@
  * The node's durable writes. They complete in the order of their start; after a failed one nothing
  * counts until the whole state has been written anew.
  */
-final class DurableQueue {
+final class DurableWriteQueue {
   private static final long RECORD_OVERHEAD = 256;
 
-  private record InFlight(long token, long startedMicros, DurableMark mark, Runnable then) {}
+  private record InFlight(long token, long startedMicros, DurablePosition mark, Runnable then) {}
 
-  private final Outbox outbox;
+  private final EffectsBuilder outbox;
   private final long journalBytes;
   private final Supplier<DurableRecord.Snapshot> snapshots;
   private final Deque<InFlight> inFlight = new ArrayDeque<>();
-  private DurableMark durable = DurableMark.NONE;
+  private DurablePosition durable = DurablePosition.NONE;
   private long nextToken = 1;
   private long bytesSinceSnapshot;
   private boolean snapshotDue = true;
@@ -25,19 +25,20 @@
   private boolean missed;
   private long retryAt;
 
-  DurableQueue(Outbox outbox, long journalBytes, Supplier<DurableRecord.Snapshot> snapshots) {
+  DurableWriteQueue(
+      EffectsBuilder outbox, long journalBytes, Supplier<DurableRecord.Snapshot> snapshots) {
     this.outbox = outbox;
     this.journalBytes = journalBytes;
     this.snapshots = snapshots;
   }
 
   /** How far the state is on disk. */
-  DurableMark durable() {
+  DurablePosition durable() {
     return durable;
   }
 
   /** Begins with what was recovered. */
-  void recovered(DurableMark mark) {
+  void recovered(DurablePosition mark) {
     durable = mark;
   }
 
@@ -49,7 +50,7 @@
    * @param bytes size of the record, about
    * @param then run once it is on disk; dropped if it fails
    */
-  void write(long now, DurableRecord record, long bytes, DurableMark mark, Runnable then) {
+  void write(long now, DurableRecord record, long bytes, DurablePosition mark, Runnable then) {
     if (broken) {
       missed = true;
       return;
@@ -62,14 +63,14 @@
     }
   }
 
-  private void startSnapshot(long now, DurableMark mark, Runnable then) {
+  private void startSnapshot(long now, DurablePosition mark, Runnable then) {
     start(now, snapshots.get(), mark, then);
     snapshotDue = false;
     missed = false;
     bytesSinceSnapshot = 0;
   }
 
-  private void start(long now, DurableRecord record, DurableMark mark, Runnable then) {
+  private void start(long now, DurableRecord record, DurablePosition mark, Runnable then) {
     inFlight.addLast(new InFlight(nextToken, now, mark, then));
     outbox.write(nextToken, record);
     nextToken++;
@@ -94,20 +95,21 @@
     }
     inFlight.clear();
     broken = true;
-    retryAt = now + Timing.DISK_RETRY;
+    retryAt = now + ReplicationTimeouts.DISK_RETRY;
   }
 
   /** Writes the whole state anew if that is due after a failure, or writes were left out since. */
-  void retry(long now, DurableMark mark) {
+  void retry(long now, DurablePosition mark) {
     if ((broken || missed) && inFlight.isEmpty() && now >= retryAt) {
-      startSnapshot(now, mark, DurableQueue::doNothing);
+      startSnapshot(now, mark, DurableWriteQueue::doNothing);
     }
   }
 
   /** Whether the disk takes writes within the bound. */
   boolean healthy(long now) {
     boolean hung =
-        !inFlight.isEmpty() && now - inFlight.peekFirst().startedMicros() > Timing.DISK_BOUND;
+        !inFlight.isEmpty()
+            && now - inFlight.peekFirst().startedMicros() > ReplicationTimeouts.DISK_BOUND;
     return !broken && !hung;
   }
 
--- a/src/main/java/slateslip/coordination/Effects.java
+++ b/src/main/java/slateslip/coordination/Effects.java
@@ -27,7 +27,7 @@
    * @param to address of the receiver
    * @param message it
    */
-  public record Send(NodeAddress to, PeerMessage message) {}
+  public record Send(NodeAddress to, ReplicaMessage message) {}
 
   /**
    * A durable write to start.
--- a/src/main/java/slateslip/coordination/Outbox.java
+++ b/src/main/java/slateslip/coordination/EffectsBuilder.java
@@ -8,14 +8,14 @@
 /**
  * Collects what an input leads to. Messages to the node itself are handled within the same input.
  */
-final class Outbox {
+final class EffectsBuilder {
   private final NodeAddress own;
-  private final Deque<PeerMessage> toSelf = new ArrayDeque<>();
+  private final Deque<ReplicaMessage> toSelf = new ArrayDeque<>();
   private List<Effects.DurableWrite> writes = new ArrayList<>();
   private List<Effects.Send> sends = new ArrayList<>();
   private List<ClientResult> results = new ArrayList<>();
 
-  Outbox(NodeAddress own) {
+  EffectsBuilder(NodeAddress own) {
     this.own = own;
   }
 
@@ -23,7 +23,7 @@
     writes.add(new Effects.DurableWrite(token, record));
   }
 
-  void send(NodeAddress to, PeerMessage message) {
+  void send(NodeAddress to, ReplicaMessage message) {
     if (to.equals(own)) {
       toSelf.add(message);
     } else {
@@ -36,7 +36,7 @@
   }
 
   /** The next message to the node itself, or null. */
-  PeerMessage nextToSelf() {
+  ReplicaMessage nextToSelf() {
     return toSelf.poll();
   }
 
--- a/src/main/java/slateslip/coordination/FollowerRole.java
+++ b/src/main/java/slateslip/coordination/FollowerRole.java
@@ -20,7 +20,7 @@
   }
 
   void start() {
-    patientSince = context.now + Timing.START_GRACE;
+    patientSince = context.now + ReplicationTimeouts.START_GRACE;
     drawSpread();
   }
 
@@ -32,12 +32,12 @@
   }
 
   private void drawSpread() {
-    takeOverSpread = context.randomBetween(0, Timing.TAKEOVER_STEP / 2);
+    takeOverSpread = context.randomBetween(0, ReplicationTimeouts.TAKEOVER_STEP / 2);
   }
 
   /** Whether the view's primary was heard so lately that others' proposals are refused. */
   boolean primaryAlive() {
-    return context.now - primaryHeardAt < Timing.PRIMARY_ALIVE;
+    return context.now - primaryHeardAt < ReplicationTimeouts.PRIMARY_ALIVE;
   }
 
   /** The primary's address, if it seems to be there. */
@@ -46,7 +46,7 @@
   }
 
   /** A heartbeat of the newest view's primary. */
-  void heartbeat(NodeId from, PeerMessage.Heartbeat message) {
+  void heartbeat(NodeId from, ReplicaMessage.Heartbeat message) {
     if (message.active()) {
       primaryHeardAt = context.now;
       patientSince = context.now;
@@ -56,10 +56,10 @@
     }
     context.outbox.send(
         from.address(),
-        new PeerMessage.HeartbeatReply(message.tenure(), message.round(), context.status()));
+        new ReplicaMessage.HeartbeatReply(message.tenure(), message.round(), context.status()));
   }
 
-  void install(PeerMessage.Install message) {
+  void install(ReplicaMessage.Install message) {
     if (!follows(message.tenure())) {
       return;
     }
@@ -74,7 +74,7 @@
     }
   }
 
-  void append(PeerMessage.Append message) {
+  void append(ReplicaMessage.Append message) {
     if (!follows(message.tenure()) || !message.tenure().equals(context.store.installed())) {
       return;
     }
@@ -88,21 +88,21 @@
   }
 
   /** Whether this tenure is of the newest view, and no later one has been accepted. */
-  private boolean follows(Tenure tenure) {
+  private boolean follows(PrimaryTerm tenure) {
     return tenure.epoch() == context.view().epoch() && !context.witness.hasAccepted();
   }
 
   /** Something more is on disk. */
   void durable() {
-    Tenure tenure = context.disk.durable().tenure();
+    PrimaryTerm tenure = context.disk.durable().tenure();
     if (follows(tenure)) {
       context.outbox.send(
           context.view().primary().address(),
-          new PeerMessage.Synced(tenure, context.disk.durable().sequence()));
+          new ReplicaMessage.Synced(tenure, context.disk.durable().sequence()));
     }
   }
 
-  void takeOver(NodeId from, PeerMessage.TakeOver message) {
+  void takeOver(NodeId from, ReplicaMessage.TransferLeadership message) {
     if (from.equals(context.view().primary()) && message.epoch() == context.view().epoch()) {
       consentedEpoch = message.epoch();
     }
@@ -130,17 +130,20 @@
       }
       rank += member.node().equals(view.primary()) ? 0 : 1;
     }
-    return patientSince + Timing.SILENCE + rank * Timing.TAKEOVER_STEP + takeOverSpread;
+    return patientSince
+        + ReplicationTimeouts.SILENCE
+        + rank * ReplicationTimeouts.TAKEOVER_STEP
+        + takeOverSpread;
   }
 
   /** Asks for the view if the primary is silent. */
   void askForView() {
-    boolean silent = context.now - primaryHeardAt > Timing.HELLO_AFTER;
+    boolean silent = context.now - primaryHeardAt > ReplicationTimeouts.HELLO_AFTER;
     if (!silent || context.now < helloAt) {
       return;
     }
-    helloAt = context.now + Timing.HELLO_INTERVAL;
-    PeerMessage hello = new PeerMessage.Hello(context.view(), context.status());
+    helloAt = context.now + ReplicationTimeouts.HELLO_INTERVAL;
+    ReplicaMessage hello = new ReplicaMessage.Hello(context.view(), context.status());
     knownAddresses().forEach(address -> context.outbox.send(address, hello));
   }
 
--- a/src/main/java/slateslip/coordination/MembershipPolicy.java
+++ b/src/main/java/slateslip/coordination/MembershipPolicy.java
@@ -20,7 +20,7 @@
    * @param wellMicros how long it has been well without a break
    * @param patienceMicros how long it must be well to be taken in
    */
-  record Standing(
+  record PeerHealth(
       NodeId node,
       boolean well,
       boolean installed,
@@ -47,7 +47,7 @@
    * @param others every other node that it knows
    */
   static Optional<View> wantedByPrimary(
-      View view, NodeId self, int faultTolerance, List<Standing> others) {
+      View view, NodeId self, int faultTolerance, List<PeerHealth> others) {
     List<ViewMember> members = members(view, self, faultTolerance, others);
     List<NodeId> witnesses = witnesses(view, self, faultTolerance, others, members);
     boolean same =
@@ -60,29 +60,31 @@
     return Optional.of(new View(view.epoch() + 1, self, members, witnesses));
   }
 
-  private static boolean majorityWell(List<NodeId> witnesses, NodeId self, List<Standing> others) {
+  private static boolean majorityWell(
+      List<NodeId> witnesses, NodeId self, List<PeerHealth> others) {
     long well =
         witnesses.stream()
             .filter(
                 node ->
-                    node.equals(self) || standing(others, node).filter(Standing::well).isPresent())
+                    node.equals(self)
+                        || standing(others, node).filter(PeerHealth::well).isPresent())
             .count();
     return well > witnesses.size() / 2;
   }
 
-  private static Optional<Standing> standing(List<Standing> others, NodeId node) {
+  private static Optional<PeerHealth> standing(List<PeerHealth> others, NodeId node) {
     return others.stream().filter(standing -> standing.node().equals(node)).findFirst();
   }
 
   private static List<ViewMember> members(
-      View view, NodeId self, int faultTolerance, List<Standing> others) {
+      View view, NodeId self, int faultTolerance, List<PeerHealth> others) {
     List<ViewMember> kept = new ArrayList<>();
     List<ViewMember> unwell = new ArrayList<>();
     int installed = 0;
     for (ViewMember member : view.members()) {
-      Optional<Standing> standing = standing(others, member.node());
+      Optional<PeerHealth> standing = standing(others, member.node());
       boolean own = member.node().equals(self);
-      if (own || standing.filter(Standing::well).isPresent()) {
+      if (own || standing.filter(PeerHealth::well).isPresent()) {
         kept.add(member);
         installed += own || standing.get().installed() ? 1 : 0;
       } else {
@@ -96,16 +98,16 @@
 
   /** What may be the last copies must stay in the view until others have installed it. */
   private static void keepIfNeeded(
-      int missing, List<Standing> others, List<ViewMember> unwell, List<ViewMember> kept) {
+      int missing, List<PeerHealth> others, List<ViewMember> unwell, List<ViewMember> kept) {
     Comparator<ViewMember> installedFirst =
         Comparator.comparing(
             member ->
-                standing(others, member.node()).filter(Standing::installed).isPresent() ? 0 : 1);
+                standing(others, member.node()).filter(PeerHealth::installed).isPresent() ? 0 : 1);
     unwell.stream().sorted(installedFirst).limit(Math.max(0, missing)).forEach(kept::add);
   }
 
   private static void addCandidates(
-      View view, int faultTolerance, List<Standing> others, List<ViewMember> kept) {
+      View view, int faultTolerance, List<PeerHealth> others, List<ViewMember> kept) {
     others.stream()
         .filter(other -> !view.hasMember(other.node()))
         .filter(other -> other.eligible() && other.caughtUp())
@@ -122,7 +124,11 @@
   }
 
   private static List<NodeId> witnesses(
-      View view, NodeId self, int faultTolerance, List<Standing> others, List<ViewMember> members) {
+      View view,
+      NodeId self,
+      int faultTolerance,
+      List<PeerHealth> others,
+      List<ViewMember> members) {
     List<NodeId> needed = members.stream().map(ViewMember::node).toList();
     List<NodeId> witnesses = new ArrayList<>(view.witnesses());
     needed.stream().filter(node -> !witnesses.contains(node)).forEach(witnesses::add);
@@ -135,7 +141,7 @@
     List<NodeId> silent =
         witnesses.stream()
             .filter(node -> !node.equals(self) && !needed.contains(node))
-            .filter(node -> silence(others, node) > Timing.WITNESS_REPLACED)
+            .filter(node -> silence(others, node) > ReplicationTimeouts.WITNESS_REPLACED)
             .sorted(Comparator.comparing((NodeId node) -> -silence(others, node)))
             .toList();
     silent.stream().limit(excess).forEach(witnesses::remove);
@@ -146,57 +152,58 @@
   }
 
   /** Nodes that become witnesses: once one has waited long enough, others go along. */
-  private static List<NodeId> newcomers(View view, List<Standing> others) {
-    List<Standing> outside =
+  private static List<NodeId> newcomers(View view, List<PeerHealth> others) {
+    List<PeerHealth> outside =
         others.stream().filter(other -> other.well() && !view.hasWitness(other.node())).toList();
-    if (outside.stream().noneMatch(Standing::eligible)) {
+    if (outside.stream().noneMatch(PeerHealth::eligible)) {
       return List.of();
     }
     return outside.stream()
         .filter(other -> other.eligible() || joinsAlong(other))
-        .map(Standing::node)
+        .map(PeerHealth::node)
         .toList();
   }
 
-  private static boolean joinsAlong(Standing other) {
-    return other.wellMicros() >= Timing.JOIN_ALONG && other.patienceMicros() <= Timing.JOIN_AFTER;
+  private static boolean joinsAlong(PeerHealth other) {
+    return other.wellMicros() >= ReplicationTimeouts.JOIN_ALONG
+        && other.patienceMicros() <= ReplicationTimeouts.JOIN_AFTER;
   }
 
   /**
    * Whether its machine has come back as another node, its disk lost: the node is gone for good,
    * and would only make majorities harder.
    */
-  private static boolean superseded(NodeId node, List<NodeId> witnesses, List<Standing> others) {
+  private static boolean superseded(NodeId node, List<NodeId> witnesses, List<PeerHealth> others) {
     return wellFor(others, node) == 0
         && witnesses.stream()
             .filter(other -> !other.equals(node) && other.address().equals(node.address()))
             .anyMatch(other -> wellFor(others, other) > 0);
   }
 
-  private static long wellFor(List<Standing> others, NodeId node) {
-    return standing(others, node).map(Standing::wellMicros).orElse(0L);
+  private static long wellFor(List<PeerHealth> others, NodeId node) {
+    return standing(others, node).map(PeerHealth::wellMicros).orElse(0L);
   }
 
-  private static long silence(List<Standing> others, NodeId node) {
-    return standing(others, node).map(Standing::silentMicros).orElse(0L);
+  private static long silence(List<PeerHealth> others, NodeId node) {
+    return standing(others, node).map(PeerHealth::silentMicros).orElse(0L);
   }
 
   private static void removeLoneSilent(
       List<NodeId> needed,
       NodeId self,
       int faultTolerance,
-      List<Standing> others,
+      List<PeerHealth> others,
       List<NodeId> witnesses) {
     List<NodeId> silent =
         witnesses.stream()
             .filter(node -> !node.equals(self))
-            .filter(node -> standing(others, node).filter(Standing::well).isEmpty())
+            .filter(node -> standing(others, node).filter(PeerHealth::well).isEmpty())
             .toList();
     boolean enoughLeft = witnesses.size() - 1 >= Math.max(LEAST_WITNESSES, 2 * faultTolerance + 1);
     if (silent.size() != 1 || !enoughLeft || needed.contains(silent.get(0))) {
       return;
     }
-    if (silence(others, silent.get(0)) > Timing.WITNESS_REMOVED) {
+    if (silence(others, silent.get(0)) > ReplicationTimeouts.WITNESS_REMOVED) {
       witnesses.remove(silent.get(0));
     }
   }
--- a/src/main/java/slateslip/coordination/Peer.java
+++ b/src/main/java/slateslip/coordination/Peer.java
@@ -7,14 +7,14 @@
 
   final NodeId node;
   private final long knownSince;
-  PeerStatus status;
+  ReplicaStatus status;
   long heardAt = NEVER;
   long echoedSentAt = NEVER;
   long cleanRound;
   long wellSince = Long.MAX_VALUE;
   int drops;
   long droppedAt = NEVER;
-  Tenure sentTenure = Tenure.NONE;
+  PrimaryTerm sentTenure = PrimaryTerm.NONE;
   long sentSequence;
   long sentRound;
   private boolean owes;
@@ -30,25 +30,25 @@
   /** Forgets what was sent in another tenure. */
   void beginTenure() {
     cleanRound = 0;
-    sentTenure = Tenure.NONE;
+    sentTenure = PrimaryTerm.NONE;
     owes = false;
   }
 
   /** Something was sent that must reach the disk. */
-  void sent(Tenure tenure, long sequence, long round, long bytes, long now) {
+  void sent(PrimaryTerm tenure, long sequence, long round, long bytes, long now) {
     sentTenure = tenure;
     sentSequence = sequence;
     sentRound = round;
     if (!owes) {
       owes = true;
       owesSince = now;
-      owesBound = Timing.APPEND_BOUND;
+      owesBound = ReplicationTimeouts.APPEND_BOUND;
     }
-    owesBound += bytes * Timing.TRANSFER_PER_MB / MEGABYTE;
+    owesBound += bytes * ReplicationTimeouts.TRANSFER_PER_MB / MEGABYTE;
   }
 
   /** Whether all up to a record is on its disk in that tenure, and it follows no later view. */
-  boolean hasDurable(Tenure tenure, long sequence) {
+  boolean hasDurable(PrimaryTerm tenure, long sequence) {
     return status != null
         && status.durable().equals(tenure)
         && status.durableSequence() >= sequence
@@ -57,7 +57,7 @@
   }
 
   /** Notes whether it still owes what was sent last. */
-  void settle(Tenure tenure) {
+  void settle(PrimaryTerm tenure) {
     if (hasDurable(tenure, sentSequence)) {
       owes = false;
     }
@@ -79,7 +79,7 @@
 
   /** Whether it answers, its disk works, and it is to stay. */
   boolean well(long now, long leadingSince) {
-    return silentFor(now, leadingSince) < Timing.SILENCE
+    return silentFor(now, leadingSince) < ReplicationTimeouts.SILENCE
         && (status == null || status.fit())
         && !overdue(now);
   }
@@ -91,7 +91,7 @@
       wellSince = Long.MAX_VALUE;
     } else if (wellSince == Long.MAX_VALUE) {
       wellSince = now;
-    } else if (now - wellSince > Timing.DROPS_FORGOTTEN) {
+    } else if (now - wellSince > ReplicationTimeouts.DROPS_FORGOTTEN) {
       drops = 0;
     }
   }
@@ -103,9 +103,10 @@
   /** How long it must be well before it is taken in, longer each time that it was dropped. */
   long patience() {
     if (drops == 0) {
-      return Timing.JOIN_AFTER;
+      return ReplicationTimeouts.JOIN_AFTER;
     }
-    return Timing.REJOIN_AFTER << Math.min(drops - 1, Timing.REJOIN_DOUBLINGS);
+    return ReplicationTimeouts.REJOIN_AFTER
+        << Math.min(drops - 1, ReplicationTimeouts.REJOIN_DOUBLINGS);
   }
 
   void dropped(long now) {
--- a/src/main/java/slateslip/coordination/PeerTable.java
+++ b/src/main/java/slateslip/coordination/PeerTable.java
@@ -78,7 +78,7 @@
   void review() {
     Set<NodeId> nodes = new TreeSet<>(context.view().witnesses());
     for (Peer peer : peers.values()) {
-      if (context.now - peer.heardAt < Timing.GUEST_KEPT) {
+      if (context.now - peer.heardAt < ReplicationTimeouts.GUEST_KEPT) {
         nodes.add(peer.node);
       }
     }
@@ -89,7 +89,7 @@
   }
 
   private boolean keptForPenalty(NodeId node) {
-    return context.now - peers.get(node).droppedAt < Timing.DROPS_KEPT;
+    return context.now - peers.get(node).droppedAt < ReplicationTimeouts.DROPS_KEPT;
   }
 
   boolean well(Peer peer) {
@@ -105,7 +105,7 @@
   }
 
   private boolean hears(NodeId node) {
-    return of(node).silentFor(context.now, leadingSince) < Timing.SILENCE;
+    return of(node).silentFor(context.now, leadingSince) < ReplicationTimeouts.SILENCE;
   }
 
   /** Whether a majority answered that round or a later one and has accepted no later view. */
--- a/src/main/java/slateslip/coordination/ClientCalls.java
+++ b/src/main/java/slateslip/coordination/PendingRequests.java
@@ -6,25 +6,26 @@
 import java.util.Optional;
 
 /** Clients' calls at the primary: commands one after the other, and confirmations. */
-final class ClientCalls {
-  private record Command(long clientToken, byte[] command, long arrivedAt) {}
+final class PendingRequests {
+  private record QueuedCommand(long clientToken, byte[] command, long arrivedAt) {}
 
   /** Waits for a clean majority of a round. */
-  private record Question(long clientToken, Optional<byte[]> answer, long round, long arrivedAt) {}
+  private record PendingConfirmation(
+      long clientToken, Optional<byte[]> answer, long round, long arrivedAt) {}
 
   private final ReplicaContext context;
-  private final Deque<Command> waiting = new ArrayDeque<>();
-  private final Deque<Question> questions = new ArrayDeque<>();
-  private Command current;
+  private final Deque<QueuedCommand> waiting = new ArrayDeque<>();
+  private final Deque<PendingConfirmation> questions = new ArrayDeque<>();
+  private QueuedCommand current;
   private long currentSequence;
   private boolean roundWanted;
 
-  ClientCalls(ReplicaContext context) {
+  PendingRequests(ReplicaContext context) {
     this.context = context;
   }
 
   void propose(long clientToken, byte[] command) {
-    waiting.addLast(new Command(clientToken, command, context.now));
+    waiting.addLast(new QueuedCommand(clientToken, command, context.now));
   }
 
   /**
@@ -37,7 +38,7 @@
   }
 
   private void ask(long clientToken, Optional<byte[]> answer, long lastRound) {
-    questions.addLast(new Question(clientToken, answer, lastRound + 1, context.now));
+    questions.addLast(new PendingConfirmation(clientToken, answer, lastRound + 1, context.now));
     roundWanted = true;
   }
 
@@ -56,14 +57,14 @@
    */
   Optional<byte[]> nextRecord(long lastRound) {
     while (!waiting.isEmpty()) {
-      Command command = waiting.removeFirst();
-      Preparation preparation = context.store.state().prepare(command.command());
-      if (preparation instanceof Preparation.Change change) {
+      QueuedCommand command = waiting.removeFirst();
+      PreparedCommand preparation = context.store.state().prepare(command.command());
+      if (preparation instanceof PreparedCommand.Change change) {
         current = command;
         currentSequence = context.store.lastSequence() + 1;
         return Optional.of(change.record());
       }
-      byte[] answer = ((Preparation.Answer) preparation).answer();
+      byte[] answer = ((PreparedCommand.Response) preparation).answer();
       ask(command.clientToken(), Optional.of(answer), lastRound);
     }
     return Optional.empty();
@@ -80,12 +81,12 @@
   /** Answers what a clean majority of that round allows to be answered. */
   void confirmed(PeerTable peers) {
     while (!questions.isEmpty() && peers.cleanMajority(questions.peekFirst().round())) {
-      Question question = questions.removeFirst();
+      PendingConfirmation question = questions.removeFirst();
       long token = question.clientToken();
       context.outbox.result(
           question
               .answer()
-              .<ClientResult>map(answer -> new ClientResult.Answered(token, answer))
+              .<ClientResult>map(answer -> new ClientResult.Responded(token, answer))
               .orElseGet(() -> new ClientResult.Confirmed(token)));
     }
   }
@@ -96,14 +97,14 @@
 
   /** Answers what has waited too long. */
   void expire() {
-    long oldest = context.now - Timing.CALL_BOUND;
+    long oldest = context.now - ReplicationTimeouts.CALL_BOUND;
     if (current != null && current.arrivedAt() < oldest) {
       unavailable(current.clientToken());
       current = null;
     }
-    Iterator<Question> iterator = questions.iterator();
+    Iterator<PendingConfirmation> iterator = questions.iterator();
     while (iterator.hasNext()) {
-      Question question = iterator.next();
+      PendingConfirmation question = iterator.next();
       if (question.arrivedAt() < oldest) {
         iterator.remove();
         unavailable(question.clientToken());
--- a/src/main/java/slateslip/coordination/Preparation.java
+++ b/src/main/java/slateslip/coordination/PreparedCommand.java
@@ -1,18 +1,18 @@
 package slateslip.coordination;
 
 /** What becomes of a command. */
-public sealed interface Preparation {
+public sealed interface PreparedCommand {
   /**
    * A record to be replicated.
    *
    * @param record its bytes
    */
-  record Change(byte[] record) implements Preparation {}
+  record Change(byte[] record) implements PreparedCommand {}
 
   /**
    * An answer from the state as it is.
    *
    * @param answer handed back to the client
    */
-  record Answer(byte[] answer) implements Preparation {}
+  record Response(byte[] answer) implements PreparedCommand {}
 }
--- a/src/main/java/slateslip/coordination/PrimaryRole.java
+++ b/src/main/java/slateslip/coordination/PrimaryRole.java
@@ -8,10 +8,10 @@
 final class PrimaryRole {
   private final ReplicaContext context;
   private final PeerTable peers;
-  private final ClientCalls calls;
+  private final PendingRequests calls;
   private boolean leading;
   private boolean active;
-  private Tenure tenure = Tenure.NONE;
+  private PrimaryTerm tenure = PrimaryTerm.NONE;
   private long openSequence;
   private long lastRoundAt;
   private long resignedUntil;
@@ -19,7 +19,7 @@
   private long reviewedAt;
   private boolean reviewDue;
 
-  PrimaryRole(ReplicaContext context, PeerTable peers, ClientCalls calls) {
+  PrimaryRole(ReplicaContext context, PeerTable peers, PendingRequests calls) {
     this.context = context;
     this.peers = peers;
     this.calls = calls;
@@ -82,7 +82,7 @@
   }
 
   /** A node answered a heartbeat. */
-  void heartbeatReply(NodeId from, PeerMessage.HeartbeatReply reply) {
+  void heartbeatReply(NodeId from, ReplicaMessage.HeartbeatReply reply) {
     if (!leading || !reply.tenure().equals(tenure)) {
       return;
     }
@@ -111,7 +111,7 @@
   }
 
   /** A node has something on disk. */
-  void synced(NodeId from, PeerMessage.Synced message) {
+  void synced(NodeId from, ReplicaMessage.Synced message) {
     if (!leading || !message.tenure().equals(tenure)) {
       return;
     }
@@ -123,7 +123,7 @@
   }
 
   /** A node without a primary asks. */
-  void hello(NodeId from, PeerStatus status) {
+  void hello(NodeId from, ReplicaStatus status) {
     Peer peer = peers.of(from);
     peer.heardAt = context.now;
     if (peer.status == null) {
@@ -138,10 +138,10 @@
     if (!leading) {
       return;
     }
-    if (context.now - reviewedAt >= Timing.REVIEW) {
+    if (context.now - reviewedAt >= ReplicationTimeouts.REVIEW) {
       review();
     }
-    if (context.now - lastRoundAt >= Timing.HEARTBEAT) {
+    if (context.now - lastRoundAt >= ReplicationTimeouts.HEARTBEAT) {
       beginRound();
     }
     if (selfInstalled()) {
@@ -179,7 +179,7 @@
     View view = knows ? View.NONE : context.view();
     context.outbox.send(
         peer.node.address(),
-        new PeerMessage.Heartbeat(
+        new ReplicaMessage.Heartbeat(
             tenure, peers.round(), context.store.appliedSequence(), active, view));
   }
 
@@ -199,7 +199,7 @@
 
   private void install(Peer peer) {
     StateTransfer transfer = context.store.transferFrom(peer.status.committedSequence());
-    context.outbox.send(peer.node.address(), new PeerMessage.Install(tenure, transfer));
+    context.outbox.send(peer.node.address(), new ReplicaMessage.Install(tenure, transfer));
     sent(peer, transfer.bytes());
   }
 
@@ -207,7 +207,7 @@
     byte[] record = context.store.pending();
     context.outbox.send(
         peer.node.address(),
-        new PeerMessage.Append(
+        new ReplicaMessage.Append(
             tenure, context.store.lastSequence(), context.store.appliedSequence(), record));
     sent(peer, record.length);
   }
@@ -252,7 +252,9 @@
 
   /** The view that should follow, if the present one won't do. */
   Optional<View> wantedView() {
-    if (!active() || !selfInstalled() || context.now - lastChangeAt < Timing.CHANGE_PAUSE) {
+    if (!active()
+        || !selfInstalled()
+        || context.now - lastChangeAt < ReplicationTimeouts.CHANGE_PAUSE) {
       return Optional.empty();
     }
     return MembershipPolicy.wantedByPrimary(
@@ -273,11 +275,11 @@
         && peer.status.decidedEpoch() == context.view().epoch();
   }
 
-  private List<MembershipPolicy.Standing> standings() {
-    List<MembershipPolicy.Standing> standings = new ArrayList<>();
+  private List<MembershipPolicy.PeerHealth> standings() {
+    List<MembershipPolicy.PeerHealth> standings = new ArrayList<>();
     for (Peer peer : peers.targets()) {
       standings.add(
-          new MembershipPolicy.Standing(
+          new MembershipPolicy.PeerHealth(
               peer.node,
               peers.well(peer),
               peer.hasDurable(tenure, openSequence),
@@ -313,9 +315,10 @@
   }
 
   private void resignTo(Peer successor) {
-    resignedUntil = context.now + Timing.RESIGNED;
+    resignedUntil = context.now + ReplicationTimeouts.RESIGNED;
     active = false;
-    context.outbox.send(successor.node.address(), new PeerMessage.TakeOver(context.view().epoch()));
+    context.outbox.send(
+        successor.node.address(), new ReplicaMessage.TransferLeadership(context.view().epoch()));
     beginRound();
   }
 }
--- a/src/main/java/slateslip/coordination/Tenure.java
+++ b/src/main/java/slateslip/coordination/PrimaryTerm.java
@@ -7,17 +7,17 @@
  * @param epoch of the view
  * @param incarnation 1 or more; rises each time that the epoch's primary starts anew
  */
-public record Tenure(long epoch, long incarnation) implements Comparable<Tenure> {
+public record PrimaryTerm(long epoch, long incarnation) implements Comparable<PrimaryTerm> {
   /** Before every other. */
-  public static final Tenure NONE = new Tenure(0, 0);
+  public static final PrimaryTerm NONE = new PrimaryTerm(0, 0);
 
   /** The tenure of a primary that begins or resumes an epoch after this one. */
-  public Tenure next(long newEpoch) {
-    return new Tenure(newEpoch, epoch == newEpoch ? incarnation + 1 : 1);
+  public PrimaryTerm next(long newEpoch) {
+    return new PrimaryTerm(newEpoch, epoch == newEpoch ? incarnation + 1 : 1);
   }
 
   @Override
-  public int compareTo(Tenure other) {
+  public int compareTo(PrimaryTerm other) {
     int byEpoch = Long.compare(epoch, other.epoch);
     return byEpoch != 0 ? byEpoch : Long.compare(incarnation, other.incarnation);
   }
--- a/src/main/java/slateslip/coordination/Proposer.java
+++ b/src/main/java/slateslip/coordination/Proposer.java
@@ -11,7 +11,7 @@
   /** What the rest of the node does with a proposal. */
   interface Host {
     /** The view to propose if none was accepted before; empty to give up. */
-    Optional<View> ownValue(View base, Map<NodeId, PeerMessage.Promise> promises);
+    Optional<View> ownValue(View base, Map<NodeId, ReplicaMessage.Promise> promises);
 
     /** A majority of the base's witnesses accepted the view. */
     void decided(View base, View view);
@@ -19,7 +19,7 @@
 
   private final ReplicaContext context;
   private final Host host;
-  private final Map<NodeId, PeerMessage.Promise> promises = new HashMap<>();
+  private final Map<NodeId, ReplicaMessage.Promise> promises = new HashMap<>();
   private final Set<NodeId> accepts = new HashSet<>();
   private final Set<NodeId> refusals = new HashSet<>();
   private boolean busy;
@@ -52,7 +52,9 @@
       return nextAttemptAt;
     }
     boolean waits = value.isNone() && promises.size() >= base.majority();
-    return waits ? majorityAt + Timing.PROMISE_GRACE : startedAt + Timing.PROPOSAL_BOUND;
+    return waits
+        ? majorityAt + ReplicationTimeouts.PROMISE_GRACE
+        : startedAt + ReplicationTimeouts.PROPOSAL_BOUND;
   }
 
   /**
@@ -70,13 +72,15 @@
     startedAt = context.now;
     highestRound = Math.max(highestRound, context.witness.promised().round()) + 1;
     ballot = new Ballot(highestRound, context.self);
-    context.outbox.send(context.self.address(), new PeerMessage.Prepare(base, ballot, consented));
+    context.outbox.send(
+        context.self.address(), new ReplicaMessage.Prepare(base, ballot, consented));
   }
 
   /** Gives up a proposal and waits before the next one. */
   void abandon(long leastPause) {
     busy = false;
-    long backoff = context.randomBetween(Timing.BACKOFF_LEAST, Timing.BACKOFF_MOST);
+    long backoff =
+        context.randomBetween(ReplicationTimeouts.BACKOFF_LEAST, ReplicationTimeouts.BACKOFF_MOST);
     nextAttemptAt = context.now + leastPause + backoff;
   }
 
@@ -86,13 +90,13 @@
     nextAttemptAt = context.now;
   }
 
-  void promise(NodeId from, PeerMessage.Promise message) {
+  void promise(NodeId from, ReplicaMessage.Promise message) {
     if (!concerns(from, message.baseEpoch(), message.ballot()) || !value.isNone()) {
       return;
     }
     promises.put(from, message);
     if (from.equals(context.self)) {
-      toOthers(new PeerMessage.Prepare(base, ballot, consented));
+      toOthers(new ReplicaMessage.Prepare(base, ballot, consented));
     }
     if (promises.size() == base.majority()) {
       majorityAt = context.now;
@@ -100,7 +104,7 @@
     tick();
   }
 
-  void accepted(NodeId from, PeerMessage.Accepted message) {
+  void accepted(NodeId from, ReplicaMessage.Accepted message) {
     if (!concerns(from, message.baseEpoch(), message.ballot()) || value.isNone()) {
       return;
     }
@@ -111,7 +115,7 @@
     }
   }
 
-  void refused(NodeId from, PeerMessage.Refused message) {
+  void refused(NodeId from, ReplicaMessage.Rejected message) {
     if (!concerns(from, message.baseEpoch(), message.ballot())) {
       return;
     }
@@ -122,7 +126,7 @@
     }
     refusals.add(from);
     if (base.witnesses().size() - refusals.size() < base.majority()) {
-      abandon(Timing.REFUSED_PAUSE);
+      abandon(ReplicationTimeouts.REFUSED_PAUSE);
     }
   }
 
@@ -135,7 +139,7 @@
     if (!busy) {
       return;
     }
-    if (context.now - startedAt > Timing.PROPOSAL_BOUND) {
+    if (context.now - startedAt > ReplicationTimeouts.PROPOSAL_BOUND) {
       abandon(0);
       return;
     }
@@ -147,7 +151,7 @@
   private boolean promisesSuffice() {
     boolean allMembers =
         base.members().stream().allMatch(member -> promises.containsKey(member.node()));
-    return allMembers || context.now - majorityAt >= Timing.PROMISE_GRACE;
+    return allMembers || context.now - majorityAt >= ReplicationTimeouts.PROMISE_GRACE;
   }
 
   private void choose() {
@@ -160,7 +164,7 @@
       return;
     }
     value = chosen.get();
-    PeerMessage accept = new PeerMessage.Accept(base.epoch(), ballot, value);
+    ReplicaMessage accept = new ReplicaMessage.Accept(base.epoch(), ballot, value);
     context.outbox.send(context.self.address(), accept);
     toOthers(accept);
   }
@@ -170,10 +174,10 @@
     return promises.values().stream()
         .filter(promise -> !promise.accepted().isNone())
         .max((one, other) -> one.acceptedBallot().compareTo(other.acceptedBallot()))
-        .map(PeerMessage.Promise::accepted);
+        .map(ReplicaMessage.Promise::accepted);
   }
 
-  private void toOthers(PeerMessage message) {
+  private void toOthers(ReplicaMessage message) {
     base.witnesses().stream()
         .filter(node -> !node.equals(context.self))
         .forEach(node -> context.outbox.send(node.address(), message));
--- a/src/main/java/slateslip/coordination/Recovery.java
+++ b/src/main/java/slateslip/coordination/Recovery.java
@@ -13,7 +13,7 @@
     }
     records.forEach(record -> replay(record, context));
     ReplicaStore store = context.store;
-    context.disk.recovered(new DurableMark(store.installed(), store.lastSequence()));
+    context.disk.recovered(new DurablePosition(store.installed(), store.lastSequence()));
   }
 
   private static void replay(DurableRecord record, ReplicaContext context) {
--- a/src/main/java/slateslip/coordination/ReplicaContext.java
+++ b/src/main/java/slateslip/coordination/ReplicaContext.java
@@ -6,9 +6,9 @@
 final class ReplicaContext {
   final ReplicaSettings settings;
   final SplittableRandom random;
-  final Outbox outbox;
+  final EffectsBuilder outbox;
   final ReplicaStore store;
-  final DurableQueue disk;
+  final DurableWriteQueue disk;
   NodeId self = NodeId.NONE;
   WitnessState witness = WitnessState.NONE;
   long now;
@@ -19,9 +19,9 @@
   ReplicaContext(ReplicaSettings settings, ReplicatedState state, long randomSeed) {
     this.settings = settings;
     random = new SplittableRandom(randomSeed);
-    outbox = new Outbox(settings.address());
+    outbox = new EffectsBuilder(settings.address());
     store = new ReplicaStore(state);
-    disk = new DurableQueue(outbox, settings.journalBytes(), this::snapshot);
+    disk = new DurableWriteQueue(outbox, settings.journalBytes(), this::snapshot);
   }
 
   /** Newest decided view known. */
@@ -56,8 +56,8 @@
     disk.retry(now, mark());
   }
 
-  private DurableMark mark() {
-    return new DurableMark(store.installed(), store.lastSequence());
+  private DurablePosition mark() {
+    return new DurablePosition(store.installed(), store.lastSequence());
   }
 
   private DurableRecord.Snapshot snapshot() {
@@ -65,8 +65,8 @@
   }
 
   /** What this node tells of itself. */
-  PeerStatus status() {
-    return new PeerStatus(
+  ReplicaStatus status() {
+    return new ReplicaStatus(
         view().epoch(),
         witness.hasAccepted(),
         store.installed(),
--- a/src/main/java/slateslip/coordination/ReplicaInput.java
+++ b/src/main/java/slateslip/coordination/ReplicaInput.java
@@ -17,7 +17,7 @@
    * @param from its sender, as its frame says
    * @param message it
    */
-  record Received(NodeId from, PeerMessage message) implements ReplicaInput {}
+  record Received(NodeId from, ReplicaMessage message) implements ReplicaInput {}
 
   /** The wake-up time came, or any time passed. */
   record Tick() implements ReplicaInput {}
@@ -37,7 +37,7 @@
   record WriteFailed(long token) implements ReplicaInput {}
 
   /** The process is asked to end: others are to take over what this node does in the view. */
-  record Leave() implements ReplicaInput {}
+  record Shutdown() implements ReplicaInput {}
 
   /**
    * A client's command; answered by one {@link ClientResult}.
--- a/src/main/java/slateslip/coordination/PeerMessage.java
+++ b/src/main/java/slateslip/coordination/ReplicaMessage.java
@@ -1,14 +1,14 @@
 package slateslip.coordination;
 
 /** What core nodes say to each other about the control state. */
-public sealed interface PeerMessage {
+public sealed interface ReplicaMessage {
   /**
    * Of a node that hears no primary: asks for the newest view, and to be taken in.
    *
    * @param view newest decided view that it knows
    * @param status its status
    */
-  record Hello(View view, PeerStatus status) implements PeerMessage {}
+  record Hello(View view, ReplicaStatus status) implements ReplicaMessage {}
 
   /**
    * Of the primary, in regular rounds and at each commit or confirmation.
@@ -19,24 +19,26 @@
    * @param active whether the primary hears a majority of the witnesses and means to go on
    * @param view the view, or {@link View#NONE} if the receiver is known to have it
    */
-  record Heartbeat(Tenure tenure, long round, long committedSequence, boolean active, View view)
-      implements PeerMessage {}
+  record Heartbeat(
+      PrimaryTerm tenure, long round, long committedSequence, boolean active, View view)
+      implements ReplicaMessage {}
 
   /**
-   * Answer to a heartbeat, once it has been handled.
+   * Response to a heartbeat, once it has been handled.
    *
    * @param tenure of the heartbeat
    * @param round of the heartbeat
    * @param status of the replying node
    */
-  record HeartbeatReply(Tenure tenure, long round, PeerStatus status) implements PeerMessage {}
+  record HeartbeatReply(PrimaryTerm tenure, long round, ReplicaStatus status)
+      implements ReplicaMessage {}
 
   /**
    * A view was decided.
    *
    * @param view which
    */
-  record Decided(View view) implements PeerMessage {}
+  record Decided(View view) implements ReplicaMessage {}
 
   /**
    * First phase of a proposal for the epoch after {@code base}.
@@ -45,7 +47,7 @@
    * @param ballot its ballot
    * @param consented whether the base's primary itself proposes or has resigned
    */
-  record Prepare(View base, Ballot ballot, boolean consented) implements PeerMessage {}
+  record Prepare(View base, Ballot ballot, boolean consented) implements ReplicaMessage {}
 
   /**
    * Promise, on disk, to take no lower ballot.
@@ -57,8 +59,8 @@
    * @param status of the promising node
    */
   record Promise(
-      long baseEpoch, Ballot ballot, Ballot acceptedBallot, View accepted, PeerStatus status)
-      implements PeerMessage {}
+      long baseEpoch, Ballot ballot, Ballot acceptedBallot, View accepted, ReplicaStatus status)
+      implements ReplicaMessage {}
 
   /**
    * Second phase of a proposal.
@@ -67,7 +69,7 @@
    * @param ballot its ballot
    * @param value the proposed view
    */
-  record Accept(long baseEpoch, Ballot ballot, View value) implements PeerMessage {}
+  record Accept(long baseEpoch, Ballot ballot, View value) implements ReplicaMessage {}
 
   /**
    * The value of this ballot is accepted, on disk.
@@ -75,7 +77,7 @@
    * @param baseEpoch epoch of the base
    * @param ballot its ballot
    */
-  record Accepted(long baseEpoch, Ballot ballot) implements PeerMessage {}
+  record Accepted(long baseEpoch, Ballot ballot) implements ReplicaMessage {}
 
   /**
    * A proposal is refused.
@@ -85,8 +87,8 @@
    * @param promised the higher one, or none
    * @param primaryAlive whether the refusing node hears the primary
    */
-  record Refused(long baseEpoch, Ballot ballot, Ballot promised, boolean primaryAlive)
-      implements PeerMessage {}
+  record Rejected(long baseEpoch, Ballot ballot, Ballot promised, boolean primaryAlive)
+      implements ReplicaMessage {}
 
   /**
    * The state that a view begins with, or that a node outside of it follows from.
@@ -94,7 +96,7 @@
    * @param tenure of the primary
    * @param state whole, or from what the receiver is known to have
    */
-  record Install(Tenure tenure, StateTransfer state) implements PeerMessage {}
+  record Install(PrimaryTerm tenure, StateTransfer state) implements ReplicaMessage {}
 
   /**
    * One record.
@@ -104,8 +106,8 @@
    * @param committedSequence records committed
    * @param record its bytes
    */
-  record Append(Tenure tenure, long sequence, long committedSequence, byte[] record)
-      implements PeerMessage {}
+  record Append(PrimaryTerm tenure, long sequence, long committedSequence, byte[] record)
+      implements ReplicaMessage {}
 
   /**
    * Everything up to a sequence number is on disk.
@@ -113,12 +115,12 @@
    * @param tenure installed on disk
    * @param sequence last record on disk
    */
-  record Synced(Tenure tenure, long sequence) implements PeerMessage {}
+  record Synced(PrimaryTerm tenure, long sequence) implements ReplicaMessage {}
 
   /**
    * The primary resigns in favour of the receiver.
    *
    * @param epoch the view's
    */
-  record TakeOver(long epoch) implements PeerMessage {}
+  record TransferLeadership(long epoch) implements ReplicaMessage {}
 }
--- a/src/main/java/slateslip/coordination/PeerStatus.java
+++ b/src/main/java/slateslip/coordination/ReplicaStatus.java
@@ -12,19 +12,19 @@
  * @param committedSequence records that it knows to be committed
  * @param fit whether its disk takes writes within the bound, and its process is not about to end
  */
-public record PeerStatus(
+public record ReplicaStatus(
     long decidedEpoch,
     boolean acceptedLater,
-    Tenure received,
+    PrimaryTerm received,
     long receivedSequence,
-    Tenure durable,
+    PrimaryTerm durable,
     long durableSequence,
     long committedSequence,
     boolean fit) {
 
   /** The same with newer news of the disk. */
-  PeerStatus withDurable(Tenure tenure, long sequence) {
-    return new PeerStatus(
+  ReplicaStatus withDurable(PrimaryTerm tenure, long sequence) {
+    return new ReplicaStatus(
         decidedEpoch,
         acceptedLater,
         received,
--- a/src/main/java/slateslip/coordination/ReplicaStore.java
+++ b/src/main/java/slateslip/coordination/ReplicaStore.java
@@ -17,7 +17,7 @@
   private final ReplicatedState state;
   private final Deque<byte[]> recent = new ArrayDeque<>();
   private long recentBytes;
-  private Tenure installed = Tenure.NONE;
+  private PrimaryTerm installed = PrimaryTerm.NONE;
   private long appliedSequence;
   private byte[] pending;
   private boolean applied;
@@ -30,7 +30,7 @@
     return state;
   }
 
-  Tenure installed() {
+  PrimaryTerm installed() {
     return installed;
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** A primary's own state becomes that of its new tenure. */
-  void beginTenure(Tenure tenure) {
+  void beginTenure(PrimaryTerm tenure) {
     installed = tenure;
   }
 
@@ -66,7 +66,7 @@
    * Takes over a primary's state; false if it doesn't fit what is here. Within one tenure records
    * are only added, as what came before may have been acknowledged.
    */
-  boolean install(Tenure tenure, StateTransfer transfer) {
+  boolean install(PrimaryTerm tenure, StateTransfer transfer) {
     int order = tenure.compareTo(installed);
     if (order == 0) {
       commitTo(transfer.baseSequence());
--- a/src/main/java/slateslip/coordination/ReplicatedState.java
+++ b/src/main/java/slateslip/coordination/ReplicatedState.java
@@ -3,7 +3,7 @@
 /** The application whose state is replicated. All methods are deterministic. */
 public interface ReplicatedState {
   /** Checks a command against the committed state, which nothing else changes meanwhile. */
-  Preparation prepare(byte[] command);
+  PreparedCommand prepare(byte[] command);
 
   /** Applies a committed record. */
   void apply(byte[] record);
--- a/src/main/java/slateslip/coordination/Timing.java
+++ b/src/main/java/slateslip/coordination/ReplicationTimeouts.java
@@ -1,7 +1,7 @@
 package slateslip.coordination;
 
 /** Bounds in microseconds of steady time. None of them matters for safety. */
-final class Timing {
+final class ReplicationTimeouts {
   private static final long MILLI = 1_000;
 
   /** Between two rounds of heartbeats. */
@@ -94,5 +94,5 @@
   /** A client's call is answered within this. */
   static final long CALL_BOUND = 2_500 * MILLI;
 
-  private Timing() {}
+  private ReplicationTimeouts() {}
 }
--- a/src/main/java/slateslip/coordination/Witness.java
+++ b/src/main/java/slateslip/coordination/Witness.java
@@ -3,20 +3,20 @@
 /** Votes on the view of the next epoch. A vote is sent once it is on disk. */
 final class Witness {
   /** Tells whether the view's primary is there. */
-  interface PrimaryWatch {
+  interface PrimaryLiveness {
     boolean primaryAlive();
   }
 
   private final ReplicaContext context;
-  private final PrimaryWatch watch;
+  private final PrimaryLiveness watch;
 
-  Witness(ReplicaContext context, PrimaryWatch watch) {
+  Witness(ReplicaContext context, PrimaryLiveness watch) {
     this.context = context;
     this.watch = watch;
   }
 
   /** First phase; the base is the newest decided view that this node knows. */
-  void prepare(NodeId from, PeerMessage.Prepare message) {
+  void prepare(NodeId from, ReplicaMessage.Prepare message) {
     WitnessState state = context.witness;
     long epoch = state.decided().epoch();
     if (message.ballot().compareTo(state.promised()) < 0) {
@@ -30,17 +30,17 @@
     context.witness =
         new WitnessState(
             state.decided(), message.ballot(), state.acceptedBallot(), state.accepted());
-    PeerStatus status = context.status();
+    ReplicaStatus status = context.status();
     context.writeVote(
         () ->
             context.outbox.send(
                 from.address(),
-                new PeerMessage.Promise(
+                new ReplicaMessage.Promise(
                     epoch, message.ballot(), state.acceptedBallot(), state.accepted(), status)));
   }
 
   /** Second phase. */
-  void accept(NodeId from, PeerMessage.Accept message) {
+  void accept(NodeId from, ReplicaMessage.Accept message) {
     WitnessState state = context.witness;
     long epoch = state.decided().epoch();
     if (message.baseEpoch() != epoch) {
@@ -54,12 +54,13 @@
         new WitnessState(state.decided(), message.ballot(), message.ballot(), message.value());
     context.writeVote(
         () ->
-            context.outbox.send(from.address(), new PeerMessage.Accepted(epoch, message.ballot())));
+            context.outbox.send(
+                from.address(), new ReplicaMessage.Accepted(epoch, message.ballot())));
   }
 
   private void refuse(
       NodeId from, long epoch, Ballot ballot, Ballot promised, boolean primaryAlive) {
     context.outbox.send(
-        from.address(), new PeerMessage.Refused(epoch, ballot, promised, primaryAlive));
+        from.address(), new ReplicaMessage.Rejected(epoch, ballot, promised, primaryAlive));
   }
 }
--- a/src/main/java/slateslip/dataplane/DataPlaneMain.java
+++ b/src/main/java/slateslip/dataplane/DataPlaneMain.java
@@ -6,7 +6,7 @@
 import slateslip.cli.CommandLine;
 import slateslip.cli.Program;
 import slateslip.settings.NodeSettings;
-import slateslip.settings.SettingsWatch;
+import slateslip.settings.SettingsFileWatcher;
 import sun.misc.Signal;
 
 /** Entry point of the data plane binary. */
@@ -23,7 +23,7 @@
       throw new IOException("listen.front and listen.ready are needed by the data plane");
     }
     DataPlane dataPlane = DataPlane.start(settings);
-    SettingsWatch watch = new SettingsWatch(file, dataPlane::settingsChanged);
+    SettingsFileWatcher watch = new SettingsFileWatcher(file, dataPlane::settingsChanged);
     Signal.handle(new Signal("HUP"), signal -> watch.read());
     watch.start();
     Runtime.getRuntime().addShutdownHook(new Thread(() -> end(dataPlane)));
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -19,8 +19,8 @@
 import slateslip.dataplane.ingress.ClientExchange;
 import slateslip.dataplane.ingress.ClientRequest;
 import slateslip.dataplane.ingress.IngressListener;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.routing.RequestRouter;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterOutput;
@@ -72,7 +72,7 @@
   }
 
   /** This data plane's share of the fleet-wide limits. */
-  public void sharesChanged(AgentShares shares) {
+  public void sharesChanged(QuotaAllocation shares) {
     pools.agentsChanged(shares.agents());
     driver.feed(new RouterInput.SharesChanged(shares));
   }
--- a/src/main/java/slateslip/dataplane/subscription/ControlStream.java
+++ b/src/main/java/slateslip/dataplane/subscription/ControlStream.java
@@ -1,7 +1,7 @@
 package slateslip.dataplane.subscription;
 
 import gatefront.net.Backoff;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
 
 /** What is known of one control agent and the stream to it. */
 final class ControlStream {
@@ -30,7 +30,7 @@
   long heardMillis;
 
   /** The newest heartbeat of this stream; null if none has come. */
-  ToDataPlane.Heartbeat heartbeat;
+  ControlPlaneMessage.Heartbeat heartbeat;
 
   /** Since when it has been alive and current without a break. */
   long goodSinceMillis;
@@ -62,7 +62,7 @@
     notBeforeMillis = nowMillis + backoff.next();
   }
 
-  void heartbeat(long nowMillis, ToDataPlane.Heartbeat next) {
+  void heartbeat(long nowMillis, ControlPlaneMessage.Heartbeat next) {
     backoff.reset();
     if (heartbeat == null || !heartbeat.current() || !next.current()) {
       goodSinceMillis = nowMillis;
--- a/src/main/java/slateslip/dataplane/subscription/Subscription.java
+++ b/src/main/java/slateslip/dataplane/subscription/Subscription.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import slateslip.configuration.ConfigurationDocument;
 import slateslip.configuration.ConfigurationOutcome;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
 
 /**
  * Keeps streams to up to three control agents, one of them active: it carries configurations,
@@ -136,7 +136,7 @@
   private void subscribe(ControlStream stream, boolean asActive) {
     send(
         stream,
-        new ToControl.Subscribe(
+        new DataPlaneMessage.Subscribe(
             identity.node(),
             identity.incarnation(),
             identity.zone(),
@@ -144,7 +144,7 @@
             asActive));
   }
 
-  private void send(ControlStream stream, ToControl message) {
+  private void send(ControlStream stream, DataPlaneMessage message) {
     outputs.add(new SubscriptionOutput.Send(stream.agent, message));
   }
 
@@ -297,7 +297,7 @@
   private void tellDemand(long now, List<TenantDemand> demand) {
     if (active != null && now - lastDemandMillis >= DEMAND_MILLIS) {
       lastDemandMillis = now;
-      send(active, new ToControl.Demand(demand));
+      send(active, new DataPlaneMessage.Demand(demand));
     }
   }
 
@@ -309,7 +309,7 @@
     lastPingMillis = now;
     for (ControlStream stream : streams.values()) {
       if (stream.isOpen() && stream != active) {
-        send(stream, new ToControl.Ping(now));
+        send(stream, new DataPlaneMessage.Ping(now));
       }
     }
   }
@@ -322,28 +322,28 @@
       return;
     }
     stream.heardMillis = now;
-    ToDataPlane message = received.message();
-    if (message instanceof ToDataPlane.Heartbeat heartbeat) {
+    ControlPlaneMessage message = received.message();
+    if (message instanceof ControlPlaneMessage.Heartbeat heartbeat) {
       stream.heartbeat(now, heartbeat);
       chooseActive(now);
-    } else if (message instanceof ToDataPlane.ConfigurationSnapshot snapshot) {
+    } else if (message instanceof ControlPlaneMessage.ConfigurationSnapshot snapshot) {
       take(stream, snapshot);
-    } else if (message instanceof ToDataPlane.ConfigurationPatch patch) {
+    } else if (message instanceof ControlPlaneMessage.ConfigurationPatch patch) {
       take(stream, patch);
     } else if (stream == active) {
       fromActive(now, stream, message);
     }
   }
 
-  private void fromActive(long now, ControlStream stream, ToDataPlane message) {
-    if (message instanceof ToDataPlane.SessionSnapshot snapshot) {
+  private void fromActive(long now, ControlStream stream, ControlPlaneMessage message) {
+    if (message instanceof ControlPlaneMessage.SessionSnapshot snapshot) {
       boolean changed = sessions.snapshot(now, snapshot.complete(), snapshot.sessions());
       tookSessions(stream, snapshot.revision(), changed || !listed);
       listed = true;
-    } else if (message instanceof ToDataPlane.SessionDelta delta) {
+    } else if (message instanceof ControlPlaneMessage.SessionDelta delta) {
       boolean changed = sessions.delta(now, delta.changed(), delta.gone());
       tookSessions(stream, delta.revision(), changed);
-    } else if (message instanceof ToDataPlane.Shares shares) {
+    } else if (message instanceof ControlPlaneMessage.QuotaUpdate shares) {
       outputs.add(new SubscriptionOutput.Share(shares.shares()));
     }
   }
@@ -357,17 +357,17 @@
   }
 
   private void acknowledge(ControlStream stream) {
-    send(stream, new ToControl.Acknowledge(configurationVersion(), stream.sessionRevision));
+    send(stream, new DataPlaneMessage.Acknowledge(configurationVersion(), stream.sessionRevision));
   }
 
-  private void take(ControlStream stream, ToDataPlane.ConfigurationSnapshot snapshot) {
+  private void take(ControlStream stream, ControlPlaneMessage.ConfigurationSnapshot snapshot) {
     if (snapshot.version() > configurationVersion()) {
       apply(ConfigurationDocument.committed(snapshot.document()));
     }
     acknowledge(stream);
   }
 
-  private void take(ControlStream stream, ToDataPlane.ConfigurationPatch patch) {
+  private void take(ControlStream stream, ControlPlaneMessage.ConfigurationPatch patch) {
     if (patch.toVersion() <= configurationVersion()) {
       acknowledge(stream);
     } else if (patch.fromVersion() == configurationVersion() && document != null) {
--- a/src/main/java/slateslip/dataplane/subscription/SubscriptionClient.java
+++ b/src/main/java/slateslip/dataplane/subscription/SubscriptionClient.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
+import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToDataPlane;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.Framing;
 import slateslip.protocol.distribution.DistributionCodec;
@@ -158,10 +158,10 @@
       if (channels.get(agent) != context.channel()) {
         return;
       }
-      Decoded<ToDataPlane> decoded = codec.decodeToDataPlane(frame);
-      if (decoded instanceof Decoded.Message<ToDataPlane> message) {
+      Decoded<ControlPlaneMessage> decoded = codec.decodeToDataPlane(frame);
+      if (decoded instanceof Decoded.Message<ControlPlaneMessage> message) {
         feed(new SubscriptionInput.Received(agent, message.value()));
-      } else if (decoded instanceof Decoded.Malformed<ToDataPlane> malformed) {
+      } else if (decoded instanceof Decoded.Malformed<ControlPlaneMessage> malformed) {
         listener.learnt(
             new SubscriptionOutput.Report("message of " + agent + ": " + malformed.reason()));
         context.close();
--- a/src/main/java/slateslip/dataplane/subscription/SubscriptionInput.java
+++ b/src/main/java/slateslip/dataplane/subscription/SubscriptionInput.java
@@ -1,8 +1,8 @@
 package slateslip.dataplane.subscription;
 
 import java.util.List;
+import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToDataPlane;
 
 /** What can happen to a {@link Subscription}. Control agents are named by their IPv4 address. */
 public sealed interface SubscriptionInput {
@@ -13,7 +13,7 @@
   record Disconnected(String agent) implements SubscriptionInput {}
 
   /** A message has come. */
-  record Received(String agent, ToDataPlane message) implements SubscriptionInput {}
+  record Received(String agent, ControlPlaneMessage message) implements SubscriptionInput {}
 
   /** The settings name other control agents. */
   record SeedsChanged(List<String> agents) implements SubscriptionInput {}
--- a/src/main/java/slateslip/dataplane/subscription/SubscriptionOutput.java
+++ b/src/main/java/slateslip/dataplane/subscription/SubscriptionOutput.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import slateslip.configuration.FleetConfiguration;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation;
 
 /** What a {@link Subscription} asks of its host. */
 public sealed interface SubscriptionOutput {
@@ -15,7 +15,7 @@
   record Close(String agent) implements SubscriptionOutput {}
 
   /** Send a message on a stream. */
-  record Send(String agent, ToControl message) implements SubscriptionOutput {}
+  record Send(String agent, DataPlaneMessage message) implements SubscriptionOutput {}
 
   /** Put this configuration into force; it is newer than every one before. */
   record Configure(FleetConfiguration configuration) implements SubscriptionOutput {}
@@ -24,7 +24,7 @@
   record ListBackends(List<BackendSession> backends) implements SubscriptionOutput {}
 
   /** This data plane's share of the fleet-wide limits. */
-  record Share(AgentShares shares) implements SubscriptionOutput {}
+  record Share(QuotaAllocation shares) implements SubscriptionOutput {}
 
   /** A line for the log. */
   record Report(String line) implements SubscriptionOutput {}
--- a/src/main/java/slateslip/distribution/ToDataPlane.java
+++ b/src/main/java/slateslip/distribution/ControlPlaneMessage.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /** What a control agent tells a data plane on its stream. */
-public sealed interface ToDataPlane {
+public sealed interface ControlPlaneMessage {
   /** A whole configuration, as JSON. */
-  record ConfigurationSnapshot(long version, byte[] document) implements ToDataPlane {}
+  record ConfigurationSnapshot(long version, byte[] document) implements ControlPlaneMessage {}
 
   /** A change from one version to the next: the body of the operator's {@code PATCH}. */
   record ConfigurationPatch(long fromVersion, long toVersion, byte[] patch)
-      implements ToDataPlane {}
+      implements ControlPlaneMessage {}
 
   /**
    * All backends that the control agent knows.
@@ -19,14 +19,14 @@
    *     live
    */
   record SessionSnapshot(long revision, boolean complete, List<BackendSession> sessions)
-      implements ToDataPlane {}
+      implements ControlPlaneMessage {}
 
   /** Sessions that are new or changed, and ids of those that are gone. */
   record SessionDelta(long revision, List<BackendSession> changed, List<String> gone)
-      implements ToDataPlane {}
+      implements ControlPlaneMessage {}
 
   /** The data plane's share of the fleet-wide limits. */
-  record Shares(AgentShares shares) implements ToDataPlane {}
+  record QuotaUpdate(QuotaAllocation shares) implements ControlPlaneMessage {}
 
   /**
    * Sent several times a second on every stream.
@@ -38,8 +38,8 @@
    */
   record Heartbeat(
       boolean current, long configurationVersion, long sessionRevision, List<String> controlAgents)
-      implements ToDataPlane {}
+      implements ControlPlaneMessage {}
 
-  /** Answer to {@link ToControl.Ping}. */
-  record Pong(long nonce) implements ToDataPlane {}
+  /** Response to {@link DataPlaneMessage.Ping}. */
+  record Pong(long nonce) implements ControlPlaneMessage {}
 }
--- a/src/main/java/slateslip/distribution/ToControl.java
+++ b/src/main/java/slateslip/distribution/DataPlaneMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What a data plane tells a control agent on its stream. */
-public sealed interface ToControl {
+public sealed interface DataPlaneMessage {
   /**
    * The first message on a stream, and again when the mode changes.
    *
@@ -12,18 +12,18 @@
    * @param zone its zone
    * @param configurationVersion the version in force there; 0 if none
    * @param active whether it wants configurations and sessions, or only {@link
-   *     ToDataPlane.Heartbeat}
+   *     ControlPlaneMessage.Heartbeat}
    */
   record Subscribe(
       String node, long incarnation, String zone, long configurationVersion, boolean active)
-      implements ToControl {}
+      implements DataPlaneMessage {}
 
   /** The versions now in force at the data plane. */
-  record Acknowledge(long configurationVersion, long sessionRevision) implements ToControl {}
+  record Acknowledge(long configurationVersion, long sessionRevision) implements DataPlaneMessage {}
 
   /** Demand of each tenant since the data plane started; sent a few times a second. */
-  record Demand(List<TenantDemand> tenants) implements ToControl {}
+  record Demand(List<TenantDemand> tenants) implements DataPlaneMessage {}
 
   /** Shows that the peer is alive when nothing else is sent. */
-  record Ping(long nonce) implements ToControl {}
+  record Ping(long nonce) implements DataPlaneMessage {}
 }
--- a/src/main/java/slateslip/distribution/AgentShares.java
+++ b/src/main/java/slateslip/distribution/QuotaAllocation.java
@@ -8,7 +8,7 @@
  * @param agents data planes that share the limits, this one included; at least 1
  * @param tenants share of each tenant's quota that is not the equal share
  */
-public record AgentShares(int agents, List<TenantShare> tenants) {
+public record QuotaAllocation(int agents, List<TenantShare> tenants) {
   /**
    * A share of a tenant's quota.
    *
--- a/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
+++ b/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.sessions.SessionChangeSet;
 import slateslip.distribution.sessions.SessionTable;
-import slateslip.distribution.sessions.TableChange;
 
 /**
  * What one data plane's stream has been sent and has acknowledged. While the stream takes no more,
@@ -21,7 +21,7 @@
 
   private final ConfigurationSource configurations;
   private final SessionTable sessions;
-  private ToControl.Subscribe subscription;
+  private DataPlaneMessage.Subscribe subscription;
   private long sentVersion;
   private long sentRevision = NOTHING_SENT;
   private long acknowledgedVersion;
@@ -34,7 +34,7 @@
   }
 
   /** The data plane has said who it is and what it wants. */
-  public void subscribe(ToControl.Subscribe message) {
+  public void subscribe(DataPlaneMessage.Subscribe message) {
     subscription = message;
     sentVersion = message.configurationVersion();
     acknowledgedVersion = message.configurationVersion();
@@ -43,13 +43,13 @@
   }
 
   /** The data plane has put these in force. */
-  public void acknowledge(ToControl.Acknowledge message) {
+  public void acknowledge(DataPlaneMessage.Acknowledge message) {
     acknowledgedVersion = Math.max(acknowledgedVersion, message.configurationVersion());
     acknowledgedRevision = Math.max(acknowledgedRevision, message.sessionRevision());
   }
 
   /** The subscription; empty before the first message. */
-  public Optional<ToControl.Subscribe> subscription() {
+  public Optional<DataPlaneMessage.Subscribe> subscription() {
     return Optional.ofNullable(subscription);
   }
 
@@ -69,24 +69,25 @@
   }
 
   /** What is to be sent now; only asked while the stream takes more. */
-  public List<ToDataPlane> pending() {
+  public List<ControlPlaneMessage> pending() {
     if (!isActive()) {
       return List.of();
     }
-    List<ToDataPlane> messages = new ArrayList<>();
+    List<ControlPlaneMessage> messages = new ArrayList<>();
     addConfigurations(messages);
     addSessions(messages);
     return messages;
   }
 
-  private void addConfigurations(List<ToDataPlane> messages) {
+  private void addConfigurations(List<ControlPlaneMessage> messages) {
     long newest = configurations.version();
     if (sentVersion >= newest) {
       return;
     }
-    List<ToDataPlane> patches = patches(sentVersion, newest);
+    List<ControlPlaneMessage> patches = patches(sentVersion, newest);
     if (patches.isEmpty()) {
-      messages.add(new ToDataPlane.ConfigurationSnapshot(newest, configurations.document()));
+      messages.add(
+          new ControlPlaneMessage.ConfigurationSnapshot(newest, configurations.document()));
     } else {
       messages.addAll(patches);
     }
@@ -94,8 +95,8 @@
   }
 
   /** The patches that lead from one version to the other; empty if not all are known. */
-  private List<ToDataPlane> patches(long from, long to) {
-    List<ToDataPlane> patches = new ArrayList<>();
+  private List<ControlPlaneMessage> patches(long from, long to) {
+    List<ControlPlaneMessage> patches = new ArrayList<>();
     long version = from;
     while (version < to && patches.size() < MAX_PATCHES) {
       Optional<ConfigurationSource.Patch> patch = configurations.patchFrom(version);
@@ -103,18 +104,18 @@
         return List.of();
       }
       long next = patch.get().toVersion();
-      patches.add(new ToDataPlane.ConfigurationPatch(version, next, patch.get().body()));
+      patches.add(new ControlPlaneMessage.ConfigurationPatch(version, next, patch.get().body()));
       version = next;
     }
     return version == to ? patches : List.of();
   }
 
-  private void addSessions(List<ToDataPlane> messages) {
+  private void addSessions(List<ControlPlaneMessage> messages) {
     long newest = sessions.revision();
     if (sentRevision == newest) {
       return;
     }
-    Optional<TableChange> changes =
+    Optional<SessionChangeSet> changes =
         sentRevision == NOTHING_SENT ? Optional.empty() : sessions.changesAfter(sentRevision);
     if (changes.isPresent()) {
       messages.add(delta(newest, changes.get()));
@@ -125,18 +126,19 @@
   }
 
   /** What is missing in a table may live all the same, so what has departed is named. */
-  private void addWholeTable(List<ToDataPlane> messages, long revision) {
+  private void addWholeTable(List<ControlPlaneMessage> messages, long revision) {
     messages.add(
-        new ToDataPlane.SessionSnapshot(revision, sessions.isComplete(), sessions.sessions()));
+        new ControlPlaneMessage.SessionSnapshot(
+            revision, sessions.isComplete(), sessions.sessions()));
     List<String> departed = sessions.departed();
     if (!departed.isEmpty()) {
-      messages.add(new ToDataPlane.SessionDelta(revision, List.of(), departed));
+      messages.add(new ControlPlaneMessage.SessionDelta(revision, List.of(), departed));
     }
   }
 
-  private ToDataPlane delta(long revision, TableChange change) {
+  private ControlPlaneMessage delta(long revision, SessionChangeSet change) {
     List<BackendSession> changed = new ArrayList<>();
     change.changed().forEach(id -> sessions.session(id).ifPresent(changed::add));
-    return new ToDataPlane.SessionDelta(revision, changed, change.gone());
+    return new ControlPlaneMessage.SessionDelta(revision, changed, change.gone());
   }
 }
--- a/src/main/java/slateslip/distribution/exchange/StateImage.java
+++ b/src/main/java/slateslip/distribution/exchange/ConfigurationStateSnapshot.java
@@ -8,7 +8,7 @@
  * @param changes the newest committed changes, oldest first
  * @param document the newest configuration as JSON; empty if there is none
  */
-public record StateImage(List<CommittedChange> changes, byte[] document) {
+public record ConfigurationStateSnapshot(List<CommittedChange> changes, byte[] document) {
   /**
    * What is kept of a committed change, to know it again.
    *
--- a/src/main/java/slateslip/distribution/exchange/ExchangeMessage.java
+++ b/src/main/java/slateslip/distribution/exchange/ControlPeerMessage.java
@@ -1,20 +1,20 @@
 package slateslip.distribution.exchange;
 
 import java.util.List;
-import slateslip.distribution.AgentShares;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.TenantDemand;
 
 /**
  * What control agents say to each other about sessions, calls of the operator's and data planes.
  */
-public sealed interface ExchangeMessage {
+public sealed interface ControlPeerMessage {
   /**
    * The first message on a connection.
    *
    * @param address IPv4 address of the sender
    * @param incarnation drawn at random at its start
    */
-  record Greeting(String address, long incarnation) implements ExchangeMessage {}
+  record Hello(String address, long incarnation) implements ControlPeerMessage {}
 
   /**
    * Sent several times a second.
@@ -24,34 +24,34 @@
    * @param complete whether the sender's session table holds all that live
    * @param knownAgents IPv4 addresses of the control agents that it knows
    */
-  record Beat(long number, long echoed, boolean complete, List<String> knownAgents)
-      implements ExchangeMessage {}
+  record Heartbeat(long number, long echoed, boolean complete, List<String> knownAgents)
+      implements ControlPeerMessage {}
 
   /**
    * Sessions that are new or changed, and those that ended.
    *
-   * @param number to be told back by {@link SessionsStored}; 0 if nobody waits for it
+   * @param number to be told back by {@link SessionChangesAcknowledged}; 0 if nobody waits for it
    * @param whole whether these are all that the sender has
    * @param entries new or changed ones
    * @param departed ids of backends that have said that they are gone
    */
   record SessionChanges(
       long number, boolean whole, List<SessionEntry> entries, List<String> departed)
-      implements ExchangeMessage {}
+      implements ControlPeerMessage {}
 
   /** Calls that changed nothing. */
-  record SessionRenewals(List<SessionRenewal> renewals) implements ExchangeMessage {}
+  record SessionRenewals(List<SessionRenewal> renewals) implements ControlPeerMessage {}
 
   /**
    * The changes of this number are in the sender's table and have been delivered to its streams.
    */
-  record SessionsStored(long number) implements ExchangeMessage {}
+  record SessionChangesAcknowledged(long number) implements ControlPeerMessage {}
 
   /** A call of the operator's for the primary; {@code id} is the sender's own. */
-  record Forwarded(long id, OperatorCall call) implements ExchangeMessage {}
+  record ForwardedRequest(long id, OperatorRequest call) implements ControlPeerMessage {}
 
-  /** Answer to {@link Forwarded}. */
-  record Answered(long id, OperatorAnswer answer) implements ExchangeMessage {}
+  /** Response to {@link ForwardedRequest}. */
+  record ForwardedResponse(long id, OperatorResponse answer) implements ControlPeerMessage {}
 
   /**
    * How far the data planes at the sender are.
@@ -59,13 +59,13 @@
    * @param slowestVersion lowest version acknowledged by one of them; {@link Long#MAX_VALUE} if
    *     there are none
    */
-  record Delivered(long slowestVersion) implements ExchangeMessage {}
+  record DeliveryReport(long slowestVersion) implements ControlPeerMessage {}
 
   /** Demand of the data planes at the sender. */
-  record Demands(List<AgentDemand> agents) implements ExchangeMessage {}
+  record DemandReport(List<DataPlaneDemand> agents) implements ControlPeerMessage {}
 
   /** Shares for the data planes at the receiver. */
-  record Allotted(List<AllottedShares> agents) implements ExchangeMessage {}
+  record QuotaAllocations(List<DataPlaneQuota> agents) implements ControlPeerMessage {}
 
   /**
    * Demand of one data plane.
@@ -74,7 +74,7 @@
    * @param incarnation of its process
    * @param tenants counts since its start
    */
-  record AgentDemand(String node, long incarnation, List<TenantDemand> tenants) {}
+  record DataPlaneDemand(String node, long incarnation, List<TenantDemand> tenants) {}
 
   /**
    * Shares of one data plane.
@@ -82,5 +82,5 @@
    * @param node its name
    * @param shares of the fleet-wide limits
    */
-  record AllottedShares(String node, AgentShares shares) {}
+  record DataPlaneQuota(String node, QuotaAllocation shares) {}
 }
--- a/src/main/java/slateslip/distribution/exchange/OperatorCall.java
+++ b/src/main/java/slateslip/distribution/exchange/OperatorRequest.java
@@ -7,7 +7,7 @@
  * @param baseVersion version that the change builds on; 0 for a {@link Method#GET}
  * @param body as it was sent; empty for a {@link Method#GET}
  */
-public record OperatorCall(Method method, long baseVersion, byte[] body) {
+public record OperatorRequest(Method method, long baseVersion, byte[] body) {
   /** What is asked. */
   public enum Method {
     /** The newest configuration. */
--- a/src/main/java/slateslip/distribution/exchange/OperatorAnswer.java
+++ b/src/main/java/slateslip/distribution/exchange/OperatorResponse.java
@@ -3,13 +3,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Answer to an {@link OperatorCall}.
+ * Response to an {@link OperatorRequest}.
  *
  * @param status HTTP status
  * @param version newest version, as far as it is known; 0 if there is none
  * @param body JSON, or a plain message for an error
  */
-public record OperatorAnswer(int status, long version, byte[] body) {
+public record OperatorResponse(int status, long version, byte[] body) {
   /** The change is committed, or the configuration is in the body. */
   public static final int OK = 200;
 
@@ -26,12 +26,12 @@
   public static final int UNAVAILABLE = 503;
 
   /** An answer with a message. */
-  public static OperatorAnswer of(int status, long version, String message) {
-    return new OperatorAnswer(status, version, message.getBytes(StandardCharsets.UTF_8));
+  public static OperatorResponse of(int status, long version, String message) {
+    return new OperatorResponse(status, version, message.getBytes(StandardCharsets.UTF_8));
   }
 
   /** No clear answer, and why. */
-  public static OperatorAnswer unavailable(String reason) {
+  public static OperatorResponse unavailable(String reason) {
     return of(UNAVAILABLE, 0, reason);
   }
 }
--- a/src/main/java/slateslip/distribution/exchange/Reachability.java
+++ b/src/main/java/slateslip/distribution/exchange/Reachability.java
@@ -21,7 +21,7 @@
 
   private final String self;
   private final long numberBase;
-  private final Map<String, Contact> contacts = new TreeMap<>();
+  private final Map<String, PeerContact> contacts = new TreeMap<>();
 
   /**
    * Knows nobody yet.
@@ -41,7 +41,7 @@
 
   /** When the newest beat was sent that the peer is known to have; 0 if none is. */
   public long echoedMicros(String peer) {
-    Contact contact = contacts.get(peer);
+    PeerContact contact = contacts.get(peer);
     return contact == null ? 0 : contact.echoedMicros;
   }
 
@@ -50,7 +50,7 @@
     List<String> added = new ArrayList<>();
     for (String address : addresses) {
       if (!address.equals(self) && !contacts.containsKey(address)) {
-        contacts.put(address, new Contact(nowMicros));
+        contacts.put(address, new PeerContact(nowMicros));
         added.add(address);
       }
     }
@@ -58,8 +58,8 @@
   }
 
   /** Takes note of a beat. */
-  public void heard(long nowMicros, String peer, ExchangeMessage.Beat beat) {
-    Contact contact = contacts.computeIfAbsent(peer, key -> new Contact(nowMicros));
+  public void heard(long nowMicros, String peer, ControlPeerMessage.Heartbeat beat) {
+    PeerContact contact = contacts.computeIfAbsent(peer, key -> new PeerContact(nowMicros));
     contact.heardAtMicros = nowMicros;
     contact.everHeard = true;
     contact.newestBeat = beat.number();
@@ -74,13 +74,13 @@
 
   /** What the next beat to a peer echoes. */
   public long newestBeat(String peer) {
-    Contact contact = contacts.get(peer);
+    PeerContact contact = contacts.get(peer);
     return contact == null ? 0 : contact.newestBeat;
   }
 
   /** A peer's process has started anew: what was echoed before says nothing. */
   public void restarted(String peer) {
-    Contact contact = contacts.get(peer);
+    PeerContact contact = contacts.get(peer);
     if (contact != null) {
       contact.newestBeat = 0;
     }
@@ -88,7 +88,7 @@
 
   /** Whether the peer was heard lately. */
   public boolean isHeard(long nowMicros, String peer) {
-    Contact contact = contacts.get(peer);
+    PeerContact contact = contacts.get(peer);
     return contact != null
         && contact.everHeard
         && nowMicros - contact.heardAtMicros < SILENCE_MICROS;
@@ -96,7 +96,7 @@
 
   /** Whether the peer was heard lately and has lately heard this agent. */
   public boolean isReached(long nowMicros, String peer) {
-    Contact contact = contacts.get(peer);
+    PeerContact contact = contacts.get(peer);
     return isHeard(nowMicros, peer)
         && contact.echoedMicros > 0
         && nowMicros - contact.echoedMicros < SILENCE_MICROS;
@@ -124,7 +124,7 @@
   /** Forgets agents that are not among the kept ones and were not heard for long; returns them. */
   public List<String> forget(long nowMicros, Collection<String> kept) {
     List<String> forgotten = new ArrayList<>();
-    for (Map.Entry<String, Contact> entry : contacts.entrySet()) {
+    for (Map.Entry<String, PeerContact> entry : contacts.entrySet()) {
       boolean silent = nowMicros - entry.getValue().heardAtMicros > FORGET_MICROS;
       if (silent && !kept.contains(entry.getKey())) {
         forgotten.add(entry.getKey());
@@ -134,13 +134,13 @@
     return forgotten;
   }
 
-  private static final class Contact {
+  private static final class PeerContact {
     private long heardAtMicros;
     private boolean everHeard;
     private long newestBeat;
     private long echoedMicros;
 
-    private Contact(long learnedAtMicros) {
+    private PeerContact(long learnedAtMicros) {
       heardAtMicros = learnedAtMicros;
     }
   }
--- a/src/main/java/slateslip/distribution/quota/ShareAllocator.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import slateslip.distribution.AgentShares;
-import slateslip.distribution.AgentShares.TenantShare;
+import slateslip.distribution.QuotaAllocation;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
 
 /**
@@ -20,7 +20,7 @@
  * less than that. A data plane that is silent keeps its last fraction, which it lowers to the equal
  * share by itself ({@link #SHARES_STALE_MICROS}), until it is removed.
  */
-public final class ShareAllocator {
+public final class QuotaAllocator {
   /**
    * Without news of its shares for this long a data plane falls back to the equal share where it
    * had more. Danger: at 3 s a change of the primary, with nobody cut off, leaves a data plane that
@@ -53,10 +53,10 @@
   private static final double EQUAL_PART = 0.6;
 
   /** The shares of one data plane. */
-  public record AgentAllocation(String agent, AgentShares shares) {}
+  public record DataPlaneAllocation(String agent, QuotaAllocation shares) {}
 
   /** Demand and fraction of one tenant at one data plane. */
-  private static final class Cell {
+  private static final class TenantState {
     long wantedBefore;
     double demand;
     double told;
@@ -94,14 +94,14 @@
     }
   }
 
-  private static final class Agent {
+  private static final class DataPlaneState {
     long incarnation;
     long reportedMicros;
     long removedMicros = Long.MAX_VALUE;
-    final Map<String, Cell> cells = new HashMap<>();
+    final Map<String, TenantState> cells = new HashMap<>();
   }
 
-  private final Map<String, Agent> agents = new LinkedHashMap<>();
+  private final Map<String, DataPlaneState> agents = new LinkedHashMap<>();
 
   /**
    * Takes a data plane's report.
@@ -111,7 +111,7 @@
    * @param demand of each tenant since its start
    */
   public void report(long nowMicros, String agent, long incarnation, List<TenantDemand> demand) {
-    Agent state = agents.computeIfAbsent(agent, name -> new Agent());
+    DataPlaneState state = agents.computeIfAbsent(agent, name -> new DataPlaneState());
     if (state.incarnation != incarnation) {
       state.incarnation = incarnation;
       state.cells.values().forEach(cell -> cell.wantedBefore = 0);
@@ -121,7 +121,7 @@
     state.removedMicros = Long.MAX_VALUE;
     state.cells.values().forEach(cell -> cell.demand *= fade);
     for (TenantDemand each : demand) {
-      Cell cell = state.cells.computeIfAbsent(each.tenant(), name -> new Cell());
+      TenantState cell = state.cells.computeIfAbsent(each.tenant(), name -> new TenantState());
       cell.demand += Math.max(0, each.wantedUnits() - cell.wantedBefore);
       cell.wantedBefore = each.wantedUnits();
     }
@@ -129,35 +129,35 @@
 
   /** The data plane's stream has ended for good; what it was told stays reserved for a while. */
   public void removed(long nowMicros, String agent) {
-    Agent state = agents.get(agent);
+    DataPlaneState state = agents.get(agent);
     if (state != null && state.removedMicros == Long.MAX_VALUE) {
       state.removedMicros = nowMicros;
     }
   }
 
   /** Fractions of all data planes that report; each is to be sent to its data plane at once. */
-  public List<AgentAllocation> allocate(long nowMicros) {
+  public List<DataPlaneAllocation> allocate(long nowMicros) {
     agents.values().removeIf(agent -> nowMicros - agent.removedMicros > REMOVED_MICROS);
     TreeSet<String> tenants = new TreeSet<>();
     agents.values().forEach(agent -> tenants.addAll(agent.cells.keySet()));
     tenants.forEach(tenant -> divide(nowMicros, tenant));
-    List<AgentAllocation> allocations = new ArrayList<>();
+    List<DataPlaneAllocation> allocations = new ArrayList<>();
     agents.forEach(
         (name, agent) -> {
           if (live(agent, nowMicros)) {
-            allocations.add(new AgentAllocation(name, shares(agent, tenants)));
+            allocations.add(new DataPlaneAllocation(name, shares(agent, tenants)));
           }
         });
     return allocations;
   }
 
-  private AgentShares shares(Agent agent, Set<String> tenants) {
+  private QuotaAllocation shares(DataPlaneState agent, Set<String> tenants) {
     List<TenantShare> shares = new ArrayList<>(tenants.size());
     tenants.forEach(tenant -> shares.add(new TenantShare(tenant, agent.cells.get(tenant).told)));
-    return new AgentShares(agents.size(), shares);
+    return new QuotaAllocation(agents.size(), shares);
   }
 
-  private boolean live(Agent agent, long nowMicros) {
+  private boolean live(DataPlaneState agent, long nowMicros) {
     return agent.removedMicros == Long.MAX_VALUE
         && nowMicros - agent.reportedMicros <= SILENT_MICROS;
   }
@@ -167,8 +167,8 @@
     double silent = 0;
     double demand = 0;
     int live = 0;
-    for (Agent agent : agents.values()) {
-      Cell cell = agent.cells.computeIfAbsent(tenant, name -> new Cell());
+    for (DataPlaneState agent : agents.values()) {
+      TenantState cell = agent.cells.computeIfAbsent(tenant, name -> new TenantState());
       cell.settle(nowMicros, agent.reportedMicros);
       if (live(agent, nowMicros)) {
         demand += cell.demand;
@@ -186,7 +186,8 @@
    * What a silent data plane may still be using; without news it has lowered its fraction by
    * itself.
    */
-  private double silentFraction(Agent agent, Cell cell, double equal, long nowMicros) {
+  private double silentFraction(
+      DataPlaneState agent, TenantState cell, double equal, long nowMicros) {
     if (nowMicros - agent.reportedMicros > SHARES_STALE_MICROS + SETTLE_MICROS) {
       // Danger: were this forgotten when it reports again, it would be told more than the others
       // left.
@@ -198,17 +199,17 @@
   private void tell(long nowMicros, String tenant, double whole, double demand, int live) {
     double growing = 0;
     double room = whole;
-    for (Agent agent : agents.values()) {
+    for (DataPlaneState agent : agents.values()) {
       if (live(agent, nowMicros)) {
-        Cell cell = agent.cells.get(tenant);
+        TenantState cell = agent.cells.get(tenant);
         growing += Math.max(0, wanted(cell, whole, demand, live) - cell.inForce());
         room -= cell.inForce();
       }
     }
     double growth = growing <= 0 ? 0 : Math.min(1, Math.max(0, room) / growing);
-    for (Agent agent : agents.values()) {
+    for (DataPlaneState agent : agents.values()) {
       if (live(agent, nowMicros)) {
-        Cell cell = agent.cells.get(tenant);
+        TenantState cell = agent.cells.get(tenant);
         double wanted = wanted(cell, whole, demand, live);
         double more = Math.max(0, wanted - cell.inForce());
         cell.tell(Math.min(wanted, cell.inForce() + growth * more));
@@ -216,7 +217,7 @@
     }
   }
 
-  private static double wanted(Cell cell, double whole, double demand, int live) {
+  private static double wanted(TenantState cell, double whole, double demand, int live) {
     double byDemand = demand > 0 ? cell.demand / demand : 1.0 / live;
     return whole * (EQUAL_PART / live + (1 - EQUAL_PART) * byDemand);
   }
--- a/src/main/java/slateslip/distribution/sessions/TableLog.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
@@ -10,7 +10,7 @@
 /**
  * The newest changes of a table, so that a reader that has an older revision is told just these.
  */
-final class TableLog {
+final class SessionChangeLog {
   private static final int KEPT_CHANGES = 4_096;
 
   private final Deque<Entry> entries = new ArrayDeque<>();
@@ -35,7 +35,7 @@
   }
 
   /** What changed after a revision, each id once; empty if that is not known any more. */
-  Optional<TableChange> changesAfter(long readerRevision) {
+  Optional<SessionChangeSet> changesAfter(long readerRevision) {
     long oldestKnown = entries.isEmpty() ? revision : entries.peekFirst().revision - 1;
     if (readerRevision < oldestKnown) {
       return Optional.empty();
@@ -46,7 +46,7 @@
         goneById.put(entry.id, entry.gone);
       }
     }
-    return Optional.of(new TableChange(ids(goneById, false), ids(goneById, true)));
+    return Optional.of(new SessionChangeSet(ids(goneById, false), ids(goneById, true)));
   }
 
   private static List<String> ids(Map<String, Boolean> goneById, boolean gone) {
--- a/src/main/java/slateslip/distribution/sessions/TableChange.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionChangeSet.java
@@ -8,4 +8,4 @@
  * @param changed ids of sessions that are new or differ in what data planes see
  * @param gone ids of sessions that are no more
  */
-public record TableChange(List<String> changed, List<String> gone) {}
+public record SessionChangeSet(List<String> changed, List<String> gone) {}
--- a/src/main/java/slateslip/distribution/sessions/SessionReplication.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionReplication.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import slateslip.distribution.exchange.ExchangeMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
 import slateslip.distribution.exchange.SessionEntry;
 import slateslip.distribution.exchange.SessionRenewal;
 
@@ -30,14 +30,14 @@
   }
 
   /** A message for one peer. */
-  public record Send(String peer, ExchangeMessage message) {}
+  public record OutboundMessage(String peer, ControlPeerMessage message) {}
 
   /**
    * A connection to a peer is up.
    *
    * @param incarnation of the peer's process; another one than before has lost its table
    */
-  public List<Send> connected(long nowMicros, String address, long incarnation) {
+  public List<OutboundMessage> connected(long nowMicros, String address, long incarnation) {
     Peer peer = peers.computeIfAbsent(address, key -> new Peer());
     if (peer.incarnation != incarnation) {
       peer.incarnation = incarnation;
@@ -48,13 +48,13 @@
     List<String> hints = peer.missed.take();
     if (whole) {
       peer.wholeSentMicros = nowMicros;
-      return List.of(new Send(address, wholeTable(nowMicros)));
+      return List.of(new OutboundMessage(address, wholeTable(nowMicros)));
     }
     if (hints.isEmpty()) {
       return List.of();
     }
     peer.sent(nowMicros, hints);
-    return List.of(new Send(address, changes(nowMicros, 0, hints)));
+    return List.of(new OutboundMessage(address, changes(nowMicros, 0, hints)));
   }
 
   /** The connection to a peer is lost; what was sent last may not have come. */
@@ -107,9 +107,9 @@
    *
    * @param number to be told back by each peer that gets it; 0 if nobody waits
    */
-  public List<Send> changed(long nowMicros, long number, List<String> ids) {
+  public List<OutboundMessage> changed(long nowMicros, long number, List<String> ids) {
     ids.forEach(renewed::remove);
-    ExchangeMessage message = changes(nowMicros, number, ids);
+    ControlPeerMessage message = changes(nowMicros, number, ids);
     return toAll(nowMicros, ids, message);
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** The batch of renewals since the last one. */
-  public List<Send> flushRenewals(long nowMicros) {
+  public List<OutboundMessage> flushRenewals(long nowMicros) {
     if (renewed.isEmpty()) {
       return List.of();
     }
@@ -131,16 +131,17 @@
     }
     List<String> ids = List.copyOf(renewed);
     renewed.clear();
-    return toAll(nowMicros, ids, new ExchangeMessage.SessionRenewals(renewals));
+    return toAll(nowMicros, ids, new ControlPeerMessage.SessionRenewals(renewals));
   }
 
-  private List<Send> toAll(long nowMicros, List<String> ids, ExchangeMessage message) {
-    List<Send> sends = new ArrayList<>();
+  private List<OutboundMessage> toAll(
+      long nowMicros, List<String> ids, ControlPeerMessage message) {
+    List<OutboundMessage> sends = new ArrayList<>();
     peers.forEach(
         (address, peer) -> {
           if (peer.connected) {
             peer.sent(nowMicros, ids);
-            sends.add(new Send(address, message));
+            sends.add(new OutboundMessage(address, message));
           } else {
             ids.forEach(peer.missed::hint);
           }
@@ -148,18 +149,19 @@
     return sends;
   }
 
-  private ExchangeMessage wholeTable(long nowMicros) {
-    return new ExchangeMessage.SessionChanges(0, true, table.entries(nowMicros), table.departed());
+  private ControlPeerMessage wholeTable(long nowMicros) {
+    return new ControlPeerMessage.SessionChanges(
+        0, true, table.entries(nowMicros), table.departed());
   }
 
-  private ExchangeMessage changes(long nowMicros, long number, List<String> ids) {
+  private ControlPeerMessage changes(long nowMicros, long number, List<String> ids) {
     List<SessionEntry> entries = new ArrayList<>();
     List<String> departed = new ArrayList<>();
     for (String id : ids) {
       table.entry(nowMicros, id).ifPresentOrElse(entries::add, () -> departed.add(id));
     }
     departed.removeIf(id -> !table.isDeparted(id));
-    return new ExchangeMessage.SessionChanges(number, false, entries, departed);
+    return new ControlPeerMessage.SessionChanges(number, false, entries, departed);
   }
 
   private static final class Peer {
--- a/src/main/java/slateslip/distribution/sessions/SessionTable.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTable.java
@@ -31,10 +31,10 @@
   /** A live backend is heard more often than this: expiry takes three heartbeats. */
   private final long silenceMicros;
 
-  private final Map<String, Held> held = new HashMap<>();
+  private final Map<String, TrackedSession> held = new HashMap<>();
   private final Map<String, String> idByAddress = new HashMap<>();
-  private final EndedSessions ended = new EndedSessions();
-  private final TableLog log = new TableLog();
+  private final SessionTombstones ended = new SessionTombstones();
+  private final SessionChangeLog log = new SessionChangeLog();
   private long noExpiryBeforeMicros;
   private boolean complete;
 
@@ -53,7 +53,7 @@
     if (ended.isDeparted(session.id())) {
       return HeartbeatResult.STALE;
     }
-    Held known = held.get(session.id());
+    TrackedSession known = held.get(session.id());
     if (known == null) {
       return isNews(session) && add(session, registeredAt(session, nowMicros), nowMicros, SELF)
           ? HeartbeatResult.CHANGED
@@ -104,7 +104,7 @@
     if (ended.isDeparted(session.id())) {
       return;
     }
-    Held known = held.get(session.id());
+    TrackedSession known = held.get(session.id());
     if (known == null) {
       mergeUnknown(nowMicros, peer, session, registeredAt(session, registeredAt), heardAt);
       return;
@@ -124,7 +124,7 @@
     if (nowMicros - heardAt < expiryMicros) {
       add(session, registeredAt, heardAt, peer);
     } else if (isNews(session)) {
-      ended.addFormer(new EndedSessions.Former(session, registeredAt), nowMicros);
+      ended.addFormer(new SessionTombstones.EvictedSession(session, registeredAt), nowMicros);
     }
   }
 
@@ -134,14 +134,14 @@
    */
   public boolean merge(long nowMicros, String peer, SessionRenewal renewal) {
     long heardAt = nowMicros - renewal.heardAgeMillis() * MICROS_PER_MILLI;
-    Held known = held.get(renewal.id());
+    TrackedSession known = held.get(renewal.id());
     if (known != null) {
       known.heard(heardAt, peer);
       return true;
     }
-    Optional<EndedSessions.Former> former = ended.former(renewal.id());
+    Optional<SessionTombstones.EvictedSession> former = ended.former(renewal.id());
     if (former.isPresent() && nowMicros - heardAt < expiryMicros) {
-      EndedSessions.Former back = former.get();
+      SessionTombstones.EvictedSession back = former.get();
       if (add(back.session(), back.registeredAtMicros(), heardAt, peer)) {
         held.get(renewal.id()).revived = true;
       }
@@ -156,7 +156,7 @@
       return;
     }
     List<String> expired = new ArrayList<>();
-    for (Held each : held.values()) {
+    for (TrackedSession each : held.values()) {
       if (nowMicros - each.heardAtMicros >= expiryMicros
           && nowMicros >= each.noExpiryBeforeMicros) {
         expired.add(each.session.id());
@@ -167,8 +167,9 @@
     }
   }
 
-  private void end(Held former, long nowMicros) {
-    ended.addFormer(new EndedSessions.Former(former.session, former.registeredAtMicros), nowMicros);
+  private void end(TrackedSession former, long nowMicros) {
+    ended.addFormer(
+        new SessionTombstones.EvictedSession(former.session, former.registeredAtMicros), nowMicros);
     drop(former.session.id());
   }
 
@@ -182,7 +183,7 @@
    * may call the peer, whose news do not come, until they call another agent.
    */
   public void holdExpiry(long nowMicros, String peer) {
-    for (Held each : held.values()) {
+    for (TrackedSession each : held.values()) {
       if (each.heardFrom.equals(peer)) {
         each.noExpiryBeforeMicros = nowMicros + expiryMicros;
       }
@@ -208,18 +209,18 @@
   }
 
   /** What changed after a revision; empty if that is not known any more. */
-  public Optional<TableChange> changesAfter(long revision) {
+  public Optional<SessionChangeSet> changesAfter(long revision) {
     return log.changesAfter(revision);
   }
 
   /** A session as data planes are told of it, if it is there. */
   public Optional<BackendSession> session(String id) {
-    return Optional.ofNullable(held.get(id)).map(Held::toldSession);
+    return Optional.ofNullable(held.get(id)).map(TrackedSession::toldSession);
   }
 
   /** All sessions as data planes are told of them. */
   public List<BackendSession> sessions() {
-    return held.values().stream().map(Held::toldSession).toList();
+    return held.values().stream().map(TrackedSession::toldSession).toList();
   }
 
   /** A session as another agent takes it, if it is there. */
@@ -243,25 +244,25 @@
   }
 
   private boolean add(BackendSession session, long registeredAt, long heardAt, String heardFrom) {
-    Held rival = held.get(idByAddress.getOrDefault(session.address(), ""));
+    TrackedSession rival = held.get(idByAddress.getOrDefault(session.address(), ""));
     if (rival != null) {
       boolean rivalIsNewer = rival.registeredAtMicros > registeredAt;
       boolean rivalIsHeard = heardAt - rival.heardAtMicros < silenceMicros;
       if (rivalIsNewer && rivalIsHeard) {
-        ended.addFormer(new EndedSessions.Former(session, registeredAt), heardAt);
+        ended.addFormer(new SessionTombstones.EvictedSession(session, registeredAt), heardAt);
         return false;
       }
       end(rival, heardAt);
     }
     ended.remove(session.id());
-    held.put(session.id(), new Held(session, registeredAt, heardAt, heardFrom));
+    held.put(session.id(), new TrackedSession(session, registeredAt, heardAt, heardFrom));
     idByAddress.put(session.address(), session.id());
     log.changed(session.id());
     return true;
   }
 
   /** Puts a newer call in place; whether data planes see a difference. */
-  private boolean renew(Held known, BackendSession session, long heardAt) {
+  private boolean renew(TrackedSession known, BackendSession session, long heardAt) {
     BackendSession before = known.session;
     if (!before.address().equals(session.address())) {
       drop(before.id());
@@ -286,13 +287,13 @@
   }
 
   private void drop(String id) {
-    Held dropped = held.remove(id);
+    TrackedSession dropped = held.remove(id);
     idByAddress.remove(dropped.session.address(), id);
     log.gone(id);
   }
 
   /** A session and when it was heard. */
-  private static final class Held {
+  private static final class TrackedSession {
     private BackendSession session;
     private long registeredAtMicros;
     private long heardAtMicros;
@@ -304,7 +305,7 @@
     /** Address of the peer that told of its newest call; {@link #SELF} if the call came here. */
     private String heardFrom;
 
-    private Held(
+    private TrackedSession(
         BackendSession session, long registeredAtMicros, long heardAtMicros, String heardFrom) {
       this.session = session;
       this.registeredAtMicros = registeredAtMicros;
--- a/src/main/java/slateslip/distribution/sessions/EndedSessions.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTombstones.java
@@ -12,11 +12,11 @@
  * Only what a backend has said itself is final; that another incarnation seems to have its address,
  * or that it was not heard, may be wrong, and a later call takes it back.
  */
-final class EndedSessions {
+final class SessionTombstones {
   /** Longer than any call, or copy of another agent's table, can be under way. */
   private static final long KEPT_MICROS = 120_000_000;
 
-  private final Map<String, Ended> ended = new LinkedHashMap<>();
+  private final Map<String, Tombstone> ended = new LinkedHashMap<>();
 
   /**
    * A session that was in the table.
@@ -24,30 +24,30 @@
    * @param session as it was known last
    * @param registeredAtMicros its first call
    */
-  record Former(BackendSession session, long registeredAtMicros) {}
+  record EvictedSession(BackendSession session, long registeredAtMicros) {}
 
   /** The backend has said that it is gone: the incarnation never comes back. */
   void addDeparted(String id, long nowMicros) {
     ended.remove(id);
-    ended.put(id, new Ended(Optional.empty(), nowMicros));
+    ended.put(id, new Tombstone(Optional.empty(), nowMicros));
   }
 
   /** The incarnation was not heard, or another one has its address; it may come back. */
-  void addFormer(Former former, long nowMicros) {
+  void addFormer(EvictedSession former, long nowMicros) {
     String id = former.session().id();
     ended.remove(id);
-    ended.put(id, new Ended(Optional.of(former), nowMicros));
+    ended.put(id, new Tombstone(Optional.of(former), nowMicros));
   }
 
   /** Whether the incarnation never comes back. */
   boolean isDeparted(String id) {
-    Ended entry = ended.get(id);
+    Tombstone entry = ended.get(id);
     return entry != null && entry.former.isEmpty();
   }
 
   /** An incarnation that may come back, if it was in the table. */
-  Optional<Former> former(String id) {
-    return Optional.ofNullable(ended.get(id)).flatMap(Ended::former);
+  Optional<EvictedSession> former(String id) {
+    return Optional.ofNullable(ended.get(id)).flatMap(Tombstone::former);
   }
 
   /** The incarnation is in the table again. */
@@ -65,11 +65,11 @@
 
   /** Forgets what ended too long ago to matter. */
   void forgetBefore(long nowMicros) {
-    Iterator<Ended> oldestFirst = ended.values().iterator();
+    Iterator<Tombstone> oldestFirst = ended.values().iterator();
     while (oldestFirst.hasNext() && nowMicros - oldestFirst.next().endedAtMicros > KEPT_MICROS) {
       oldestFirst.remove();
     }
   }
 
-  private record Ended(Optional<Former> former, long endedAtMicros) {}
+  private record Tombstone(Optional<EvictedSession> former, long endedAtMicros) {}
 }
