--- a/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
@@ -5,8 +5,8 @@
 import slateslip.coordination.Ballot;
 import slateslip.coordination.DurableRecord;
 import slateslip.coordination.NodeId;
+import slateslip.coordination.PrimaryTerm;
 import slateslip.coordination.StateTransfer;
-import slateslip.coordination.Tenure;
 import slateslip.coordination.View;
 import slateslip.coordination.WitnessState;
 import slateslip.protocol.Decoded;
@@ -38,7 +38,7 @@
 
   /** Decodes a record that fills the array; bad input gives {@link Decoded.Malformed}. */
   public static Decoded<DurableRecord> decode(byte[] bytes) {
-    return MessageReader.read(bytes, PeerMessageCodec.SCHEMA_ID, DurableRecordCodec::read);
+    return MessageReader.read(bytes, ReplicaMessageCodec.SCHEMA_ID, DurableRecordCodec::read);
   }
 
   private static int write(DurableRecord record, ExpandableArrayBuffer buffer) {
@@ -57,15 +57,15 @@
   private static int write(DurableRecord.Snapshot record, ExpandableArrayBuffer buffer) {
     SnapshotRecordEncoder encoder =
         new SnapshotRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
-    Fields.put(encoder.self(), record.self());
-    Fields.put(encoder.promised(), record.witness().promised());
-    Fields.put(encoder.acceptedBallot(), record.witness().acceptedBallot());
-    Fields.put(encoder.installed(), record.installed());
-    byte[] decided = Images.encode(record.witness().decided());
+    FieldCodec.put(encoder.self(), record.self());
+    FieldCodec.put(encoder.promised(), record.witness().promised());
+    FieldCodec.put(encoder.acceptedBallot(), record.witness().acceptedBallot());
+    FieldCodec.put(encoder.installed(), record.installed());
+    byte[] decided = NestedBlocks.encode(record.witness().decided());
     encoder.putDecided(decided, 0, decided.length);
-    byte[] accepted = Images.encode(record.witness().accepted());
+    byte[] accepted = NestedBlocks.encode(record.witness().accepted());
     encoder.putAccepted(accepted, 0, accepted.length);
-    byte[] state = Images.encode(record.state());
+    byte[] state = NestedBlocks.encode(record.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
   }
@@ -73,11 +73,11 @@
   private static int write(DurableRecord.Vote record, ExpandableArrayBuffer buffer) {
     VoteRecordEncoder encoder =
         new VoteRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
-    Fields.put(encoder.promised(), record.witness().promised());
-    Fields.put(encoder.acceptedBallot(), record.witness().acceptedBallot());
-    byte[] decided = Images.encode(record.witness().decided());
+    FieldCodec.put(encoder.promised(), record.witness().promised());
+    FieldCodec.put(encoder.acceptedBallot(), record.witness().acceptedBallot());
+    byte[] decided = NestedBlocks.encode(record.witness().decided());
     encoder.putDecided(decided, 0, decided.length);
-    byte[] accepted = Images.encode(record.witness().accepted());
+    byte[] accepted = NestedBlocks.encode(record.witness().accepted());
     encoder.putAccepted(accepted, 0, accepted.length);
     return encoder.limit();
   }
@@ -85,8 +85,8 @@
   private static int write(DurableRecord.Installation record, ExpandableArrayBuffer buffer) {
     InstallationRecordEncoder encoder =
         new InstallationRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
-    Fields.put(encoder.tenure(), record.tenure());
-    byte[] state = Images.encode(record.state());
+    FieldCodec.put(encoder.tenure(), record.tenure());
+    byte[] state = NestedBlocks.encode(record.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
   }
@@ -114,18 +114,18 @@
     SnapshotRecordDecoder decoder =
         new SnapshotRecordDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(header, SnapshotRecordDecoder.BLOCK_LENGTH);
-    NodeId self = Fields.node(decoder.self());
-    Ballot promised = Fields.ballot(decoder.promised());
-    Ballot acceptedBallot = Fields.ballot(decoder.acceptedBallot());
-    Tenure installed = Fields.tenure(decoder.installed());
-    byte[] decidedBytes = Fields.room(buffer, decoder.limit(), decoder.decidedLength());
+    NodeId self = FieldCodec.node(decoder.self());
+    Ballot promised = FieldCodec.ballot(decoder.promised());
+    Ballot acceptedBallot = FieldCodec.ballot(decoder.acceptedBallot());
+    PrimaryTerm installed = FieldCodec.tenure(decoder.installed());
+    byte[] decidedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.decidedLength());
     decoder.getDecided(decidedBytes, 0, decidedBytes.length);
-    byte[] acceptedBytes = Fields.room(buffer, decoder.limit(), decoder.acceptedLength());
+    byte[] acceptedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.acceptedLength());
     decoder.getAccepted(acceptedBytes, 0, acceptedBytes.length);
-    byte[] stateBytes = Fields.room(buffer, decoder.limit(), decoder.stateLength());
+    byte[] stateBytes = FieldCodec.room(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
     WitnessState witness = witness(promised, acceptedBallot, decidedBytes, acceptedBytes);
-    StateTransfer state = Images.state(stateBytes);
+    StateTransfer state = NestedBlocks.state(stateBytes);
     return new DurableRecord.Snapshot(self, witness, installed, state);
   }
 
@@ -133,19 +133,19 @@
     MessageHeaderDecoder header = new MessageHeaderDecoder();
     VoteRecordDecoder decoder = new VoteRecordDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(header, VoteRecordDecoder.BLOCK_LENGTH);
-    Ballot promised = Fields.ballot(decoder.promised());
-    Ballot acceptedBallot = Fields.ballot(decoder.acceptedBallot());
-    byte[] decidedBytes = Fields.room(buffer, decoder.limit(), decoder.decidedLength());
+    Ballot promised = FieldCodec.ballot(decoder.promised());
+    Ballot acceptedBallot = FieldCodec.ballot(decoder.acceptedBallot());
+    byte[] decidedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.decidedLength());
     decoder.getDecided(decidedBytes, 0, decidedBytes.length);
-    byte[] acceptedBytes = Fields.room(buffer, decoder.limit(), decoder.acceptedLength());
+    byte[] acceptedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.acceptedLength());
     decoder.getAccepted(acceptedBytes, 0, acceptedBytes.length);
     return new DurableRecord.Vote(witness(promised, acceptedBallot, decidedBytes, acceptedBytes));
   }
 
   private static WitnessState witness(
       Ballot promised, Ballot acceptedBallot, byte[] decidedBytes, byte[] acceptedBytes) {
-    View decided = Images.view(decidedBytes);
-    View accepted = Images.view(acceptedBytes);
+    View decided = NestedBlocks.view(decidedBytes);
+    View accepted = NestedBlocks.view(acceptedBytes);
     return new WitnessState(decided, promised, acceptedBallot, accepted);
   }
 
@@ -154,10 +154,10 @@
     InstallationRecordDecoder decoder =
         new InstallationRecordDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(header, InstallationRecordDecoder.BLOCK_LENGTH);
-    Tenure tenure = Fields.tenure(decoder.tenure());
-    byte[] stateBytes = Fields.room(buffer, decoder.limit(), decoder.stateLength());
+    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
+    byte[] stateBytes = FieldCodec.room(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
-    return new DurableRecord.Installation(tenure, Images.state(stateBytes));
+    return new DurableRecord.Installation(tenure, NestedBlocks.state(stateBytes));
   }
 
   private static DurableRecord readEntry(DirectBuffer buffer) {
@@ -166,13 +166,13 @@
     check(header, EntryRecordDecoder.BLOCK_LENGTH);
     long sequence = decoder.sequence();
     long committedSequence = decoder.committedSequence();
-    byte[] record = Fields.room(buffer, decoder.limit(), decoder.recordLength());
+    byte[] record = FieldCodec.room(buffer, decoder.limit(), decoder.recordLength());
     decoder.getRecord(record, 0, record.length);
     return new DurableRecord.Entry(sequence, committedSequence, record);
   }
 
   private static void check(MessageHeaderDecoder header, int knownLength) {
-    Fields.checkBlock(
+    FieldCodec.checkBlock(
         header.blockLength(), header.version(), knownLength, MessageHeaderDecoder.SCHEMA_VERSION);
   }
 }
--- a/src/main/java/slateslip/protocol/coordination/Fields.java
+++ b/src/main/java/slateslip/protocol/coordination/FieldCodec.java
@@ -4,8 +4,8 @@
 import slateslip.coordination.Ballot;
 import slateslip.coordination.NodeAddress;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerStatus;
-import slateslip.coordination.Tenure;
+import slateslip.coordination.PrimaryTerm;
+import slateslip.coordination.ReplicaStatus;
 import slateslip.protocol.MessageReader;
 import slateslip.protocol.coordination.generated.BallotNumberDecoder;
 import slateslip.protocol.coordination.generated.BallotNumberEncoder;
@@ -18,11 +18,11 @@
 import slateslip.protocol.coordination.generated.TenureNumberEncoder;
 
 /** Parts that several messages have. */
-final class Fields {
+final class FieldCodec {
   private static final int LENGTH_BYTES = 4;
   private static final short YES = 1;
 
-  private Fields() {}
+  private FieldCodec() {}
 
   static void put(NodeIdentityEncoder encoder, NodeId node) {
     encoder.ipv4(node.address().ipv4()).diskId(node.diskId());
@@ -44,15 +44,15 @@
     return new Ballot(decoder.round(), proposer);
   }
 
-  static void put(TenureNumberEncoder encoder, Tenure tenure) {
+  static void put(TenureNumberEncoder encoder, PrimaryTerm tenure) {
     encoder.epoch(tenure.epoch()).incarnation(tenure.incarnation());
   }
 
-  static Tenure tenure(TenureNumberDecoder decoder) {
-    return new Tenure(decoder.epoch(), decoder.incarnation());
+  static PrimaryTerm tenure(TenureNumberDecoder decoder) {
+    return new PrimaryTerm(decoder.epoch(), decoder.incarnation());
   }
 
-  static void put(StatusReportEncoder encoder, PeerStatus status) {
+  static void put(StatusReportEncoder encoder, ReplicaStatus status) {
     encoder
         .decidedEpoch(status.decidedEpoch())
         .receivedEpoch(status.received().epoch())
@@ -66,13 +66,13 @@
         .diskHealthy(flag(status.fit()).value());
   }
 
-  static PeerStatus status(StatusReportDecoder decoder) {
-    return new PeerStatus(
+  static ReplicaStatus status(StatusReportDecoder decoder) {
+    return new ReplicaStatus(
         decoder.decidedEpoch(),
         decoder.acceptedLater() == YES,
-        new Tenure(decoder.receivedEpoch(), decoder.receivedIncarnation()),
+        new PrimaryTerm(decoder.receivedEpoch(), decoder.receivedIncarnation()),
         decoder.receivedSequence(),
-        new Tenure(decoder.durableEpoch(), decoder.durableIncarnation()),
+        new PrimaryTerm(decoder.durableEpoch(), decoder.durableIncarnation()),
         decoder.durableSequence(),
         decoder.committedSequence(),
         decoder.diskHealthy() == YES);
--- a/src/main/java/slateslip/protocol/coordination/Images.java
+++ b/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
@@ -17,11 +17,11 @@
 import slateslip.protocol.coordination.generated.ViewImageEncoder;
 
 /** Views and states inside of messages and records: each a message of its own. */
-final class Images {
+final class NestedBlocks {
   private static final byte[] NOTHING = new byte[0];
   private static final int SMALL = 256;
 
-  private Images() {}
+  private NestedBlocks() {}
 
   /** A view's message; empty for {@link View#NONE}. */
   static byte[] encode(View view) {
@@ -32,15 +32,15 @@
     ViewImageEncoder encoder =
         new ViewImageEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder.epoch(view.epoch());
-    Fields.put(encoder.primary(), view.primary());
+    FieldCodec.put(encoder.primary(), view.primary());
     ViewImageEncoder.MembersEncoder members = encoder.membersCount(view.members().size());
     for (ViewMember member : view.members()) {
       members.next().sinceEpoch(member.sinceEpoch());
-      Fields.put(members.node(), member.node());
+      FieldCodec.put(members.node(), member.node());
     }
     ViewImageEncoder.WitnessesEncoder witnesses = encoder.witnessesCount(view.witnesses().size());
     for (NodeId witness : view.witnesses()) {
-      Fields.put(witnesses.next().node(), witness);
+      FieldCodec.put(witnesses.next().node(), witness);
     }
     return copy(buffer, encoder.limit());
   }
@@ -60,14 +60,14 @@
     ViewImageDecoder decoder = new ViewImageDecoder();
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long epoch = decoder.epoch();
-    NodeId primary = Fields.node(decoder.primary());
+    NodeId primary = FieldCodec.node(decoder.primary());
     List<ViewMember> members = new ArrayList<>();
     for (ViewImageDecoder.MembersDecoder member : decoder.members()) {
-      members.add(new ViewMember(Fields.node(member.node()), member.sinceEpoch()));
+      members.add(new ViewMember(FieldCodec.node(member.node()), member.sinceEpoch()));
     }
     List<NodeId> witnesses = new ArrayList<>();
     for (ViewImageDecoder.WitnessesDecoder witness : decoder.witnesses()) {
-      witnesses.add(Fields.node(witness.node()));
+      witnesses.add(FieldCodec.node(witness.node()));
     }
     return new View(epoch, primary, members, witnesses);
   }
@@ -80,7 +80,7 @@
     encoder
         .baseSequence(state.baseSequence())
         .committedSequence(state.committedSequence())
-        .whole(Fields.flag(state.whole()));
+        .whole(FieldCodec.flag(state.whole()));
     TransferImageEncoder.RecordsEncoder records = encoder.recordsCount(state.records().size());
     for (byte[] record : state.records()) {
       records.next().putRecord(record, 0, record.length);
@@ -102,14 +102,14 @@
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long baseSequence = decoder.baseSequence();
     long committedSequence = decoder.committedSequence();
-    boolean whole = Fields.isSet(decoder.whole());
+    boolean whole = FieldCodec.isSet(decoder.whole());
     List<byte[]> records = new ArrayList<>();
     for (TransferImageDecoder.RecordsDecoder next : decoder.records()) {
-      byte[] record = Fields.room(buffer, decoder.limit(), next.recordLength());
+      byte[] record = FieldCodec.room(buffer, decoder.limit(), next.recordLength());
       next.getRecord(record, 0, record.length);
       records.add(record);
     }
-    byte[] base = Fields.room(buffer, decoder.limit(), decoder.baseLength());
+    byte[] base = FieldCodec.room(buffer, decoder.limit(), decoder.baseLength());
     decoder.getBase(base, 0, base.length);
     return new StateTransfer(baseSequence, whole, base, records, committedSequence);
   }
--- a/src/main/java/slateslip/protocol/coordination/PeerFrame.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaFrame.java
@@ -1,7 +1,7 @@
 package slateslip.protocol.coordination;
 
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 
 /**
  * A message with its sender.
@@ -9,4 +9,4 @@
  * @param from identity of the sending node
  * @param message it
  */
-public record PeerFrame(NodeId from, PeerMessage message) {}
+public record ReplicaFrame(NodeId from, ReplicaMessage message) {}
--- a/src/main/java/slateslip/protocol/coordination/PeerMessageCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageCodec.java
@@ -2,31 +2,31 @@
 
 import org.agrona.ExpandableArrayBuffer;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageReader;
 import slateslip.protocol.coordination.generated.MessageHeaderDecoder;
 
 /** Messages among core nodes as SBE, without the frame's length. */
-public final class PeerMessageCodec {
+public final class ReplicaMessageCodec {
   /** Schema id in the header; tells these messages from others on the same connection. */
   public static final int SCHEMA_ID = MessageHeaderDecoder.SCHEMA_ID;
 
   private static final int INITIAL_BYTES = 512;
 
-  private PeerMessageCodec() {}
+  private ReplicaMessageCodec() {}
 
   /** Encodes a message, header included. */
-  public static byte[] encode(NodeId from, PeerMessage message) {
+  public static byte[] encode(NodeId from, ReplicaMessage message) {
     ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_BYTES);
-    byte[] bytes = new byte[new PeerMessageEncoder(buffer, from).write(message)];
+    byte[] bytes = new byte[new ReplicaMessageEncoder(buffer, from).write(message)];
     buffer.getBytes(0, bytes);
     return bytes;
   }
 
   /** Decodes a message that fills the array; bad input gives {@link Decoded.Malformed}. */
-  public static Decoded<PeerFrame> decode(byte[] bytes) {
+  public static Decoded<ReplicaFrame> decode(byte[] bytes) {
     return MessageReader.read(
-        bytes, SCHEMA_ID, (buffer, template) -> new PeerMessageDecoder(buffer).read(template));
+        bytes, SCHEMA_ID, (buffer, template) -> new ReplicaMessageDecoder(buffer).read(template));
   }
 }
--- a/src/main/java/slateslip/protocol/coordination/PeerMessageDecoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
@@ -3,10 +3,10 @@
 import org.agrona.DirectBuffer;
 import slateslip.coordination.Ballot;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
-import slateslip.coordination.PeerStatus;
+import slateslip.coordination.PrimaryTerm;
+import slateslip.coordination.ReplicaMessage;
+import slateslip.coordination.ReplicaStatus;
 import slateslip.coordination.StateTransfer;
-import slateslip.coordination.Tenure;
 import slateslip.coordination.View;
 import slateslip.protocol.coordination.generated.AcceptDecoder;
 import slateslip.protocol.coordination.generated.AcceptedDecoder;
@@ -24,16 +24,16 @@
 import slateslip.protocol.coordination.generated.TakeOverDecoder;
 
 /** Reads one message; what is wrong with it is thrown, for the reader to turn into a value. */
-final class PeerMessageDecoder {
+final class ReplicaMessageDecoder {
   private final MessageHeaderDecoder header = new MessageHeaderDecoder();
   private final DirectBuffer buffer;
 
-  PeerMessageDecoder(DirectBuffer buffer) {
+  ReplicaMessageDecoder(DirectBuffer buffer) {
     this.buffer = buffer;
   }
 
   /** Reads a message; null if its kind is not known. */
-  PeerFrame read(int template) {
+  ReplicaFrame read(int template) {
     return switch (template) {
       case HelloDecoder.TEMPLATE_ID -> readHello();
       case HeartbeatDecoder.TEMPLATE_ID -> readHeartbeat();
@@ -53,152 +53,154 @@
   }
 
   private void check(int knownLength, int knownVersion) {
-    Fields.checkBlock(header.blockLength(), header.version(), knownLength, knownVersion);
+    FieldCodec.checkBlock(header.blockLength(), header.version(), knownLength, knownVersion);
   }
 
-  private PeerFrame readHello() {
+  private ReplicaFrame readHello() {
     HelloDecoder decoder = new HelloDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HelloDecoder.BLOCK_LENGTH, HelloDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    PeerStatus status = Fields.status(decoder.status());
-    byte[] viewBytes = Fields.room(buffer, decoder.limit(), decoder.viewLength());
+    NodeId from = FieldCodec.node(decoder.sender());
+    ReplicaStatus status = FieldCodec.status(decoder.status());
+    byte[] viewBytes = FieldCodec.room(buffer, decoder.limit(), decoder.viewLength());
     decoder.getView(viewBytes, 0, viewBytes.length);
-    View view = Images.view(viewBytes);
-    return new PeerFrame(from, new PeerMessage.Hello(view, status));
+    View view = NestedBlocks.view(viewBytes);
+    return new ReplicaFrame(from, new ReplicaMessage.Hello(view, status));
   }
 
-  private PeerFrame readHeartbeat() {
+  private ReplicaFrame readHeartbeat() {
     HeartbeatDecoder decoder = new HeartbeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HeartbeatDecoder.BLOCK_LENGTH, HeartbeatDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    Tenure tenure = Fields.tenure(decoder.tenure());
+    NodeId from = FieldCodec.node(decoder.sender());
+    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
     long round = decoder.round();
     long committedSequence = decoder.committedSequence();
-    boolean active = Fields.isSet(decoder.active());
-    byte[] viewBytes = Fields.room(buffer, decoder.limit(), decoder.viewLength());
+    boolean active = FieldCodec.isSet(decoder.active());
+    byte[] viewBytes = FieldCodec.room(buffer, decoder.limit(), decoder.viewLength());
     decoder.getView(viewBytes, 0, viewBytes.length);
-    View view = Images.view(viewBytes);
-    return new PeerFrame(
-        from, new PeerMessage.Heartbeat(tenure, round, committedSequence, active, view));
+    View view = NestedBlocks.view(viewBytes);
+    return new ReplicaFrame(
+        from, new ReplicaMessage.Heartbeat(tenure, round, committedSequence, active, view));
   }
 
-  private PeerFrame readHeartbeatReply() {
+  private ReplicaFrame readHeartbeatReply() {
     HeartbeatReplyDecoder decoder =
         new HeartbeatReplyDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HeartbeatReplyDecoder.BLOCK_LENGTH, HeartbeatReplyDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    Tenure tenure = Fields.tenure(decoder.tenure());
+    NodeId from = FieldCodec.node(decoder.sender());
+    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
     long round = decoder.round();
-    PeerStatus status = Fields.status(decoder.status());
-    return new PeerFrame(from, new PeerMessage.HeartbeatReply(tenure, round, status));
+    ReplicaStatus status = FieldCodec.status(decoder.status());
+    return new ReplicaFrame(from, new ReplicaMessage.HeartbeatReply(tenure, round, status));
   }
 
-  private PeerFrame readDecided() {
+  private ReplicaFrame readDecided() {
     DecidedDecoder decoder = new DecidedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(DecidedDecoder.BLOCK_LENGTH, DecidedDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    byte[] viewBytes = Fields.room(buffer, decoder.limit(), decoder.viewLength());
+    NodeId from = FieldCodec.node(decoder.sender());
+    byte[] viewBytes = FieldCodec.room(buffer, decoder.limit(), decoder.viewLength());
     decoder.getView(viewBytes, 0, viewBytes.length);
-    View view = Images.view(viewBytes);
-    return new PeerFrame(from, new PeerMessage.Decided(view));
+    View view = NestedBlocks.view(viewBytes);
+    return new ReplicaFrame(from, new ReplicaMessage.Decided(view));
   }
 
-  private PeerFrame readPrepare() {
+  private ReplicaFrame readPrepare() {
     PrepareDecoder decoder = new PrepareDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(PrepareDecoder.BLOCK_LENGTH, PrepareDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    Ballot ballot = Fields.ballot(decoder.ballot());
-    boolean consented = Fields.isSet(decoder.consented());
-    byte[] baseBytes = Fields.room(buffer, decoder.limit(), decoder.baseLength());
+    NodeId from = FieldCodec.node(decoder.sender());
+    Ballot ballot = FieldCodec.ballot(decoder.ballot());
+    boolean consented = FieldCodec.isSet(decoder.consented());
+    byte[] baseBytes = FieldCodec.room(buffer, decoder.limit(), decoder.baseLength());
     decoder.getBase(baseBytes, 0, baseBytes.length);
-    View base = Images.view(baseBytes);
-    return new PeerFrame(from, new PeerMessage.Prepare(base, ballot, consented));
+    View base = NestedBlocks.view(baseBytes);
+    return new ReplicaFrame(from, new ReplicaMessage.Prepare(base, ballot, consented));
   }
 
-  private PeerFrame readPromise() {
+  private ReplicaFrame readPromise() {
     PromiseDecoder decoder = new PromiseDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(PromiseDecoder.BLOCK_LENGTH, PromiseDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
+    NodeId from = FieldCodec.node(decoder.sender());
     long baseEpoch = decoder.baseEpoch();
-    Ballot ballot = Fields.ballot(decoder.ballot());
-    Ballot acceptedBallot = Fields.ballot(decoder.acceptedBallot());
-    PeerStatus status = Fields.status(decoder.status());
-    byte[] acceptedBytes = Fields.room(buffer, decoder.limit(), decoder.acceptedLength());
+    Ballot ballot = FieldCodec.ballot(decoder.ballot());
+    Ballot acceptedBallot = FieldCodec.ballot(decoder.acceptedBallot());
+    ReplicaStatus status = FieldCodec.status(decoder.status());
+    byte[] acceptedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.acceptedLength());
     decoder.getAccepted(acceptedBytes, 0, acceptedBytes.length);
-    View accepted = Images.view(acceptedBytes);
-    return new PeerFrame(
-        from, new PeerMessage.Promise(baseEpoch, ballot, acceptedBallot, accepted, status));
+    View accepted = NestedBlocks.view(acceptedBytes);
+    return new ReplicaFrame(
+        from, new ReplicaMessage.Promise(baseEpoch, ballot, acceptedBallot, accepted, status));
   }
 
-  private PeerFrame readAccept() {
+  private ReplicaFrame readAccept() {
     AcceptDecoder decoder = new AcceptDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(AcceptDecoder.BLOCK_LENGTH, AcceptDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
+    NodeId from = FieldCodec.node(decoder.sender());
     long baseEpoch = decoder.baseEpoch();
-    Ballot ballot = Fields.ballot(decoder.ballot());
-    byte[] valueBytes = Fields.room(buffer, decoder.limit(), decoder.valueLength());
+    Ballot ballot = FieldCodec.ballot(decoder.ballot());
+    byte[] valueBytes = FieldCodec.room(buffer, decoder.limit(), decoder.valueLength());
     decoder.getValue(valueBytes, 0, valueBytes.length);
-    View value = Images.view(valueBytes);
-    return new PeerFrame(from, new PeerMessage.Accept(baseEpoch, ballot, value));
+    View value = NestedBlocks.view(valueBytes);
+    return new ReplicaFrame(from, new ReplicaMessage.Accept(baseEpoch, ballot, value));
   }
 
-  private PeerFrame readAccepted() {
+  private ReplicaFrame readAccepted() {
     AcceptedDecoder decoder = new AcceptedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(AcceptedDecoder.BLOCK_LENGTH, AcceptedDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
+    NodeId from = FieldCodec.node(decoder.sender());
     long baseEpoch = decoder.baseEpoch();
-    Ballot ballot = Fields.ballot(decoder.ballot());
-    return new PeerFrame(from, new PeerMessage.Accepted(baseEpoch, ballot));
+    Ballot ballot = FieldCodec.ballot(decoder.ballot());
+    return new ReplicaFrame(from, new ReplicaMessage.Accepted(baseEpoch, ballot));
   }
 
-  private PeerFrame readRefused() {
+  private ReplicaFrame readRefused() {
     RefusedDecoder decoder = new RefusedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(RefusedDecoder.BLOCK_LENGTH, RefusedDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
+    NodeId from = FieldCodec.node(decoder.sender());
     long baseEpoch = decoder.baseEpoch();
-    Ballot ballot = Fields.ballot(decoder.ballot());
-    Ballot promised = Fields.ballot(decoder.promised());
-    boolean primaryAlive = Fields.isSet(decoder.primaryAlive());
-    return new PeerFrame(from, new PeerMessage.Refused(baseEpoch, ballot, promised, primaryAlive));
+    Ballot ballot = FieldCodec.ballot(decoder.ballot());
+    Ballot promised = FieldCodec.ballot(decoder.promised());
+    boolean primaryAlive = FieldCodec.isSet(decoder.primaryAlive());
+    return new ReplicaFrame(
+        from, new ReplicaMessage.Rejected(baseEpoch, ballot, promised, primaryAlive));
   }
 
-  private PeerFrame readInstall() {
+  private ReplicaFrame readInstall() {
     InstallDecoder decoder = new InstallDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(InstallDecoder.BLOCK_LENGTH, InstallDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    Tenure tenure = Fields.tenure(decoder.tenure());
-    byte[] stateBytes = Fields.room(buffer, decoder.limit(), decoder.stateLength());
+    NodeId from = FieldCodec.node(decoder.sender());
+    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
+    byte[] stateBytes = FieldCodec.room(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
-    StateTransfer state = Images.state(stateBytes);
-    return new PeerFrame(from, new PeerMessage.Install(tenure, state));
+    StateTransfer state = NestedBlocks.state(stateBytes);
+    return new ReplicaFrame(from, new ReplicaMessage.Install(tenure, state));
   }
 
-  private PeerFrame readAppend() {
+  private ReplicaFrame readAppend() {
     AppendDecoder decoder = new AppendDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(AppendDecoder.BLOCK_LENGTH, AppendDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    Tenure tenure = Fields.tenure(decoder.tenure());
+    NodeId from = FieldCodec.node(decoder.sender());
+    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
     long sequence = decoder.sequence();
     long committedSequence = decoder.committedSequence();
-    byte[] record = Fields.room(buffer, decoder.limit(), decoder.recordLength());
+    byte[] record = FieldCodec.room(buffer, decoder.limit(), decoder.recordLength());
     decoder.getRecord(record, 0, record.length);
-    return new PeerFrame(from, new PeerMessage.Append(tenure, sequence, committedSequence, record));
+    return new ReplicaFrame(
+        from, new ReplicaMessage.Append(tenure, sequence, committedSequence, record));
   }
 
-  private PeerFrame readSynced() {
+  private ReplicaFrame readSynced() {
     SyncedDecoder decoder = new SyncedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(SyncedDecoder.BLOCK_LENGTH, SyncedDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
-    Tenure tenure = Fields.tenure(decoder.tenure());
+    NodeId from = FieldCodec.node(decoder.sender());
+    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
     long sequence = decoder.sequence();
-    return new PeerFrame(from, new PeerMessage.Synced(tenure, sequence));
+    return new ReplicaFrame(from, new ReplicaMessage.Synced(tenure, sequence));
   }
 
-  private PeerFrame readTakeOver() {
+  private ReplicaFrame readTakeOver() {
     TakeOverDecoder decoder = new TakeOverDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(TakeOverDecoder.BLOCK_LENGTH, TakeOverDecoder.SCHEMA_VERSION);
-    NodeId from = Fields.node(decoder.sender());
+    NodeId from = FieldCodec.node(decoder.sender());
     long epoch = decoder.epoch();
-    return new PeerFrame(from, new PeerMessage.TakeOver(epoch));
+    return new ReplicaFrame(from, new ReplicaMessage.TransferLeadership(epoch));
   }
 }
--- a/src/main/java/slateslip/protocol/coordination/PeerMessageEncoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
@@ -2,7 +2,7 @@
 
 import org.agrona.ExpandableArrayBuffer;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 import slateslip.protocol.coordination.generated.AcceptEncoder;
 import slateslip.protocol.coordination.generated.AcceptedEncoder;
 import slateslip.protocol.coordination.generated.AppendEncoder;
@@ -19,7 +19,7 @@
 import slateslip.protocol.coordination.generated.TakeOverEncoder;
 
 /** Writes one message into a buffer. */
-final class PeerMessageEncoder {
+final class ReplicaMessageEncoder {
   private final MessageHeaderEncoder header = new MessageHeaderEncoder();
   private final ExpandableArrayBuffer buffer;
   private final NodeId from;
@@ -30,174 +30,174 @@
    * @param buffer written from its start
    * @param from the sender
    */
-  PeerMessageEncoder(ExpandableArrayBuffer buffer, NodeId from) {
+  ReplicaMessageEncoder(ExpandableArrayBuffer buffer, NodeId from) {
     this.buffer = buffer;
     this.from = from;
   }
 
   /** Writes the message and returns its length. */
-  int write(PeerMessage message) {
-    if (message instanceof PeerMessage.Hello hello) {
+  int write(ReplicaMessage message) {
+    if (message instanceof ReplicaMessage.Hello hello) {
       return write(hello);
     }
-    if (message instanceof PeerMessage.Heartbeat heartbeat) {
+    if (message instanceof ReplicaMessage.Heartbeat heartbeat) {
       return write(heartbeat);
     }
-    if (message instanceof PeerMessage.HeartbeatReply heartbeatReply) {
+    if (message instanceof ReplicaMessage.HeartbeatReply heartbeatReply) {
       return write(heartbeatReply);
     }
-    if (message instanceof PeerMessage.Decided decided) {
+    if (message instanceof ReplicaMessage.Decided decided) {
       return write(decided);
     }
-    if (message instanceof PeerMessage.Prepare prepare) {
+    if (message instanceof ReplicaMessage.Prepare prepare) {
       return write(prepare);
     }
-    if (message instanceof PeerMessage.Promise promise) {
+    if (message instanceof ReplicaMessage.Promise promise) {
       return write(promise);
     }
-    if (message instanceof PeerMessage.Accept accept) {
+    if (message instanceof ReplicaMessage.Accept accept) {
       return write(accept);
     }
-    if (message instanceof PeerMessage.Accepted accepted) {
+    if (message instanceof ReplicaMessage.Accepted accepted) {
       return write(accepted);
     }
-    if (message instanceof PeerMessage.Refused refused) {
+    if (message instanceof ReplicaMessage.Rejected refused) {
       return write(refused);
     }
-    if (message instanceof PeerMessage.Install install) {
+    if (message instanceof ReplicaMessage.Install install) {
       return write(install);
     }
-    if (message instanceof PeerMessage.Append append) {
+    if (message instanceof ReplicaMessage.Append append) {
       return write(append);
     }
-    if (message instanceof PeerMessage.Synced synced) {
+    if (message instanceof ReplicaMessage.Synced synced) {
       return write(synced);
     }
-    if (message instanceof PeerMessage.TakeOver takeOver) {
+    if (message instanceof ReplicaMessage.TransferLeadership takeOver) {
       return write(takeOver);
     }
     throw new IllegalStateException("a message without an encoding: " + message);
   }
 
-  private int write(PeerMessage.Hello message) {
+  private int write(ReplicaMessage.Hello message) {
     HelloEncoder encoder = new HelloEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.status(), message.status());
-    byte[] view = Images.encode(message.view());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.status(), message.status());
+    byte[] view = NestedBlocks.encode(message.view());
     encoder.putView(view, 0, view.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Heartbeat message) {
+  private int write(ReplicaMessage.Heartbeat message) {
     HeartbeatEncoder encoder = new HeartbeatEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.tenure(), message.tenure());
     encoder.round(message.round());
     encoder.committedSequence(message.committedSequence());
-    encoder.active(Fields.flag(message.active()));
-    byte[] view = Images.encode(message.view());
+    encoder.active(FieldCodec.flag(message.active()));
+    byte[] view = NestedBlocks.encode(message.view());
     encoder.putView(view, 0, view.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.HeartbeatReply message) {
+  private int write(ReplicaMessage.HeartbeatReply message) {
     HeartbeatReplyEncoder encoder =
         new HeartbeatReplyEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.tenure(), message.tenure());
     encoder.round(message.round());
-    Fields.put(encoder.status(), message.status());
+    FieldCodec.put(encoder.status(), message.status());
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Decided message) {
+  private int write(ReplicaMessage.Decided message) {
     DecidedEncoder encoder = new DecidedEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    byte[] view = Images.encode(message.view());
+    FieldCodec.put(encoder.sender(), from);
+    byte[] view = NestedBlocks.encode(message.view());
     encoder.putView(view, 0, view.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Prepare message) {
+  private int write(ReplicaMessage.Prepare message) {
     PrepareEncoder encoder = new PrepareEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.ballot(), message.ballot());
-    encoder.consented(Fields.flag(message.consented()));
-    byte[] base = Images.encode(message.base());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.ballot(), message.ballot());
+    encoder.consented(FieldCodec.flag(message.consented()));
+    byte[] base = NestedBlocks.encode(message.base());
     encoder.putBase(base, 0, base.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Promise message) {
+  private int write(ReplicaMessage.Promise message) {
     PromiseEncoder encoder = new PromiseEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
+    FieldCodec.put(encoder.sender(), from);
     encoder.baseEpoch(message.baseEpoch());
-    Fields.put(encoder.ballot(), message.ballot());
-    Fields.put(encoder.acceptedBallot(), message.acceptedBallot());
-    Fields.put(encoder.status(), message.status());
-    byte[] accepted = Images.encode(message.accepted());
+    FieldCodec.put(encoder.ballot(), message.ballot());
+    FieldCodec.put(encoder.acceptedBallot(), message.acceptedBallot());
+    FieldCodec.put(encoder.status(), message.status());
+    byte[] accepted = NestedBlocks.encode(message.accepted());
     encoder.putAccepted(accepted, 0, accepted.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Accept message) {
+  private int write(ReplicaMessage.Accept message) {
     AcceptEncoder encoder = new AcceptEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
+    FieldCodec.put(encoder.sender(), from);
     encoder.baseEpoch(message.baseEpoch());
-    Fields.put(encoder.ballot(), message.ballot());
-    byte[] value = Images.encode(message.value());
+    FieldCodec.put(encoder.ballot(), message.ballot());
+    byte[] value = NestedBlocks.encode(message.value());
     encoder.putValue(value, 0, value.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Accepted message) {
+  private int write(ReplicaMessage.Accepted message) {
     AcceptedEncoder encoder = new AcceptedEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
+    FieldCodec.put(encoder.sender(), from);
     encoder.baseEpoch(message.baseEpoch());
-    Fields.put(encoder.ballot(), message.ballot());
+    FieldCodec.put(encoder.ballot(), message.ballot());
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Refused message) {
+  private int write(ReplicaMessage.Rejected message) {
     RefusedEncoder encoder = new RefusedEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
+    FieldCodec.put(encoder.sender(), from);
     encoder.baseEpoch(message.baseEpoch());
-    Fields.put(encoder.ballot(), message.ballot());
-    Fields.put(encoder.promised(), message.promised());
-    encoder.primaryAlive(Fields.flag(message.primaryAlive()));
+    FieldCodec.put(encoder.ballot(), message.ballot());
+    FieldCodec.put(encoder.promised(), message.promised());
+    encoder.primaryAlive(FieldCodec.flag(message.primaryAlive()));
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Install message) {
+  private int write(ReplicaMessage.Install message) {
     InstallEncoder encoder = new InstallEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.tenure(), message.tenure());
-    byte[] state = Images.encode(message.state());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.tenure(), message.tenure());
+    byte[] state = NestedBlocks.encode(message.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Append message) {
+  private int write(ReplicaMessage.Append message) {
     AppendEncoder encoder = new AppendEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.tenure(), message.tenure());
     encoder.sequence(message.sequence());
     encoder.committedSequence(message.committedSequence());
     encoder.putRecord(message.record(), 0, message.record().length);
     return encoder.limit();
   }
 
-  private int write(PeerMessage.Synced message) {
+  private int write(ReplicaMessage.Synced message) {
     SyncedEncoder encoder = new SyncedEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
-    Fields.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.sender(), from);
+    FieldCodec.put(encoder.tenure(), message.tenure());
     encoder.sequence(message.sequence());
     return encoder.limit();
   }
 
-  private int write(PeerMessage.TakeOver message) {
+  private int write(ReplicaMessage.TransferLeadership message) {
     TakeOverEncoder encoder = new TakeOverEncoder().wrapAndApplyHeader(buffer, 0, header);
-    Fields.put(encoder.sender(), from);
+    FieldCodec.put(encoder.sender(), from);
     encoder.epoch(message.epoch());
     return encoder.limit();
   }
--- a/src/main/java/slateslip/protocol/distribution/DistributionCodec.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionCodec.java
@@ -1,8 +1,8 @@
 package slateslip.protocol.distribution;
 
 import io.netty.buffer.ByteBuf;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.Framing;
 import slateslip.protocol.MessageReader;
@@ -18,32 +18,32 @@
   private final DistributionDecoder decoder = new DistributionDecoder();
 
   /** Bytes of a message to a control agent. */
-  public byte[] encode(ToControl message) {
+  public byte[] encode(DataPlaneMessage message) {
     return encoder.encode(message);
   }
 
   /** Bytes of a message to a data plane. */
-  public byte[] encode(ToDataPlane message) {
+  public byte[] encode(ControlPlaneMessage message) {
     return encoder.encode(message);
   }
 
   /** Reads a message to a control agent and consumes the buffer, without releasing it. */
-  public Decoded<ToControl> decodeToControl(ByteBuf message) {
+  public Decoded<DataPlaneMessage> decodeToControl(ByteBuf message) {
     return decodeToControl(Framing.bytes(message));
   }
 
   /** Reads a message to a control agent. */
-  public Decoded<ToControl> decodeToControl(byte[] message) {
+  public Decoded<DataPlaneMessage> decodeToControl(byte[] message) {
     return MessageReader.read(message, MessageHeaderDecoder.SCHEMA_ID, decoder::readToControl);
   }
 
   /** Reads a message to a data plane and consumes the buffer, without releasing it. */
-  public Decoded<ToDataPlane> decodeToDataPlane(ByteBuf message) {
+  public Decoded<ControlPlaneMessage> decodeToDataPlane(ByteBuf message) {
     return decodeToDataPlane(Framing.bytes(message));
   }
 
   /** Reads a message to a data plane. */
-  public Decoded<ToDataPlane> decodeToDataPlane(byte[] message) {
+  public Decoded<ControlPlaneMessage> decodeToDataPlane(byte[] message) {
     return MessageReader.read(message, MessageHeaderDecoder.SCHEMA_ID, decoder::readToDataPlane);
   }
 }
--- a/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.agrona.DirectBuffer;
-import slateslip.distribution.AgentShares;
-import slateslip.distribution.AgentShares.TenantShare;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
 import slateslip.protocol.MessageReader;
 import slateslip.protocol.distribution.generated.AcknowledgeDecoder;
 import slateslip.protocol.distribution.generated.ConfigurationPatchDecoder;
@@ -33,19 +33,20 @@
   private final MessageHeaderDecoder header = new MessageHeaderDecoder();
 
   /** Reads a message for a control agent; null if its kind is not known. */
-  ToControl readToControl(DirectBuffer buffer, int template) {
+  DataPlaneMessage readToControl(DirectBuffer buffer, int template) {
     return switch (template) {
       case SubscribeDecoder.TEMPLATE_ID -> readSubscribe(buffer);
       case AcknowledgeDecoder.TEMPLATE_ID -> readAcknowledge(buffer);
       case DemandDecoder.TEMPLATE_ID -> readDemand(buffer);
       case PingDecoder.TEMPLATE_ID ->
-          new ToControl.Ping(new PingDecoder().wrapAndApplyHeader(buffer, 0, header).nonce());
+          new DataPlaneMessage.Ping(
+              new PingDecoder().wrapAndApplyHeader(buffer, 0, header).nonce());
       default -> null;
     };
   }
 
   /** Reads a message for a data plane; null if its kind is not known. */
-  ToDataPlane readToDataPlane(DirectBuffer buffer, int template) {
+  ControlPlaneMessage readToDataPlane(DirectBuffer buffer, int template) {
     return switch (template) {
       case ConfigurationSnapshotDecoder.TEMPLATE_ID -> readSnapshot(buffer);
       case ConfigurationPatchDecoder.TEMPLATE_ID -> readPatch(buffer);
@@ -53,27 +54,29 @@
       case SharesDecoder.TEMPLATE_ID -> readShares(buffer);
       case HeartbeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
       case PongDecoder.TEMPLATE_ID ->
-          new ToDataPlane.Pong(new PongDecoder().wrapAndApplyHeader(buffer, 0, header).nonce());
+          new ControlPlaneMessage.Pong(
+              new PongDecoder().wrapAndApplyHeader(buffer, 0, header).nonce());
       default -> null;
     };
   }
 
-  private ToControl readSubscribe(DirectBuffer buffer) {
+  private DataPlaneMessage readSubscribe(DirectBuffer buffer) {
     SubscribeDecoder decoder = new SubscribeDecoder().wrapAndApplyHeader(buffer, 0, header);
     long incarnation = decoder.incarnation();
     long configurationVersion = decoder.configurationVersion();
     boolean active = isSet(decoder.active());
     String node = decoder.node();
     String zone = decoder.zone();
-    return new ToControl.Subscribe(node, incarnation, zone, configurationVersion, active);
+    return new DataPlaneMessage.Subscribe(node, incarnation, zone, configurationVersion, active);
   }
 
-  private ToControl readAcknowledge(DirectBuffer buffer) {
+  private DataPlaneMessage readAcknowledge(DirectBuffer buffer) {
     AcknowledgeDecoder decoder = new AcknowledgeDecoder().wrapAndApplyHeader(buffer, 0, header);
-    return new ToControl.Acknowledge(decoder.configurationVersion(), decoder.sessionRevision());
+    return new DataPlaneMessage.Acknowledge(
+        decoder.configurationVersion(), decoder.sessionRevision());
   }
 
-  private ToControl readDemand(DirectBuffer buffer) {
+  private DataPlaneMessage readDemand(DirectBuffer buffer) {
     DemandDecoder decoder = new DemandDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<TenantDemand> tenants = new ArrayList<>();
     for (DemandDecoder.TenantsDecoder tenant : decoder.tenants()) {
@@ -81,23 +84,24 @@
       long admitted = tenant.admittedUnits();
       tenants.add(new TenantDemand(tenant.tenant(), wanted, admitted));
     }
-    return new ToControl.Demand(tenants);
+    return new DataPlaneMessage.Demand(tenants);
   }
 
-  private ToDataPlane readSnapshot(DirectBuffer buffer) {
+  private ControlPlaneMessage readSnapshot(DirectBuffer buffer) {
     ConfigurationSnapshotDecoder decoder =
         new ConfigurationSnapshotDecoder().wrapAndApplyHeader(buffer, 0, header);
     byte[] document = new byte[checkedLength(buffer, decoder.limit(), decoder.contentLength())];
     decoder.getContent(document, 0, document.length);
-    return new ToDataPlane.ConfigurationSnapshot(decoder.configurationVersion(), document);
+    return new ControlPlaneMessage.ConfigurationSnapshot(decoder.configurationVersion(), document);
   }
 
-  private ToDataPlane readPatch(DirectBuffer buffer) {
+  private ControlPlaneMessage readPatch(DirectBuffer buffer) {
     ConfigurationPatchDecoder decoder =
         new ConfigurationPatchDecoder().wrapAndApplyHeader(buffer, 0, header);
     byte[] patch = new byte[checkedLength(buffer, decoder.limit(), decoder.contentLength())];
     decoder.getContent(patch, 0, patch.length);
-    return new ToDataPlane.ConfigurationPatch(decoder.fromVersion(), decoder.toVersion(), patch);
+    return new ControlPlaneMessage.ConfigurationPatch(
+        decoder.fromVersion(), decoder.toVersion(), patch);
   }
 
   private static int checkedLength(DirectBuffer buffer, int limit, int length) {
@@ -105,7 +109,7 @@
     return MessageReader.checkedLength(buffer, offset, length);
   }
 
-  private ToDataPlane readSessions(DirectBuffer buffer) {
+  private ControlPlaneMessage readSessions(DirectBuffer buffer) {
     SessionsDecoder decoder = new SessionsDecoder().wrapAndApplyHeader(buffer, 0, header);
     long revision = decoder.revision();
     boolean whole = isSet(decoder.whole());
@@ -119,8 +123,8 @@
       gone.add(id.instance());
     }
     return whole
-        ? new ToDataPlane.SessionSnapshot(revision, complete, changed)
-        : new ToDataPlane.SessionDelta(revision, changed, gone);
+        ? new ControlPlaneMessage.SessionSnapshot(revision, complete, changed)
+        : new ControlPlaneMessage.SessionDelta(revision, changed, gone);
   }
 
   private static BackendSession readSession(SessionsDecoder.ChangedDecoder decoder) {
@@ -137,7 +141,7 @@
         id, service, address, zone, software, slots, draining, coldLeftMillis, sequence);
   }
 
-  private ToDataPlane readShares(DirectBuffer buffer) {
+  private ControlPlaneMessage readShares(DirectBuffer buffer) {
     SharesDecoder decoder = new SharesDecoder().wrapAndApplyHeader(buffer, 0, header);
     int agents = decoder.agents();
     List<TenantShare> tenants = new ArrayList<>();
@@ -145,10 +149,10 @@
       double fraction = tenant.fraction();
       tenants.add(new TenantShare(tenant.tenant(), fraction));
     }
-    return new ToDataPlane.Shares(new AgentShares(agents, tenants));
+    return new ControlPlaneMessage.QuotaUpdate(new QuotaAllocation(agents, tenants));
   }
 
-  private ToDataPlane readHeartbeat(DirectBuffer buffer) {
+  private ControlPlaneMessage readHeartbeat(DirectBuffer buffer) {
     HeartbeatDecoder decoder = new HeartbeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     boolean current = isSet(decoder.current());
     long configurationVersion = decoder.configurationVersion();
@@ -157,7 +161,8 @@
     for (HeartbeatDecoder.ControlAgentsDecoder agent : decoder.controlAgents()) {
       controlAgents.add(agent.address());
     }
-    return new ToDataPlane.Heartbeat(current, configurationVersion, sessionRevision, controlAgents);
+    return new ControlPlaneMessage.Heartbeat(
+        current, configurationVersion, sessionRevision, controlAgents);
   }
 
   private static boolean isSet(Flag flag) {
--- a/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
@@ -1,11 +1,11 @@
 package slateslip.protocol.distribution;
 
 import java.util.List;
-import slateslip.distribution.AgentShares.TenantShare;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
 import slateslip.protocol.MessageBuffer;
 import slateslip.protocol.distribution.generated.AcknowledgeEncoder;
 import slateslip.protocol.distribution.generated.ConfigurationPatchEncoder;
@@ -25,59 +25,59 @@
   private final MessageHeaderEncoder header = new MessageHeaderEncoder();
   private final MessageBuffer written = new MessageBuffer();
 
-  byte[] encode(ToControl message) {
+  byte[] encode(DataPlaneMessage message) {
     return written.copy(write(message));
   }
 
-  byte[] encode(ToDataPlane message) {
+  byte[] encode(ControlPlaneMessage message) {
     return written.copy(write(message));
   }
 
-  private int write(ToControl message) {
-    if (message instanceof ToControl.Subscribe subscribe) {
+  private int write(DataPlaneMessage message) {
+    if (message instanceof DataPlaneMessage.Subscribe subscribe) {
       return write(subscribe);
     }
-    if (message instanceof ToControl.Acknowledge acknowledge) {
+    if (message instanceof DataPlaneMessage.Acknowledge acknowledge) {
       return write(acknowledge);
     }
-    if (message instanceof ToControl.Demand demand) {
+    if (message instanceof DataPlaneMessage.Demand demand) {
       return write(demand);
     }
-    if (message instanceof ToControl.Ping ping) {
+    if (message instanceof DataPlaneMessage.Ping ping) {
       PingEncoder encoder = new PingEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
       return encoder.nonce(ping.nonce()).encodedLength();
     }
     throw new AssertionError("a message that is not in the schema: " + message);
   }
 
-  private int write(ToDataPlane message) {
-    if (message instanceof ToDataPlane.ConfigurationSnapshot snapshot) {
+  private int write(ControlPlaneMessage message) {
+    if (message instanceof ControlPlaneMessage.ConfigurationSnapshot snapshot) {
       return write(snapshot);
     }
-    if (message instanceof ToDataPlane.ConfigurationPatch patch) {
+    if (message instanceof ControlPlaneMessage.ConfigurationPatch patch) {
       return write(patch);
     }
-    if (message instanceof ToDataPlane.SessionSnapshot snapshot) {
+    if (message instanceof ControlPlaneMessage.SessionSnapshot snapshot) {
       return writeSessions(
           snapshot.revision(), true, snapshot.complete(), snapshot.sessions(), List.of());
     }
-    if (message instanceof ToDataPlane.SessionDelta delta) {
+    if (message instanceof ControlPlaneMessage.SessionDelta delta) {
       return writeSessions(delta.revision(), false, false, delta.changed(), delta.gone());
     }
-    if (message instanceof ToDataPlane.Shares shares) {
+    if (message instanceof ControlPlaneMessage.QuotaUpdate shares) {
       return write(shares);
     }
-    if (message instanceof ToDataPlane.Heartbeat heartbeat) {
+    if (message instanceof ControlPlaneMessage.Heartbeat heartbeat) {
       return write(heartbeat);
     }
-    if (message instanceof ToDataPlane.Pong pong) {
+    if (message instanceof ControlPlaneMessage.Pong pong) {
       PongEncoder encoder = new PongEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
       return encoder.nonce(pong.nonce()).encodedLength();
     }
     throw new AssertionError("a message that is not in the schema: " + message);
   }
 
-  private int write(ToControl.Subscribe message) {
+  private int write(DataPlaneMessage.Subscribe message) {
     return new SubscribeEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .incarnation(message.incarnation())
@@ -88,7 +88,7 @@
         .encodedLength();
   }
 
-  private int write(ToControl.Acknowledge message) {
+  private int write(DataPlaneMessage.Acknowledge message) {
     return new AcknowledgeEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .configurationVersion(message.configurationVersion())
@@ -96,7 +96,7 @@
         .encodedLength();
   }
 
-  private int write(ToControl.Demand message) {
+  private int write(DataPlaneMessage.Demand message) {
     DemandEncoder encoder = new DemandEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
     DemandEncoder.TenantsEncoder group = encoder.tenantsCount(message.tenants().size());
     for (TenantDemand demand : message.tenants()) {
@@ -109,7 +109,7 @@
     return encoder.encodedLength();
   }
 
-  private int write(ToDataPlane.ConfigurationSnapshot message) {
+  private int write(ControlPlaneMessage.ConfigurationSnapshot message) {
     return new ConfigurationSnapshotEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .configurationVersion(message.version())
@@ -117,7 +117,7 @@
         .encodedLength();
   }
 
-  private int write(ToDataPlane.ConfigurationPatch message) {
+  private int write(ControlPlaneMessage.ConfigurationPatch message) {
     return new ConfigurationPatchEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .fromVersion(message.fromVersion())
@@ -162,7 +162,7 @@
         .software(session.version());
   }
 
-  private int write(ToDataPlane.Shares message) {
+  private int write(ControlPlaneMessage.QuotaUpdate message) {
     SharesEncoder encoder =
         new SharesEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
@@ -174,7 +174,7 @@
     return encoder.encodedLength();
   }
 
-  private int write(ToDataPlane.Heartbeat message) {
+  private int write(ControlPlaneMessage.Heartbeat message) {
     HeartbeatEncoder encoder =
         new HeartbeatEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
--- a/src/main/java/slateslip/protocol/exchange/StateImageCodec.java
+++ b/src/main/java/slateslip/protocol/exchange/ConfigurationStateCodec.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.agrona.DirectBuffer;
-import slateslip.distribution.exchange.StateImage;
-import slateslip.distribution.exchange.StateImage.CommittedChange;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot.CommittedChange;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageBuffer;
 import slateslip.protocol.MessageReader;
@@ -15,11 +15,11 @@
 import slateslip.protocol.exchange.generated.MessageHeaderEncoder;
 
 /** The replicated configuration state as it is copied and kept on disk. */
-public final class StateImageCodec {
-  private StateImageCodec() {}
+public final class ConfigurationStateCodec {
+  private ConfigurationStateCodec() {}
 
   /** Bytes of a state. */
-  public static byte[] encode(StateImage image) {
+  public static byte[] encode(ConfigurationStateSnapshot image) {
     MessageBuffer written = new MessageBuffer();
     ImageEncoder encoder =
         new ImageEncoder().wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder());
@@ -37,11 +37,11 @@
   }
 
   /** Reads a state. */
-  public static Decoded<StateImage> decode(byte[] bytes) {
-    return MessageReader.read(bytes, ExchangeCodec.SCHEMA_ID, StateImageCodec::read);
+  public static Decoded<ConfigurationStateSnapshot> decode(byte[] bytes) {
+    return MessageReader.read(bytes, ControlPeerCodec.SCHEMA_ID, ConfigurationStateCodec::read);
   }
 
-  private static StateImage read(DirectBuffer buffer, int template) {
+  private static ConfigurationStateSnapshot read(DirectBuffer buffer, int template) {
     if (template != ImageDecoder.TEMPLATE_ID) {
       return null;
     }
@@ -60,6 +60,6 @@
     int length = MessageReader.checkedLength(buffer, offset, decoder.contentLength());
     byte[] document = new byte[length];
     decoder.getContent(document, 0, length);
-    return new StateImage(changes, document);
+    return new ConfigurationStateSnapshot(changes, document);
   }
 }
--- a/src/main/java/slateslip/protocol/exchange/ExchangeDecoder.java
+++ b/src/main/java/slateslip/protocol/exchange/ControlPeerDecoder.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.agrona.DirectBuffer;
-import slateslip.distribution.AgentShares;
-import slateslip.distribution.AgentShares.TenantShare;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.ExchangeMessage.AgentDemand;
-import slateslip.distribution.exchange.ExchangeMessage.AllottedShares;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.distribution.exchange.SessionEntry;
 import slateslip.distribution.exchange.SessionRenewal;
 import slateslip.protocol.MessageReader;
@@ -30,23 +30,23 @@
 import slateslip.protocol.exchange.generated.SessionsStoredDecoder;
 
 /** Reads messages of the exchange schema; errors as {@link MessageReader.BodyReader} says. */
-final class ExchangeDecoder {
+final class ControlPeerDecoder {
   private final MessageHeaderDecoder header = new MessageHeaderDecoder();
 
   /** Reads a message; null if its kind is not known. */
-  ExchangeMessage read(DirectBuffer buffer, int template) {
+  ControlPeerMessage read(DirectBuffer buffer, int template) {
     return switch (template) {
       case GreetingDecoder.TEMPLATE_ID -> readGreeting(buffer);
       case BeatDecoder.TEMPLATE_ID -> readBeat(buffer);
       case SessionChangesDecoder.TEMPLATE_ID -> readChanges(buffer);
       case SessionRenewalsDecoder.TEMPLATE_ID -> readRenewals(buffer);
       case SessionsStoredDecoder.TEMPLATE_ID ->
-          new ExchangeMessage.SessionsStored(
+          new ControlPeerMessage.SessionChangesAcknowledged(
               new SessionsStoredDecoder().wrapAndApplyHeader(buffer, 0, header).number());
       case ForwardedDecoder.TEMPLATE_ID -> readForwarded(buffer);
       case AnsweredDecoder.TEMPLATE_ID -> readAnswered(buffer);
       case DeliveredDecoder.TEMPLATE_ID ->
-          new ExchangeMessage.Delivered(
+          new ControlPeerMessage.DeliveryReport(
               new DeliveredDecoder().wrapAndApplyHeader(buffer, 0, header).slowestVersion());
       case DemandsDecoder.TEMPLATE_ID -> readDemands(buffer);
       case AllottedDecoder.TEMPLATE_ID -> readAllotted(buffer);
@@ -54,13 +54,13 @@
     };
   }
 
-  private ExchangeMessage readGreeting(DirectBuffer buffer) {
+  private ControlPeerMessage readGreeting(DirectBuffer buffer) {
     GreetingDecoder decoder = new GreetingDecoder().wrapAndApplyHeader(buffer, 0, header);
     long incarnation = decoder.incarnation();
-    return new ExchangeMessage.Greeting(decoder.address(), incarnation);
+    return new ControlPeerMessage.Hello(decoder.address(), incarnation);
   }
 
-  private ExchangeMessage readBeat(DirectBuffer buffer) {
+  private ControlPeerMessage readBeat(DirectBuffer buffer) {
     BeatDecoder decoder = new BeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
     long echoed = decoder.echoed();
@@ -69,27 +69,29 @@
     for (BeatDecoder.KnownAgentsDecoder agent : decoder.knownAgents()) {
       known.add(agent.address());
     }
-    return new ExchangeMessage.Beat(number, echoed, complete, known);
+    return new ControlPeerMessage.Heartbeat(number, echoed, complete, known);
   }
 
-  private ExchangeMessage readForwarded(DirectBuffer buffer) {
+  private ControlPeerMessage readForwarded(DirectBuffer buffer) {
     ForwardedDecoder decoder = new ForwardedDecoder().wrapAndApplyHeader(buffer, 0, header);
     long id = decoder.call();
     long baseVersion = decoder.baseVersion();
-    OperatorCall.Method method = CallMethods.fromWire(decoder.method());
+    OperatorRequest.Method method = OperatorMethods.fromWire(decoder.method());
     byte[] body = new byte[checkedLength(buffer, decoder.limit(), decoder.contentLength())];
     decoder.getContent(body, 0, body.length);
-    return new ExchangeMessage.Forwarded(id, new OperatorCall(method, baseVersion, body));
+    return new ControlPeerMessage.ForwardedRequest(
+        id, new OperatorRequest(method, baseVersion, body));
   }
 
-  private ExchangeMessage readAnswered(DirectBuffer buffer) {
+  private ControlPeerMessage readAnswered(DirectBuffer buffer) {
     AnsweredDecoder decoder = new AnsweredDecoder().wrapAndApplyHeader(buffer, 0, header);
     long id = decoder.call();
     long version = decoder.configurationVersion();
     int status = decoder.status();
     byte[] body = new byte[checkedLength(buffer, decoder.limit(), decoder.contentLength())];
     decoder.getContent(body, 0, body.length);
-    return new ExchangeMessage.Answered(id, new OperatorAnswer(status, version, body));
+    return new ControlPeerMessage.ForwardedResponse(
+        id, new OperatorResponse(status, version, body));
   }
 
   private static int checkedLength(DirectBuffer buffer, int limit, int length) {
@@ -97,7 +99,7 @@
     return MessageReader.checkedLength(buffer, offset, length);
   }
 
-  private ExchangeMessage readChanges(DirectBuffer buffer) {
+  private ControlPeerMessage readChanges(DirectBuffer buffer) {
     SessionChangesDecoder decoder =
         new SessionChangesDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
@@ -110,7 +112,7 @@
     for (SessionChangesDecoder.DepartedDecoder id : decoder.departed()) {
       departed.add(id.instance());
     }
-    return new ExchangeMessage.SessionChanges(number, whole, entries, departed);
+    return new ControlPeerMessage.SessionChanges(number, whole, entries, departed);
   }
 
   private static SessionEntry readEntry(SessionChangesDecoder.EntriesDecoder decoder) {
@@ -131,7 +133,7 @@
     return new SessionEntry(session, registeredAge, heardAge);
   }
 
-  private ExchangeMessage readRenewals(DirectBuffer buffer) {
+  private ControlPeerMessage readRenewals(DirectBuffer buffer) {
     SessionRenewalsDecoder decoder =
         new SessionRenewalsDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<SessionRenewal> renewals = new ArrayList<>();
@@ -139,12 +141,12 @@
       long heardAge = renewal.heardAgeMillis();
       renewals.add(new SessionRenewal(renewal.instance(), heardAge));
     }
-    return new ExchangeMessage.SessionRenewals(renewals);
+    return new ControlPeerMessage.SessionRenewals(renewals);
   }
 
-  private ExchangeMessage readDemands(DirectBuffer buffer) {
+  private ControlPeerMessage readDemands(DirectBuffer buffer) {
     DemandsDecoder decoder = new DemandsDecoder().wrapAndApplyHeader(buffer, 0, header);
-    List<AgentDemand> demands = new ArrayList<>();
+    List<DataPlaneDemand> demands = new ArrayList<>();
     for (DemandsDecoder.AgentsDecoder agent : decoder.agents()) {
       long incarnation = agent.incarnation();
       List<TenantDemand> tenants = new ArrayList<>();
@@ -153,14 +155,14 @@
         long admitted = tenant.admittedUnits();
         tenants.add(new TenantDemand(tenant.tenant(), wanted, admitted));
       }
-      demands.add(new AgentDemand(agent.node(), incarnation, tenants));
+      demands.add(new DataPlaneDemand(agent.node(), incarnation, tenants));
     }
-    return new ExchangeMessage.Demands(demands);
+    return new ControlPeerMessage.DemandReport(demands);
   }
 
-  private ExchangeMessage readAllotted(DirectBuffer buffer) {
+  private ControlPeerMessage readAllotted(DirectBuffer buffer) {
     AllottedDecoder decoder = new AllottedDecoder().wrapAndApplyHeader(buffer, 0, header);
-    List<AllottedShares> allotted = new ArrayList<>();
+    List<DataPlaneQuota> allotted = new ArrayList<>();
     for (AllottedDecoder.AgentsDecoder agent : decoder.agents()) {
       int agents = agent.agents();
       List<TenantShare> shares = new ArrayList<>();
@@ -168,9 +170,9 @@
         double fraction = tenant.fraction();
         shares.add(new TenantShare(tenant.tenant(), fraction));
       }
-      allotted.add(new AllottedShares(agent.node(), new AgentShares(agents, shares)));
+      allotted.add(new DataPlaneQuota(agent.node(), new QuotaAllocation(agents, shares)));
     }
-    return new ExchangeMessage.Allotted(allotted);
+    return new ControlPeerMessage.QuotaAllocations(allotted);
   }
 
   private static boolean isSet(Flag flag) {
--- a/src/main/java/slateslip/protocol/exchange/ExchangeEncoder.java
+++ b/src/main/java/slateslip/protocol/exchange/ControlPeerEncoder.java
@@ -1,13 +1,13 @@
 package slateslip.protocol.exchange;
 
 import java.util.List;
-import slateslip.distribution.AgentShares.TenantShare;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.ExchangeMessage.AgentDemand;
-import slateslip.distribution.exchange.ExchangeMessage.AllottedShares;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.exchange.OperatorRequest;
 import slateslip.distribution.exchange.SessionEntry;
 import slateslip.distribution.exchange.SessionRenewal;
 import slateslip.protocol.MessageBuffer;
@@ -25,49 +25,49 @@
 import slateslip.protocol.exchange.generated.SessionsStoredEncoder;
 
 /** Writes messages of the exchange schema. Not safe for several threads. */
-final class ExchangeEncoder {
+final class ControlPeerEncoder {
   private final MessageHeaderEncoder header = new MessageHeaderEncoder();
   private final MessageBuffer written = new MessageBuffer();
 
-  byte[] encode(ExchangeMessage message) {
+  byte[] encode(ControlPeerMessage message) {
     return written.copy(write(message));
   }
 
-  private int write(ExchangeMessage message) {
-    if (message instanceof ExchangeMessage.Greeting greeting) {
+  private int write(ControlPeerMessage message) {
+    if (message instanceof ControlPeerMessage.Hello greeting) {
       return write(greeting);
     }
-    if (message instanceof ExchangeMessage.Beat beat) {
+    if (message instanceof ControlPeerMessage.Heartbeat beat) {
       return write(beat);
     }
-    if (message instanceof ExchangeMessage.Forwarded forwarded) {
+    if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
       return write(forwarded);
     }
-    if (message instanceof ExchangeMessage.Answered answered) {
+    if (message instanceof ControlPeerMessage.ForwardedResponse answered) {
       return write(answered);
     }
-    if (message instanceof ExchangeMessage.Delivered delivered) {
+    if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
       DeliveredEncoder encoder = new DeliveredEncoder();
       encoder.wrapAndApplyHeader(written.buffer(), 0, header);
       return encoder.slowestVersion(delivered.slowestVersion()).encodedLength();
     }
-    if (message instanceof ExchangeMessage.Demands demands) {
+    if (message instanceof ControlPeerMessage.DemandReport demands) {
       return write(demands);
     }
-    if (message instanceof ExchangeMessage.Allotted allotted) {
+    if (message instanceof ControlPeerMessage.QuotaAllocations allotted) {
       return write(allotted);
     }
     return writeSessions(message);
   }
 
-  private int writeSessions(ExchangeMessage message) {
-    if (message instanceof ExchangeMessage.SessionChanges changes) {
+  private int writeSessions(ControlPeerMessage message) {
+    if (message instanceof ControlPeerMessage.SessionChanges changes) {
       return write(changes);
     }
-    if (message instanceof ExchangeMessage.SessionRenewals renewals) {
+    if (message instanceof ControlPeerMessage.SessionRenewals renewals) {
       return write(renewals);
     }
-    if (message instanceof ExchangeMessage.SessionsStored stored) {
+    if (message instanceof ControlPeerMessage.SessionChangesAcknowledged stored) {
       SessionsStoredEncoder encoder = new SessionsStoredEncoder();
       encoder.wrapAndApplyHeader(written.buffer(), 0, header);
       return encoder.number(stored.number()).encodedLength();
@@ -75,7 +75,7 @@
     throw new AssertionError("a message that is not in the schema: " + message);
   }
 
-  private int write(ExchangeMessage.Greeting message) {
+  private int write(ControlPeerMessage.Hello message) {
     return new GreetingEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .incarnation(message.incarnation())
@@ -83,7 +83,7 @@
         .encodedLength();
   }
 
-  private int write(ExchangeMessage.Beat message) {
+  private int write(ControlPeerMessage.Heartbeat message) {
     BeatEncoder encoder =
         new BeatEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
@@ -97,18 +97,18 @@
     return encoder.encodedLength();
   }
 
-  private int write(ExchangeMessage.Forwarded message) {
-    OperatorCall call = message.call();
+  private int write(ControlPeerMessage.ForwardedRequest message) {
+    OperatorRequest call = message.call();
     return new ForwardedEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .call(message.id())
         .baseVersion(call.baseVersion())
-        .method(CallMethods.toWire(call.method()))
+        .method(OperatorMethods.toWire(call.method()))
         .putContent(call.body(), 0, call.body().length)
         .encodedLength();
   }
 
-  private int write(ExchangeMessage.Answered message) {
+  private int write(ControlPeerMessage.ForwardedResponse message) {
     byte[] body = message.answer().body();
     return new AnsweredEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
@@ -119,7 +119,7 @@
         .encodedLength();
   }
 
-  private int write(ExchangeMessage.SessionChanges message) {
+  private int write(ControlPeerMessage.SessionChanges message) {
     SessionChangesEncoder encoder =
         new SessionChangesEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
@@ -152,7 +152,7 @@
         .software(session.version());
   }
 
-  private int write(ExchangeMessage.SessionRenewals message) {
+  private int write(ControlPeerMessage.SessionRenewals message) {
     SessionRenewalsEncoder encoder =
         new SessionRenewalsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
     List<SessionRenewal> renewals = message.renewals();
@@ -163,10 +163,10 @@
     return encoder.encodedLength();
   }
 
-  private int write(ExchangeMessage.Demands message) {
+  private int write(ControlPeerMessage.DemandReport message) {
     DemandsEncoder encoder = new DemandsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
     DemandsEncoder.AgentsEncoder agents = encoder.agentsCount(message.agents().size());
-    for (AgentDemand demand : message.agents()) {
+    for (DataPlaneDemand demand : message.agents()) {
       DemandsEncoder.AgentsEncoder agent = agents.next().incarnation(demand.incarnation());
       DemandsEncoder.AgentsEncoder.TenantsEncoder tenants =
           agent.tenantsCount(demand.tenants().size());
@@ -182,10 +182,10 @@
     return encoder.encodedLength();
   }
 
-  private int write(ExchangeMessage.Allotted message) {
+  private int write(ControlPeerMessage.QuotaAllocations message) {
     AllottedEncoder encoder = new AllottedEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
     AllottedEncoder.AgentsEncoder agents = encoder.agentsCount(message.agents().size());
-    for (AllottedShares allotted : message.agents()) {
+    for (DataPlaneQuota allotted : message.agents()) {
       AllottedEncoder.AgentsEncoder agent = agents.next().agents(allotted.shares().agents());
       AllottedEncoder.AgentsEncoder.TenantsEncoder tenants =
           agent.tenantsCount(allotted.shares().tenants().size());
--- a/src/main/java/slateslip/protocol/exchange/CallMethods.java
+++ b/src/main/java/slateslip/protocol/exchange/OperatorMethods.java
@@ -1,13 +1,13 @@
 package slateslip.protocol.exchange;
 
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
 import slateslip.protocol.exchange.generated.CallMethod;
 
 /** The methods of operator's calls on the wire. */
-final class CallMethods {
-  private CallMethods() {}
+final class OperatorMethods {
+  private OperatorMethods() {}
 
-  static CallMethod toWire(OperatorCall.Method method) {
+  static CallMethod toWire(OperatorRequest.Method method) {
     return switch (method) {
       case GET -> CallMethod.GET;
       case PUT -> CallMethod.PUT;
@@ -15,11 +15,11 @@
     };
   }
 
-  static OperatorCall.Method fromWire(CallMethod method) {
+  static OperatorRequest.Method fromWire(CallMethod method) {
     return switch (method) {
-      case GET -> OperatorCall.Method.GET;
-      case PUT -> OperatorCall.Method.PUT;
-      case PATCH -> OperatorCall.Method.PATCH;
+      case GET -> OperatorRequest.Method.GET;
+      case PUT -> OperatorRequest.Method.PUT;
+      case PATCH -> OperatorRequest.Method.PATCH;
       case NULL_VAL -> throw new IllegalArgumentException("no method");
     };
   }
--- a/src/main/java/slateslip/protocol/exchange/ChangeCodec.java
+++ b/src/main/java/slateslip/protocol/exchange/OperatorRequestCodec.java
@@ -1,7 +1,7 @@
 package slateslip.protocol.exchange;
 
 import org.agrona.DirectBuffer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageBuffer;
 import slateslip.protocol.MessageReader;
@@ -12,39 +12,39 @@
 import slateslip.protocol.exchange.generated.MessageHeaderEncoder;
 
 /** The record of a change: the operator's call as it was sent. */
-public final class ChangeCodec {
-  private ChangeCodec() {}
+public final class OperatorRequestCodec {
+  private OperatorRequestCodec() {}
 
   /** Bytes of a call. */
-  public static byte[] encode(OperatorCall call) {
+  public static byte[] encode(OperatorRequest call) {
     MessageBuffer written = new MessageBuffer();
     int length =
         new ChangeEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder())
             .baseVersion(call.baseVersion())
-            .method(CallMethods.toWire(call.method()))
+            .method(OperatorMethods.toWire(call.method()))
             .putContent(call.body(), 0, call.body().length)
             .encodedLength();
     return written.copy(length);
   }
 
   /** Reads a call. */
-  public static Decoded<OperatorCall> decode(byte[] bytes) {
-    return MessageReader.read(bytes, ExchangeCodec.SCHEMA_ID, ChangeCodec::read);
+  public static Decoded<OperatorRequest> decode(byte[] bytes) {
+    return MessageReader.read(bytes, ControlPeerCodec.SCHEMA_ID, OperatorRequestCodec::read);
   }
 
-  private static OperatorCall read(DirectBuffer buffer, int template) {
+  private static OperatorRequest read(DirectBuffer buffer, int template) {
     if (template != ChangeDecoder.TEMPLATE_ID) {
       return null;
     }
     ChangeDecoder decoder =
         new ChangeDecoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long baseVersion = decoder.baseVersion();
-    OperatorCall.Method method = CallMethods.fromWire(decoder.method());
+    OperatorRequest.Method method = OperatorMethods.fromWire(decoder.method());
     int offset = decoder.limit() + DocumentDecoder.varDataEncodingOffset();
     int length = MessageReader.checkedLength(buffer, offset, decoder.contentLength());
     byte[] body = new byte[length];
     decoder.getContent(body, 0, length);
-    return new OperatorCall(method, baseVersion, body);
+    return new OperatorRequest(method, baseVersion, body);
   }
 }
--- a/src/main/java/slateslip/routing/RouterInput.java
+++ b/src/main/java/slateslip/routing/RouterInput.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import slateslip.configuration.RoutingTable;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
 
 /** What can happen to a {@link RequestRouter}. */
 public sealed interface RouterInput {
@@ -14,7 +14,7 @@
   record BackendsChanged(List<BackendSession> backends) implements RouterInput {}
 
   /** This data plane's share of the fleet-wide limits. */
-  record SharesChanged(AgentShares shares) implements RouterInput {}
+  record SharesChanged(QuotaAllocation shares) implements RouterInput {}
 
   /**
    * A whole request has been read from a client.
--- a/src/main/java/slateslip/routing/quota/TenantQuotas.java
+++ b/src/main/java/slateslip/routing/quota/TenantQuotas.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import slateslip.configuration.Tenant;
-import slateslip.distribution.AgentShares;
-import slateslip.distribution.AgentShares.TenantShare;
+import slateslip.distribution.QuotaAllocation;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.quota.ShareAllocator;
+import slateslip.distribution.quota.QuotaAllocator;
 
 /** Quotas of all tenants at one data plane. */
 public final class TenantQuotas {
@@ -61,7 +61,7 @@
   }
 
   /** Takes this data plane's shares. */
-  public void shares(AgentShares shares, long nowMicros) {
+  public void shares(QuotaAllocation shares, long nowMicros) {
     agents = Math.max(1, shares.agents());
     fractions.clear();
     for (TenantShare share : shares.tenants()) {
@@ -117,7 +117,7 @@
   }
 
   private void checkStale(long nowMicros) {
-    if (!stale && nowMicros - sharesMicros > ShareAllocator.SHARES_STALE_MICROS) {
+    if (!stale && nowMicros - sharesMicros > QuotaAllocator.SHARES_STALE_MICROS) {
       stale = true;
       states.values().forEach(this::apply);
     }
--- a/src/main/java/slateslip/settings/SettingsWatch.java
+++ b/src/main/java/slateslip/settings/SettingsFileWatcher.java
@@ -12,8 +12,8 @@
  * Reads the settings file again when it has changed or when it is told to. A file that is not
  * usable changes nothing.
  */
-public final class SettingsWatch {
-  private static final Logger LOG = Logger.getLogger(SettingsWatch.class);
+public final class SettingsFileWatcher {
+  private static final Logger LOG = Logger.getLogger(SettingsFileWatcher.class);
   private static final long LOOK_MILLIS = 2_000;
 
   private final Path file;
@@ -25,7 +25,7 @@
    *
    * @param changed is told new settings, on any thread
    */
-  public SettingsWatch(Path file, Consumer<NodeSettings> changed) {
+  public SettingsFileWatcher(Path file, Consumer<NodeSettings> changed) {
     this.file = file;
     this.changed = changed;
     this.modified = modifiedTime();
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
@@ -8,10 +8,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import slateslip.configuration.RoutingTable;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.quota.ShareAllocator;
+import slateslip.distribution.quota.QuotaAllocator;
 import slateslip.routing.RouterInput;
 
 /** Stands for the control plane: tells data planes the table, the backends and their shares. */
@@ -32,7 +32,7 @@
   private final Map<String, BackendSession> sessions = new LinkedHashMap<>();
   private final List<DataPlaneHost> hosts = new ArrayList<>();
   private final Map<DataPlaneHost, Long> lastDelivery = new HashMap<>();
-  private final ShareAllocator allocator = new ShareAllocator();
+  private final QuotaAllocator allocator = new QuotaAllocator();
 
   SimulatedControl(WorldPlan plan, EventLoop loop, RoutingTable table) {
     this.loop = loop;
@@ -96,12 +96,12 @@
   }
 
   private void allocate() {
-    Map<String, AgentShares> byName = new HashMap<>();
+    Map<String, QuotaAllocation> byName = new HashMap<>();
     allocator
         .allocate(loop.nowMicros())
         .forEach(allocation -> byName.put(allocation.agent(), allocation.shares()));
     for (DataPlaneHost host : hosts) {
-      AgentShares shares = byName.get(name(host));
+      QuotaAllocation shares = byName.get(name(host));
       if (shares != null) {
         deliver(host, new RouterInput.SharesChanged(shares), none -> {});
       }
--- a/src/scale/java/slateslip/scale/LoopTurnTimes.java
+++ b/src/scale/java/slateslip/scale/LoopTurnTimes.java
@@ -5,15 +5,15 @@
 import java.util.Collections;
 import java.util.List;
 import slateslip.controlplane.state.ConfigurationState;
-import slateslip.coordination.Preparation;
+import slateslip.coordination.PreparedCommand;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.OperatorRequest;
 import slateslip.distribution.exchange.SessionEntry;
 import slateslip.distribution.exchange.SessionRenewal;
 import slateslip.distribution.sessions.SessionTable;
-import slateslip.protocol.exchange.ChangeCodec;
-import slateslip.protocol.exchange.ExchangeCodec;
+import slateslip.protocol.exchange.ControlPeerCodec;
+import slateslip.protocol.exchange.OperatorRequestCodec;
 
 /**
  * Times what holds a control agent's event loop longest, piece by piece: changes of a configuration
@@ -43,9 +43,9 @@
     List<Long> snapshots = new ArrayList<>();
     List<Long> restores = new ArrayList<>();
     for (int version = 1; version <= CHANGES; version++) {
-      byte[] command = ChangeCodec.encode(change(version));
+      byte[] command = OperatorRequestCodec.encode(change(version));
       prepares.add(time(() -> primary.prepare(command)));
-      if (!(primary.prepare(command) instanceof Preparation.Change)) {
+      if (!(primary.prepare(command) instanceof PreparedCommand.Change)) {
         throw new IllegalStateException("a change that is refused");
       }
       primary.apply(command);
@@ -63,7 +63,7 @@
   }
 
   /** A whole configuration at first and each tenth time, else a change of one route. */
-  private static OperatorCall change(int version) {
+  private static OperatorRequest change(int version) {
     boolean whole = version % 10 == 1;
     String body =
         whole
@@ -77,8 +77,9 @@
                 + ",\"upsert\":{\"routes\":["
                 + route(version % ROUTES)
                 + "]}}";
-    OperatorCall.Method method = whole ? OperatorCall.Method.PUT : OperatorCall.Method.PATCH;
-    return new OperatorCall(method, version - 1, body.getBytes(StandardCharsets.UTF_8));
+    OperatorRequest.Method method =
+        whole ? OperatorRequest.Method.PUT : OperatorRequest.Method.PATCH;
+    return new OperatorRequest(method, version - 1, body.getBytes(StandardCharsets.UTF_8));
   }
 
   private static String all() {
@@ -105,7 +106,7 @@
       table.heartbeat(1_000_000, session(number));
       renewals.add(new SessionRenewal("i-" + number, 5));
     }
-    ExchangeCodec codec = new ExchangeCodec();
+    ControlPeerCodec codec = new ControlPeerCodec();
     List<Long> encodes = new ArrayList<>();
     List<Long> merges = new ArrayList<>();
     List<Long> renewing = new ArrayList<>();
@@ -114,7 +115,9 @@
       List<SessionEntry> entries = table.entries(1_500_000);
       encodes.add(
           time(
-              () -> codec.encode(new ExchangeMessage.SessionChanges(0, true, entries, List.of()))));
+              () ->
+                  codec.encode(
+                      new ControlPeerMessage.SessionChanges(0, true, entries, List.of()))));
       merges.add(time(() -> entries.forEach(entry -> peer.merge(1_500_000, "p", entry))));
       renewing.add(time(() -> renewals.forEach(each -> peer.merge(1_600_000, "p", each))));
       expiring.add(time(() -> peer.expire(1_700_000)));
--- a/src/scale/java/slateslip/scale/WireSizes.java
+++ b/src/scale/java/slateslip/scale/WireSizes.java
@@ -6,16 +6,16 @@
 import java.util.TreeSet;
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
-import slateslip.distribution.exchange.ExchangeMessage;
+import slateslip.distribution.exchange.ControlPeerMessage;
 import slateslip.distribution.exchange.SessionRenewal;
 import slateslip.protocol.Framing;
 import slateslip.protocol.distribution.DistributionCodec;
-import slateslip.protocol.exchange.ExchangeCodec;
+import slateslip.protocol.exchange.ControlPeerCodec;
 
 /** Bytes of messages by the number of their entries; no process, no clock. */
 final class WireSizes {
@@ -50,11 +50,11 @@
   }
 
   private static byte[] snapshot(int size) {
-    return CODEC.encode(new ToDataPlane.SessionSnapshot(1, true, sessions(size)));
+    return CODEC.encode(new ControlPlaneMessage.SessionSnapshot(1, true, sessions(size)));
   }
 
   private static byte[] delta(int size) {
-    return CODEC.encode(new ToDataPlane.SessionDelta(1, sessions(size), List.of()));
+    return CODEC.encode(new ControlPlaneMessage.SessionDelta(1, sessions(size), List.of()));
   }
 
   private static List<BackendSession> sessions(int size) {
@@ -70,11 +70,11 @@
   }
 
   private static byte[] shares(int size) {
-    List<AgentShares.TenantShare> tenants =
+    List<QuotaAllocation.TenantShare> tenants =
         IntStream.range(0, size)
-            .mapToObj(tenant -> new AgentShares.TenantShare(tenant(tenant), 0.01))
+            .mapToObj(tenant -> new QuotaAllocation.TenantShare(tenant(tenant), 0.01))
             .toList();
-    return CODEC.encode(new ToDataPlane.Shares(new AgentShares(570, tenants)));
+    return CODEC.encode(new ControlPlaneMessage.QuotaUpdate(new QuotaAllocation(570, tenants)));
   }
 
   private static byte[] demand(int size) {
@@ -82,13 +82,13 @@
         IntStream.range(0, size)
             .mapToObj(tenant -> new TenantDemand(tenant(tenant), 1_000_000, 1_000_000))
             .toList();
-    return CODEC.encode(new ToControl.Demand(tenants));
+    return CODEC.encode(new DataPlaneMessage.Demand(tenants));
   }
 
   private static byte[] renewals(int size) {
     List<SessionRenewal> renewals =
         sessions(size).stream().map(each -> new SessionRenewal(each.id(), 100)).toList();
-    return new ExchangeCodec().encode(new ExchangeMessage.SessionRenewals(renewals));
+    return new ControlPeerCodec().encode(new ControlPeerMessage.SessionRenewals(renewals));
   }
 
   private static byte[] heartbeat(int size) {
@@ -96,7 +96,7 @@
         IntStream.range(0, size)
             .mapToObj(agent -> "10.9." + agent / 250 + "." + agent % 250)
             .toList();
-    return CODEC.encode(new ToDataPlane.Heartbeat(true, 22_000, 1_000_000, agents));
+    return CODEC.encode(new ControlPlaneMessage.Heartbeat(true, 22_000, 1_000_000, agents));
   }
 
   private static String tenant(int number) {
--- a/src/test/java/slateslip/controlplane/ControlPlaneStage.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneCluster.java
@@ -19,7 +19,7 @@
 import slateslip.settings.SettingsOutcome;
 
 /** Control agents on loopback addresses, with disks of their own, and callers. */
-final class ControlPlaneStage implements AutoCloseable {
+final class ControlPlaneCluster implements AutoCloseable {
   /** Ends a test that waits in vain; answers that are not clear come back within a millisecond. */
   private static final int SERVING_TRIES = 20_000;
 
@@ -31,7 +31,7 @@
   private final int internalPort;
 
   /** Starts as many agents as said; they tolerate the loss of one if there are three. */
-  ControlPlaneStage(Path folder, int size) throws IOException {
+  ControlPlaneCluster(Path folder, int size) throws IOException {
     this.folder = folder;
     this.size = size;
     controlPort = freePort();
--- a/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
 
 /** Three control agents on loopback: calls at any of them, and data planes at each. */
 class ControlPlaneFleetTest {
@@ -22,11 +22,11 @@
   private static final int MANY_CALLS = 100_000;
 
   @TempDir Path folder;
-  private ControlPlaneStage stage;
+  private ControlPlaneCluster stage;
 
   @BeforeEach
   void start() throws IOException {
-    stage = new ControlPlaneStage(folder, AGENTS);
+    stage = new ControlPlaneCluster(folder, AGENTS);
   }
 
   @AfterEach
@@ -52,7 +52,7 @@
     for (int agent = 0; agent < AGENTS; agent++) {
       try (DataPlaneStandIn dataPlane =
           new DataPlaneStandIn(stage.internalSocket(agent), "edge-" + agent)) {
-        dataPlane.await(message -> message instanceof ToDataPlane.ConfigurationSnapshot);
+        dataPlane.await(message -> message instanceof ControlPlaneMessage.ConfigurationSnapshot);
         String id = "i-" + agent;
         int other = (agent + 1) % AGENTS;
         String body = OperatorDocuments.instance("ready", 1).replace("10.1.0.9", "10.1.0." + agent);
@@ -68,12 +68,13 @@
   void anAcknowledgedPatchHasReachedTheDataPlane() throws Exception {
     assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
     try (DataPlaneStandIn dataPlane = new DataPlaneStandIn(stage.internalSocket(1), "edge")) {
-      dataPlane.await(message -> message instanceof ToDataPlane.ConfigurationSnapshot);
+      dataPlane.await(message -> message instanceof ControlPlaneMessage.ConfigurationSnapshot);
       HttpResponse<String> answer =
           stage.callUntilClear(2, "PATCH", "/config", "3", OperatorDocuments.patch(4, "added"));
       assertThat(answer.statusCode(), is(200));
-      ToDataPlane message = dataPlane.await(each -> each instanceof ToDataPlane.ConfigurationPatch);
-      assertThat(((ToDataPlane.ConfigurationPatch) message).toVersion(), is(4L));
+      ControlPlaneMessage message =
+          dataPlane.await(each -> each instanceof ControlPlaneMessage.ConfigurationPatch);
+      assertThat(((ControlPlaneMessage.ConfigurationPatch) message).toVersion(), is(4L));
     }
   }
 
@@ -98,15 +99,15 @@
     for (int agent = 0; agent < AGENTS; agent++) {
       try (DataPlaneStandIn dataPlane =
           new DataPlaneStandIn(stage.internalSocket(agent), "edge-" + agent)) {
-        ToDataPlane shares = null;
+        ControlPlaneMessage shares = null;
         while (shares == null) {
-          dataPlane.send(new ToControl.Demand(List.of(new TenantDemand("t", 100, 100))));
-          ToDataPlane next =
+          dataPlane.send(new DataPlaneMessage.Demand(List.of(new TenantDemand("t", 100, 100))));
+          ControlPlaneMessage next =
               dataPlane.await(
                   message ->
-                      message instanceof ToDataPlane.Shares
-                          || message instanceof ToDataPlane.Heartbeat);
-          shares = next instanceof ToDataPlane.Shares ? next : null;
+                      message instanceof ControlPlaneMessage.QuotaUpdate
+                          || message instanceof ControlPlaneMessage.Heartbeat);
+          shares = next instanceof ControlPlaneMessage.QuotaUpdate ? next : null;
         }
       }
     }
@@ -127,16 +128,16 @@
     assertThat(stage.call(2, "GET", "/config", null, null).statusCode(), is(503));
   }
 
-  private static boolean isRegistered(ToDataPlane message, String id) {
-    if (message instanceof ToDataPlane.SessionDelta delta) {
+  private static boolean isRegistered(ControlPlaneMessage message, String id) {
+    if (message instanceof ControlPlaneMessage.SessionDelta delta) {
       return delta.changed().stream().anyMatch(session -> session.id().equals(id));
     }
-    return message instanceof ToDataPlane.SessionSnapshot snapshot
+    return message instanceof ControlPlaneMessage.SessionSnapshot snapshot
         && snapshot.sessions().stream().anyMatch(session -> session.id().equals(id));
   }
 
-  private static boolean isGone(ToDataPlane message, String id) {
-    return message instanceof ToDataPlane.SessionDelta delta && delta.gone().contains(id);
+  private static boolean isGone(ControlPlaneMessage message, String id) {
+    return message instanceof ControlPlaneMessage.SessionDelta delta && delta.gone().contains(id);
   }
 
   private int config(int agent, String base, String body) throws Exception {
--- a/src/test/java/slateslip/controlplane/ControlPlaneTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneTest.java
@@ -26,11 +26,11 @@
   private static final String INSTANCE = "/instances/i-1";
 
   @TempDir Path folder;
-  private ControlPlaneStage stage;
+  private ControlPlaneCluster stage;
 
   @BeforeEach
   void start() throws IOException {
-    stage = new ControlPlaneStage(folder, 1);
+    stage = new ControlPlaneCluster(folder, 1);
   }
 
   @AfterEach
--- a/src/test/java/slateslip/controlplane/DataPlaneStandIn.java
+++ b/src/test/java/slateslip/controlplane/DataPlaneStandIn.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.DistributionCodec;
 
@@ -18,23 +18,23 @@
   private static final long PATIENCE_SECONDS = 20;
 
   private final DistributionCodec encoder = new DistributionCodec();
-  private final BlockingQueue<ToDataPlane> received = new LinkedBlockingQueue<>();
+  private final BlockingQueue<ControlPlaneMessage> received = new LinkedBlockingQueue<>();
   private final Socket socket;
   private long version;
   private long revision = -1;
 
   DataPlaneStandIn(Socket socket, String node) throws IOException {
     this.socket = socket;
-    send(new ToControl.Subscribe(node, 1, "z", 0, true));
+    send(new DataPlaneMessage.Subscribe(node, 1, "z", 0, true));
     Thread reader = new Thread(this::readForEver, "data plane stand-in");
     reader.setDaemon(true);
     reader.start();
   }
 
   /** The next message that fits; others before it are passed over. */
-  ToDataPlane await(Predicate<ToDataPlane> fits) throws InterruptedException {
+  ControlPlaneMessage await(Predicate<ControlPlaneMessage> fits) throws InterruptedException {
     while (true) {
-      ToDataPlane message = received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      ControlPlaneMessage message = received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
       if (message == null) {
         throw new AssertionError("nothing that fits has come");
       }
@@ -51,29 +51,29 @@
       while (true) {
         byte[] message = new byte[input.readInt()];
         input.readFully(message);
-        Decoded<ToDataPlane> decoded = decoder.decodeToDataPlane(message);
-        take(((Decoded.Message<ToDataPlane>) decoded).value());
+        Decoded<ControlPlaneMessage> decoded = decoder.decodeToDataPlane(message);
+        take(((Decoded.Message<ControlPlaneMessage>) decoded).value());
       }
     } catch (IOException closed) {
       // the stage closes streams
     }
   }
 
-  private void take(ToDataPlane message) throws IOException {
-    if (message instanceof ToDataPlane.ConfigurationSnapshot snapshot) {
+  private void take(ControlPlaneMessage message) throws IOException {
+    if (message instanceof ControlPlaneMessage.ConfigurationSnapshot snapshot) {
       version = snapshot.version();
-    } else if (message instanceof ToDataPlane.ConfigurationPatch patch) {
+    } else if (message instanceof ControlPlaneMessage.ConfigurationPatch patch) {
       version = patch.toVersion();
-    } else if (message instanceof ToDataPlane.SessionSnapshot snapshot) {
+    } else if (message instanceof ControlPlaneMessage.SessionSnapshot snapshot) {
       revision = snapshot.revision();
-    } else if (message instanceof ToDataPlane.SessionDelta delta) {
+    } else if (message instanceof ControlPlaneMessage.SessionDelta delta) {
       revision = delta.revision();
     }
     received.add(message);
-    send(new ToControl.Acknowledge(version, revision));
+    send(new DataPlaneMessage.Acknowledge(version, revision));
   }
 
-  synchronized void send(ToControl message) throws IOException {
+  synchronized void send(DataPlaneMessage message) throws IOException {
     byte[] bytes = encoder.encode(message);
     DataOutputStream output = new DataOutputStream(socket.getOutputStream());
     output.writeInt(bytes.length);
--- a/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
@@ -8,12 +8,12 @@
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import slateslip.coordination.Preparation;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
-import slateslip.distribution.exchange.OperatorCall.Method;
-import slateslip.protocol.exchange.AnswerCodec;
-import slateslip.protocol.exchange.ChangeCodec;
+import slateslip.coordination.PreparedCommand;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorRequest.Method;
+import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.protocol.exchange.OperatorRequestCodec;
+import slateslip.protocol.exchange.OperatorResponseCodec;
 
 /**
  * Changes on top of the newest version, repeats of earlier ones, races, and copies of the state.
@@ -23,21 +23,21 @@
 
   @Test
   void aValidChangeIsCommittedAndKnownAgain() {
-    OperatorCall first = put(0, 3);
+    OperatorRequest first = put(0, 3);
     commit(first);
     assertThat(state.version(), is(3L));
-    OperatorAnswer again = answer(first);
-    assertThat(again.status(), is(OperatorAnswer.OK));
+    OperatorResponse again = answer(first);
+    assertThat(again.status(), is(OperatorResponse.OK));
     assertThat(again.version(), is(3L));
   }
 
   @Test
   void anEarlierChangeIsKnownAfterLaterOnes() {
-    OperatorCall first = put(0, 3);
+    OperatorRequest first = put(0, 3);
     commit(first);
     commit(put(3, 5));
     commit(patch(5, 9));
-    assertThat(answer(first).status(), is(OperatorAnswer.OK));
+    assertThat(answer(first).status(), is(OperatorResponse.OK));
     assertThat(answer(first).version(), is(3L));
   }
 
@@ -45,10 +45,10 @@
   void theSecondOfTwoOnTheSameVersionIsRefused() {
     commit(put(0, 3));
     commit(put(3, 5));
-    assertThat(answer(put(3, 6)).status(), is(OperatorAnswer.CONFLICT));
+    assertThat(answer(put(3, 6)).status(), is(OperatorResponse.CONFLICT));
     assertThat(
-        answer(new OperatorCall(Method.PUT, 3, body(5, "other"))).status(),
-        is(OperatorAnswer.CONFLICT));
+        answer(new OperatorRequest(Method.PUT, 3, body(5, "other"))).status(),
+        is(OperatorResponse.CONFLICT));
     assertThat(state.version(), is(5L));
   }
 
@@ -57,11 +57,11 @@
     commit(put(0, 3));
     String unusable =
         "{\"version\":4,\"upsert\":{\"routes\":[{\"name\":\"new-kind\",\"timeout_ms\":0}]}}";
-    OperatorCall patch =
-        new OperatorCall(Method.PATCH, 3, unusable.getBytes(StandardCharsets.UTF_8));
-    assertThat(answer(patch).status(), is(OperatorAnswer.INVALID));
+    OperatorRequest patch =
+        new OperatorRequest(Method.PATCH, 3, unusable.getBytes(StandardCharsets.UTF_8));
+    assertThat(answer(patch).status(), is(OperatorResponse.INVALID));
     int usableBefore = state.document().orElseThrow().configuration().routes().size();
-    state.apply(ChangeCodec.encode(patch));
+    state.apply(OperatorRequestCodec.encode(patch));
     assertThat(state.version(), is(4L));
     String json = new String(state.document().orElseThrow().toJson(), StandardCharsets.UTF_8);
     assertThat(json, containsString("{\"name\":\"new-kind\",\"timeout_ms\":0}"));
@@ -69,48 +69,49 @@
     ConfigurationState copy = new ConfigurationState();
     copy.restore(state.snapshot());
     assertThat(copy.snapshot(), equalTo(state.snapshot()));
-    assertThat(answer(patch).status(), is(OperatorAnswer.OK));
+    assertThat(answer(patch).status(), is(OperatorResponse.OK));
   }
 
   @Test
   void anInvalidChangeIsRefusedWithItsReason() {
     commit(put(0, 3));
-    assertThat(answer(put(3, 3)).status(), is(OperatorAnswer.INVALID));
-    OperatorAnswer cut =
-        answer(new OperatorCall(Method.PUT, 3, "{\"version\":".getBytes(StandardCharsets.UTF_8)));
-    assertThat(cut.status(), is(OperatorAnswer.INVALID));
+    assertThat(answer(put(3, 3)).status(), is(OperatorResponse.INVALID));
+    OperatorResponse cut =
+        answer(
+            new OperatorRequest(Method.PUT, 3, "{\"version\":".getBytes(StandardCharsets.UTF_8)));
+    assertThat(cut.status(), is(OperatorResponse.INVALID));
     assertThat(new String(cut.body(), StandardCharsets.UTF_8), containsString("ends early"));
   }
 
   @Test
   void aPatchWithoutAConfigurationIsRefused() {
-    assertThat(answer(patch(0, 3)).status(), is(OperatorAnswer.INVALID));
+    assertThat(answer(patch(0, 3)).status(), is(OperatorResponse.INVALID));
   }
 
   @Test
   void bytesThatAreNoChangeAreRefused() {
-    assertThat(state.prepare(new byte[] {1, 2, 3}), is(instanceOf(Preparation.Answer.class)));
+    assertThat(state.prepare(new byte[] {1, 2, 3}), is(instanceOf(PreparedCommand.Response.class)));
   }
 
   @Test
   void aCopyKnowsWhatTheOriginalKnows() {
-    OperatorCall first = put(0, 3);
-    OperatorCall second = patch(3, 7);
+    OperatorRequest first = put(0, 3);
+    OperatorRequest second = patch(3, 7);
     commit(first);
     commit(second);
     ConfigurationState copy = new ConfigurationState();
     copy.restore(state.snapshot());
     assertThat(copy.version(), is(7L));
     assertThat(copy.document().get().toJson(), equalTo(state.document().get().toJson()));
-    assertThat(answerOf(copy, first).status(), is(OperatorAnswer.OK));
-    assertThat(answerOf(copy, second).status(), is(OperatorAnswer.OK));
+    assertThat(answerOf(copy, first).status(), is(OperatorResponse.OK));
+    assertThat(answerOf(copy, second).status(), is(OperatorResponse.OK));
     assertThat(copy.snapshot(), equalTo(state.snapshot()));
   }
 
   @Test
   void replicasThatApplyTheSameRecordsAreTheSame() {
     ConfigurationState follower = new ConfigurationState();
-    for (OperatorCall call : new OperatorCall[] {put(0, 3), patch(3, 7), put(7, 8)}) {
+    for (OperatorRequest call : new OperatorRequest[] {put(0, 3), patch(3, 7), put(7, 8)}) {
       byte[] record = prepared(call);
       state.apply(record);
       follower.apply(record);
@@ -144,33 +145,33 @@
     assertThat(state.version(), is(6L));
   }
 
-  private void commit(OperatorCall call) {
+  private void commit(OperatorRequest call) {
     state.apply(prepared(call));
   }
 
-  private byte[] prepared(OperatorCall call) {
-    Preparation preparation = state.prepare(ChangeCodec.encode(call));
-    assertThat(preparation, is(instanceOf(Preparation.Change.class)));
-    return ((Preparation.Change) preparation).record();
+  private byte[] prepared(OperatorRequest call) {
+    PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(call));
+    assertThat(preparation, is(instanceOf(PreparedCommand.Change.class)));
+    return ((PreparedCommand.Change) preparation).record();
   }
 
-  private OperatorAnswer answer(OperatorCall call) {
+  private OperatorResponse answer(OperatorRequest call) {
     return answerOf(state, call);
   }
 
-  private static OperatorAnswer answerOf(ConfigurationState state, OperatorCall call) {
-    Preparation preparation = state.prepare(ChangeCodec.encode(call));
-    assertThat(preparation, is(instanceOf(Preparation.Answer.class)));
-    return AnswerCodec.decode(((Preparation.Answer) preparation).answer());
+  private static OperatorResponse answerOf(ConfigurationState state, OperatorRequest call) {
+    PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(call));
+    assertThat(preparation, is(instanceOf(PreparedCommand.Response.class)));
+    return OperatorResponseCodec.decode(((PreparedCommand.Response) preparation).answer());
   }
 
-  private static OperatorCall put(long base, long version) {
-    return new OperatorCall(Method.PUT, base, body(version, "r"));
+  private static OperatorRequest put(long base, long version) {
+    return new OperatorRequest(Method.PUT, base, body(version, "r"));
   }
 
-  private static OperatorCall patch(long base, long version) {
+  private static OperatorRequest patch(long base, long version) {
     String json = "{\"version\":" + version + ",\"upsert\":{\"routes\":[" + route("added") + "]}}";
-    return new OperatorCall(Method.PATCH, base, json.getBytes(StandardCharsets.UTF_8));
+    return new OperatorRequest(Method.PATCH, base, json.getBytes(StandardCharsets.UTF_8));
   }
 
   private static byte[] body(long version, String routeName) {
--- a/src/test/java/slateslip/coordination/MembershipPolicyTest.java
+++ b/src/test/java/slateslip/coordination/MembershipPolicyTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import slateslip.coordination.MembershipPolicy.Standing;
+import slateslip.coordination.MembershipPolicy.PeerHealth;
 
 final class MembershipPolicyTest {
   private static final long LONG_WELL = 60_000_000;
@@ -28,12 +28,12 @@
     return new View(4, A, entries, witnesses);
   }
 
-  private static Standing well(NodeId node) {
-    return new Standing(node, true, true, true, 0, LONG_WELL, Timing.JOIN_AFTER);
+  private static PeerHealth well(NodeId node) {
+    return new PeerHealth(node, true, true, true, 0, LONG_WELL, ReplicationTimeouts.JOIN_AFTER);
   }
 
-  private static Standing silent(NodeId node) {
-    return new Standing(node, false, true, true, LONG_SILENT, 0, Timing.JOIN_AFTER);
+  private static PeerHealth silent(NodeId node) {
+    return new PeerHealth(node, false, true, true, LONG_SILENT, 0, ReplicationTimeouts.JOIN_AFTER);
   }
 
   private static List<NodeId> nodes(View view) {
@@ -43,14 +43,14 @@
   @Test
   void aWellViewStays() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    List<Standing> others = List.of(well(B), well(C));
+    List<PeerHealth> others = List.of(well(B), well(C));
     assertThat(MembershipPolicy.wantedByPrimary(view, A, 1, others), is(Optional.empty()));
   }
 
   @Test
   void aSilentMemberIsDroppedWhileEnoughCopiesAreLeft() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    List<Standing> others = List.of(well(B), silent(C));
+    List<PeerHealth> others = List.of(well(B), silent(C));
     View wanted = MembershipPolicy.wantedByPrimary(view, A, 1, others).orElseThrow();
     assertThat(nodes(wanted), contains(A, B));
     assertThat(wanted.witnesses(), contains(A, B, C));
@@ -59,7 +59,7 @@
   @Test
   void whatMayBeTheLastCopyStaysUntilAnotherHasInstalled() {
     View view = view(List.of(A, C), List.of(A, B, C));
-    List<Standing> others = List.of(well(B), silent(C));
+    List<PeerHealth> others = List.of(well(B), silent(C));
     View first = MembershipPolicy.wantedByPrimary(view, A, 1, others).orElseThrow();
     assertThat(nodes(first), containsInAnyOrder(A, B, C));
     assertThat(first.member(B).orElseThrow().sinceEpoch(), is(5L));
@@ -70,7 +70,7 @@
   @Test
   void aWipedMachinesFormerSelfLeavesTheWitnessesAtOnce() {
     View view = view(List.of(A, B), List.of(A, B, C));
-    Standing former = new Standing(C, true, false, false, 0, 0, Timing.JOIN_AFTER);
+    PeerHealth former = new PeerHealth(C, true, false, false, 0, 0, ReplicationTimeouts.JOIN_AFTER);
     View wanted =
         MembershipPolicy.wantedByPrimary(view, A, 1, List.of(well(B), former, well(C_ANEW)))
             .orElseThrow();
@@ -89,7 +89,7 @@
   @Test
   void nothingChangesWithoutAMajorityOfTheNewWitnesses() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    List<Standing> others = List.of(silent(B), silent(C));
+    List<PeerHealth> others = List.of(silent(B), silent(C));
     assertThat(MembershipPolicy.wantedByPrimary(view, A, 1, others), is(Optional.empty()));
   }
 
--- a/src/test/java/slateslip/coordination/RecoveryTest.java
+++ b/src/test/java/slateslip/coordination/RecoveryTest.java
@@ -10,16 +10,16 @@
 
 final class RecoveryTest {
   private static final NodeAddress ADDRESS = NodeAddress.parse("10.0.0.1");
-  private static final Tenure FIRST = new Tenure(1, 1);
-  private static final Tenure SECOND = new Tenure(2, 1);
+  private static final PrimaryTerm FIRST = new PrimaryTerm(1, 1);
+  private static final PrimaryTerm SECOND = new PrimaryTerm(2, 1);
 
   /** Notes the first byte of each record applied. */
   private static final class Notes implements ReplicatedState {
     final List<Integer> applied = new ArrayList<>();
 
     @Override
-    public Preparation prepare(byte[] command) {
-      return new Preparation.Change(command);
+    public PreparedCommand prepare(byte[] command) {
+      return new PreparedCommand.Change(command);
     }
 
     @Override
--- a/src/test/java/slateslip/dataplane/BackendsTest.java
+++ b/src/test/java/slateslip/dataplane/BackendsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.dataplane.Stage.Answer;
+import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.dataplane.backend.ProbeResult;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
@@ -28,11 +28,11 @@
 
 /** Backends that misbehave, and the connections that are kept to them. */
 class BackendsTest {
-  private Stage stage;
+  private DataPlaneFixture stage;
 
   @BeforeEach
   void open() throws IOException {
-    stage = new Stage();
+    stage = new DataPlaneFixture();
   }
 
   @AfterEach
@@ -41,11 +41,11 @@
   }
 
   private Peer good() throws IOException {
-    return stage.backend((message, socket) -> Stage.serve(message, socket, "", "good"));
+    return stage.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
   }
 
   private void awaitEnds(AttemptOutcome.Kind... expected) {
-    Stage.await(() -> stage.router.ends().size() >= expected.length);
+    DataPlaneFixture.await(() -> stage.router.ends().size() >= expected.length);
     assertThat(stage.router.ends(), is(List.of(expected)));
   }
 
@@ -100,10 +100,11 @@
     stage.router.repeatable = false;
     stage.backend(
         (message, socket) ->
-            Peer.answer(socket, 503, Stage.idOf(message) + "X-Not-Executed: 1\r\n", ""));
+            Peer.answer(socket, 503, DataPlaneFixture.idOf(message) + "X-Not-Executed: 1\r\n", ""));
     stage.backend(
         (message, socket) ->
-            Peer.answer(socket, 421, Stage.idOf(message) + "X-Instance-Id: i-9\r\n", ""));
+            Peer.answer(
+                socket, 421, DataPlaneFixture.idOf(message) + "X-Instance-Id: i-9\r\n", ""));
     good();
     assertThat(stage.call("a1").body(), is("good"));
     awaitEnds(NOT_EXECUTED, OTHER_INSTANCE, SUCCESS);
@@ -113,7 +114,8 @@
   void relaysAFailureUnchanged() throws IOException {
     stage.backend(
         (message, socket) ->
-            Peer.answer(socket, 500, Stage.stamped(message) + "X-Why: w\r\n", "broken inside"));
+            Peer.answer(
+                socket, 500, DataPlaneFixture.stamped(message) + "X-Why: w\r\n", "broken inside"));
     Answer answer = stage.call("a1");
     assertThat(answer.status(), is(500));
     assertThat(answer.body(), is("broken inside"));
@@ -128,7 +130,7 @@
         stage.backend(
             (message, socket) -> {
               Peer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
-              Stage.serve(message, socket, "Keep-Alive: timeout=5\r\n", "mine");
+              DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=5\r\n", "mine");
             });
     assertThat(stage.call("a1").body(), is("mine"));
     assertThat(stage.call("a2").body(), is("mine"));
@@ -141,7 +143,8 @@
   void reusesAConnectionThatIsKept() throws IOException {
     Peer backend =
         stage.backend(
-            (message, socket) -> Stage.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
+            (message, socket) ->
+                DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
     stage.call("a1");
     stage.call("a2");
     stage.call("a3");
@@ -153,7 +156,7 @@
     Peer backend =
         stage.backend(
             (message, socket) ->
-                Stage.serve(
+                DataPlaneFixture.serve(
                     message, socket, "Keep-Alive: timeout=60\r\nConnection: close\r\n", "x"));
     stage.call("a1");
     stage.call("a2");
@@ -168,7 +171,7 @@
                 Peer.write(
                     socket,
                     "HTTP/1.1 200 OK\r\n"
-                        + Stage.stamped(message)
+                        + DataPlaneFixture.stamped(message)
                         + "Keep-Alive: timeout=60\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n"));
     assertThat(stage.call("a1").body(), is("x"));
     assertThat(stage.call("a2").body(), is("x"));
@@ -181,11 +184,11 @@
     Peer backend =
         stage.backend(
             (message, socket) -> {
-              Stage.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x");
+              DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x");
               socket.close();
             });
     stage.call("a1");
-    Stage.await(() -> backend.ended.size() == 1);
+    DataPlaneFixture.await(() -> backend.ended.size() == 1);
     assertThat(stage.call("a2").body(), is("x"));
     awaitEnds(SUCCESS, SUCCESS);
   }
@@ -197,7 +200,7 @@
     Peer silent = stage.backend((message, socket) -> {});
     assertThat(stage.call("a1").status(), is(502));
     awaitEnds(TIMEOUT);
-    Stage.await(() -> silent.ended.size() == 1);
+    DataPlaneFixture.await(() -> silent.ended.size() == 1);
   }
 
   @Test
@@ -205,10 +208,11 @@
     stage.router.repeatable = false;
     Peer backend =
         stage.backend(
-            (message, socket) -> Stage.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
+            (message, socket) ->
+                DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
     stage.call("a1");
     stage.onLoop(() -> stage.pools.backendsChanged(List.of()));
-    Stage.await(() -> backend.ended.size() == 1); // nothing is kept for it
+    DataPlaneFixture.await(() -> backend.ended.size() == 1); // nothing is kept for it
     assertThat(stage.call("a2").status(), is(502));
     awaitEnds(SUCCESS, NOT_SENT);
   }
@@ -216,7 +220,8 @@
   @Test
   void tellsTheLoadOfABackend() throws IOException {
     stage.backend(
-        (message, socket) -> Stage.serve(message, socket, "X-Backend-Load: 3, 1, 8\r\n", "x"));
+        (message, socket) ->
+            DataPlaneFixture.serve(message, socket, "X-Backend-Load: 3, 1, 8\r\n", "x"));
     Answer answer = stage.call("a1");
     assertThat(answer.headers().containsKey("X-Backend-Load"), is(false));
     awaitEnds(SUCCESS);
@@ -238,7 +243,7 @@
       String id = "b-" + i;
       stage.onLoop(
           () -> stage.pools.probe(id, (ProbeResult result) -> outcomes.add(result.outcome())));
-      Stage.await(() -> outcomes.size() > known);
+      DataPlaneFixture.await(() -> outcomes.size() > known);
     }
     assertThat(
         outcomes,
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.configuration.IngressLimits;
-import slateslip.dataplane.Stage.Answer;
+import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.routing.RouterInput;
 
 /** Clients of every manner: what goes on to a backend, and what is turned away. */
 class ClientsTest {
   private static final String HEAD = "POST /a/b HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n";
 
-  private Stage stage;
+  private DataPlaneFixture stage;
 
   @BeforeEach
   void open() throws IOException {
-    stage = new Stage();
+    stage = new DataPlaneFixture();
   }
 
   @AfterEach
@@ -39,7 +39,8 @@
 
   private Peer echo() throws IOException {
     return stage.backend(
-        (message, socket) -> Stage.serve(message, socket, "X-Other: 1\r\n", message.text()));
+        (message, socket) ->
+            DataPlaneFixture.serve(message, socket, "X-Other: 1\r\n", message.text()));
   }
 
   private Answer send(String bytes) throws IOException {
@@ -54,7 +55,9 @@
     stage.router.tenant = "t-1";
     stage.router.priority = 3;
     Answer answer =
-        send(Stage.request("a1", "X-Model: m\r\nX-Credential: secret\r\nX-Custom: c\r\n", "body"));
+        send(
+            DataPlaneFixture.request(
+                "a1", "X-Model: m\r\nX-Credential: secret\r\nX-Custom: c\r\n", "body"));
     assertThat(answer.status(), is(200));
     assertThat(answer.body(), is("body"));
     assertThat(answer.header("X-Response-Stamp"), is("s1"));
@@ -79,7 +82,7 @@
     String forged =
         "X-Tenant: other\r\nX-Target-Instance: b-9\r\nPriority: 0\r\nKeep-Alive: timeout=9\r\n"
             + "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n";
-    assertThat(send(Stage.request("a1", forged, "")).status(), is(200));
+    assertThat(send(DataPlaneFixture.request("a1", forged, "")).status(), is(200));
     Peer.Message got = backend.requests.get(0);
     assertThat(got.header("X-Tenant"), is(nullValue()));
     assertThat(got.header("X-Target-Instance"), is("b-1"));
@@ -93,7 +96,7 @@
   void keepsWhatConnectionMayNotTakeAway() throws IOException {
     Peer backend = echo();
     String headers = "Connection: X-Attempt-Id, Host\r\n";
-    assertThat(send(Stage.request("a1", headers, "")).status(), is(200));
+    assertThat(send(DataPlaneFixture.request("a1", headers, "")).status(), is(200));
     assertThat(backend.requests.get(0).header("X-Attempt-Id"), is("a1"));
     assertThat(backend.requests.get(0).header("Host"), is("h.example"));
   }
@@ -123,9 +126,9 @@
     Socket socket = stage.dial();
     Peer.write(
         socket,
-        Stage.request("a1", "", "one")
-            + Stage.request("a2", "", "two")
-            + Stage.request("a3", "", "3"));
+        DataPlaneFixture.request("a1", "", "one")
+            + DataPlaneFixture.request("a2", "", "two")
+            + DataPlaneFixture.request("a3", "", "3"));
     for (String expected : List.of("one", "two", "3")) {
       assertThat(Answer.read(socket.getInputStream()).body(), is(expected));
     }
@@ -135,9 +138,9 @@
   void keepsAConnectionAndEndsOneThatAsksForIt() throws IOException {
     echo();
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "", "one"));
+    Peer.write(socket, DataPlaneFixture.request("a1", "", "one"));
     assertThat(Answer.read(socket.getInputStream()).header("Connection"), is(nullValue()));
-    Peer.write(socket, Stage.request("a2", "Connection: close\r\n", "two"));
+    Peer.write(socket, DataPlaneFixture.request("a2", "Connection: close\r\n", "two"));
     assertThat(Answer.read(socket.getInputStream()).header("Connection"), is("close"));
     assertThat(socket.getInputStream().read(), is(-1));
   }
@@ -171,7 +174,7 @@
   void answersWhatCameBeforeGarbageFirst() throws IOException {
     echo();
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "", "one") + "garbage\r\n\r\n");
+    Peer.write(socket, DataPlaneFixture.request("a1", "", "one") + "garbage\r\n\r\n");
     assertThat(Answer.read(socket.getInputStream()).body(), is("one"));
     assertThat(Answer.read(socket.getInputStream()).status(), is(400));
   }
@@ -206,12 +209,12 @@
   void cancelsTheAttemptOfAClientThatHasGone() throws IOException {
     Peer backend = stage.backend((message, socket) -> {});
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "", ""));
-    Stage.await(() -> backend.requests.size() == 1);
+    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
+    DataPlaneFixture.await(() -> backend.requests.size() == 1);
     socket.close();
-    Stage.await(() -> backend.ended.size() == 1);
-    Stage.await(() -> stage.router.got(RouterInput.ClientGone.class));
-    Stage.await(() -> stage.router.ends().size() == 1);
+    DataPlaneFixture.await(() -> backend.ended.size() == 1);
+    DataPlaneFixture.await(() -> stage.router.got(RouterInput.ClientGone.class));
+    DataPlaneFixture.await(() -> stage.router.ends().size() == 1);
     assertThat(stage.router.ends(), contains(RouterInput.AttemptOutcome.Kind.CANCELLED));
     stage.onLoop(() -> assertThat(stage.forwarder.openRequests(), is(0)));
   }
@@ -222,7 +225,9 @@
         (message, socket) ->
             Peer.write(
                 socket,
-                "HTTP/1.1 200 OK\r\n" + Stage.stamped(message) + "Content-Length: 7\r\n\r\n"));
+                "HTTP/1.1 200 OK\r\n"
+                    + DataPlaneFixture.stamped(message)
+                    + "Content-Length: 7\r\n\r\n"));
     Socket socket = stage.dial();
     Peer.write(socket, "HEAD /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n");
     List<String> head = Answer.readHead(socket.getInputStream());
--- a/src/test/java/slateslip/dataplane/CrossingsTest.java
+++ b/src/test/java/slateslip/dataplane/CrossingsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import slateslip.dataplane.Stage.Answer;
+import slateslip.dataplane.DataPlaneFixture.Answer;
 
 /**
  * A request that may not be repeated meets one behaviour of a backend, and what goes on elsewhere
@@ -59,7 +59,7 @@
   }
 
   private final List<String> runs = new CopyOnWriteArrayList<>();
-  private Stage stage;
+  private DataPlaneFixture stage;
 
   static Stream<Arguments> pairs() {
     return Stream.of(Behaviour.values())
@@ -72,7 +72,7 @@
 
   @BeforeEach
   void open() throws IOException {
-    stage = new Stage();
+    stage = new DataPlaneFixture();
     stage.router.repeatable = false;
     stage.router.firstEventTimeoutMicros = SILENCE_MICROS;
   }
@@ -87,7 +87,7 @@
         (message, socket) -> {
           String id = message.header("X-Attempt-Id");
           if (!id.startsWith("crossing")) {
-            Stage.serve(message, socket, "Keep-Alive: timeout=60\r\n", id);
+            DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", id);
             return;
           }
           if (behaviour.runs) {
@@ -102,25 +102,28 @@
     String id = message.header("X-Attempt-Id");
     String keep = "Keep-Alive: timeout=60\r\n";
     switch (behaviour) {
-      case ANSWERS -> Stage.serve(message, socket, keep, id);
-      case FAILS -> Peer.answer(socket, 500, Stage.stamped(message) + keep, id);
+      case ANSWERS -> DataPlaneFixture.serve(message, socket, keep, id);
+      case FAILS -> Peer.answer(socket, 500, DataPlaneFixture.stamped(message) + keep, id);
       case RESETS -> Peer.reset(socket);
       case STAYS_SILENT -> {}
       case BREAKS_OFF -> {
         Peer.write(
             socket,
-            "HTTP/1.1 200 OK\r\n" + Stage.stamped(message) + "Content-Length: 90\r\n\r\n" + id);
+            "HTTP/1.1 200 OK\r\n"
+                + DataPlaneFixture.stamped(message)
+                + "Content-Length: 90\r\n\r\n"
+                + id);
         socket.close();
       }
       case ANSWERS_ANOTHER_FIRST -> {
         Peer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
-        Stage.serve(message, socket, keep, id);
+        DataPlaneFixture.serve(message, socket, keep, id);
       }
       case ANSWERS_TOO_MUCH ->
           Peer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
-                  + Stage.stamped(message)
+                  + DataPlaneFixture.stamped(message)
                   + keep
                   + "Content-Length: "
                   + id.length()
@@ -130,9 +133,11 @@
       case ANSWERS_ONLY_ANOTHER ->
           Peer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
       case IS_FULL ->
-          Peer.answer(socket, 503, Stage.idOf(message) + keep + "X-Not-Executed: 1\r\n", "");
+          Peer.answer(
+              socket, 503, DataPlaneFixture.idOf(message) + keep + "X-Not-Executed: 1\r\n", "");
       case IS_ANOTHER ->
-          Peer.answer(socket, 421, Stage.idOf(message) + keep + "X-Instance-Id: i-9\r\n", "");
+          Peer.answer(
+              socket, 421, DataPlaneFixture.idOf(message) + keep + "X-Instance-Id: i-9\r\n", "");
     }
   }
 
--- a/src/test/java/slateslip/dataplane/Stage.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneFixture.java
@@ -27,7 +27,7 @@
 import slateslip.routing.RequestRouter;
 
 /** The path of requests on loopback ports, between scripted clients and scripted backends. */
-final class Stage implements Closeable {
+final class DataPlaneFixture implements Closeable {
   static final int GENEROUS_MILLIS = 20_000;
   private static final int CONNECTIONS = 200;
   private static final String STAMP = "X-Response-Stamp: s1\r\n";
@@ -43,12 +43,12 @@
   private final List<BackendSession> sessions = new ArrayList<>();
   private final List<Socket> clients = new ArrayList<>();
 
-  Stage() throws IOException {
+  DataPlaneFixture() throws IOException {
     this(null);
   }
 
   /** With a router of the test's own. */
-  Stage(RequestRouter other) throws IOException {
+  DataPlaneFixture(RequestRouter other) throws IOException {
     RequestRouter decides = other == null ? router : other;
     forwarder = new Forwarder(loop, decides, () -> System.nanoTime() / 1_000, pools, metrics, 1);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/src/test/java/slateslip/dataplane/DataPlaneTest.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.dataplane.Stage.Answer;
-import slateslip.distribution.AgentShares;
+import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
@@ -41,17 +41,18 @@
 
   @BeforeEach
   void start() throws IOException {
-    backend = new Peer((message, socket) -> Stage.serve(message, socket, "", "served"));
+    backend = new Peer((message, socket) -> DataPlaneFixture.serve(message, socket, "", "served"));
     BackendSession session =
         new BackendSession("b-1", "svc", backend.address(), "z", "v1", 4, false, 0, 1);
     control =
         new ScriptedControlAgent(
             List.of(
-                new ToDataPlane.ConfigurationSnapshot(5, DOCUMENT.getBytes(StandardCharsets.UTF_8)),
-                new ToDataPlane.SessionSnapshot(1, true, List.of(session)),
-                new ToDataPlane.Shares(new AgentShares(1, List.of()))));
+                new ControlPlaneMessage.ConfigurationSnapshot(
+                    5, DOCUMENT.getBytes(StandardCharsets.UTF_8)),
+                new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session)),
+                new ControlPlaneMessage.QuotaUpdate(new QuotaAllocation(1, List.of()))));
     dataPlane = DataPlane.start(settings());
-    Stage.await(() -> get("/ready").status() == 200);
+    DataPlaneFixture.await(() -> get("/ready").status() == 200);
   }
 
   @AfterEach
@@ -82,7 +83,7 @@
 
   private Socket dial(InetSocketAddress address) throws IOException {
     Socket socket = new Socket(address.getAddress(), address.getPort());
-    socket.setSoTimeout(Stage.GENEROUS_MILLIS);
+    socket.setSoTimeout(DataPlaneFixture.GENEROUS_MILLIS);
     sockets.add(socket);
     return socket;
   }
@@ -97,7 +98,7 @@
   }
 
   private Answer call(Socket socket, String id) throws IOException {
-    Peer.write(socket, Stage.request(id, "", ""));
+    Peer.write(socket, DataPlaneFixture.request(id, "", ""));
     return Answer.read(socket.getInputStream());
   }
 
@@ -110,7 +111,7 @@
     assertThat(
         get("/metrics").body(), containsString("slateslip_dataplane_configuration_version 5\n"));
     assertThat(get("/other").status(), is(404));
-    Stage.await(() -> control.heard.contains(new ToControl.Acknowledge(5, 1)));
+    DataPlaneFixture.await(() -> control.heard.contains(new DataPlaneMessage.Acknowledge(5, 1)));
   }
 
   @Test
@@ -118,7 +119,7 @@
     Socket kept = dial(dataPlane.address());
     assertThat(call(kept, "a1").status(), is(200));
     Peer.daemon(dataPlane::stop);
-    Stage.await(() -> get("/ready").status() == 503);
+    DataPlaneFixture.await(() -> get("/ready").status() == 503);
     Answer last = call(kept, "a2");
     assertThat(last.body(), is("served"));
     assertThat(last.header("Connection"), is("close"));
@@ -134,16 +135,17 @@
     try (ScriptedControlAgent other =
         new ScriptedControlAgent(
             List.of(
-                new ToDataPlane.ConfigurationSnapshot(5, DOCUMENT.getBytes(StandardCharsets.UTF_8)),
-                new ToDataPlane.SessionSnapshot(1, true, List.of(session))))) {
+                new ControlPlaneMessage.ConfigurationSnapshot(
+                    5, DOCUMENT.getBytes(StandardCharsets.UTF_8)),
+                new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session))))) {
       ScriptedControlAgent first = control;
       control = other;
       DataPlane leaving = DataPlane.start(settings());
       control = first;
-      Stage.await(() -> other.heard.contains(new ToControl.Acknowledge(5, 1)));
+      DataPlaneFixture.await(() -> other.heard.contains(new DataPlaneMessage.Acknowledge(5, 1)));
       Socket client = dial(leaving.address());
-      Peer.write(client, Stage.request("a1", "", ""));
-      Stage.await(() -> silent.requests.size() == 1);
+      Peer.write(client, DataPlaneFixture.request("a1", "", ""));
+      DataPlaneFixture.await(() -> silent.requests.size() == 1);
       leaving.stop();
       assertThat(client.getInputStream().read(), is(-1));
     }
@@ -154,7 +156,7 @@
   void takesTheControlAgentsOfChangedSettings() throws IOException {
     int before = control.heard.size();
     dataPlane.settingsChanged(settings());
-    Stage.await(() -> control.heard.size() > before); // it goes on to report
+    DataPlaneFixture.await(() -> control.heard.size() > before); // it goes on to report
     assertThat(get("/ready").status(), is(200));
   }
 }
--- a/src/test/java/slateslip/dataplane/EarlyAnswersTest.java
+++ b/src/test/java/slateslip/dataplane/EarlyAnswersTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.dataplane.Stage.Answer;
+import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
 /** Backends that answer a request that may not be repeated before they have read its body. */
@@ -29,7 +29,7 @@
   private static final int BODY_BYTES = 4_000_000;
 
   private final List<Socket> accepted = new CopyOnWriteArrayList<>();
-  private Stage stage;
+  private DataPlaneFixture stage;
   private ServerSocket server;
 
   /** What a backend does once it has read the head of a request. */
@@ -39,7 +39,7 @@
 
   @BeforeEach
   void open() throws IOException {
-    stage = new Stage();
+    stage = new DataPlaneFixture();
     stage.router.repeatable = false;
     server = new ServerSocket();
     server.setReceiveBufferSize(RECEIVE_BUFFER);
@@ -76,17 +76,17 @@
   }
 
   private Peer good() throws IOException {
-    return stage.backend((message, socket) -> Stage.serve(message, socket, "", "good"));
+    return stage.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
   }
 
   private Answer callWithLongBody(String id) throws IOException {
     Socket client = stage.dial();
-    Peer.daemon(() -> Peer.write(client, Stage.request(id, "", "x".repeat(BODY_BYTES))));
+    Peer.daemon(() -> Peer.write(client, DataPlaneFixture.request(id, "", "x".repeat(BODY_BYTES))));
     return Answer.read(client.getInputStream());
   }
 
   private void awaitEnds(AttemptOutcome.Kind... expected) {
-    Stage.await(() -> stage.router.ends().size() >= expected.length);
+    DataPlaneFixture.await(() -> stage.router.ends().size() >= expected.length);
     assertThat(stage.router.ends(), is(List.of(expected)));
   }
 
--- a/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
+++ b/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
@@ -10,8 +10,8 @@
 import java.net.Socket;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.DistributionCodec;
 
@@ -21,13 +21,13 @@
  */
 final class ScriptedControlAgent implements Closeable {
   /** What every data plane has said, in order. */
-  final List<ToControl> heard = new CopyOnWriteArrayList<>();
+  final List<DataPlaneMessage> heard = new CopyOnWriteArrayList<>();
 
   private final ServerSocket listener;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  private final List<ToDataPlane> whenActive;
+  private final List<ControlPlaneMessage> whenActive;
 
-  ScriptedControlAgent(List<ToDataPlane> whenActive) throws IOException {
+  ScriptedControlAgent(List<ControlPlaneMessage> whenActive) throws IOException {
     this.whenActive = whenActive;
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Peer.daemon(
@@ -50,19 +50,19 @@
     while (true) {
       byte[] frame = new byte[in.readInt()];
       in.readFully(frame);
-      Decoded<ToControl> decoded = codec.decodeToControl(frame);
-      ToControl message = ((Decoded.Message<ToControl>) decoded).value();
+      Decoded<DataPlaneMessage> decoded = codec.decodeToControl(frame);
+      DataPlaneMessage message = ((Decoded.Message<DataPlaneMessage>) decoded).value();
       heard.add(message);
-      send(socket, new ToDataPlane.Heartbeat(true, 5, 1, List.of("127.0.0.1")));
-      if (message instanceof ToControl.Subscribe subscribe && subscribe.active()) {
-        for (ToDataPlane answer : whenActive) {
+      send(socket, new ControlPlaneMessage.Heartbeat(true, 5, 1, List.of("127.0.0.1")));
+      if (message instanceof DataPlaneMessage.Subscribe subscribe && subscribe.active()) {
+        for (ControlPlaneMessage answer : whenActive) {
           send(socket, answer);
         }
       }
     }
   }
 
-  private static void send(Socket socket, ToDataPlane message) throws IOException {
+  private static void send(Socket socket, ControlPlaneMessage message) throws IOException {
     byte[] frame = new DistributionCodec().encode(message);
     synchronized (socket) {
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
--- a/src/test/java/slateslip/dataplane/StreamsTest.java
+++ b/src/test/java/slateslip/dataplane/StreamsTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.dataplane.Stage.Answer;
+import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
 /** Streams of events: passed on at once, whole, and taken up again. */
 class StreamsTest {
-  private Stage stage;
+  private DataPlaneFixture stage;
 
   @BeforeEach
   void open() throws IOException {
-    stage = new Stage();
+    stage = new DataPlaneFixture();
   }
 
   @AfterEach
@@ -36,7 +36,7 @@
   private static String events(int from, int to) {
     StringBuilder events = new StringBuilder();
     for (int id = from; id <= to; id++) {
-      events.append(Stage.event(id));
+      events.append(DataPlaneFixture.event(id));
     }
     return events.toString();
   }
@@ -46,24 +46,24 @@
     BlockingQueue<String> parts = new LinkedBlockingQueue<>();
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
+          DataPlaneFixture.beginStream(message, socket);
           for (String part = parts.take(); !part.isEmpty(); part = parts.take()) {
-            Stage.chunk(socket, part);
+            DataPlaneFixture.chunk(socket, part);
           }
-          Stage.lastChunk(socket);
+          DataPlaneFixture.lastChunk(socket);
         });
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "", ""));
+    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
     InputStream in = socket.getInputStream();
-    parts.add(Stage.event(1) + "id: 2\nda");
+    parts.add(DataPlaneFixture.event(1) + "id: 2\nda");
     Answer.readHead(in);
-    assertThat(Answer.readChunk(in), is(Stage.event(1))); // the half event is held back
+    assertThat(Answer.readChunk(in), is(DataPlaneFixture.event(1))); // the half event is held back
     parts.add("ta: piece 2\n\n");
-    assertThat(Answer.readChunk(in), is(Stage.event(2)));
+    assertThat(Answer.readChunk(in), is(DataPlaneFixture.event(2)));
     parts.add("");
     assertThat(Answer.readChunk(in), is(""));
-    Peer.write(socket, Stage.request("a2", "", ""));
-    parts.add(Stage.event(1));
+    Peer.write(socket, DataPlaneFixture.request("a2", "", ""));
+    parts.add(DataPlaneFixture.event(1));
     Answer.readHead(in); // the connection goes on
   }
 
@@ -71,19 +71,19 @@
   void takesABrokenStreamUpAtAnotherBackend() throws IOException {
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
-          Stage.chunk(socket, events(1, 3) + "id: 4\ndata: pie");
+          DataPlaneFixture.beginStream(message, socket);
+          DataPlaneFixture.chunk(socket, events(1, 3) + "id: 4\ndata: pie");
           Peer.reset(socket);
         });
     Peer second =
         stage.backend(
             (message, socket) -> {
-              Stage.beginStream(message, socket);
-              Stage.chunk(socket, events(3, 5)); // one that the client has had
-              Stage.lastChunk(socket);
+              DataPlaneFixture.beginStream(message, socket);
+              DataPlaneFixture.chunk(socket, events(3, 5)); // one that the client has had
+              DataPlaneFixture.lastChunk(socket);
             });
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "Last-Event-Id: 0\r\n", "prompt"));
+    Peer.write(socket, DataPlaneFixture.request("a1", "Last-Event-Id: 0\r\n", "prompt"));
     Answer answer = Answer.read(socket.getInputStream());
     assertThat(answer.body().replaceAll("(?s).*?id: ", "id: "), answer.complete(), is(true));
     Peer.Message resumed = second.requests.get(0);
@@ -100,37 +100,37 @@
     Peer dark =
         stage.backend(
             (message, socket) -> {
-              Stage.beginStream(message, socket);
-              Stage.chunk(socket, events(1, 2));
+              DataPlaneFixture.beginStream(message, socket);
+              DataPlaneFixture.chunk(socket, events(1, 2));
             });
     stage.backend(
         (message, socket) -> {
           String rest = events(3, 4); // in one write, so that no pause falls between its parts
-          Stage.beginStream(message, socket);
+          DataPlaneFixture.beginStream(message, socket);
           Peer.write(socket, Integer.toHexString(rest.length()) + "\r\n" + rest + "\r\n0\r\n\r\n");
         });
     Answer answer = stage.call("a1");
     assertThat(answer.body(), is(events(1, 4)));
     assertThat(answer.complete(), is(true));
-    Stage.await(() -> dark.ended.size() == 1);
+    DataPlaneFixture.await(() -> dark.ended.size() == 1);
   }
 
   @Test
   void sendsTheClientsOwnLastEventIdWhileNothingWasPassedOn() throws IOException {
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
+          DataPlaneFixture.beginStream(message, socket);
           socket.close();
         });
     Peer second =
         stage.backend(
             (message, socket) -> {
-              Stage.beginStream(message, socket);
-              Stage.chunk(socket, events(13, 14));
-              Stage.lastChunk(socket);
+              DataPlaneFixture.beginStream(message, socket);
+              DataPlaneFixture.chunk(socket, events(13, 14));
+              DataPlaneFixture.lastChunk(socket);
             });
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "Last-Event-Id: 12\r\n", ""));
+    Peer.write(socket, DataPlaneFixture.request("a1", "Last-Event-Id: 12\r\n", ""));
     assertThat(Answer.read(socket.getInputStream()).body(), is(events(13, 14)));
     assertThat(second.requests.get(0).header("Last-Event-Id"), is("12"));
   }
@@ -140,8 +140,8 @@
     stage.router.repeatable = false;
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
-          Stage.chunk(socket, events(1, 2) + "id: 3\n");
+          DataPlaneFixture.beginStream(message, socket);
+          DataPlaneFixture.chunk(socket, events(1, 2) + "id: 3\n");
           socket.close();
         });
     Answer answer = stage.call("a1");
@@ -154,9 +154,9 @@
     stage.router.repeatable = false;
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
-          Stage.chunk(socket, events(1, 2) + "id: 3\ndata: cut");
-          Stage.lastChunk(socket);
+          DataPlaneFixture.beginStream(message, socket);
+          DataPlaneFixture.chunk(socket, events(1, 2) + "id: 3\ndata: cut");
+          DataPlaneFixture.lastChunk(socket);
         });
     Answer answer = stage.call("a1");
     assertThat(answer.body(), is(events(1, 2)));
@@ -171,7 +171,7 @@
           Peer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
-                  + Stage.stamped(message)
+                  + DataPlaneFixture.stamped(message)
                   + "Content-Type: text/event-stream\r\n\r\n"
                   + events(1, 2));
           socket.close();
@@ -183,11 +183,11 @@
   void breaksOffWhereTheStreamDoesNotGoOn() throws IOException {
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
-          Stage.chunk(socket, events(1, 2));
+          DataPlaneFixture.beginStream(message, socket);
+          DataPlaneFixture.chunk(socket, events(1, 2));
           Peer.reset(socket);
         });
-    stage.backend((message, socket) -> Stage.serve(message, socket, "", "no stream"));
+    stage.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "no stream"));
     Answer answer = stage.call("a1");
     assertThat(answer.complete(), is(false));
     assertThat(answer.header("X-Response-Stamp"), is("s1"));
@@ -200,14 +200,14 @@
           Peer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
-                  + Stage.stamped(message)
+                  + DataPlaneFixture.stamped(message)
                   + "X-Backend-Load: 3,1,8\r\nContent-Type: text/event-stream\r\n"
                   + "Transfer-Encoding: chunked\r\n\r\n");
-          Stage.chunk(socket, events(1, 2));
-          Stage.lastChunk(socket);
+          DataPlaneFixture.chunk(socket, events(1, 2));
+          DataPlaneFixture.lastChunk(socket);
         });
     assertThat(stage.call("a1").complete(), is(true));
-    Stage.await(() -> stage.router.ends().size() == 1);
+    DataPlaneFixture.await(() -> stage.router.ends().size() == 1);
     assertThat(
         stage.router.inputs,
         hasItem(new RouterInput.AttemptStarted(1, 0, new RouterInput.BackendLoad(3, 1, 8))));
@@ -222,11 +222,12 @@
   void anErrorAfterTheFirstEventBreaksOff() throws IOException {
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
-          Stage.chunk(socket, events(1, 2));
+          DataPlaneFixture.beginStream(message, socket);
+          DataPlaneFixture.chunk(socket, events(1, 2));
           Peer.reset(socket);
         });
-    stage.backend((message, socket) -> Peer.answer(socket, 500, Stage.stamped(message), "no"));
+    stage.backend(
+        (message, socket) -> Peer.answer(socket, 500, DataPlaneFixture.stamped(message), "no"));
     assertThat(stage.call("a1").complete(), is(false));
   }
 
@@ -234,8 +235,8 @@
   void aStreamWithoutEventsIsServed() throws IOException {
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
-          Stage.lastChunk(socket);
+          DataPlaneFixture.beginStream(message, socket);
+          DataPlaneFixture.lastChunk(socket);
         });
     Answer answer = stage.call("a1");
     assertThat(answer.status(), is(200));
@@ -248,14 +249,14 @@
     Peer backend =
         stage.backend(
             (message, socket) -> {
-              Stage.beginStream(message, socket);
-              Stage.chunk(socket, events(1, 1));
+              DataPlaneFixture.beginStream(message, socket);
+              DataPlaneFixture.chunk(socket, events(1, 1));
             });
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "", ""));
+    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
     Answer.readHead(socket.getInputStream());
     socket.close();
-    Stage.await(() -> backend.ended.size() == 1);
+    DataPlaneFixture.await(() -> backend.ended.size() == 1);
   }
 
   @Test
@@ -265,18 +266,18 @@
     long[] sent = new long[1];
     stage.backend(
         (message, socket) -> {
-          Stage.beginStream(message, socket);
+          DataPlaneFixture.beginStream(message, socket);
           while (sent[0] < bytesMost) {
-            Stage.chunk(socket, piece);
+            DataPlaneFixture.chunk(socket, piece);
             sent[0] += piece.length();
           }
-          Stage.lastChunk(socket);
+          DataPlaneFixture.lastChunk(socket);
         });
     Socket socket = stage.dial();
-    Peer.write(socket, Stage.request("a1", "", ""));
+    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
     InputStream in = socket.getInputStream();
     Answer.readHead(in);
-    Stage.await(() -> stage.bufferedForClients() > 0);
+    DataPlaneFixture.await(() -> stage.bufferedForClients() > 0);
     long read = 0;
     long buffered = 0;
     for (String chunk = Answer.readChunk(in); !chunk.isEmpty(); chunk = Answer.readChunk(in)) {
--- a/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
@@ -13,10 +13,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation;
 
 /** Which control agent a data plane listens to, and what it takes from it. */
 class SubscriptionTest {
@@ -61,10 +61,11 @@
   }
 
   private void beat(Beat beat) {
-    receive(beat.agent, new ToDataPlane.Heartbeat(beat.current, beat.version, 1, beat.agents));
+    receive(
+        beat.agent, new ControlPlaneMessage.Heartbeat(beat.current, beat.version, 1, beat.agents));
   }
 
-  private void receive(String agent, ToDataPlane message) {
+  private void receive(String agent, ControlPlaneMessage message) {
     feed(new SubscriptionInput.Received(agent, message));
   }
 
@@ -84,7 +85,9 @@
   private List<String> activated() {
     return take(SubscriptionOutput.Send.class).stream()
         .filter(
-            send -> send.message() instanceof ToControl.Subscribe subscribe && subscribe.active())
+            send ->
+                send.message() instanceof DataPlaneMessage.Subscribe subscribe
+                    && subscribe.active())
         .map(SubscriptionOutput.Send::agent)
         .toList();
   }
@@ -127,11 +130,11 @@
         .toList();
   }
 
-  private List<ToControl.Acknowledge> acknowledged() {
+  private List<DataPlaneMessage.Acknowledge> acknowledged() {
     return take(SubscriptionOutput.Send.class).stream()
         .map(SubscriptionOutput.Send::message)
-        .filter(ToControl.Acknowledge.class::isInstance)
-        .map(ToControl.Acknowledge.class::cast)
+        .filter(DataPlaneMessage.Acknowledge.class::isInstance)
+        .map(DataPlaneMessage.Acknowledge.class::cast)
         .toList();
   }
 
@@ -219,32 +222,32 @@
   @Test
   void configurationsOnlyRiseWhoeverSendsThem() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.ConfigurationSnapshot(5, document(5, "s")));
-    receive(FAR, new ToDataPlane.ConfigurationSnapshot(3, document(3, "t")));
-    receive(NEAR, new ToDataPlane.ConfigurationPatch(5, 8, patch(8)));
-    receive(FAR, new ToDataPlane.ConfigurationPatch(3, 5, patch(5)));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
+    receive(FAR, new ControlPlaneMessage.ConfigurationSnapshot(3, document(3, "t")));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationPatch(5, 8, patch(8)));
+    receive(FAR, new ControlPlaneMessage.ConfigurationPatch(3, 5, patch(5)));
     assertThat(versionsApplied(), contains(5L, 8L));
     assertThat(
-        acknowledged().stream().map(ToControl.Acknowledge::configurationVersion).toList(),
+        acknowledged().stream().map(DataPlaneMessage.Acknowledge::configurationVersion).toList(),
         contains(5L, 5L, 8L, 8L));
   }
 
   @Test
   void aPatchThatDoesNotFitAsksForAWholeConfiguration() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.ConfigurationSnapshot(5, document(5, "s")));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
     outputs.clear();
-    receive(NEAR, new ToDataPlane.ConfigurationPatch(6, 8, patch(8)));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationPatch(6, 8, patch(8)));
     assertThat(versionsApplied(), is(empty()));
     assertThat(
         take(SubscriptionOutput.Send.class).get(0).message(),
-        is(new ToControl.Subscribe("edge-1", 7, "z1", 5, true)));
+        is(new DataPlaneMessage.Subscribe("edge-1", 7, "z1", 5, true)));
   }
 
   @Test
   void aConfigurationThatCannotBeReadChangesNothing() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.ConfigurationSnapshot(5, new byte[] {'{'}));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, new byte[] {'{'}));
     assertThat(versionsApplied(), is(empty()));
     assertThat(subscription.configurationVersion(), is(0L));
   }
@@ -252,20 +255,23 @@
   @Test
   void readyOnceAConfigurationAndBackendsHaveCome() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.ConfigurationSnapshot(5, document(5, "s")));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
     assertThat(subscription.isReady(), is(false));
-    receive(NEAR, new ToDataPlane.SessionSnapshot(1, true, List.of()));
+    receive(NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of()));
     assertThat(subscription.isReady(), is(true));
   }
 
   @Test
   void anIncompleteListOnlyAdds() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.SessionSnapshot(1, true, List.of(session("a", false, 1))));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
     assertThat(listed(), contains("a"));
-    receive(NEAR, new ToDataPlane.SessionSnapshot(2, false, List.of(session("b", false, 1))));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionSnapshot(2, false, List.of(session("b", false, 1))));
     assertThat(listed(), containsInAnyOrder("a", "b"));
-    receive(NEAR, new ToDataPlane.SessionSnapshot(3, true, List.of(session("b", false, 2))));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionSnapshot(3, true, List.of(session("b", false, 2))));
     assertThat(listed(), contains("b"));
   }
 
@@ -274,47 +280,53 @@
     makeNearActive();
     receive(
         NEAR,
-        new ToDataPlane.SessionSnapshot(
+        new ControlPlaneMessage.SessionSnapshot(
             1, true, List.of(session("a", false, 5), session("b", false, 5))));
-    receive(NEAR, new ToDataPlane.SessionDelta(2, List.of(session("a", true, 6)), List.of("b")));
+    receive(
+        NEAR,
+        new ControlPlaneMessage.SessionDelta(2, List.of(session("a", true, 6)), List.of("b")));
     assertThat(listed(), contains("a draining"));
     receive(
         NEAR,
-        new ToDataPlane.SessionSnapshot(
+        new ControlPlaneMessage.SessionSnapshot(
             3, false, List.of(session("a", false, 5), session("b", false, 5))));
     assertThat(take(SubscriptionOutput.ListBackends.class), is(empty()));
-    receive(NEAR, new ToDataPlane.SessionDelta(4, List.of(session("b", false, 6)), List.of()));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionDelta(4, List.of(session("b", false, 6)), List.of()));
     assertThat(listed(), containsInAnyOrder("a draining", "b"));
   }
 
   @Test
   void aRenewalThatChangesNothingIsAcknowledgedOnly() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.SessionSnapshot(1, true, List.of(session("a", false, 1))));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
     outputs.clear();
-    receive(NEAR, new ToDataPlane.SessionDelta(2, List.of(session("a", false, 2)), List.of()));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionDelta(2, List.of(session("a", false, 2)), List.of()));
     assertThat(take(SubscriptionOutput.ListBackends.class), is(empty()));
-    assertThat(acknowledged(), contains(new ToControl.Acknowledge(0, 2)));
+    assertThat(acknowledged(), contains(new DataPlaneMessage.Acknowledge(0, 2)));
   }
 
   @Test
   void sessionsAndSharesCountFromTheActiveAgentOnly() {
     makeNearActive();
     outputs.clear();
-    receive(FAR, new ToDataPlane.SessionSnapshot(1, true, List.of(session("a", false, 1))));
-    receive(FAR, new ToDataPlane.Shares(new AgentShares(9, List.of())));
+    receive(FAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
+    receive(FAR, new ControlPlaneMessage.QuotaUpdate(new QuotaAllocation(9, List.of())));
     assertThat(outputs, is(empty()));
-    receive(NEAR, new ToDataPlane.Shares(new AgentShares(6, List.of())));
+    receive(NEAR, new ControlPlaneMessage.QuotaUpdate(new QuotaAllocation(6, List.of())));
     assertThat(
         take(SubscriptionOutput.Share.class),
-        contains(new SubscriptionOutput.Share(new AgentShares(6, List.of()))));
+        contains(new SubscriptionOutput.Share(new QuotaAllocation(6, List.of()))));
   }
 
   @Test
   void whatWasLearntStaysWhileAllAreAway() {
     makeNearActive();
-    receive(NEAR, new ToDataPlane.ConfigurationSnapshot(5, document(5, "s")));
-    receive(NEAR, new ToDataPlane.SessionSnapshot(1, true, List.of(session("a", false, 1))));
+    receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
+    receive(
+        NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
     outputs.clear();
     Stream.of(NEAR, FAR, FARTHER).forEach(agent -> feed(new SubscriptionInput.Disconnected(agent)));
     pass(20_000);
@@ -330,7 +342,7 @@
     pass(1_000, good(NEAR), good(FAR), good(FARTHER));
     List<String> told =
         take(SubscriptionOutput.Send.class).stream()
-            .filter(send -> send.message() instanceof ToControl.Demand)
+            .filter(send -> send.message() instanceof DataPlaneMessage.Demand)
             .map(SubscriptionOutput.Send::agent)
             .toList();
     assertThat(told, is(List.of(NEAR, NEAR, NEAR, NEAR)));
--- a/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
+++ b/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.sessions.SessionTable;
 
 /** What a stream is sent, by what it has and what it takes. */
@@ -37,10 +37,10 @@
   void aNewStreamGetsAllWhole() {
     source.version = 5;
     delivery.subscribe(subscribe(0, true));
-    List<ToDataPlane> messages = delivery.pending();
-    assertThat(messages.get(0), is(instanceOf(ToDataPlane.ConfigurationSnapshot.class)));
-    assertThat(messages.get(1), is(instanceOf(ToDataPlane.SessionSnapshot.class)));
-    assertThat(((ToDataPlane.SessionSnapshot) messages.get(1)).complete(), is(false));
+    List<ControlPlaneMessage> messages = delivery.pending();
+    assertThat(messages.get(0), is(instanceOf(ControlPlaneMessage.ConfigurationSnapshot.class)));
+    assertThat(messages.get(1), is(instanceOf(ControlPlaneMessage.SessionSnapshot.class)));
+    assertThat(((ControlPlaneMessage.SessionSnapshot) messages.get(1)).complete(), is(false));
     assertThat(delivery.pending(), is(empty()));
   }
 
@@ -55,9 +55,9 @@
     source.patch(3, 5);
     source.patch(5, 6);
     delivery.subscribe(subscribe(3, true));
-    List<ToDataPlane> messages = delivery.pending();
-    assertThat(((ToDataPlane.ConfigurationPatch) messages.get(0)).toVersion(), is(5L));
-    assertThat(((ToDataPlane.ConfigurationPatch) messages.get(1)).toVersion(), is(6L));
+    List<ControlPlaneMessage> messages = delivery.pending();
+    assertThat(((ControlPlaneMessage.ConfigurationPatch) messages.get(0)).toVersion(), is(5L));
+    assertThat(((ControlPlaneMessage.ConfigurationPatch) messages.get(1)).toVersion(), is(6L));
   }
 
   @Test
@@ -65,7 +65,8 @@
     source.patch(3, 5);
     source.version = 8;
     delivery.subscribe(subscribe(3, true));
-    assertThat(delivery.pending().get(0), is(instanceOf(ToDataPlane.ConfigurationSnapshot.class)));
+    assertThat(
+        delivery.pending().get(0), is(instanceOf(ControlPlaneMessage.ConfigurationSnapshot.class)));
   }
 
   @Test
@@ -83,9 +84,9 @@
     register("a", 1);
     register("b", 2);
     sessions.depart(NOW, "a");
-    List<ToDataPlane> messages = delivery.pending();
+    List<ControlPlaneMessage> messages = delivery.pending();
     assertThat(messages, hasSize(1));
-    ToDataPlane.SessionDelta delta = (ToDataPlane.SessionDelta) messages.get(0);
+    ControlPlaneMessage.SessionDelta delta = (ControlPlaneMessage.SessionDelta) messages.get(0);
     assertThat(delta.gone(), is(List.of("a")));
     assertThat(delta.changed(), hasSize(1));
     assertThat(delta.revision(), is(sessions.revision()));
@@ -96,7 +97,8 @@
     delivery.subscribe(subscribe(0, true));
     delivery.pending();
     sessions.markComplete();
-    ToDataPlane.SessionSnapshot snapshot = (ToDataPlane.SessionSnapshot) delivery.pending().get(0);
+    ControlPlaneMessage.SessionSnapshot snapshot =
+        (ControlPlaneMessage.SessionSnapshot) delivery.pending().get(0);
     assertThat(snapshot.complete(), is(true));
   }
 
@@ -107,8 +109,8 @@
     delivery.subscribe(subscribe(0, true));
     second.subscribe(subscribe(7, true));
     standby.subscribe(subscribe(1, false));
-    delivery.acknowledge(new ToControl.Acknowledge(4, 2));
-    second.acknowledge(new ToControl.Acknowledge(7, 1));
+    delivery.acknowledge(new DataPlaneMessage.Acknowledge(4, 2));
+    second.acknowledge(new DataPlaneMessage.Acknowledge(7, 1));
     DeliveryProgress progress = DeliveryProgress.of(List.of(delivery, second, standby));
     assertThat(progress, is(new DeliveryProgress(4, 1)));
     assertThat(
@@ -119,8 +121,8 @@
   @Test
   void anOldAcknowledgementTakesNothingBack() {
     delivery.subscribe(subscribe(0, true));
-    delivery.acknowledge(new ToControl.Acknowledge(4, 9));
-    delivery.acknowledge(new ToControl.Acknowledge(3, 8));
+    delivery.acknowledge(new DataPlaneMessage.Acknowledge(4, 9));
+    delivery.acknowledge(new DataPlaneMessage.Acknowledge(3, 8));
     assertThat(delivery.acknowledgedVersion(), is(4L));
     assertThat(delivery.acknowledgedRevision(), is(9L));
   }
@@ -130,8 +132,8 @@
         NOW, new BackendSession(id, "s", "10.1.0." + host + ":80", "z", "v1", 8, false, 0, 1));
   }
 
-  private static ToControl.Subscribe subscribe(long version, boolean active) {
-    return new ToControl.Subscribe("edge-1", 1, "z", version, active);
+  private static DataPlaneMessage.Subscribe subscribe(long version, boolean active) {
+    return new DataPlaneMessage.Subscribe("edge-1", 1, "z", version, active);
   }
 
   private static final class Source implements ConfigurationSource {
--- a/src/test/java/slateslip/distribution/exchange/ReachabilityTest.java
+++ b/src/test/java/slateslip/distribution/exchange/ReachabilityTest.java
@@ -40,11 +40,13 @@
   void theEchoOfAnEarlierLifesBeatShowsNothing() {
     Reachability former = new Reachability(SELF, FORMER_INCARNATION);
     long formerBeat = former.numberOf(START + 900_000_000);
-    reachability.heard(START, PEER, new ExchangeMessage.Beat(1, formerBeat, true, List.of()));
+    reachability.heard(
+        START, PEER, new ControlPeerMessage.Heartbeat(1, formerBeat, true, List.of()));
     assertThat(reachability.isReached(START, PEER), is(false));
     assertThat(reachability.echoedMicros(PEER), is(0L));
     long laterBeat = new Reachability(SELF, -FORMER_INCARNATION).numberOf(START);
-    reachability.heard(START, PEER, new ExchangeMessage.Beat(2, laterBeat, true, List.of()));
+    reachability.heard(
+        START, PEER, new ControlPeerMessage.Heartbeat(2, laterBeat, true, List.of()));
     assertThat(reachability.isReached(START, PEER), is(false));
   }
 
@@ -81,6 +83,6 @@
 
   private void heard(long now, String peer, long number, long echoed) {
     long echo = echoed == 0 ? 0 : reachability.numberOf(echoed);
-    reachability.heard(now, peer, new ExchangeMessage.Beat(number, echo, true, List.of()));
+    reachability.heard(now, peer, new ControlPeerMessage.Heartbeat(number, echo, true, List.of()));
   }
 }
--- a/src/test/java/slateslip/distribution/quota/ShareAllocatorTest.java
+++ b/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.distribution.AgentShares.TenantShare;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.quota.ShareAllocator.AgentAllocation;
+import slateslip.distribution.quota.QuotaAllocator.DataPlaneAllocation;
 
-class ShareAllocatorTest {
+class QuotaAllocatorTest {
   private static final int AGENTS = 4;
   private static final long TICK = 200_000;
   private static final long SECOND = 1_000_000;
@@ -26,7 +26,7 @@
 
   private record Message(long dueMicros, int agent, double fraction) {}
 
-  private final ShareAllocator allocator = new ShareAllocator();
+  private final QuotaAllocator allocator = new QuotaAllocator();
   private final long[] wanted = new long[AGENTS];
   private final double[] inForce = new double[AGENTS];
   private final long[] toldMicros = new long[AGENTS];
@@ -45,7 +45,7 @@
         allocator.report(now, "a" + agent, 1, List.of(new TenantDemand("t", wanted[agent], 0)));
       }
     }
-    for (AgentAllocation each : allocator.allocate(now)) {
+    for (DataPlaneAllocation each : allocator.allocate(now)) {
       int agent = Integer.parseInt(each.agent().substring(1));
       if (!cut[agent]) {
         TenantShare share = each.shares().tenants().get(0);
@@ -64,7 +64,7 @@
   /** Data planes without news fall back to the equal share by themselves. */
   private void lowerStale(long atMicros) {
     for (int agent = 0; agent < AGENTS; agent++) {
-      if (atMicros - toldMicros[agent] > ShareAllocator.SHARES_STALE_MICROS) {
+      if (atMicros - toldMicros[agent] > QuotaAllocator.SHARES_STALE_MICROS) {
         inForce[agent] = Math.min(inForce[agent], 1.0 / AGENTS);
       }
     }
--- a/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ExchangeMessage.SessionChanges;
-import slateslip.distribution.exchange.ExchangeMessage.SessionRenewals;
+import slateslip.distribution.exchange.ControlPeerMessage.SessionChanges;
+import slateslip.distribution.exchange.ControlPeerMessage.SessionRenewals;
 import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.sessions.SessionReplication.Send;
+import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
 
 /** Peers come to hold the same sessions, whatever is lost with a connection that breaks. */
 class SessionReplicationTest {
@@ -28,7 +28,7 @@
   void aPeerThatConnectsFirstGetsTheWholeTable() {
     register("a", 1);
     table.depart(now, "gone");
-    List<Send> sends = replication.connected(now, PEER, 7);
+    List<OutboundMessage> sends = replication.connected(now, PEER, 7);
     SessionChanges whole = (SessionChanges) sends.get(0).message();
     assertThat(whole.whole(), is(true));
     assertThat(ids(whole), contains("a"));
@@ -39,10 +39,10 @@
   void changesGoOutAtOnceAndRenewalsInBatches() {
     replication.connected(now, PEER, 7);
     register("a", 1);
-    List<Send> sends = replication.changed(now, 4, List.of("a"));
+    List<OutboundMessage> sends = replication.changed(now, 4, List.of("a"));
     assertThat(((SessionChanges) sends.get(0).message()).number(), is(4L));
     replication.renewed("a");
-    List<Send> batch = replication.flushRenewals(now);
+    List<OutboundMessage> batch = replication.flushRenewals(now);
     assertThat(((SessionRenewals) batch.get(0).message()).renewals(), hasSize(1));
     assertThat(replication.flushRenewals(now), is(empty()));
   }
@@ -151,11 +151,11 @@
     assertThat(live(other), is(live(table)));
   }
 
-  private void deliver(List<Send> sends, SessionTable other, boolean arrives) {
+  private void deliver(List<OutboundMessage> sends, SessionTable other, boolean arrives) {
     if (!arrives) {
       return;
     }
-    for (Send send : sends) {
+    for (OutboundMessage send : sends) {
       SessionChanges changes = (SessionChanges) send.message();
       changes.entries().forEach(entry -> other.merge(now, PEER, entry));
       changes.departed().forEach(id -> other.depart(now, id));
--- a/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
@@ -159,7 +159,7 @@
     long read = table.revision();
     call(START, "b", SECOND_ADDRESS, 1);
     table.depart(START, "a");
-    TableChange change = table.changesAfter(read).get();
+    SessionChangeSet change = table.changesAfter(read).get();
     assertThat(change.changed(), contains("b"));
     assertThat(change.gone(), contains("a"));
     assertThat(table.changesAfter(table.revision()).get().changed(), is(empty()));
@@ -170,7 +170,7 @@
     long read = table.revision();
     call(START, "a", FIRST_ADDRESS, 1);
     table.depart(START, "a");
-    TableChange change = table.changesAfter(read).get();
+    SessionChangeSet change = table.changesAfter(read).get();
     assertThat(change.changed(), is(empty()));
     assertThat(change.gone(), contains("a"));
   }
--- a/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
@@ -8,7 +8,7 @@
 import org.agrona.concurrent.UnsafeBuffer;
 import org.junit.jupiter.api.Test;
 import slateslip.coordination.DurableRecord;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.coordination.generated.next.EntryRecordEncoder;
 import slateslip.protocol.coordination.generated.next.Flag;
@@ -51,8 +51,8 @@
     encoder.tenure().epoch(7).incarnation(2);
     encoder.round(11).committedSequence(12).active(Flag.YES).addedNote(NOTE);
     encoder.putView(view, 0, view.length);
-    PeerMessage.Heartbeat heartbeat =
-        (PeerMessage.Heartbeat) PeerMessageCodecTest.decoded(copy(encoder.limit()));
+    ReplicaMessage.Heartbeat heartbeat =
+        (ReplicaMessage.Heartbeat) ReplicaMessageCodecTest.decoded(copy(encoder.limit()));
     assertThat(heartbeat.round(), is(11L));
     assertThat(heartbeat.active(), is(true));
     assertThat(heartbeat.view().members().get(1).sinceEpoch(), is(4L));
@@ -75,10 +75,10 @@
   @Test
   void aLaterVersionReadsThisOne() {
     byte[] heartbeat =
-        PeerMessageCodec.encode(
-            PeerMessageCodecTest.ONE,
-            new PeerMessage.Heartbeat(
-                PeerMessageCodecTest.TENURE, 5, 41, true, PeerMessageCodecTest.VIEW));
+        ReplicaMessageCodec.encode(
+            ReplicaMessageCodecTest.ONE,
+            new ReplicaMessage.Heartbeat(
+                ReplicaMessageCodecTest.TENURE, 5, 41, true, ReplicaMessageCodecTest.VIEW));
     HeartbeatDecoder decoder =
         new HeartbeatDecoder()
             .wrapAndApplyHeader(new UnsafeBuffer(heartbeat), 0, new MessageHeaderDecoder());
@@ -86,9 +86,9 @@
     assertThat(decoder.addedNote(), is(HeartbeatDecoder.addedNoteNullValue()));
     assertThat(decoder.viewLength() > 0, is(true));
     byte[] hello =
-        PeerMessageCodec.encode(
-            PeerMessageCodecTest.ONE,
-            new PeerMessage.Hello(PeerMessageCodecTest.VIEW, PeerMessageCodecTest.STATUS));
+        ReplicaMessageCodec.encode(
+            ReplicaMessageCodecTest.ONE,
+            new ReplicaMessage.Hello(ReplicaMessageCodecTest.VIEW, ReplicaMessageCodecTest.STATUS));
     HelloDecoder helloDecoder =
         new HelloDecoder()
             .wrapAndApplyHeader(new UnsafeBuffer(hello), 0, new MessageHeaderDecoder());
--- a/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
+++ b/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import slateslip.distribution.AgentShares;
-import slateslip.distribution.AgentShares.TenantShare;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
+import slateslip.distribution.QuotaAllocation;
+import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
 import slateslip.protocol.Decoded;
 
 /** What is written is read back; what is not whole or not known is told apart and harms nothing. */
@@ -33,40 +33,41 @@
 
   private final DistributionCodec codec = new DistributionCodec();
 
-  static Stream<ToControl> toControl() {
+  static Stream<DataPlaneMessage> toControl() {
     return Stream.of(
-        new ToControl.Subscribe("edge-1", -5, "faro", 7, true),
-        new ToControl.Subscribe("", 0, "", 0, false),
-        new ToControl.Acknowledge(9, 12),
-        new ToControl.Demand(List.of()),
-        new ToControl.Demand(
+        new DataPlaneMessage.Subscribe("edge-1", -5, "faro", 7, true),
+        new DataPlaneMessage.Subscribe("", 0, "", 0, false),
+        new DataPlaneMessage.Acknowledge(9, 12),
+        new DataPlaneMessage.Demand(List.of()),
+        new DataPlaneMessage.Demand(
             List.of(new TenantDemand("a", 5, 4), new TenantDemand("b", 1L << 50, 0))),
-        new ToControl.Ping(77));
+        new DataPlaneMessage.Ping(77));
   }
 
-  static Stream<ToDataPlane> toDataPlane() {
+  static Stream<ControlPlaneMessage> toDataPlane() {
     BackendSession other = new BackendSession("i-2", "s", "10.1.0.1:1", "z", "", 1, false, 0, 0);
     return Stream.of(
-        new ToDataPlane.SessionSnapshot(3, false, List.of(SESSION, other)),
-        new ToDataPlane.SessionSnapshot(3, true, List.of()),
-        new ToDataPlane.SessionDelta(4, List.of(SESSION), List.of("i-1", "i-3")),
-        new ToDataPlane.SessionDelta(5, List.of(), List.of()),
-        new ToDataPlane.Shares(new AgentShares(6, List.of(new TenantShare("a", 0.25)))),
-        new ToDataPlane.Heartbeat(true, 4, 5, List.of("10.1.0.6", "10.2.0.20")),
-        new ToDataPlane.Heartbeat(false, 0, 0, List.of()),
-        new ToDataPlane.Pong(-1));
+        new ControlPlaneMessage.SessionSnapshot(3, false, List.of(SESSION, other)),
+        new ControlPlaneMessage.SessionSnapshot(3, true, List.of()),
+        new ControlPlaneMessage.SessionDelta(4, List.of(SESSION), List.of("i-1", "i-3")),
+        new ControlPlaneMessage.SessionDelta(5, List.of(), List.of()),
+        new ControlPlaneMessage.QuotaUpdate(
+            new QuotaAllocation(6, List.of(new TenantShare("a", 0.25)))),
+        new ControlPlaneMessage.Heartbeat(true, 4, 5, List.of("10.1.0.6", "10.2.0.20")),
+        new ControlPlaneMessage.Heartbeat(false, 0, 0, List.of()),
+        new ControlPlaneMessage.Pong(-1));
   }
 
   @ParameterizedTest
   @MethodSource("toControl")
-  void readsWhatItWroteToControl(ToControl message) {
+  void readsWhatItWroteToControl(DataPlaneMessage message) {
     assertThat(
         codec.decodeToControl(codec.encode(message)), equalTo(new Decoded.Message<>(message)));
   }
 
   @ParameterizedTest
   @MethodSource("toDataPlane")
-  void readsWhatItWroteToDataPlane(ToDataPlane message) {
+  void readsWhatItWroteToDataPlane(ControlPlaneMessage message) {
     assertThat(
         codec.decodeToDataPlane(codec.encode(message)), equalTo(new Decoded.Message<>(message)));
   }
@@ -75,30 +76,33 @@
   void readsDocumentsOfAnyLength() {
     byte[] document = new byte[4 * 1024 * 1024];
     new Random(1).nextBytes(document);
-    ToDataPlane snapshot = read(codec.encode(new ToDataPlane.ConfigurationSnapshot(8, document)));
-    assertThat(((ToDataPlane.ConfigurationSnapshot) snapshot).version(), is(8L));
-    assertThat(((ToDataPlane.ConfigurationSnapshot) snapshot).document(), equalTo(document));
+    ControlPlaneMessage snapshot =
+        read(codec.encode(new ControlPlaneMessage.ConfigurationSnapshot(8, document)));
+    assertThat(((ControlPlaneMessage.ConfigurationSnapshot) snapshot).version(), is(8L));
+    assertThat(
+        ((ControlPlaneMessage.ConfigurationSnapshot) snapshot).document(), equalTo(document));
 
     byte[] empty = new byte[0];
-    ToDataPlane patch = read(codec.encode(new ToDataPlane.ConfigurationPatch(8, 11, empty)));
-    assertThat(((ToDataPlane.ConfigurationPatch) patch).fromVersion(), is(8L));
-    assertThat(((ToDataPlane.ConfigurationPatch) patch).toVersion(), is(11L));
-    assertThat(((ToDataPlane.ConfigurationPatch) patch).patch(), equalTo(empty));
+    ControlPlaneMessage patch =
+        read(codec.encode(new ControlPlaneMessage.ConfigurationPatch(8, 11, empty)));
+    assertThat(((ControlPlaneMessage.ConfigurationPatch) patch).fromVersion(), is(8L));
+    assertThat(((ControlPlaneMessage.ConfigurationPatch) patch).toVersion(), is(11L));
+    assertThat(((ControlPlaneMessage.ConfigurationPatch) patch).patch(), equalTo(empty));
   }
 
   @ParameterizedTest
   @MethodSource("toControl")
-  void toldApartFromADataPlanesMessages(ToControl message) {
+  void toldApartFromADataPlanesMessages(DataPlaneMessage message) {
     assertThat(
         codec.decodeToDataPlane(codec.encode(message)), is(instanceOf(Decoded.Unknown.class)));
   }
 
   @ParameterizedTest
   @MethodSource("toDataPlane")
-  void aMessageCutAnywhereIsMalformed(ToDataPlane message) {
+  void aMessageCutAnywhereIsMalformed(ControlPlaneMessage message) {
     byte[] whole = codec.encode(message);
     for (int length = 0; length < whole.length; length++) {
-      Decoded<ToDataPlane> decoded = codec.decodeToDataPlane(Arrays.copyOf(whole, length));
+      Decoded<ControlPlaneMessage> decoded = codec.decodeToDataPlane(Arrays.copyOf(whole, length));
       assertThat("cut at " + length, decoded, is(instanceOf(Decoded.Malformed.class)));
     }
   }
@@ -107,7 +111,7 @@
   void aDocumentLongerThanItsMessageIsMalformedAndTakesNoMemory() {
     byte[] document = "{}".getBytes(StandardCharsets.UTF_8);
     for (int length : new int[] {3, 1 << 20, Integer.MAX_VALUE, -1, Integer.MIN_VALUE}) {
-      byte[] bytes = codec.encode(new ToDataPlane.ConfigurationSnapshot(8, document));
+      byte[] bytes = codec.encode(new ControlPlaneMessage.ConfigurationSnapshot(8, document));
       ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).putInt(CONTENT_LENGTH_OFFSET, length);
       assertThat(codec.decodeToDataPlane(bytes), is(instanceOf(Decoded.Malformed.class)));
     }
@@ -115,7 +119,7 @@
 
   @Test
   void anotherSchemaIsUnknown() {
-    byte[] bytes = codec.encode(new ToControl.Ping(1));
+    byte[] bytes = codec.encode(new DataPlaneMessage.Ping(1));
     ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).putShort(4, (short) 9999);
     assertThat(codec.decodeToControl(bytes), equalTo(new Decoded.Unknown<>(9999, 4)));
   }
@@ -147,7 +151,7 @@
     }
   }
 
-  private ToDataPlane read(byte[] bytes) {
-    return ((Decoded.Message<ToDataPlane>) codec.decodeToDataPlane(bytes)).value();
+  private ControlPlaneMessage read(byte[] bytes) {
+    return ((Decoded.Message<ControlPlaneMessage>) codec.decodeToDataPlane(bytes)).value();
   }
 }
--- a/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
@@ -9,8 +9,8 @@
 import org.agrona.concurrent.UnsafeBuffer;
 import org.junit.jupiter.api.Test;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToControl;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
+import slateslip.distribution.DataPlaneMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.newer.generated.AcknowledgeDecoder;
 import slateslip.protocol.distribution.newer.generated.AcknowledgeEncoder;
@@ -43,7 +43,8 @@
     encoder.node("edge-1").zone("faro").build("2031-4");
     assertThat(
         codec.decodeToControl(written(encoder.encodedLength())),
-        equalTo(new Decoded.Message<>(new ToControl.Subscribe("edge-1", 5, "faro", 7, true))));
+        equalTo(
+            new Decoded.Message<>(new DataPlaneMessage.Subscribe("edge-1", 5, "faro", 7, true))));
   }
 
   @Test
@@ -52,7 +53,7 @@
     encoder.configurationVersion(9).sessionRevision(12).applyMicros(333);
     assertThat(
         codec.decodeToControl(written(encoder.encodedLength())),
-        equalTo(new Decoded.Message<>(new ToControl.Acknowledge(9, 12))));
+        equalTo(new Decoded.Message<>(new DataPlaneMessage.Acknowledge(9, 12))));
   }
 
   @Test
@@ -67,7 +68,7 @@
         codec.decodeToDataPlane(written(encoder.encodedLength())),
         equalTo(
             new Decoded.Message<>(
-                new ToDataPlane.SessionDelta(3, List.of(FIRST, SECOND), List.of("i-0")))));
+                new ControlPlaneMessage.SessionDelta(3, List.of(FIRST, SECOND), List.of("i-0")))));
   }
 
   @Test
@@ -75,13 +76,13 @@
     FarewellEncoder encoder = new FarewellEncoder().wrapAndApplyHeader(buffer, 0, header);
     byte[] message = written(encoder.reason(2).encodedLength());
     int schema = MessageHeaderEncoder.SCHEMA_ID;
-    Decoded<ToControl> unknown = new Decoded.Unknown<>(schema, FarewellEncoder.TEMPLATE_ID);
+    Decoded<DataPlaneMessage> unknown = new Decoded.Unknown<>(schema, FarewellEncoder.TEMPLATE_ID);
     assertThat(codec.decodeToControl(message), equalTo(unknown));
   }
 
   @Test
   void newerReaderTakesOlderSubscribe() {
-    byte[] message = codec.encode(new ToControl.Subscribe("edge-1", 5, "faro", 7, true));
+    byte[] message = codec.encode(new DataPlaneMessage.Subscribe("edge-1", 5, "faro", 7, true));
     SubscribeDecoder decoder =
         new SubscribeDecoder()
             .wrapAndApplyHeader(new UnsafeBuffer(message), 0, new MessageHeaderDecoder());
@@ -94,7 +95,7 @@
 
   @Test
   void newerReaderTakesOlderAcknowledge() {
-    byte[] message = codec.encode(new ToControl.Acknowledge(9, 12));
+    byte[] message = codec.encode(new DataPlaneMessage.Acknowledge(9, 12));
     AcknowledgeDecoder decoder =
         new AcknowledgeDecoder()
             .wrapAndApplyHeader(new UnsafeBuffer(message), 0, new MessageHeaderDecoder());
@@ -105,7 +106,8 @@
   @Test
   void newerReaderTakesOlderSessions() {
     byte[] message =
-        codec.encode(new ToDataPlane.SessionDelta(3, List.of(FIRST, SECOND), List.of("i-0")));
+        codec.encode(
+            new ControlPlaneMessage.SessionDelta(3, List.of(FIRST, SECOND), List.of("i-0")));
     SessionsDecoder decoder =
         new SessionsDecoder()
             .wrapAndApplyHeader(new UnsafeBuffer(message), 0, new MessageHeaderDecoder());
--- /dev/null
+++ b/src/test/java/slateslip/protocol/exchange/ControlPeerCodecTest.java
@@ -0,0 +1,131 @@
+package slateslip.protocol.exchange;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.equalTo;
+import static org.hamcrest.Matchers.instanceOf;
+import static org.hamcrest.Matchers.is;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Random;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
+import slateslip.distribution.QuotaAllocation.TenantShare;
+import slateslip.distribution.TenantDemand;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot.CommittedChange;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.exchange.SessionEntry;
+import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.protocol.Decoded;
+
+/** What is written is read back; what is cut or damaged harms nothing. */
+class ControlPeerCodecTest {
+  private static final byte[] BODY = "{\"version\":7}".getBytes(StandardCharsets.UTF_8);
+
+  private final ControlPeerCodec codec = new ControlPeerCodec();
+
+  static Stream<ControlPeerMessage> messages() {
+    BackendSession session =
+        new BackendSession("i-1", "s", "10.1.0.9:8080", "z", "v1", 64, true, 250, 1L << 40);
+    DataPlaneDemand demand = new DataPlaneDemand("edge-1", 5, List.of(new TenantDemand("a", 9, 8)));
+    QuotaAllocation shares = new QuotaAllocation(6, List.of(new TenantShare("a", 0.5)));
+    return Stream.of(
+        new ControlPeerMessage.Hello("10.1.0.6", -9),
+        new ControlPeerMessage.Heartbeat(5, 4, true, List.of("10.1.0.6", "10.2.0.6")),
+        new ControlPeerMessage.SessionChanges(
+            3, true, List.of(new SessionEntry(session, 9, 8)), List.of("i-0")),
+        new ControlPeerMessage.SessionChanges(0, false, List.of(), List.of()),
+        new ControlPeerMessage.SessionRenewals(List.of(new SessionRenewal("i-1", 20))),
+        new ControlPeerMessage.SessionChangesAcknowledged(3),
+        new ControlPeerMessage.DeliveryReport(Long.MAX_VALUE),
+        new ControlPeerMessage.DemandReport(
+            List.of(demand, new DataPlaneDemand("edge-2", 6, List.of()))),
+        new ControlPeerMessage.QuotaAllocations(List.of(new DataPlaneQuota("edge-1", shares))));
+  }
+
+  @ParameterizedTest
+  @MethodSource("messages")
+  void readsWhatItWrote(ControlPeerMessage message) {
+    assertThat(codec.decode(codec.encode(message)), equalTo(new Decoded.Message<>(message)));
+  }
+
+  @ParameterizedTest
+  @MethodSource("messages")
+  void aMessageCutAnywhereIsMalformed(ControlPeerMessage message) {
+    byte[] whole = codec.encode(message);
+    for (int length = 0; length < whole.length; length++) {
+      Decoded<ControlPeerMessage> decoded = codec.decode(Arrays.copyOf(whole, length));
+      assertThat("cut at " + length, decoded, is(instanceOf(Decoded.Malformed.class)));
+    }
+  }
+
+  @Test
+  void callsAndAnswersKeepTheirBodies() {
+    for (OperatorRequest.Method method : OperatorRequest.Method.values()) {
+      OperatorRequest call = new OperatorRequest(method, 6, BODY);
+      ControlPeerMessage.ForwardedRequest forwarded =
+          (ControlPeerMessage.ForwardedRequest)
+              read(new ControlPeerMessage.ForwardedRequest(2, call));
+      assertThat(forwarded.id(), is(2L));
+      assertThat(forwarded.call().method(), is(method));
+      assertThat(forwarded.call().baseVersion(), is(6L));
+      assertThat(forwarded.call().body(), equalTo(BODY));
+    }
+    OperatorResponse answer = new OperatorResponse(412, 7, BODY);
+    ControlPeerMessage.ForwardedResponse answered =
+        (ControlPeerMessage.ForwardedResponse)
+            read(new ControlPeerMessage.ForwardedResponse(2, answer));
+    assertThat(answered.answer().status(), is(412));
+    assertThat(answered.answer().version(), is(7L));
+    assertThat(answered.answer().body(), equalTo(BODY));
+  }
+
+  @Test
+  void theStateAndItsRecordsAreReadBack() {
+    List<CommittedChange> changes =
+        List.of(new CommittedChange(0, 3, 1, 2), new CommittedChange(3, 9, -1, -2));
+    Decoded<ConfigurationStateSnapshot> image =
+        ConfigurationStateCodec.decode(
+            ConfigurationStateCodec.encode(new ConfigurationStateSnapshot(changes, BODY)));
+    ConfigurationStateSnapshot read = ((Decoded.Message<ConfigurationStateSnapshot>) image).value();
+    assertThat(read.changes(), equalTo(changes));
+    assertThat(read.document(), equalTo(BODY));
+
+    OperatorRequest call = new OperatorRequest(OperatorRequest.Method.PATCH, 4, BODY);
+    byte[] record = OperatorRequestCodec.encode(call);
+    assertThat(ConfigurationStateCodec.decode(record), is(instanceOf(Decoded.Unknown.class)));
+    OperatorRequest found =
+        ((Decoded.Message<OperatorRequest>) OperatorRequestCodec.decode(record)).value();
+    assertThat(found.method(), is(OperatorRequest.Method.PATCH));
+    assertThat(found.body(), equalTo(BODY));
+  }
+
+  @Test
+  void damageIsNeverThrownBack() {
+    Random random = new Random(3);
+    List<byte[]> whole = messages().map(codec::encode).toList();
+    for (int round = 0; round < 20_000; round++) {
+      byte[] bytes = whole.get(random.nextInt(whole.size())).clone();
+      bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
+      bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
+      codec.decode(bytes);
+      OperatorRequestCodec.decode(bytes);
+      ConfigurationStateCodec.decode(bytes);
+    }
+  }
+
+  private ControlPeerMessage read(ControlPeerMessage message) {
+    Decoded<ControlPeerMessage> decoded = codec.decode(codec.encode(message));
+    return ((Decoded.Message<ControlPeerMessage>) decoded).value();
+  }
+}
--- a/src/test/java/slateslip/routing/RandomHost.java
+++ b/src/test/java/slateslip/routing/RandomHost.java
@@ -15,8 +15,8 @@
 import slateslip.configuration.Route;
 import slateslip.configuration.RouteKind;
 import slateslip.configuration.RoutingTable;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.AttemptOutcome.Kind;
 import slateslip.routing.RouterInput.ProbeOutcome;
@@ -64,7 +64,7 @@
       add(Fixtures.backend("l" + i, Fixtures.LEDGER_SERVICE, "z" + i % 3));
     }
     feed(new RouterInput.TableChanged(table));
-    feed(new RouterInput.SharesChanged(new AgentShares(agents, List.of())));
+    feed(new RouterInput.SharesChanged(new QuotaAllocation(agents, List.of())));
     tellBackends();
   }
 
--- a/src/test/java/slateslip/routing/quota/QuotaFleetTest.java
+++ b/src/test/java/slateslip/routing/quota/QuotaFleetTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.configuration.Tenant;
-import slateslip.distribution.quota.ShareAllocator;
-import slateslip.distribution.quota.ShareAllocator.AgentAllocation;
+import slateslip.distribution.quota.QuotaAllocator;
+import slateslip.distribution.quota.QuotaAllocator.DataPlaneAllocation;
 
 /**
  * Data planes and an allocator together: the rule over every window, and what is refused below the
@@ -48,7 +48,7 @@
 
   private static final class Fleet {
     final Random random;
-    final ShareAllocator allocator = new ShareAllocator();
+    final QuotaAllocator allocator = new QuotaAllocator();
     final List<Agent> agents = new ArrayList<>();
     final Deque<long[]> admitted = new ArrayDeque<>();
     final long[] incarnations = new long[AGENTS];
@@ -116,7 +116,7 @@
           allocator.report(now, "a" + i, incarnations[i], agents.get(i).quotas.demand());
         }
       }
-      for (AgentAllocation each : allocator.allocate(now)) {
+      for (DataPlaneAllocation each : allocator.allocate(now)) {
         Agent agent = agents.get(Integer.parseInt(each.agent().substring(1)));
         if (!agent.cut) {
           agent.quotas.shares(each.shares(), now);
--- a/src/test/java/slateslip/simulation/LossCount.java
+++ b/src/test/java/slateslip/simulation/ToleratedLosses.java
@@ -9,7 +9,7 @@
  * Which machines count as lost: those in trouble and for a time after it, and those whose disk was
  * lost until all has been calm for that time. Disks are only lost within the tolerance.
  */
-public final class LossCount {
+public final class ToleratedLosses {
   private static final long SETTLED = 4_000_000;
 
   private final EventQueue events;
@@ -17,7 +17,7 @@
   private final Set<Object> wiped = new HashSet<>();
 
   /** Nothing is lost yet. */
-  public LossCount(EventQueue events) {
+  public ToleratedLosses(EventQueue events) {
     this.events = events;
   }
 
