--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -7,22 +7,22 @@
 import slateslip.coordination.DurableRecord;
 import slateslip.coordination.NodeAddress;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
-import slateslip.coordination.PeerStatus;
+import slateslip.coordination.PrimaryTerm;
+import slateslip.coordination.ReplicaMessage;
+import slateslip.coordination.ReplicaStatus;
 import slateslip.coordination.StateTransfer;
-import slateslip.coordination.Tenure;
 import slateslip.coordination.WitnessState;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.delivery.DeliveryProgress;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.StateImage;
+import slateslip.distribution.exchange.ConfigurationStateSnapshot;
+import slateslip.distribution.exchange.ControlPeerMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageReader;
-import slateslip.protocol.coordination.PeerFrame;
-import slateslip.protocol.coordination.PeerMessageCodec;
+import slateslip.protocol.coordination.ReplicaFrame;
+import slateslip.protocol.coordination.ReplicaMessageCodec;
 import slateslip.protocol.distribution.DistributionCodec;
-import slateslip.protocol.exchange.ExchangeCodec;
-import slateslip.protocol.exchange.StateImageCodec;
+import slateslip.protocol.exchange.ConfigurationStateCodec;
+import slateslip.protocol.exchange.ControlPeerCodec;
 import slateslip.simulation.SimulatedDisk;
 
 /**
@@ -78,8 +78,11 @@
     if (!state.whole() || state.base().length == 0) {
       return state;
     }
-    StateImage image = ((Decoded.Message<StateImage>) StateImageCodec.decode(state.base())).value();
-    byte[] base = StateImageCodec.encode(new StateImage(List.of(), image.document()));
+    ConfigurationStateSnapshot image =
+        ((Decoded.Message<ConfigurationStateSnapshot>) ConfigurationStateCodec.decode(state.base()))
+            .value();
+    byte[] base =
+        ConfigurationStateCodec.encode(new ConfigurationStateSnapshot(List.of(), image.document()));
     return new StateTransfer(
         state.baseSequence(), true, base, state.records(), state.committedSequence());
   }
@@ -92,7 +95,7 @@
       return Optional.empty();
     }
     WitnessState witness = snapshot.witness();
-    Tenure installed = snapshot.installed();
+    PrimaryTerm installed = snapshot.installed();
     for (DurableRecord record : before) {
       if (record instanceof DurableRecord.Vote vote) {
         witness = vote.witness();
@@ -118,14 +121,14 @@
 
   /** What becomes of a message to a data plane, or of a greeting. */
   byte[] toDataPlane(byte[] message) {
-    if (this != ALWAYS_CURRENT || MessageReader.schemaOf(message) == ExchangeCodec.SCHEMA_ID) {
+    if (this != ALWAYS_CURRENT || MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID) {
       return message;
     }
     DistributionCodec codec = new DistributionCodec();
-    if (codec.decodeToDataPlane(message) instanceof Decoded.Message<ToDataPlane> known
-        && known.value() instanceof ToDataPlane.Heartbeat heartbeat) {
+    if (codec.decodeToDataPlane(message) instanceof Decoded.Message<ControlPlaneMessage> known
+        && known.value() instanceof ControlPlaneMessage.Heartbeat heartbeat) {
       return codec.encode(
-          new ToDataPlane.Heartbeat(
+          new ControlPlaneMessage.Heartbeat(
               true,
               heartbeat.configurationVersion(),
               heartbeat.sessionRevision(),
@@ -135,18 +138,20 @@
   }
 
   /** What an agent takes for the answer to a message of its own, before any has come. */
-  Optional<PeerFrame> supposedAnswer(String to, byte[] message) {
+  Optional<ReplicaFrame> supposedAnswer(String to, byte[] message) {
     if (this == SERVES_UNCONFIRMED
-        && MessageReader.schemaOf(message) != ExchangeCodec.SCHEMA_ID
-        && PeerMessageCodec.decode(message) instanceof Decoded.Message<PeerFrame> frame
-        && frame.value().message() instanceof PeerMessage.Heartbeat heartbeat) {
+        && MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
+        && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame
+        && frame.value().message() instanceof ReplicaMessage.Heartbeat heartbeat) {
       NodeId peer = new NodeId(NodeAddress.parse(to), NodeId.FOUNDER_DISK);
-      Tenure tenure = heartbeat.tenure();
+      PrimaryTerm tenure = heartbeat.tenure();
       long sequence = heartbeat.committedSequence();
-      PeerStatus status =
-          new PeerStatus(tenure.epoch(), false, tenure, sequence, tenure, sequence, sequence, true);
+      ReplicaStatus status =
+          new ReplicaStatus(
+              tenure.epoch(), false, tenure, sequence, tenure, sequence, sequence, true);
       return Optional.of(
-          new PeerFrame(peer, new PeerMessage.HeartbeatReply(tenure, heartbeat.round(), status)));
+          new ReplicaFrame(
+              peer, new ReplicaMessage.HeartbeatReply(tenure, heartbeat.round(), status)));
     }
     return Optional.empty();
   }
@@ -154,9 +159,10 @@
   /** The number of a change that its sender takes for stored at the receiver at once. */
   OptionalLong supposedlyStored(byte[] message) {
     if (this == IGNORES_STORED
-        && MessageReader.schemaOf(message) == ExchangeCodec.SCHEMA_ID
-        && new ExchangeCodec().decode(message) instanceof Decoded.Message<ExchangeMessage> known
-        && known.value() instanceof ExchangeMessage.SessionChanges changes
+        && MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID
+        && new ControlPeerCodec().decode(message)
+            instanceof Decoded.Message<ControlPeerMessage> known
+        && known.value() instanceof ControlPeerMessage.SessionChanges changes
         && changes.number() != 0) {
       return OptionalLong.of(changes.number());
     }
@@ -173,42 +179,42 @@
   }
 
   private byte[] exchange(byte[] message) {
-    ExchangeCodec codec = new ExchangeCodec();
-    if (MessageReader.schemaOf(message) == ExchangeCodec.SCHEMA_ID
-        && codec.decode(message) instanceof Decoded.Message<ExchangeMessage> known) {
+    ControlPeerCodec codec = new ControlPeerCodec();
+    if (MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID
+        && codec.decode(message) instanceof Decoded.Message<ControlPeerMessage> known) {
       return codec.encode(changed(known.value()));
     }
     return message;
   }
 
-  private ExchangeMessage changed(ExchangeMessage message) {
-    if (this == IGNORES_DELIVERY && message instanceof ExchangeMessage.Delivered) {
-      return new ExchangeMessage.Delivered(DeliveryProgress.NOBODY);
+  private ControlPeerMessage changed(ControlPeerMessage message) {
+    if (this == IGNORES_DELIVERY && message instanceof ControlPeerMessage.DeliveryReport) {
+      return new ControlPeerMessage.DeliveryReport(DeliveryProgress.NOBODY);
     }
-    if (message instanceof ExchangeMessage.SessionChanges changes) {
+    if (message instanceof ControlPeerMessage.SessionChanges changes) {
       List<String> departed = this == HIDES_DEPARTURES ? new ArrayList<>() : changes.departed();
-      return new ExchangeMessage.SessionChanges(
+      return new ControlPeerMessage.SessionChanges(
           changes.number(), changes.whole(), changes.entries(), departed);
     }
     return message;
   }
 
   private byte[] replication(byte[] message) {
-    if (MessageReader.schemaOf(message) != ExchangeCodec.SCHEMA_ID
-        && PeerMessageCodec.decode(message) instanceof Decoded.Message<PeerFrame> frame) {
-      return PeerMessageCodec.encode(frame.value().from(), changed(frame.value().message()));
+    if (MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
+        && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame) {
+      return ReplicaMessageCodec.encode(frame.value().from(), changed(frame.value().message()));
     }
     return message;
   }
 
-  private PeerMessage changed(PeerMessage message) {
-    if (this == SKIPS_A_RECORD && message instanceof PeerMessage.Install install) {
-      return new PeerMessage.Install(install.tenure(), skipping(install.state()));
+  private ReplicaMessage changed(ReplicaMessage message) {
+    if (this == SKIPS_A_RECORD && message instanceof ReplicaMessage.Install install) {
+      return new ReplicaMessage.Install(install.tenure(), skipping(install.state()));
     }
-    if (this == COUNTS_EMPTY_COPIES && message instanceof PeerMessage.HeartbeatReply reply) {
-      PeerStatus status = reply.status();
-      PeerStatus whole =
-          new PeerStatus(
+    if (this == COUNTS_EMPTY_COPIES && message instanceof ReplicaMessage.HeartbeatReply reply) {
+      ReplicaStatus status = reply.status();
+      ReplicaStatus whole =
+          new ReplicaStatus(
               status.decidedEpoch(),
               status.acceptedLater(),
               reply.tenure(),
@@ -217,7 +223,7 @@
               Long.MAX_VALUE,
               status.committedSequence(),
               status.fit());
-      return new PeerMessage.HeartbeatReply(reply.tenure(), reply.round(), whole);
+      return new ReplicaMessage.HeartbeatReply(reply.tenure(), reply.round(), whole);
     }
     return message;
   }
--- a/src/test/java/slateslip/simulation/agents/AgentWorld.java
+++ b/src/test/java/slateslip/simulation/agents/AgentWorld.java
@@ -10,11 +10,11 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.EventQueue;
-import slateslip.simulation.LossCount;
 import slateslip.simulation.RuleViolation;
+import slateslip.simulation.ToleratedLosses;
 
 /** Core machines, edge machines, operators and backends: one seeded run. */
 final class AgentWorld {
@@ -59,9 +59,9 @@
   private final List<SimulatedBackend> backends = new ArrayList<>();
   private final List<SimulatedBackend.Incarnation> incarnations = new ArrayList<>();
   private final List<String> seeds = new ArrayList<>();
-  private final LossCount losses;
+  private final ToleratedLosses losses;
   private final AgentFaultInjector injector;
-  private final TouchRules rules;
+  private final ConnectivityRules rules;
   private int controlAddresses;
 
   AgentWorld(Shape shape, long seed, AgentMutation mutation) {
@@ -69,9 +69,9 @@
     this.mutation = mutation;
     random = new SplittableRandom(seed);
     network = new SimulatedNetwork(events, random.split());
-    losses = new LossCount(events);
+    losses = new ToleratedLosses(events);
     injector = new AgentFaultInjector(this, random.split());
-    rules = new TouchRules(this);
+    rules = new ConnectivityRules(this);
     for (int i = 0; i < shape.agents(); i++) {
       ControlMachine machine = newControlMachine();
       if (i < shape.seeds()) {
@@ -124,7 +124,7 @@
     return network;
   }
 
-  LossCount losses() {
+  ToleratedLosses losses() {
     return losses;
   }
 
@@ -132,7 +132,7 @@
     return history;
   }
 
-  TouchRules rules() {
+  ConnectivityRules rules() {
     return rules;
   }
 
@@ -220,12 +220,12 @@
 
   // ---- calls ----
 
-  void call(ControlMachine machine, OperatorCall call, Consumer<OperatorAnswer> answer) {
+  void call(ControlMachine machine, OperatorRequest call, Consumer<OperatorResponse> answer) {
     network.request(
         machine,
         once(call.method() + " at " + machine, back -> machine.call(call, back)),
         answer,
-        () -> answer.accept(OperatorAnswer.unavailable("connection refused")));
+        () -> answer.accept(OperatorResponse.unavailable("connection refused")));
   }
 
   void heartbeat(
--- a/src/test/java/slateslip/simulation/agents/Order.java
+++ b/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import slateslip.configuration.FleetConfiguration;
 import slateslip.configuration.Service;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
 
 /**
  * A change that an operator wants. Its configuration can be told from every other one: a service's
@@ -16,27 +16,28 @@
  * @param valid whether the configuration is one
  * @param call as it is sent
  */
-record Order(long base, long version, String marker, boolean valid, OperatorCall call) {
+record ConfigurationChange(
+    long base, long version, String marker, boolean valid, OperatorRequest call) {
   private static final String SERVICE = "pool";
 
   /** A whole configuration. */
-  static Order whole(long base, long version, String marker) {
+  static ConfigurationChange whole(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[%s]}"
             .formatted(version, route("first", "/first/"), service(marker));
-    return order(OperatorCall.Method.PUT, base, version, marker, true, body);
+    return order(OperatorRequest.Method.PUT, base, version, marker, true, body);
   }
 
   /** A change of the service and one more route. */
-  static Order patch(long base, long version, String marker) {
+  static ConfigurationChange patch(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"upsert\":{\"services\":[%s],\"routes\":[%s]}}"
             .formatted(version, service(marker), route("r-" + marker, "/" + marker + "/"));
-    return order(OperatorCall.Method.PATCH, base, version, marker, true, body);
+    return order(OperatorRequest.Method.PATCH, base, version, marker, true, body);
   }
 
   /** A whole configuration with routes of about this many bytes in all. */
-  static Order large(long base, long version, String marker, int bytes) {
+  static ConfigurationChange large(long base, long version, String marker, int bytes) {
     StringBuilder routes = new StringBuilder(route("first", "/first/"));
     for (int number = 0; routes.length() < bytes; number++) {
       routes.append(',').append(route("n" + number, "/n" + number + "/"));
@@ -44,26 +45,27 @@
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[%s]}"
             .formatted(version, routes, service(marker));
-    return order(OperatorCall.Method.PUT, base, version, marker, true, body);
+    return order(OperatorRequest.Method.PUT, base, version, marker, true, body);
   }
 
   /** A configuration whose route names a service that is not there. */
-  static Order invalid(long base, long version, String marker) {
+  static ConfigurationChange invalid(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[]}"
             .formatted(version, route("first", "/first/"));
-    return order(OperatorCall.Method.PUT, base, version, marker, false, body);
+    return order(OperatorRequest.Method.PUT, base, version, marker, false, body);
   }
 
-  private static Order order(
-      OperatorCall.Method method,
+  private static ConfigurationChange order(
+      OperatorRequest.Method method,
       long base,
       long version,
       String marker,
       boolean valid,
       String body) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    return new Order(base, version, marker, valid, new OperatorCall(method, base, bytes));
+    return new ConfigurationChange(
+        base, version, marker, valid, new OperatorRequest(method, base, bytes));
   }
 
   private static String service(String marker) {
@@ -84,7 +86,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Order order
+    return other instanceof ConfigurationChange order
         && marker.equals(order.marker)
         && base == order.base
         && version == order.version
--- a/src/test/java/slateslip/simulation/agents/TouchRules.java
+++ b/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
@@ -10,7 +10,7 @@
  * some time, no more machines are lost than the deployment tolerates, most of the core runs and is
  * connected, and they have a path to all of that part.
  */
-final class TouchRules {
+final class ConnectivityRules {
   private static final long CONTACT = 3_000_000;
   private static final long CONFIG_APPLY = 2_000_000;
   private static final long TURNED = 1_000_000;
@@ -23,7 +23,7 @@
   private long troubledAt;
   private long slowestApply;
 
-  TouchRules(AgentWorld world) {
+  ConnectivityRules(AgentWorld world) {
     this.world = world;
   }
 
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -12,14 +12,14 @@
 import slateslip.controlplane.agent.DataPlaneStream;
 import slateslip.controlplane.agent.IncomingConnection;
 import slateslip.controlplane.agent.PeerConnector;
-import slateslip.controlplane.agent.RecordLog;
+import slateslip.controlplane.agent.WriteAheadLog;
 import slateslip.coordination.DurableRecord;
 import slateslip.coordination.Effects;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ExchangeMessage;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
-import slateslip.protocol.exchange.ExchangeCodec;
+import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.protocol.exchange.ControlPeerCodec;
 import slateslip.simulation.EventQueue;
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.SimulatedDisk;
@@ -67,7 +67,7 @@
     SimulatedProcess process = new SimulatedProcess(events, random.split(), clockRate);
     started(process);
     AgentIdentity identity = new AgentIdentity(address(), mutation.incarnation(random.nextLong()));
-    greeting = new ExchangeCodec().encode(identity.greeting());
+    greeting = new ControlPeerCodec().encode(identity.greeting());
     AgentSettings settings =
         new AgentSettings(address(), address(), seeds, bootstrap, tolerance, heartbeatMillis);
     agent =
@@ -101,7 +101,8 @@
 
   private void stored(String peer, long number) {
     agent.fromPeer(
-        new ExchangeMessage.Greeting(peer, 0), new ExchangeMessage.SessionsStored(number));
+        new ControlPeerMessage.Hello(peer, 0),
+        new ControlPeerMessage.SessionChangesAcknowledged(number));
   }
 
   /** Other control agents are named by its settings. */
@@ -143,7 +144,7 @@
     return isWell() && agent.status().serving();
   }
 
-  void call(OperatorCall call, Consumer<OperatorAnswer> answer) {
+  void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
     agent.call(call, answer);
   }
 
@@ -218,7 +219,7 @@
   }
 
   /** The records on the simulated disk. */
-  private final class DiskLog implements RecordLog {
+  private final class DiskLog implements WriteAheadLog {
     private final SimulatedProcess process;
     private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
     private final List<DurableRecord> recovered;
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -13,7 +13,7 @@
 import slateslip.dataplane.subscription.SubscriptionInput;
 import slateslip.dataplane.subscription.SubscriptionOutput;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.ToDataPlane;
+import slateslip.distribution.ControlPlaneMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.DistributionCodec;
 import slateslip.simulation.EventQueue;
@@ -34,7 +34,7 @@
   private Subscription subscription;
   private Map<String, SimulatedSocket> sockets = new HashMap<>();
   private Map<String, Object> dialled = new HashMap<>();
-  private Map<String, ToDataPlane.Heartbeat> newestHeartbeats = new HashMap<>();
+  private Map<String, ControlPlaneMessage.Heartbeat> newestHeartbeats = new HashMap<>();
   private FleetConfiguration configuration;
   private Map<String, BackendSession> backends = new TreeMap<>();
   private boolean listed;
@@ -128,7 +128,7 @@
   }
 
   private void repeatNewestHeartbeat(String agent) {
-    ToDataPlane.Heartbeat newest = newestHeartbeats.get(agent);
+    ControlPlaneMessage.Heartbeat newest = newestHeartbeats.get(agent);
     if (newest != null) {
       feed(new SubscriptionInput.Received(agent, newest));
     }
@@ -222,9 +222,10 @@
 
     @Override
     public void received(byte[] message) {
-      Decoded<ToDataPlane> decoded = codec.decodeToDataPlane(message);
-      if (sockets.get(agent) == socket && decoded instanceof Decoded.Message<ToDataPlane> known) {
-        if (known.value() instanceof ToDataPlane.Heartbeat heartbeat) {
+      Decoded<ControlPlaneMessage> decoded = codec.decodeToDataPlane(message);
+      if (sockets.get(agent) == socket
+          && decoded instanceof Decoded.Message<ControlPlaneMessage> known) {
+        if (known.value() instanceof ControlPlaneMessage.Heartbeat heartbeat) {
           newestHeartbeats.put(agent, heartbeat);
         }
         feed(new SubscriptionInput.Received(agent, known.value()));
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.NavigableMap;
 import java.util.function.BooleanSupplier;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.RuleViolation;
 
 /** A run whose steps a test gives one by one; all rules are checked along the way. */
@@ -57,10 +57,10 @@
   }
 
   /** Sends an order to one agent once; null without an answer in time. */
-  OperatorAnswer send(ControlMachine machine, Order order) {
+  OperatorResponse send(ControlMachine machine, ConfigurationChange order) {
     world.history().sent(order);
     long newestAtCall = world.history().newestAcknowledged();
-    OperatorAnswer answer = call(machine, order.call());
+    OperatorResponse answer = call(machine, order.call());
     if (answer != null) {
       world.history().answered(now(), order, newestAtCall, answer);
     }
@@ -68,8 +68,8 @@
   }
 
   /** Makes a call once; null without an answer in time. */
-  OperatorAnswer call(ControlMachine machine, OperatorCall call) {
-    OperatorAnswer[] got = {null};
+  OperatorResponse call(ControlMachine machine, OperatorRequest call) {
+    OperatorResponse[] got = {null};
     world.call(machine, call, answer -> got[0] = answer);
     long bound = now() + CALL_PATIENCE;
     while (got[0] == null && now() < bound) {
@@ -79,10 +79,10 @@
   }
 
   /** Sends an order to one agent after the other until it is acknowledged. */
-  void take(Order order) {
+  void take(ConfigurationChange order) {
     int turn = 0;
-    OperatorAnswer answer = null;
-    while (answer == null || answer.status() == OperatorAnswer.UNAVAILABLE) {
+    OperatorResponse answer = null;
+    while (answer == null || answer.status() == OperatorResponse.UNAVAILABLE) {
       List<ControlMachine> machines = world.controlMachines();
       answer = send(machines.get(turn % machines.size()), order);
       turn++;
@@ -90,7 +90,7 @@
         throw new RuleViolation("never taken: " + order);
       }
     }
-    if (answer.status() != OperatorAnswer.OK) {
+    if (answer.status() != OperatorResponse.OK) {
       throw new RuleViolation("refused with " + answer.status() + ": " + order);
     }
   }
@@ -99,7 +99,7 @@
   void takeMany(int changes, int bytes, String marker) {
     for (int number = 1; number <= changes; number++) {
       long base = newest();
-      take(Order.large(base, base + 1, marker + number, bytes));
+      take(ConfigurationChange.large(base, base + 1, marker + number, bytes));
     }
   }
 
--- a/src/test/java/slateslip/simulation/agents/FleetHistory.java
+++ b/src/test/java/slateslip/simulation/agents/FleetHistory.java
@@ -9,20 +9,20 @@
 import slateslip.configuration.ConfigurationDocument;
 import slateslip.configuration.ConfigurationOutcome;
 import slateslip.configuration.FleetConfiguration;
-import slateslip.distribution.exchange.OperatorAnswer;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.RuleViolation;
 
 /** What operators, backends and data planes have seen, and what must never be among it. */
 final class FleetHistory {
-  private final Map<String, Order> sent = new HashMap<>();
-  private final Map<Long, Order> takenByBase = new HashMap<>();
-  private final Map<Long, Order> takenByVersion = new HashMap<>();
+  private final Map<String, ConfigurationChange> sent = new HashMap<>();
+  private final Map<Long, ConfigurationChange> takenByBase = new HashMap<>();
+  private final Map<Long, ConfigurationChange> takenByVersion = new HashMap<>();
   private final Set<String> refused = new HashSet<>();
   private final NavigableMap<Long, Long> acknowledgedAt = new TreeMap<>();
   private final Map<Long, Integer> sentOnBase = new HashMap<>();
 
   /** An operator is about to send an order, maybe again. */
-  void sent(Order order) {
+  void sent(ConfigurationChange order) {
     if (sent.putIfAbsent(order.marker(), order) == null) {
       sentOnBase.merge(order.base(), 1, Integer::sum);
     }
@@ -43,8 +43,8 @@
   }
 
   /** An operator has an answer to an order. */
-  void answered(long now, Order order, long newestAtCall, OperatorAnswer answer) {
-    if (answer.status() == OperatorAnswer.OK) {
+  void answered(long now, ConfigurationChange order, long newestAtCall, OperatorResponse answer) {
+    if (answer.status() == OperatorResponse.OK) {
       if (!order.valid()) {
         throw new RuleViolation("acknowledged, though invalid: " + order);
       }
@@ -53,12 +53,12 @@
       }
       taken(order);
       acknowledgedAt.putIfAbsent(order.version(), now);
-    } else if (answer.status() != OperatorAnswer.UNAVAILABLE) {
+    } else if (answer.status() != OperatorResponse.UNAVAILABLE) {
       refused(order, newestAtCall, answer);
     }
   }
 
-  private void refused(Order order, long newestAtCall, OperatorAnswer answer) {
+  private void refused(ConfigurationChange order, long newestAtCall, OperatorResponse answer) {
     if (order.equals(takenByBase.get(order.base()))) {
       throw new RuleViolation("refused with " + answer.status() + ", though taken: " + order);
     }
@@ -70,22 +70,22 @@
   }
 
   /** There is a sign that an order is in force. */
-  private void taken(Order order) {
+  private void taken(ConfigurationChange order) {
     if (refused.contains(order.marker())) {
       throw new RuleViolation("in force, though refused: " + order);
     }
-    Order rival = takenByBase.putIfAbsent(order.base(), order);
+    ConfigurationChange rival = takenByBase.putIfAbsent(order.base(), order);
     if (rival != null && !rival.equals(order)) {
       throw new RuleViolation("two on one version: " + rival + " and " + order);
     }
-    Order other = takenByVersion.putIfAbsent(order.version(), order);
+    ConfigurationChange other = takenByVersion.putIfAbsent(order.version(), order);
     if (other != null && !other.equals(order)) {
       throw new RuleViolation("two under one number: " + other + " and " + order);
     }
   }
 
   private void taken(FleetConfiguration configuration) {
-    Order order = sent.get(Order.markerOf(configuration));
+    ConfigurationChange order = sent.get(ConfigurationChange.markerOf(configuration));
     if (order == null || order.version() != configuration.version()) {
       throw new RuleViolation("in force, but never sent: " + configuration.version());
     }
@@ -93,8 +93,8 @@
   }
 
   /** A read of the configuration has been answered; returns the version that was read. */
-  long read(long newestAtCall, OperatorAnswer answer) {
-    if (answer.status() == OperatorAnswer.NOT_FOUND) {
+  long read(long newestAtCall, OperatorResponse answer) {
+    if (answer.status() == OperatorResponse.NOT_FOUND) {
       checkRead(newestAtCall, 0);
       return 0;
     }
--- a/src/test/java/slateslip/simulation/agents/FarBehindTest.java
+++ b/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
@@ -10,7 +10,7 @@
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /** Members, guests and data planes that were away for hundreds of changes. */
-final class FarBehindTest {
+final class LaggingReplicaTest {
   private static final long SECOND = DirectedRun.SECOND;
   private static final long LONG = 1_000 * SECOND;
   private static final int BYTES = 1_500;
@@ -19,7 +19,7 @@
   @ValueSource(ints = {10, 300, 1_500})
   void aMemberThatWasDownForManyChangesHasAllWithinTwoSeconds(int changes) {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), changes, 0);
-    run.take(Order.whole(0, 1, "first"));
+    run.take(ConfigurationChange.whole(0, 1, "first"));
     ControlMachine down = run.allBut(run.primary()).get(0);
     down.kill();
     run.takeMany(changes, BYTES, "m");
@@ -46,7 +46,7 @@
   @Test
   void aGuestThatWasAwayWhileChangesWereCommittedCatchesUp() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), 9, 0);
-    run.take(Order.whole(0, 1, "first"));
+    run.take(ConfigurationChange.whole(0, 1, "first"));
     ControlMachine guest = run.world().controlMachines().get(3);
     for (int round = 0; round < 5; round++) {
       guest.kill();
@@ -62,7 +62,7 @@
   void aDroppedMemberThatComesBackBehindDoesNotStopThePrimary() {
     for (long seed = 1; seed <= 10; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
-      run.take(Order.whole(0, 1, "first"));
+      run.take(ConfigurationChange.whole(0, 1, "first"));
       ControlMachine dropped = run.allBut(run.primary()).get(0);
       int index = run.world().controlMachines().indexOf(dropped);
       run.fault(Kind.CUT_OFF, index, 4 * SECOND + seed * 100_000);
@@ -79,7 +79,7 @@
   @ValueSource(ints = {1, 20, 1_000})
   void aDataPlaneThatIsManyVersionsBehindHasTheNewestWithinTwoSeconds(int versions) {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), versions, 0);
-    run.take(Order.whole(0, 1, "first"));
+    run.take(ConfigurationChange.whole(0, 1, "first"));
     run.pass(SECOND);
     DataPlaneMachine behind = run.world().dataPlanes().get(0);
     SimulatedProcess frozen = behind.process();
@@ -93,7 +93,7 @@
   @Test
   void aFullDiskDuringManyChangesLosesNothing() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 4, 0);
-    run.take(Order.whole(0, 1, "first"));
+    run.take(ConfigurationChange.whole(0, 1, "first"));
     for (int target = 0; target < 3; target++) {
       run.fault(Kind.DISK_FULL, target, 3 * SECOND);
       run.takeMany(60, 20_000, "t" + target + "-");
--- a/src/test/java/slateslip/simulation/agents/WrongAnswerTest.java
+++ b/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
@@ -5,11 +5,11 @@
 import static org.hamcrest.Matchers.greaterThanOrEqualTo;
 
 import org.junit.jupiter.api.Test;
-import slateslip.distribution.exchange.OperatorAnswer;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /** An answer reaches only the call that it is to, also over the lives of the agent in between. */
-final class WrongAnswerTest {
+final class MisroutedResponseTest {
   private static final long SECOND = DirectedRun.SECOND;
 
   /**
@@ -21,18 +21,18 @@
     int clear = 0;
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
-      run.take(Order.whole(0, 1, "first"));
+      run.take(ConfigurationChange.whole(0, 1, "first"));
       ControlMachine forwarding = run.world().controlMachines().get(3);
       run.fault(Kind.DISK_SLOW, 1, 2 * SECOND);
-      run.world().history().sent(Order.whole(1, 2, "earlier"));
-      run.world().call(forwarding, Order.whole(1, 2, "earlier").call(), answer -> {});
+      run.world().history().sent(ConfigurationChange.whole(1, 2, "earlier"));
+      run.world().call(forwarding, ConfigurationChange.whole(1, 2, "earlier").call(), answer -> {});
       run.pass(3_000 + seed * 1_000);
       forwarding.kill();
       run.pass(20_000);
       run.world().start(forwarding, false);
       run.pass(150_000 + seed * 2_000);
-      OperatorAnswer answer = run.send(forwarding, Order.whole(1, 3, "later"));
-      clear += answer != null && answer.status() != OperatorAnswer.UNAVAILABLE ? 1 : 0;
+      OperatorResponse answer = run.send(forwarding, ConfigurationChange.whole(1, 3, "later"));
+      clear += answer != null && answer.status() != OperatorResponse.UNAVAILABLE ? 1 : 0;
     }
     assertThat(clear, greaterThan(0));
   }
@@ -41,7 +41,7 @@
   void whatAPeerStoredForAnEarlierLifeAcknowledgesNothing() {
     for (long seed = 1; seed <= 40; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
-      run.take(Order.whole(0, 1, "first"));
+      run.take(ConfigurationChange.whole(0, 1, "first"));
       for (int kill = 0; kill < 4; kill++) {
         run.fault(Kind.KILL, kill, 50_000);
         run.pass(SECOND);
--- a/src/test/java/slateslip/simulation/agents/CutOffTest.java
+++ b/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /**
  * A control agent is cut off for 5 to 40 s while operators read and change the configuration: what
  * it answers, and what the other side does meanwhile.
  */
-final class CutOffTest {
+final class PartitionedAgentTest {
   private static final long SECOND = DirectedRun.SECOND;
   private static final long TAKEN_WITHIN = 2 * SECOND;
   private static final long SILENCE = SECOND;
@@ -66,32 +66,32 @@
   @Test
   void thePrimaryThatIsCutOffAnswersNothingOfItsState() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 7, 0);
-    run.take(Order.whole(0, 3, "first"));
+    run.take(ConfigurationChange.whole(0, 3, "first"));
     ControlMachine cut = run.primary();
     run.fault(Kind.CUT_OFF_PRIMARY, 0, 20 * SECOND);
-    Order taken = Order.whole(0, 3, "first");
-    Order invalid = Order.invalid(3, 4, "invalid");
-    Order stale = Order.whole(0, 2, "stale");
+    ConfigurationChange taken = ConfigurationChange.whole(0, 3, "first");
+    ConfigurationChange invalid = ConfigurationChange.invalid(3, 4, "invalid");
+    ConfigurationChange stale = ConfigurationChange.whole(0, 2, "stale");
     for (int second = 0; second < 18; second++) {
-      assertUnclear(run.call(cut, new OperatorCall(OperatorCall.Method.GET, 0, new byte[0])));
+      assertUnclear(run.call(cut, new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0])));
       assertUnclear(run.send(cut, taken));
       assertUnclear(run.send(cut, invalid));
       assertUnclear(run.send(cut, stale));
-      assertUnclear(run.send(cut, Order.whole(3, 5, "new" + second)));
+      assertUnclear(run.send(cut, ConfigurationChange.whole(3, 5, "new" + second)));
       run.pass(SECOND / 4);
     }
   }
 
-  private static void assertUnclear(OperatorAnswer answer) {
+  private static void assertUnclear(OperatorResponse answer) {
     if (answer != null) {
-      assertThat(answer.status(), is(OperatorAnswer.UNAVAILABLE));
+      assertThat(answer.status(), is(OperatorResponse.UNAVAILABLE));
     }
   }
 
   @Test
   void dataPlanesLeaveAnAgentThatIsCutOffAndDoNotGoBack() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 11, 0);
-    run.take(Order.whole(0, 3, "first"));
+    run.take(ConfigurationChange.whole(0, 3, "first"));
     ControlMachine cut = run.primary();
     run.fault(Kind.CUT_OFF_PRIMARY, 0, 20 * SECOND);
     run.pass(SILENCE);
--- a/src/test/java/slateslip/simulation/agents/ProbingOperator.java
+++ b/src/test/java/slateslip/simulation/agents/ProbingOperator.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 
 /** Reads the configuration and has one change taken, at one agent after the other. */
 final class ProbingOperator {
@@ -13,7 +13,7 @@
   private final AgentWorld world;
   private final String marker;
   private final Supplier<List<ControlMachine>> called;
-  private Order order;
+  private ConfigurationChange order;
   private int calls;
   private boolean done;
   private boolean stopped;
@@ -57,21 +57,21 @@
 
   private void read(int current, ControlMachine machine) {
     long newestAtCall = world.history().newestAcknowledged();
-    OperatorCall get = new OperatorCall(OperatorCall.Method.GET, 0, new byte[0]);
+    OperatorRequest get = new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0]);
     world.call(
         machine,
         get,
         answer -> {
-          if (answer.status() != OperatorAnswer.UNAVAILABLE && order == null) {
+          if (answer.status() != OperatorResponse.UNAVAILABLE && order == null) {
             long version = world.history().read(newestAtCall, answer);
-            order = Order.whole(version, version + 1, marker + current);
+            order = ConfigurationChange.whole(version, version + 1, marker + current);
           }
           goOn(current);
         });
   }
 
   private void send(int current, ControlMachine machine) {
-    Order sent = order;
+    ConfigurationChange sent = order;
     world.history().sent(sent);
     long newestAtCall = world.history().newestAcknowledged();
     world.call(
@@ -79,8 +79,8 @@
         sent.call(),
         answer -> {
           world.history().answered(world.events().now(), sent, newestAtCall, answer);
-          done |= answer.status() == OperatorAnswer.OK;
-          if (answer.status() != OperatorAnswer.UNAVAILABLE && sent.equals(order)) {
+          done |= answer.status() == OperatorResponse.OK;
+          if (answer.status() != OperatorResponse.UNAVAILABLE && sent.equals(order)) {
             order = null; // taken, or an earlier change has come into force since the read
           }
           goOn(current);
--- a/src/test/java/slateslip/simulation/agents/AgentFigures.java
+++ b/src/test/java/slateslip/simulation/agents/RecoveryTimeReport.java
@@ -9,7 +9,7 @@
  * Prints how long the control side takes, in simulated time, to have a new primary, to take a
  * change again and to have it in force at the last data plane, after each kind of loss.
  */
-final class AgentFigures {
+final class RecoveryTimeReport {
   private static final long SECOND = DirectedRun.SECOND;
   private static final long BOUND = 8 * SECOND;
   private static final long LASTS = 20 * SECOND;
@@ -24,7 +24,7 @@
 
   private record Times(List<Long> primary, List<Long> taken, List<Long> inForce) {}
 
-  private AgentFigures() {}
+  private RecoveryTimeReport() {}
 
   /**
    * Prints the figures.
@@ -35,7 +35,7 @@
     if (arguments.length > 0) {
       printBehind();
     } else {
-      SHAPES.forEach(AgentFigures::printLosses);
+      SHAPES.forEach(RecoveryTimeReport::printLosses);
     }
   }
 
@@ -72,7 +72,7 @@
 
   private static DirectedRun begin(AgentWorld.Shape shape, long seed) {
     DirectedRun run = new DirectedRun(shape, seed, 0);
-    run.take(Order.whole(0, 1, "first"));
+    run.take(ConfigurationChange.whole(0, 1, "first"));
     run.pass(SECOND);
     return run;
   }
@@ -119,7 +119,7 @@
   private static void printBehind() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 1, 0);
     run.world().network().limitBandwidth(BYTES_PER_MILLI);
-    run.take(Order.whole(0, 1, "first"));
+    run.take(ConfigurationChange.whole(0, 1, "first"));
     ControlMachine down = run.allBut(run.primary()).get(0);
     down.kill();
     run.takeMany(BEHIND_CHANGES, BEHIND_BYTES, "m");
--- a/src/test/java/slateslip/simulation/agents/RepeatedOrderTest.java
+++ b/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.distribution.exchange.OperatorAnswer;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /** Two operators under one number, and orders that are sent again after a lost answer. */
-final class RepeatedOrderTest {
+final class RepeatedChangeTest {
   private static final long SECOND = DirectedRun.SECOND;
 
   @ParameterizedTest
@@ -21,10 +21,11 @@
   void ofTwoOrdersUnderOneNumberOneIsTaken(int size) {
     for (long seed = 1; seed <= 10; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(size, 1), seed, 0);
-      run.take(Order.whole(0, 3, "first"));
-      List<Order> rivals = List.of(Order.whole(3, 5, "a"), Order.whole(3, 5, "b"));
-      List<OperatorAnswer> answers = new ArrayList<>();
-      for (Order rival : rivals) {
+      run.take(ConfigurationChange.whole(0, 3, "first"));
+      List<ConfigurationChange> rivals =
+          List.of(ConfigurationChange.whole(3, 5, "a"), ConfigurationChange.whole(3, 5, "b"));
+      List<OperatorResponse> answers = new ArrayList<>();
+      for (ConfigurationChange rival : rivals) {
         run.world().history().sent(rival);
         for (ControlMachine machine : run.world().controlMachines()) {
           run.world()
@@ -39,9 +40,9 @@
       }
       run.pass(2 * SECOND);
       assertThat(answers, hasSize(2 * size));
-      long taken = answers.stream().filter(each -> each.status() == OperatorAnswer.OK).count();
+      long taken = answers.stream().filter(each -> each.status() == OperatorResponse.OK).count();
       long refused =
-          answers.stream().filter(each -> each.status() == OperatorAnswer.CONFLICT).count();
+          answers.stream().filter(each -> each.status() == OperatorResponse.CONFLICT).count();
       assertThat(taken, is((long) size));
       assertThat(refused, is((long) size));
     }
@@ -51,8 +52,8 @@
   void anOrderInFlightWhileThePrimaryDiesIsNeverRefused() {
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
-      run.take(Order.whole(0, 3, "first"));
-      Order order = Order.patch(3, 4, "in-flight");
+      run.take(ConfigurationChange.whole(0, 3, "first"));
+      ConfigurationChange order = ConfigurationChange.patch(3, 4, "in-flight");
       ControlMachine primary = run.primary();
       run.world().history().sent(order);
       for (ControlMachine machine : run.world().controlMachines()) {
@@ -65,16 +66,16 @@
       run.pass(seed * 250);
       run.fault(Kind.KILL_PRIMARY, 0, 100_000);
       run.take(order);
-      assertThat(run.send(run.allBut(primary).get(0), order).status(), is(OperatorAnswer.OK));
+      assertThat(run.send(run.allBut(primary).get(0), order).status(), is(OperatorResponse.OK));
     }
   }
 
   @Test
   void anOrderIsKnownAfterManyOthersASnapshotAndTheLossOfTheAgentThatTookIt() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 5, 0);
-    Order first = Order.whole(0, 1, "first");
+    ConfigurationChange first = ConfigurationChange.whole(0, 1, "first");
     run.take(first);
-    Order second = Order.patch(1, 2, "second");
+    ConfigurationChange second = ConfigurationChange.patch(1, 2, "second");
     run.take(second);
     run.takeMany(500, 400, "m");
     assertKnownEverywhere(run, first, second);
@@ -86,11 +87,11 @@
     assertKnownEverywhere(run, first, second);
   }
 
-  private static void assertKnownEverywhere(DirectedRun run, Order... orders) {
-    for (Order order : orders) {
+  private static void assertKnownEverywhere(DirectedRun run, ConfigurationChange... orders) {
+    for (ConfigurationChange order : orders) {
       for (ControlMachine machine : run.world().controlMachines()) {
-        OperatorAnswer answer = run.send(machine, order);
-        assertThat(answer.status(), is(OperatorAnswer.OK));
+        OperatorResponse answer = run.send(machine, order);
+        assertThat(answer.status(), is(OperatorResponse.OK));
         assertThat(answer.version(), is(order.version()));
       }
     }
@@ -99,11 +100,16 @@
   @Test
   void bodiesThatDifferByOneByteAreDifferentOrders() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 6, 0);
-    run.take(Order.whole(0, 3, "base"));
-    run.take(Order.whole(3, 4, "one"));
+    run.take(ConfigurationChange.whole(0, 3, "base"));
+    run.take(ConfigurationChange.whole(3, 4, "one"));
     ControlMachine any = run.allBut(run.primary()).get(0);
-    assertThat(run.send(any, Order.whole(3, 4, "onf")).status(), is(OperatorAnswer.CONFLICT));
-    assertThat(run.send(any, Order.patch(3, 4, "ong")).status(), is(OperatorAnswer.CONFLICT));
-    assertThat(run.send(any, Order.whole(3, 4, "one")).status(), is(OperatorAnswer.OK));
+    assertThat(
+        run.send(any, ConfigurationChange.whole(3, 4, "onf")).status(),
+        is(OperatorResponse.CONFLICT));
+    assertThat(
+        run.send(any, ConfigurationChange.patch(3, 4, "ong")).status(),
+        is(OperatorResponse.CONFLICT));
+    assertThat(
+        run.send(any, ConfigurationChange.whole(3, 4, "one")).status(), is(OperatorResponse.OK));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import slateslip.distribution.exchange.OperatorAnswer;
-import slateslip.distribution.exchange.OperatorCall;
+import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.exchange.OperatorResponse;
 import slateslip.simulation.EventQueue;
 
 /**
@@ -26,8 +26,8 @@
   private final SplittableRandom random;
   private final FleetHistory history;
   private final String name;
-  private final List<Order> takenOrders = new ArrayList<>();
-  private Order order;
+  private final List<ConfigurationChange> takenOrders = new ArrayList<>();
+  private ConfigurationChange order;
   private long knownVersion;
   private long call;
   private int orders;
@@ -83,12 +83,12 @@
 
   private void read(long current) {
     long newestAtCall = history.newestAcknowledged();
-    OperatorCall get = new OperatorCall(OperatorCall.Method.GET, 0, new byte[0]);
+    OperatorRequest get = new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0]);
     world.call(anyAgent(), get, answer -> readAnswer(current, newestAtCall, answer));
   }
 
-  private void readAnswer(long current, long newestAtCall, OperatorAnswer answer) {
-    boolean clear = answer.status() != OperatorAnswer.UNAVAILABLE;
+  private void readAnswer(long current, long newestAtCall, OperatorResponse answer) {
+    boolean clear = answer.status() != OperatorResponse.UNAVAILABLE;
     if (clear) {
       knownVersion = history.read(newestAtCall, answer);
     }
@@ -101,27 +101,27 @@
     goOn(current, clear ? LONG_PAUSE : SHORT_PAUSE);
   }
 
-  private Order newOrder() {
+  private ConfigurationChange newOrder() {
     orders++;
     String marker = name + orders;
     long version = knownVersion + 1 + random.nextInt(2);
     if (random.nextInt(INVALID_EVERY) == 0) {
-      return Order.invalid(knownVersion, version, marker);
+      return ConfigurationChange.invalid(knownVersion, version, marker);
     }
     return knownVersion > 0 && random.nextBoolean()
-        ? Order.patch(knownVersion, version, marker)
-        : Order.whole(knownVersion, version, marker);
+        ? ConfigurationChange.patch(knownVersion, version, marker)
+        : ConfigurationChange.whole(knownVersion, version, marker);
   }
 
   private void send(long current) {
     int copies = random.nextInt(SEVERAL_AT_ONCE_EVERY) == 0 ? world.controlMachines().size() : 1;
     for (int copy = 0; copy < copies; copy++) {
-      Order sent = order;
+      ConfigurationChange sent = order;
       sendOnce(sent, answer -> answered(current, sent, answer));
     }
   }
 
-  private void sendOnce(Order sent, Consumer<OperatorAnswer> then) {
+  private void sendOnce(ConfigurationChange sent, Consumer<OperatorResponse> then) {
     history.sent(sent);
     long newestAtCall = history.newestAcknowledged();
     world.call(
@@ -131,7 +131,7 @@
           boolean lost = random.nextInt(ANSWER_LOST_EVERY) == 0;
           if (!lost) {
             history.answered(events.now(), sent, newestAtCall, answer);
-            if (answer.status() == OperatorAnswer.OK) {
+            if (answer.status() == OperatorResponse.OK) {
               world.rules().acknowledged(sent.version());
             }
             then.accept(answer);
@@ -139,12 +139,12 @@
         });
   }
 
-  private void answered(long current, Order sent, OperatorAnswer answer) {
+  private void answered(long current, ConfigurationChange sent, OperatorResponse answer) {
     if (current != call || !sent.equals(order)) {
       return;
     }
-    boolean clear = answer.status() != OperatorAnswer.UNAVAILABLE;
-    if (answer.status() == OperatorAnswer.OK) {
+    boolean clear = answer.status() != OperatorResponse.UNAVAILABLE;
+    if (answer.status() == OperatorResponse.OK) {
       knownVersion = sent.version();
       takenOrders.add(sent);
       order = random.nextInt(REPEATED_EVERY) == 0 ? null : newOrder();
@@ -158,7 +158,7 @@
   /** Sends an order again that was taken before, as if its answer had been lost. */
   private void repeatOne() {
     if (random.nextInt(REPEATED_EVERY) == 0) {
-      Order old = takenOrders.get(random.nextInt(takenOrders.size()));
+      ConfigurationChange old = takenOrders.get(random.nextInt(takenOrders.size()));
       sendOnce(old, answer -> {});
     }
   }
--- a/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import slateslip.controlplane.agent.PeerConnector;
-import slateslip.protocol.coordination.PeerFrame;
+import slateslip.protocol.coordination.ReplicaFrame;
 
 /** A control agent's connection to a peer, dialled anew whenever it breaks, as in service. */
 final class SimulatedPeerConnection implements PeerConnector.PeerConnection {
@@ -19,7 +19,7 @@
   private final String address;
   private final byte[] greeting;
   private final PeerConnector.Listener listener;
-  private final Consumer<PeerFrame> supposedAnswers;
+  private final Consumer<ReplicaFrame> supposedAnswers;
   private final LongConsumer supposedlyStored;
   private SimulatedSocket socket;
   private boolean greeted;
@@ -33,7 +33,7 @@
       byte[] greeting,
       PeerConnector.Listener listener,
       AgentMutation mutation,
-      Consumer<PeerFrame> supposedAnswers,
+      Consumer<ReplicaFrame> supposedAnswers,
       LongConsumer supposedlyStored) {
     this.supposedlyStored = supposedlyStored;
     this.supposedAnswers = supposedAnswers;
--- a/src/test/java/slateslip/simulation/control/ArmedCrashes.java
+++ b/src/test/java/slateslip/simulation/control/ArmedCrashes.java
@@ -4,27 +4,27 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 
 /** Crashes of senders at messages of given kinds, one after the other. */
 final class ArmedCrashes {
   private static final int MOST_CRASHES = 3;
   private static final int MOST_MESSAGES = 4;
-  private static final List<Class<? extends PeerMessage>> KINDS =
+  private static final List<Class<? extends ReplicaMessage>> KINDS =
       List.of(
-          PeerMessage.Prepare.class,
-          PeerMessage.Promise.class,
-          PeerMessage.Accept.class,
-          PeerMessage.Accepted.class,
-          PeerMessage.Accepted.class,
-          PeerMessage.Decided.class,
-          PeerMessage.Decided.class,
-          PeerMessage.Install.class,
-          PeerMessage.Append.class,
-          PeerMessage.Synced.class);
+          ReplicaMessage.Prepare.class,
+          ReplicaMessage.Promise.class,
+          ReplicaMessage.Accept.class,
+          ReplicaMessage.Accepted.class,
+          ReplicaMessage.Accepted.class,
+          ReplicaMessage.Decided.class,
+          ReplicaMessage.Decided.class,
+          ReplicaMessage.Install.class,
+          ReplicaMessage.Append.class,
+          ReplicaMessage.Synced.class);
 
   private final SplittableRandom random;
-  private final Deque<Class<? extends PeerMessage>> kinds = new ArrayDeque<>();
+  private final Deque<Class<? extends ReplicaMessage>> kinds = new ArrayDeque<>();
   private int messagesLeft;
   private long micros;
 
@@ -49,7 +49,7 @@
   }
 
   /** Whether the sender of this message crashes now. */
-  boolean strikes(PeerMessage message) {
+  boolean strikes(ReplicaMessage message) {
     if (kinds.isEmpty() || !kinds.peekFirst().isInstance(message)) {
       return false;
     }
--- a/src/test/java/slateslip/simulation/control/CheckedHistory.java
+++ b/src/test/java/slateslip/simulation/control/CheckedHistory.java
@@ -12,15 +12,15 @@
 
 /** What must never happen, checked at each step. */
 final class CheckedHistory {
-  private final List<LedgerState.Change> committed = new ArrayList<>();
-  private final Set<LedgerState.Change> acknowledged = new HashSet<>();
-  private final Set<LedgerState.Change> refused = new HashSet<>();
+  private final List<ReferenceState.Change> committed = new ArrayList<>();
+  private final Set<ReferenceState.Change> acknowledged = new HashSet<>();
+  private final Set<ReferenceState.Change> refused = new HashSet<>();
   private final Map<Long, NodeId> acknowledgers = new HashMap<>();
   private final Map<Long, View> views = new HashMap<>();
   private long acknowledgedVersion;
 
   /** A replica applies a change behind others. */
-  void applied(int position, long versionBefore, LedgerState.Change change) {
+  void applied(int position, long versionBefore, ReferenceState.Change change) {
     if (change.base() != versionBefore) {
       throw new RuleViolation("applied " + change + " on version " + versionBefore);
     }
@@ -49,7 +49,7 @@
   }
 
   /** A primary acknowledges the commit of a change. */
-  void committedBy(NodeId primary, long epoch, LedgerState.Change change) {
+  void committedBy(NodeId primary, long epoch, ReferenceState.Change change) {
     NodeId first = acknowledgers.putIfAbsent(epoch, primary);
     if (first != null && !first.equals(primary)) {
       throw new RuleViolation(first + " and " + primary + " acknowledge in epoch " + epoch);
@@ -58,7 +58,7 @@
   }
 
   /** An operator gets an acknowledgement. */
-  void acknowledged(LedgerState.Change change) {
+  void acknowledged(ReferenceState.Change change) {
     if (!committed.contains(change)) {
       throw new RuleViolation("acknowledged, but not committed: " + change);
     }
@@ -67,7 +67,7 @@
   }
 
   /** A change is refused for good. */
-  void refused(LedgerState.Change change) {
+  void refused(ReferenceState.Change change) {
     if (committed.contains(change)) {
       throw new RuleViolation("refused, though in force: " + change);
     }
@@ -79,7 +79,7 @@
     return acknowledgedVersion;
   }
 
-  Set<LedgerState.Change> acknowledgedChanges() {
+  Set<ReferenceState.Change> acknowledgedChanges() {
     return acknowledged;
   }
 
@@ -92,8 +92,8 @@
   }
 
   /** The state at the end of the schedule. */
-  void atEnd(List<LedgerState.Change> changes) {
-    for (LedgerState.Change change : acknowledged) {
+  void atEnd(List<ReferenceState.Change> changes) {
+    for (ReferenceState.Change change : acknowledged) {
       if (!changes.contains(change)) {
         throw new RuleViolation("lost: " + change);
       }
--- a/src/test/java/slateslip/simulation/control/ControlWorld.java
+++ b/src/test/java/slateslip/simulation/control/ControlWorld.java
@@ -8,12 +8,12 @@
 import slateslip.coordination.ClientResult;
 import slateslip.coordination.NodeAddress;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
 import slateslip.coordination.ReplicaInput;
-import slateslip.protocol.coordination.PeerFrame;
+import slateslip.coordination.ReplicaMessage;
+import slateslip.protocol.coordination.ReplicaFrame;
 import slateslip.simulation.EventQueue;
-import slateslip.simulation.LossCount;
 import slateslip.simulation.RuleViolation;
+import slateslip.simulation.ToleratedLosses;
 
 /** Core nodes, their network and the operators: one seeded run. */
 final class ControlWorld {
@@ -33,7 +33,7 @@
   private final List<NodeAddress> seeds = new ArrayList<>();
   private final Map<Long, Caller> callers = new HashMap<>();
   private final List<SimulatedOperator> operators = new ArrayList<>();
-  private final LossCount losses;
+  private final ToleratedLosses losses;
   private final FaultInjector injector;
   private final Mutation mutation;
   private SimulatedNetwork.Watcher watcher = (from, to, message) -> false;
@@ -50,7 +50,7 @@
     this.mutation = mutation;
     random = new SplittableRandom(seed);
     network = new SimulatedNetwork(events, random.split(), this::deliver, mutation, this::sent);
-    losses = new LossCount(events);
+    losses = new ToleratedLosses(events);
     injector = new FaultInjector(this, random.split());
     for (int i = 0; i < shape.nodes(); i++) {
       SimulatedNode node = newNode();
@@ -78,7 +78,7 @@
     return network;
   }
 
-  LossCount losses() {
+  ToleratedLosses losses() {
     return losses;
   }
 
@@ -142,7 +142,7 @@
     events.runUntil(micros);
   }
 
-  private void deliver(NodeAddress to, PeerFrame frame) {
+  private void deliver(NodeAddress to, ReplicaFrame frame) {
     nodes.stream()
         .filter(node -> node.address().equals(to))
         .findFirst()
@@ -154,10 +154,10 @@
     watcher = newWatcher;
   }
 
-  private boolean sent(NodeId from, NodeAddress to, PeerMessage message) {
-    if (message instanceof PeerMessage.Decided decided) {
+  private boolean sent(NodeId from, NodeAddress to, ReplicaMessage message) {
+    if (message instanceof ReplicaMessage.Decided decided) {
       history.decided(decided.view());
-    } else if (message instanceof PeerMessage.Heartbeat heartbeat) {
+    } else if (message instanceof ReplicaMessage.Heartbeat heartbeat) {
       history.decided(heartbeat.view());
     }
     nodes.stream()
@@ -167,7 +167,7 @@
     return watcher.sent(from, to, message);
   }
 
-  private void deliver(SimulatedNode node, PeerFrame frame) {
+  private void deliver(SimulatedNode node, ReplicaFrame frame) {
     mutation
         .wrongAnswer(frame.message(), node.role().epoch())
         .ifPresent(answer -> network.send(node.role().self(), frame.from().address(), answer));
@@ -176,7 +176,7 @@
 
   private void answered(SimulatedNode node, ClientResult result) {
     if (result instanceof ClientResult.Committed committed) {
-      LedgerState.Change change = node.state().changes().get((int) committed.sequence() - 1);
+      ReferenceState.Change change = node.state().changes().get((int) committed.sequence() - 1);
       history.committedBy(node.role().self(), node.role().epoch(), change);
     }
     if (firstProbe > 0 && result.clientToken() >= firstProbe) {
@@ -230,8 +230,8 @@
     probing = true;
     probedAt = events.now();
     long version = node.state().version();
-    LedgerState.Change change =
-        new LedgerState.Change(version, version + 1, PROBER_AUTHOR + (int) lastToken);
+    ReferenceState.Change change =
+        new ReferenceState.Change(version, version + 1, PROBER_AUTHOR + (int) lastToken);
     node.handle(new ReplicaInput.Propose(lastToken, change.encode()));
   }
 
--- a/src/test/java/slateslip/simulation/control/FaultInjector.java
+++ b/src/test/java/slateslip/simulation/control/FaultInjector.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import slateslip.coordination.ClientResult;
 import slateslip.coordination.NodeAddress;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 
 /** Makes faults happen, and end. */
 final class FaultInjector {
@@ -205,7 +205,7 @@
   }
 
   /** A node has sent a message, maybe the one at which it is to crash. */
-  void sent(SimulatedNode node, PeerMessage message) {
+  void sent(SimulatedNode node, ReplicaMessage message) {
     if (stopped || !armed.strikes(message)) {
       return;
     }
--- a/src/test/java/slateslip/simulation/control/Mutation.java
+++ b/src/test/java/slateslip/simulation/control/Mutation.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import slateslip.coordination.Ballot;
 import slateslip.coordination.DurableRecord;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 import slateslip.coordination.View;
 import slateslip.coordination.WitnessState;
 import slateslip.simulation.SimulatedDisk;
@@ -43,9 +43,9 @@
   }
 
   /** Changes a message on its way. */
-  PeerMessage pass(PeerMessage message) {
-    if (this == IGNORES_ACCEPTED_VIEW && message instanceof PeerMessage.Promise promise) {
-      return new PeerMessage.Promise(
+  ReplicaMessage pass(ReplicaMessage message) {
+    if (this == IGNORES_ACCEPTED_VIEW && message instanceof ReplicaMessage.Promise promise) {
+      return new ReplicaMessage.Promise(
           promise.baseEpoch(), promise.ballot(), Ballot.NONE, View.NONE, promise.status());
     }
     return message;
@@ -70,11 +70,12 @@
   }
 
   /** What a node wrongly answers to a message of an epoch before its own. */
-  Optional<PeerMessage> wrongAnswer(PeerMessage message, long epoch) {
-    boolean old = message instanceof PeerMessage.Append append && append.tenure().epoch() < epoch;
+  Optional<ReplicaMessage> wrongAnswer(ReplicaMessage message, long epoch) {
+    boolean old =
+        message instanceof ReplicaMessage.Append append && append.tenure().epoch() < epoch;
     if (this == ACKNOWLEDGES_OLD_EPOCH && old) {
-      PeerMessage.Append append = (PeerMessage.Append) message;
-      return Optional.of(new PeerMessage.Synced(append.tenure(), append.sequence()));
+      ReplicaMessage.Append append = (ReplicaMessage.Append) message;
+      return Optional.of(new ReplicaMessage.Synced(append.tenure(), append.sequence()));
     }
     return Optional.empty();
   }
--- a/src/test/java/slateslip/simulation/control/LedgerState.java
+++ b/src/test/java/slateslip/simulation/control/ReferenceState.java
@@ -4,14 +4,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import slateslip.coordination.Preparation;
+import slateslip.coordination.PreparedCommand;
 import slateslip.coordination.ReplicatedState;
 
 /**
  * A replicated application like the operator's configuration: each change names the version on
  * which it builds, and one that was taken is taken again.
  */
-final class LedgerState implements ReplicatedState {
+final class ReferenceState implements ReplicatedState {
   /** What a command without a record gets. */
   enum Answer {
     TAKEN_BEFORE,
@@ -41,7 +41,7 @@
   private final CheckedHistory history;
   private final List<Change> changes = new ArrayList<>();
 
-  LedgerState(CheckedHistory history) {
+  ReferenceState(CheckedHistory history) {
     this.history = history;
   }
 
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public Preparation prepare(byte[] command) {
+  public PreparedCommand prepare(byte[] command) {
     Change change = Change.decode(command);
     if (changes.contains(change)) {
       return answer(Answer.TAKEN_BEFORE);
@@ -62,11 +62,11 @@
     if (change.base() != version()) {
       return answer(Answer.OTHER_VERSION);
     }
-    return new Preparation.Change(command);
+    return new PreparedCommand.Change(command);
   }
 
-  private static Preparation answer(Answer answer) {
-    return new Preparation.Answer(answer.name().getBytes(StandardCharsets.US_ASCII));
+  private static PreparedCommand answer(Answer answer) {
+    return new PreparedCommand.Response(answer.name().getBytes(StandardCharsets.US_ASCII));
   }
 
   static Answer answer(byte[] bytes) {
--- a/src/test/java/slateslip/simulation/control/ScriptedClient.java
+++ b/src/test/java/slateslip/simulation/control/ScriptedClient.java
@@ -38,8 +38,8 @@
     world.events().in(STEP, this::step);
   }
 
-  private LedgerState.Change change() {
-    return new LedgerState.Change(taken, taken + 1L, taken);
+  private ReferenceState.Change change() {
+    return new ReferenceState.Change(taken, taken + 1L, taken);
   }
 
   private void call(SimulatedNode node) {
@@ -56,8 +56,8 @@
     token = 0;
     boolean accepted =
         result instanceof ClientResult.Committed
-            || (result instanceof ClientResult.Answered answer
-                && LedgerState.answer(answer.answer()) == LedgerState.Answer.TAKEN_BEFORE);
+            || (result instanceof ClientResult.Responded answer
+                && ReferenceState.answer(answer.answer()) == ReferenceState.Answer.TAKEN_BEFORE);
     if (accepted) {
       world.history().acknowledged(change());
       taken++;
--- a/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
@@ -8,10 +8,10 @@
 import java.util.SplittableRandom;
 import slateslip.coordination.NodeAddress;
 import slateslip.coordination.NodeId;
-import slateslip.coordination.PeerMessage;
+import slateslip.coordination.ReplicaMessage;
 import slateslip.protocol.Decoded;
-import slateslip.protocol.coordination.PeerFrame;
-import slateslip.protocol.coordination.PeerMessageCodec;
+import slateslip.protocol.coordination.ReplicaFrame;
+import slateslip.protocol.coordination.ReplicaMessageCodec;
 import slateslip.simulation.EventQueue;
 
 /**
@@ -22,12 +22,12 @@
   /** Sees what is sent, before it is on its way. */
   interface Watcher {
     /** Returns whether the message is lost. */
-    boolean sent(NodeId from, NodeAddress to, PeerMessage message);
+    boolean sent(NodeId from, NodeAddress to, ReplicaMessage message);
   }
 
   /** Takes what arrives. */
   interface Receiver {
-    void deliver(NodeAddress to, PeerFrame frame);
+    void deliver(NodeAddress to, ReplicaFrame frame);
   }
 
   private record Link(NodeAddress from, NodeAddress to) {}
@@ -70,13 +70,13 @@
     this.mutation = mutation;
   }
 
-  void send(NodeId from, NodeAddress to, PeerMessage sent) {
-    PeerMessage message = mutation.pass(sent);
+  void send(NodeId from, NodeAddress to, ReplicaMessage sent) {
+    ReplicaMessage message = mutation.pass(sent);
     if (watcher.sent(from, to, message)) {
       return;
     }
     Link link = new Link(from.address(), to);
-    PeerFrame frame = new PeerFrame(from, sometimesEncoded(from, message));
+    ReplicaFrame frame = new ReplicaFrame(from, sometimesEncoded(from, message));
     long delay = random.nextLong(LEAST_DELAY, MOST_DELAY) + slow.of(from.address(), to);
     long arrival = Math.max(lastArrival.getOrDefault(link, 0L), events.now() + delay);
     lastArrival.put(link, arrival);
@@ -87,15 +87,16 @@
     }
   }
 
-  private PeerMessage sometimesEncoded(NodeId from, PeerMessage message) {
+  private ReplicaMessage sometimesEncoded(NodeId from, ReplicaMessage message) {
     if (random.nextInt(ENCODED_EVERY) != 0) {
       return message;
     }
-    Decoded<PeerFrame> decoded = PeerMessageCodec.decode(PeerMessageCodec.encode(from, message));
-    return ((Decoded.Message<PeerFrame>) decoded).value().message();
+    Decoded<ReplicaFrame> decoded =
+        ReplicaMessageCodec.decode(ReplicaMessageCodec.encode(from, message));
+    return ((Decoded.Message<ReplicaFrame>) decoded).value().message();
   }
 
-  private void arrive(Link link, int connection, PeerFrame frame) {
+  private void arrive(Link link, int connection, ReplicaFrame frame) {
     Deque<Runnable> heldUp = cuts.get(link);
     if (heldUp != null) {
       heldUp.addLast(() -> arrive(link, connection, frame));
--- a/src/test/java/slateslip/simulation/control/SimulatedNode.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNode.java
@@ -12,7 +12,7 @@
 import slateslip.coordination.NodeId;
 import slateslip.coordination.ReplicaInput;
 import slateslip.coordination.ReplicaSettings;
-import slateslip.protocol.coordination.PeerFrame;
+import slateslip.protocol.coordination.ReplicaFrame;
 import slateslip.simulation.EventQueue;
 import slateslip.simulation.SimulatedDisk;
 import slateslip.storage.RingOptions;
@@ -41,7 +41,7 @@
   private final SimulatedDisk disk;
   private final Deque<ReplicaInput> held = new ArrayDeque<>();
   private ControlReplica replica;
-  private LedgerState state;
+  private ReferenceState state;
   private Effects.RoleStatus role = DOWN;
   private boolean frozen;
   private int life;
@@ -76,7 +76,7 @@
     return role;
   }
 
-  LedgerState state() {
+  ReferenceState state() {
     return state;
   }
 
@@ -93,7 +93,7 @@
     if (replica != null) {
       return;
     }
-    state = new LedgerState(history);
+    state = new ReferenceState(history);
     ReplicaSettings settings =
         new ReplicaSettings(address, seeds, bootstrap, faultTolerance, JOURNAL_BYTES);
     replica = new ControlReplica(settings, state, random.nextLong());
@@ -108,7 +108,7 @@
     handle(durable ? new ReplicaInput.Written(token) : new ReplicaInput.WriteFailed(token));
   }
 
-  void deliver(PeerFrame frame) {
+  void deliver(ReplicaFrame frame) {
     handle(new ReplicaInput.Received(frame.from(), frame.message()));
   }
 
@@ -142,7 +142,7 @@
     if (trace && changed) {
       System.out.println(events.now() / 1000 + " " + address + " " + effects.role());
       effects.sends().stream()
-          .filter(send -> send.message() instanceof slateslip.coordination.PeerMessage.Decided)
+          .filter(send -> send.message() instanceof slateslip.coordination.ReplicaMessage.Decided)
           .limit(1)
           .forEach(send -> System.out.println("    " + send.message()));
     }
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -17,7 +17,7 @@
   private final CheckedHistory history;
   private final ControlWorld world;
   private final int author;
-  private LedgerState.Change change;
+  private ReferenceState.Change change;
   private long callToken;
   private boolean reading;
   private long acknowledgedAtCall;
@@ -84,8 +84,8 @@
     callToken = 0;
     if (result instanceof ClientResult.Committed) {
       accepted();
-    } else if (result instanceof ClientResult.Answered answered) {
-      answered(LedgerState.answer(answered.answer()));
+    } else if (result instanceof ClientResult.Responded answered) {
+      answered(ReferenceState.answer(answered.answer()));
     } else if (result instanceof ClientResult.Confirmed) {
       read(node.state().version());
     }
@@ -102,8 +102,8 @@
     change = random.nextInt(4) == 0 ? null : next();
   }
 
-  private void answered(LedgerState.Answer answer) {
-    if (answer == LedgerState.Answer.TAKEN_BEFORE) {
+  private void answered(ReferenceState.Answer answer) {
+    if (answer == ReferenceState.Answer.TAKEN_BEFORE) {
       accepted();
     } else {
       history.refused(change);
@@ -117,8 +117,8 @@
     change = next();
   }
 
-  private LedgerState.Change next() {
+  private ReferenceState.Change next() {
     long version = knownVersion + 1 + random.nextInt(2);
-    return new LedgerState.Change(knownVersion, version, world.nextAuthor(author));
+    return new ReferenceState.Change(knownVersion, version, world.nextAuthor(author));
   }
 }
--- a/src/test/java/slateslip/simulation/dataplane/Mutants.java
+++ b/src/test/java/slateslip/simulation/dataplane/Mutants.java
@@ -7,8 +7,8 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import slateslip.distribution.AgentShares;
 import slateslip.distribution.BackendSession;
+import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.TenantDemand;
 import slateslip.routing.FleetRouter;
 import slateslip.routing.RequestRouter;
@@ -95,12 +95,12 @@
             if (!(input instanceof RouterInput.SharesChanged told)) {
               return input;
             }
-            for (AgentShares.TenantShare share : told.shares().tenants()) {
+            for (QuotaAllocation.TenantShare share : told.shares().tenants()) {
               largest.merge(share.tenant(), share.fraction(), Math::max);
             }
-            List<AgentShares.TenantShare> kept = new ArrayList<>();
-            largest.forEach((name, part) -> kept.add(new AgentShares.TenantShare(name, part)));
-            return new RouterInput.SharesChanged(new AgentShares(told.shares().agents(), kept));
+            List<QuotaAllocation.TenantShare> kept = new ArrayList<>();
+            largest.forEach((name, part) -> kept.add(new QuotaAllocation.TenantShare(name, part)));
+            return new RouterInput.SharesChanged(new QuotaAllocation(told.shares().agents(), kept));
           },
           Stream::of);
     };
@@ -112,10 +112,10 @@
         input ->
             input instanceof RouterInput.SharesChanged told
                 ? new RouterInput.SharesChanged(
-                    new AgentShares(
+                    new QuotaAllocation(
                         told.shares().agents(),
                         told.shares().tenants().stream()
-                            .map(share -> new AgentShares.TenantShare(share.tenant(), 1))
+                            .map(share -> new QuotaAllocation.TenantShare(share.tenant(), 1))
                             .toList()))
                 : input);
   }
@@ -125,7 +125,7 @@
     return withInputs(
         input ->
             input instanceof RouterInput.SharesChanged told
-                ? new RouterInput.SharesChanged(new AgentShares(1, told.shares().tenants()))
+                ? new RouterInput.SharesChanged(new QuotaAllocation(1, told.shares().tenants()))
                 : input);
   }
 
