--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -134,7 +134,7 @@
     if (result instanceof ClientResult.Committed) {
       acknowledge(state.version(), answer);
     } else if (result instanceof ClientResult.Responded answered) {
-      OperatorResponse prepared = OperatorResponseCodec.decode(answered.answer());
+      OperatorResponse prepared = OperatorResponseCodec.decode(answered.response());
       if (prepared.status() == OperatorResponse.OK) {
         acknowledge(prepared.version(), answer);
       } else {
--- a/src/main/java/slateslip/coordination/ClientResult.java
+++ b/src/main/java/slateslip/coordination/ClientResult.java
@@ -19,9 +19,9 @@
    * The command made no record; the state that answered it was current.
    *
    * @param clientToken names the call
-   * @param answer of {@link ReplicatedState#prepare}
+   * @param response of {@link ReplicatedState#prepare}
    */
-  record Responded(long clientToken, byte[] answer) implements ClientResult {}
+  record Responded(long clientToken, byte[] response) implements ClientResult {}
 
   /**
    * The state is current.
--- a/src/main/java/slateslip/coordination/ControlReplica.java
+++ b/src/main/java/slateslip/coordination/ControlReplica.java
@@ -9,7 +9,7 @@
 /** One core node's part in keeping the control state. */
 public final class ControlReplica {
   private final ReplicaContext context;
-  private final PendingRequests calls;
+  private final PendingRequests requests;
   private final PeerTable peers;
   private final PrimaryRole primary;
   private final FollowerRole follower;
@@ -26,9 +26,9 @@
    */
   public ControlReplica(ReplicaSettings settings, ReplicatedState state, long randomSeed) {
     context = new ReplicaContext(settings, state, randomSeed);
-    calls = new PendingRequests(context);
+    requests = new PendingRequests(context);
     peers = new PeerTable(context);
-    primary = new PrimaryRole(context, peers, calls);
+    primary = new PrimaryRole(context, peers, requests);
     follower = new FollowerRole(context);
     witness = new Witness(context, this::primaryAlive);
     proposer = new Proposer(context, new Proposals());
@@ -40,18 +40,18 @@
    * @param nowMicros steady time
    */
   public Effects handle(long nowMicros, ReplicaInput input) {
-    context.now = nowMicros;
-    take(input);
-    takeOwnMessages();
+    context.nowMicros = nowMicros;
+    dispatch(input);
+    processSelfMessages();
     if (started) {
       advance();
-      takeOwnMessages();
+      processSelfMessages();
     }
-    context.retryDisk();
+    context.retryDurableWrites();
     return context.outbox.flush(context.store.takeApplied(), role(), wakeAt());
   }
 
-  private void take(ReplicaInput input) {
+  private void dispatch(ReplicaInput input) {
     if (input instanceof ReplicaInput.Start start) {
       start(start.recovered());
     } else if (input instanceof ReplicaInput.Received received) {
@@ -61,9 +61,9 @@
     } else if (input instanceof ReplicaInput.Written written) {
       written(written.token());
     } else if (input instanceof ReplicaInput.WriteFailed failed) {
-      context.disk.failed(context.now, failed.token());
+      context.durableWrites.failed(context.nowMicros, failed.token());
     } else if (input instanceof ReplicaInput.Shutdown) {
-      context.leaving = true;
+      context.shuttingDown = true;
     } else if (input instanceof ReplicaInput.Propose propose) {
       propose(propose);
     } else if (input instanceof ReplicaInput.Confirm confirm) {
@@ -71,7 +71,7 @@
     }
   }
 
-  private void takeOwnMessages() {
+  private void processSelfMessages() {
     while (context.outbox.hasMessageToSelf()) {
       receive(context.self, context.outbox.nextToSelf());
     }
@@ -85,19 +85,19 @@
     if (context.self.address().equals(context.settings.address())) {
       begin();
     } else {
-      takeIdentity(recovered.isEmpty());
+      createIdentity(recovered.isEmpty());
     }
   }
 
   /** Founds, or becomes a new node; nothing is said before the identity is on disk. */
-  private void takeIdentity(boolean emptyDisk) {
+  private void createIdentity(boolean emptyDisk) {
     NodeAddress address = context.settings.address();
-    boolean founds =
+    boolean isFounder =
         emptyDisk && context.settings.bootstrap() && context.settings.seeds().contains(address);
-    if (founds) {
+    if (isFounder) {
       context.self = new NodeId(address, NodeId.FOUNDER_DISK);
       context.witness = WitnessState.decided(View.founding(context.settings.seeds()));
-      context.store.beginTenure(new PrimaryTerm(1, 0));
+      context.store.beginTerm(new PrimaryTerm(1, 0));
     } else {
       long diskId = context.random.nextLong(1, Long.MAX_VALUE);
       context.self = new NodeId(address, diskId);
@@ -114,31 +114,31 @@
   }
 
   private void written(long token) {
-    DurablePosition before = context.disk.durable();
-    if (!context.disk.written(token)) {
+    DurablePosition previousPosition = context.durableWrites.durable();
+    if (!context.durableWrites.written(token)) {
       return;
     }
     if (!started) {
       begin();
     }
-    if (!primary.leading() && !context.disk.durable().equals(before)) {
-      follower.durable();
+    if (!primary.leading() && !context.durableWrites.durable().equals(previousPosition)) {
+      follower.reportDurable();
     }
   }
 
   private void propose(ReplicaInput.Propose propose) {
     if (primary.leading()) {
-      calls.propose(propose.clientToken(), propose.command());
+      requests.propose(propose.clientToken(), propose.command());
     } else {
-      calls.notPrimary(propose.clientToken(), follower.primary());
+      requests.notPrimary(propose.clientToken(), follower.primary());
     }
   }
 
   private void confirm(ReplicaInput.Confirm confirm) {
     if (primary.leading()) {
-      calls.confirm(confirm.clientToken(), peers.round());
+      requests.confirm(confirm.clientToken(), peers.round());
     } else {
-      calls.notPrimary(confirm.clientToken(), follower.primary());
+      requests.notPrimary(confirm.clientToken(), follower.primary());
     }
   }
 
@@ -151,8 +151,8 @@
       accept(from, accept);
     } else if (message instanceof ReplicaMessage.Accepted accepted) {
       proposer.accepted(from, accepted);
-    } else if (message instanceof ReplicaMessage.Rejected refused) {
-      proposer.refused(from, refused);
+    } else if (message instanceof ReplicaMessage.Rejected rejected) {
+      proposer.rejected(from, rejected);
     } else if (message instanceof ReplicaMessage.Decided decided) {
       adopt(decided.view());
     } else if (!from.equals(context.self)) {
@@ -182,15 +182,15 @@
       follower.install(install);
     } else if (message instanceof ReplicaMessage.Append append) {
       follower.append(append);
-    } else if (message instanceof ReplicaMessage.TransferLeadership takeOver) {
-      follower.takeOver(from, takeOver);
+    } else if (message instanceof ReplicaMessage.TransferLeadership transferLeadership) {
+      follower.leadershipTransferred(from, transferLeadership);
     }
   }
 
   private void prepare(NodeId from, ReplicaMessage.Prepare message) {
     adopt(message.base());
     if (message.base().epoch() < context.view().epoch()) {
-      tellView(from);
+      sendView(from);
     } else {
       witness.prepare(from, message);
     }
@@ -198,7 +198,7 @@
 
   private void accept(NodeId from, ReplicaMessage.Accept message) {
     if (message.baseEpoch() < context.view().epoch()) {
-      tellView(from);
+      sendView(from);
     } else {
       witness.accept(from, message);
     }
@@ -207,7 +207,7 @@
   private void hello(NodeId from, ReplicaMessage.Hello message) {
     adopt(message.view());
     if (message.view().epoch() < context.view().epoch()) {
-      tellView(from);
+      sendView(from);
     }
     if (primary.leading()) {
       primary.hello(from, message.status());
@@ -216,22 +216,22 @@
 
   private void heartbeat(NodeId from, ReplicaMessage.Heartbeat message) {
     adopt(message.view());
-    long epoch = message.tenure().epoch();
+    long epoch = message.term().epoch();
     if (epoch < context.view().epoch()) {
-      tellView(from);
+      sendView(from);
     } else if (!primary.leading()) {
       follower.heartbeat(from, message);
     }
   }
 
-  private void tellView(NodeId to) {
+  private void sendView(NodeId to) {
     context.outbox.send(to.address(), new ReplicaMessage.Decided(context.view()));
   }
 
   /** Takes a decided view if it is newer than the one known. */
   private void adopt(View view) {
-    View before = context.view();
-    if (view.epoch() <= before.epoch()) {
+    View previousPosition = context.view();
+    if (view.epoch() <= previousPosition.epoch()) {
       return;
     }
     context.witness = WitnessState.decided(view);
@@ -239,7 +239,7 @@
     proposer.viewChanged();
     follower.viewChanged();
     if (context.isPrimary()) {
-      primary.viewDecided(before, view);
+      primary.viewDecided(previousPosition, view);
       primary.begin();
     } else {
       primary.end(Optional.of(view.primary().address()));
@@ -267,19 +267,19 @@
 
   private void advance() {
     proposer.tick();
-    primary.resignIfUnwell();
+    primary.resignIfUnhealthy();
     primary.advance(proposer.busy());
     if (!primary.leading()) {
-      follower.askForView();
+      follower.requestView();
     }
     if (proposer.ready() && wantsToPropose()) {
-      proposer.begin(primary.leading() || follower.consented());
+      proposer.begin(primary.leading() || follower.holdsTransferredLeadership());
     }
   }
 
   private boolean wantsToPropose() {
     if (primary.leading()) {
-      return primary.active() && primary.wantsChange();
+      return primary.active() && primary.needsViewChange();
     }
     return follower.wantsToLead();
   }
@@ -294,49 +294,49 @@
   }
 
   private long wakeAt() {
-    long due = proposer.dueAt();
-    long tick = context.now + ReplicationTimeouts.TICK;
-    return due > context.now ? Math.min(due, tick) : tick;
+    long due = proposer.wakeAtMicros();
+    long tick = context.nowMicros + ReplicationTimeouts.MAX_TICK_INTERVAL_MICROS;
+    return due > context.nowMicros ? Math.min(due, tick) : tick;
   }
 
   /** Chooses and announces views. */
   private final class Proposals implements Proposer.Host {
     @Override
-    public Optional<View> ownValue(View base, Map<NodeId, ReplicaMessage.Promise> promises) {
+    public Optional<View> valueToPropose(View base, Map<NodeId, ReplicaMessage.Promise> promises) {
       if (primary.leading()) {
         View same = new View(base.epoch() + 1, base.primary(), base.members(), base.witnesses());
-        return Optional.of(primary.wantedView().orElse(same));
+        return Optional.of(primary.nextView().orElse(same));
       }
-      if (!base.mayLeadNext(context.self, context.disk.durable().tenure().epoch())) {
+      if (!base.mayLeadNext(context.self, context.durableWrites.durable().term().epoch())) {
         return Optional.empty();
       }
-      List<NodeId> answering =
+      List<NodeId> responding =
           base.members().stream()
               .map(ViewMember::node)
               .filter(node -> promises.containsKey(node))
-              .filter(node -> promises.get(node).status().fit())
+              .filter(node -> promises.get(node).status().healthy())
               .toList();
       List<NodeId> installed =
-          answering.stream()
+          responding.stream()
               .filter(node -> base.mayLeadNext(node, installedEpoch(promises.get(node))))
               .toList();
       return Optional.of(
-          MembershipPolicy.takenOver(
-              base, context.self, context.settings.faultTolerance(), answering, installed));
+          MembershipPolicy.viewAfterFailover(
+              base, context.self, context.settings.faultTolerance(), responding, installed));
     }
 
     private long installedEpoch(ReplicaMessage.Promise promise) {
-      return promise.status().durable().epoch();
+      return promise.status().durableTerm().epoch();
     }
 
     @Override
     public void decided(View base, View view) {
-      Set<NodeId> told = new TreeSet<>(base.witnesses());
-      told.addAll(view.witnesses());
-      told.remove(context.self);
+      Set<NodeId> recipients = new TreeSet<>(base.witnesses());
+      recipients.addAll(view.witnesses());
+      recipients.remove(context.self);
       adopt(view);
       ReplicaMessage decided = new ReplicaMessage.Decided(view);
-      told.forEach(node -> context.outbox.send(node.address(), decided));
+      recipients.forEach(node -> context.outbox.send(node.address(), decided));
     }
   }
 }
--- a/src/main/java/slateslip/coordination/DurablePosition.java
+++ b/src/main/java/slateslip/coordination/DurablePosition.java
@@ -3,9 +3,9 @@
 /**
  * How far the replica's state is on disk.
  *
- * @param tenure installed
+ * @param term installed
  * @param sequence last record
  */
-record DurablePosition(PrimaryTerm tenure, long sequence) {
+record DurablePosition(PrimaryTerm term, long sequence) {
   static final DurablePosition NONE = new DurablePosition(PrimaryTerm.NONE, 0);
 }
--- a/src/main/java/slateslip/coordination/DurableRecord.java
+++ b/src/main/java/slateslip/coordination/DurableRecord.java
@@ -7,10 +7,10 @@
    *
    * @param self the node's identity
    * @param witness its votes
-   * @param installed newest tenure whose state it has installed
+   * @param installedTerm newest tenure whose state it has installed
    * @param state the replica's state, whole
    */
-  record Snapshot(NodeId self, WitnessState witness, PrimaryTerm installed, StateTransfer state)
+  record Snapshot(NodeId self, WitnessState witness, PrimaryTerm installedTerm, StateTransfer state)
       implements DurableRecord {}
 
   /**
@@ -23,10 +23,10 @@
   /**
    * State taken over from a primary.
    *
-   * @param tenure of that primary
+   * @param term of that primary
    * @param state replaces what is there from its base on
    */
-  record Installation(PrimaryTerm tenure, StateTransfer state) implements DurableRecord {}
+  record Installation(PrimaryTerm term, StateTransfer state) implements DurableRecord {}
 
   /**
    * One record.
--- a/src/main/java/slateslip/coordination/DurableWriteQueue.java
+++ b/src/main/java/slateslip/coordination/DurableWriteQueue.java
@@ -11,24 +11,27 @@
 final class DurableWriteQueue {
   private static final long RECORD_OVERHEAD = 256;
 
-  private record InFlight(long token, long startedMicros, DurablePosition mark, Runnable then) {}
+  private record InFlight(
+      long token, long startedMicros, DurablePosition position, Runnable onDurable) {}
 
   private final EffectsBuilder outbox;
-  private final long journalBytes;
+  private final long snapshotThresholdBytes;
   private final Supplier<DurableRecord.Snapshot> snapshots;
   private final Deque<InFlight> inFlight = new ArrayDeque<>();
   private DurablePosition durable = DurablePosition.NONE;
   private long nextToken = 1;
   private long bytesSinceSnapshot;
   private boolean snapshotDue = true;
-  private boolean broken;
-  private boolean missed;
-  private long retryAt;
+  private boolean failed;
+  private boolean skippedWrites;
+  private long retryAtMicros;
 
   DurableWriteQueue(
-      EffectsBuilder outbox, long journalBytes, Supplier<DurableRecord.Snapshot> snapshots) {
+      EffectsBuilder outbox,
+      long snapshotThresholdBytes,
+      Supplier<DurableRecord.Snapshot> snapshots) {
     this.outbox = outbox;
-    this.journalBytes = journalBytes;
+    this.snapshotThresholdBytes = snapshotThresholdBytes;
     this.snapshots = snapshots;
   }
 
@@ -38,40 +41,46 @@
   }
 
   /** Begins with what was recovered. */
-  void recovered(DurablePosition mark) {
-    durable = mark;
+  void recovered(DurablePosition position) {
+    durable = position;
   }
 
   /**
    * Starts a write. The state in memory holds its effect already, hence a snapshot may stand for
    * it.
    *
-   * @param mark how far the state is on disk once this is written
+   * @param position how far the state is on disk once this is written
    * @param bytes size of the record, about
-   * @param then run once it is on disk; dropped if it fails
+   * @param onDurable run once it is on disk; dropped if it fails
    */
-  void write(long now, DurableRecord record, long bytes, DurablePosition mark, Runnable then) {
-    if (broken) {
-      missed = true;
+  void write(
+      long nowMicros,
+      DurableRecord record,
+      long bytes,
+      DurablePosition position,
+      Runnable onDurable) {
+    if (failed) {
+      skippedWrites = true;
       return;
     }
     bytesSinceSnapshot += bytes + RECORD_OVERHEAD;
-    if (snapshotDue || missed || bytesSinceSnapshot > journalBytes) {
-      startSnapshot(now, mark, then);
+    if (snapshotDue || skippedWrites || bytesSinceSnapshot > snapshotThresholdBytes) {
+      startSnapshot(nowMicros, position, onDurable);
     } else {
-      start(now, record, mark, then);
+      start(nowMicros, record, position, onDurable);
     }
   }
 
-  private void startSnapshot(long now, DurablePosition mark, Runnable then) {
-    start(now, snapshots.get(), mark, then);
+  private void startSnapshot(long nowMicros, DurablePosition position, Runnable onDurable) {
+    start(nowMicros, snapshots.get(), position, onDurable);
     snapshotDue = false;
-    missed = false;
+    skippedWrites = false;
     bytesSinceSnapshot = 0;
   }
 
-  private void start(long now, DurableRecord record, DurablePosition mark, Runnable then) {
-    inFlight.addLast(new InFlight(nextToken, now, mark, then));
+  private void start(
+      long nowMicros, DurableRecord record, DurablePosition position, Runnable onDurable) {
+    inFlight.addLast(new InFlight(nextToken, nowMicros, position, onDurable));
     outbox.write(nextToken, record);
     nextToken++;
   }
@@ -82,36 +91,37 @@
       return false;
     }
     InFlight write = inFlight.removeFirst();
-    durable = write.mark();
-    broken = false;
-    write.then().run();
+    durable = write.position();
+    failed = false;
+    write.onDurable().run();
     return true;
   }
 
   /** A write failed; those behind it are void as well. */
-  void failed(long now, long token) {
+  void failed(long nowMicros, long token) {
     if (inFlight.stream().noneMatch(write -> write.token() == token)) {
       return;
     }
     inFlight.clear();
-    broken = true;
-    retryAt = now + ReplicationTimeouts.DISK_RETRY;
+    failed = true;
+    retryAtMicros = nowMicros + ReplicationTimeouts.DISK_RETRY_DELAY_MICROS;
   }
 
   /** Writes the whole state anew if that is due after a failure, or writes were left out since. */
-  void retry(long now, DurablePosition mark) {
-    if ((broken || missed) && inFlight.isEmpty() && now >= retryAt) {
-      startSnapshot(now, mark, DurableWriteQueue::doNothing);
+  void retry(long nowMicros, DurablePosition position) {
+    if ((failed || skippedWrites) && inFlight.isEmpty() && nowMicros >= retryAtMicros) {
+      startSnapshot(nowMicros, position, DurableWriteQueue::noAction);
     }
   }
 
   /** Whether the disk takes writes within the bound. */
-  boolean healthy(long now) {
-    boolean hung =
+  boolean healthy(long nowMicros) {
+    boolean stalled =
         !inFlight.isEmpty()
-            && now - inFlight.peekFirst().startedMicros() > ReplicationTimeouts.DISK_BOUND;
-    return !broken && !hung;
+            && nowMicros - inFlight.peekFirst().startedMicros()
+                > ReplicationTimeouts.DISK_WRITE_TIMEOUT_MICROS;
+    return !failed && !stalled;
   }
 
-  private static void doNothing() {}
+  private static void noAction() {}
 }
--- a/src/main/java/slateslip/coordination/EffectsBuilder.java
+++ b/src/main/java/slateslip/coordination/EffectsBuilder.java
@@ -9,14 +9,14 @@
  * Collects what an input leads to. Messages to the node itself are handled within the same input.
  */
 final class EffectsBuilder {
-  private final NodeAddress own;
+  private final NodeAddress self;
   private final Deque<ReplicaMessage> toSelf = new ArrayDeque<>();
   private List<Effects.DurableWrite> writes = new ArrayList<>();
   private List<Effects.Send> sends = new ArrayList<>();
   private List<ClientResult> results = new ArrayList<>();
 
-  EffectsBuilder(NodeAddress own) {
-    this.own = own;
+  EffectsBuilder(NodeAddress self) {
+    this.self = self;
   }
 
   void write(long token, DurableRecord record) {
@@ -24,7 +24,7 @@
   }
 
   void send(NodeAddress to, ReplicaMessage message) {
-    if (to.equals(own)) {
+    if (to.equals(self)) {
       toSelf.add(message);
     } else {
       sends.add(new Effects.Send(to, message));
--- a/src/main/java/slateslip/coordination/FollowerRole.java
+++ b/src/main/java/slateslip/coordination/FollowerRole.java
@@ -6,38 +6,39 @@
 
 /** What every node but the active primary does: follows, asks for the view, takes over. */
 final class FollowerRole {
-  private static final long NEVER = Long.MIN_VALUE / 4;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
   private final ReplicaContext context;
-  private long primaryHeardAt = NEVER;
-  private long patientSince;
-  private long takeOverSpread;
-  private long helloAt;
-  private long consentedEpoch;
+  private long primaryHeardMicros = NEVER_MICROS;
+  private long failoverTimerMicros;
+  private long failoverJitterMicros;
+  private long nextHelloMicros;
+  private long transferredEpoch;
 
   FollowerRole(ReplicaContext context) {
     this.context = context;
   }
 
   void start() {
-    patientSince = context.now + ReplicationTimeouts.START_GRACE;
-    drawSpread();
+    failoverTimerMicros = context.nowMicros + ReplicationTimeouts.STARTUP_GRACE_MICROS;
+    drawFailoverJitter();
   }
 
   /** A newer view is known; its primary has yet to be heard. */
   void viewChanged() {
-    primaryHeardAt = NEVER;
-    patientSince = context.now;
-    drawSpread();
+    primaryHeardMicros = NEVER_MICROS;
+    failoverTimerMicros = context.nowMicros;
+    drawFailoverJitter();
   }
 
-  private void drawSpread() {
-    takeOverSpread = context.randomBetween(0, ReplicationTimeouts.TAKEOVER_STEP / 2);
+  private void drawFailoverJitter() {
+    failoverJitterMicros =
+        context.randomBetween(0, ReplicationTimeouts.FAILOVER_STAGGER_MICROS / 2);
   }
 
   /** Whether the view's primary was heard so lately that others' proposals are refused. */
   boolean primaryAlive() {
-    return context.now - primaryHeardAt < ReplicationTimeouts.PRIMARY_ALIVE;
+    return context.nowMicros - primaryHeardMicros < ReplicationTimeouts.PRIMARY_TIMEOUT_MICROS;
   }
 
   /** The primary's address, if it seems to be there. */
@@ -48,34 +49,34 @@
   /** A heartbeat of the newest view's primary. */
   void heartbeat(NodeId from, ReplicaMessage.Heartbeat message) {
     if (message.active()) {
-      primaryHeardAt = context.now;
-      patientSince = context.now;
+      primaryHeardMicros = context.nowMicros;
+      failoverTimerMicros = context.nowMicros;
     }
-    if (message.tenure().equals(context.store.installed())) {
+    if (message.term().equals(context.store.installed())) {
       context.store.commitTo(message.committedSequence());
     }
     context.outbox.send(
         from.address(),
-        new ReplicaMessage.HeartbeatReply(message.tenure(), message.round(), context.status()));
+        new ReplicaMessage.HeartbeatReply(message.term(), message.round(), context.status()));
   }
 
   void install(ReplicaMessage.Install message) {
-    if (!follows(message.tenure())) {
+    if (!follows(message.term())) {
       return;
     }
     boolean changes =
-        !message.tenure().equals(context.store.installed())
+        !message.term().equals(context.store.installed())
             || message.state().lastSequence() > context.store.lastSequence();
-    if (context.store.install(message.tenure(), message.state()) && changes) {
+    if (context.store.install(message.term(), message.state()) && changes) {
       context.write(
-          new DurableRecord.Installation(message.tenure(), message.state()),
+          new DurableRecord.Installation(message.term(), message.state()),
           message.state().bytes(),
           () -> {});
     }
   }
 
   void append(ReplicaMessage.Append message) {
-    if (!follows(message.tenure()) || !message.tenure().equals(context.store.installed())) {
+    if (!follows(message.term()) || !message.term().equals(context.store.installed())) {
       return;
     }
     if (context.store.append(message.sequence(), message.committedSequence(), message.record())) {
@@ -88,40 +89,40 @@
   }
 
   /** Whether this tenure is of the newest view, and no later one has been accepted. */
-  private boolean follows(PrimaryTerm tenure) {
-    return tenure.epoch() == context.view().epoch() && !context.witness.hasAccepted();
+  private boolean follows(PrimaryTerm term) {
+    return term.epoch() == context.view().epoch() && !context.witness.hasAccepted();
   }
 
   /** Something more is on disk. */
-  void durable() {
-    PrimaryTerm tenure = context.disk.durable().tenure();
-    if (follows(tenure)) {
+  void reportDurable() {
+    PrimaryTerm term = context.durableWrites.durable().term();
+    if (follows(term)) {
       context.outbox.send(
           context.view().primary().address(),
-          new ReplicaMessage.Synced(tenure, context.disk.durable().sequence()));
+          new ReplicaMessage.Synced(term, context.durableWrites.durable().sequence()));
     }
   }
 
-  void takeOver(NodeId from, ReplicaMessage.TransferLeadership message) {
+  void leadershipTransferred(NodeId from, ReplicaMessage.TransferLeadership message) {
     if (from.equals(context.view().primary()) && message.epoch() == context.view().epoch()) {
-      consentedEpoch = message.epoch();
+      transferredEpoch = message.epoch();
     }
   }
 
   /** Whether the primary has resigned in favour of this node. */
-  boolean consented() {
-    return consentedEpoch == context.view().epoch() && consentedEpoch > 0;
+  boolean holdsTransferredLeadership() {
+    return transferredEpoch == context.view().epoch() && transferredEpoch > 0;
   }
 
   /** Whether this node should try to lead the next view. */
   boolean wantsToLead() {
     View view = context.view();
-    return view.mayLeadNext(context.self, context.disk.durable().tenure().epoch())
-        && context.fit()
-        && (consented() || context.now >= takeOverAt());
+    return view.mayLeadNext(context.self, context.durableWrites.durable().term().epoch())
+        && context.healthy()
+        && (holdsTransferredLeadership() || context.nowMicros >= failoverAtMicros());
   }
 
-  private long takeOverAt() {
+  private long failoverAtMicros() {
     View view = context.view();
     int rank = 0;
     for (ViewMember member : view.members()) {
@@ -130,19 +131,20 @@
       }
       rank += member.node().equals(view.primary()) ? 0 : 1;
     }
-    return patientSince
-        + ReplicationTimeouts.SILENCE
-        + rank * ReplicationTimeouts.TAKEOVER_STEP
-        + takeOverSpread;
+    return failoverTimerMicros
+        + ReplicationTimeouts.PEER_TIMEOUT_MICROS
+        + rank * ReplicationTimeouts.FAILOVER_STAGGER_MICROS
+        + failoverJitterMicros;
   }
 
   /** Asks for the view if the primary is silent. */
-  void askForView() {
-    boolean silent = context.now - primaryHeardAt > ReplicationTimeouts.HELLO_AFTER;
-    if (!silent || context.now < helloAt) {
+  void requestView() {
+    boolean primaryUnresponsive =
+        context.nowMicros - primaryHeardMicros > ReplicationTimeouts.HELLO_DELAY_MICROS;
+    if (!primaryUnresponsive || context.nowMicros < nextHelloMicros) {
       return;
     }
-    helloAt = context.now + ReplicationTimeouts.HELLO_INTERVAL;
+    nextHelloMicros = context.nowMicros + ReplicationTimeouts.HELLO_INTERVAL_MICROS;
     ReplicaMessage hello = new ReplicaMessage.Hello(context.view(), context.status());
     knownAddresses().forEach(address -> context.outbox.send(address, hello));
   }
--- a/src/main/java/slateslip/coordination/MembershipPolicy.java
+++ b/src/main/java/slateslip/coordination/MembershipPolicy.java
@@ -7,36 +7,36 @@
 
 /** Which view should follow. Pure functions of what the proposer knows. */
 final class MembershipPolicy {
-  private static final int LEAST_WITNESSES = 3;
+  private static final int MIN_WITNESSES = 3;
 
   /**
    * A node as the proposer knows it.
    *
    * @param node who
-   * @param well answers, and its disk works
+   * @param healthy answers, and its disk works
    * @param installed has the current view's state on disk, or what makes up for it
    * @param caughtUp has every record, committed or not, on disk
-   * @param silentMicros since its last answer
-   * @param wellMicros how long it has been well without a break
-   * @param patienceMicros how long it must be well to be taken in
+   * @param unresponsiveMicros since its last answer
+   * @param healthyMicros how long it has been well without a break
+   * @param joinDelayMicros how long it must be well to be taken in
    */
   record PeerHealth(
       NodeId node,
-      boolean well,
+      boolean healthy,
       boolean installed,
       boolean caughtUp,
-      long silentMicros,
-      long wellMicros,
-      long patienceMicros) {
+      long unresponsiveMicros,
+      long healthyMicros,
+      long joinDelayMicros) {
     boolean eligible() {
-      return well && wellMicros >= patienceMicros;
+      return healthy && healthyMicros >= joinDelayMicros;
     }
   }
 
   private MembershipPolicy() {}
 
   /** Members that are wanted: one may be dropped without waiting for another. */
-  private static int membersWanted(int faultTolerance) {
+  private static int targetMemberCount(int faultTolerance) {
     return faultTolerance + 2;
   }
 
@@ -46,7 +46,7 @@
    * @param self the primary, well and installed
    * @param others every other node that it knows
    */
-  static Optional<View> wantedByPrimary(
+  static Optional<View> nextViewOfPrimary(
       View view, NodeId self, int faultTolerance, List<PeerHealth> others) {
     List<ViewMember> members = members(view, self, faultTolerance, others);
     List<NodeId> witnesses = witnesses(view, self, faultTolerance, others, members);
@@ -54,69 +54,75 @@
         view.primary().equals(self)
             && members.equals(view.members())
             && witnesses.equals(view.witnesses());
-    if (same || !majorityWell(witnesses, self, others)) {
+    if (same || !isMajorityHealthy(witnesses, self, others)) {
       return Optional.empty();
     }
     return Optional.of(new View(view.epoch() + 1, self, members, witnesses));
   }
 
-  private static boolean majorityWell(
+  private static boolean isMajorityHealthy(
       List<NodeId> witnesses, NodeId self, List<PeerHealth> others) {
-    long well =
+    long healthy =
         witnesses.stream()
             .filter(
                 node ->
                     node.equals(self)
-                        || standing(others, node).filter(PeerHealth::well).isPresent())
+                        || healthOf(others, node).filter(PeerHealth::healthy).isPresent())
             .count();
-    return well > witnesses.size() / 2;
+    return healthy > witnesses.size() / 2;
   }
 
-  private static Optional<PeerHealth> standing(List<PeerHealth> others, NodeId node) {
-    return others.stream().filter(standing -> standing.node().equals(node)).findFirst();
+  private static Optional<PeerHealth> healthOf(List<PeerHealth> others, NodeId node) {
+    return others.stream().filter(healthOf -> healthOf.node().equals(node)).findFirst();
   }
 
   private static List<ViewMember> members(
       View view, NodeId self, int faultTolerance, List<PeerHealth> others) {
-    List<ViewMember> kept = new ArrayList<>();
-    List<ViewMember> unwell = new ArrayList<>();
+    List<ViewMember> retained = new ArrayList<>();
+    List<ViewMember> unhealthy = new ArrayList<>();
     int installed = 0;
     for (ViewMember member : view.members()) {
-      Optional<PeerHealth> standing = standing(others, member.node());
-      boolean own = member.node().equals(self);
-      if (own || standing.filter(PeerHealth::well).isPresent()) {
-        kept.add(member);
-        installed += own || standing.get().installed() ? 1 : 0;
+      Optional<PeerHealth> healthOf = healthOf(others, member.node());
+      boolean isSelf = member.node().equals(self);
+      if (isSelf || healthOf.filter(PeerHealth::healthy).isPresent()) {
+        retained.add(member);
+        installed += isSelf || healthOf.get().installed() ? 1 : 0;
       } else {
-        unwell.add(member);
+        unhealthy.add(member);
       }
     }
-    addCandidates(view, faultTolerance, others, kept);
-    keepIfNeeded(faultTolerance + 1 - installed, others, unwell, kept);
-    return inOrder(view, kept);
+    addCandidates(view, faultTolerance, others, retained);
+    retainLastCopies(faultTolerance + 1 - installed, others, unhealthy, retained);
+    return inViewOrder(view, retained);
   }
 
   /** What may be the last copies must stay in the view until others have installed it. */
-  private static void keepIfNeeded(
-      int missing, List<PeerHealth> others, List<ViewMember> unwell, List<ViewMember> kept) {
+  private static void retainLastCopies(
+      int missingCopies,
+      List<PeerHealth> others,
+      List<ViewMember> unhealthy,
+      List<ViewMember> retained) {
     Comparator<ViewMember> installedFirst =
         Comparator.comparing(
             member ->
-                standing(others, member.node()).filter(PeerHealth::installed).isPresent() ? 0 : 1);
-    unwell.stream().sorted(installedFirst).limit(Math.max(0, missing)).forEach(kept::add);
+                healthOf(others, member.node()).filter(PeerHealth::installed).isPresent() ? 0 : 1);
+    unhealthy.stream()
+        .sorted(installedFirst)
+        .limit(Math.max(0, missingCopies))
+        .forEach(retained::add);
   }
 
   private static void addCandidates(
-      View view, int faultTolerance, List<PeerHealth> others, List<ViewMember> kept) {
+      View view, int faultTolerance, List<PeerHealth> others, List<ViewMember> retained) {
     others.stream()
         .filter(other -> !view.hasMember(other.node()))
         .filter(other -> other.eligible() && other.caughtUp())
         .sorted(Comparator.comparing(other -> view.hasWitness(other.node()) ? 0 : 1))
-        .limit(Math.max(0, membersWanted(faultTolerance) - kept.size()))
-        .forEach(other -> kept.add(new ViewMember(other.node(), view.epoch() + 1)));
+        .limit(Math.max(0, targetMemberCount(faultTolerance) - retained.size()))
+        .forEach(other -> retained.add(new ViewMember(other.node(), view.epoch() + 1)));
   }
 
-  private static List<ViewMember> inOrder(View view, List<ViewMember> members) {
+  private static List<ViewMember> inViewOrder(View view, List<ViewMember> members) {
     List<ViewMember> ordered = new ArrayList<>();
     view.members().stream().filter(members::contains).forEach(ordered::add);
     members.stream().filter(member -> !ordered.contains(member)).forEach(ordered::add);
@@ -129,44 +135,47 @@
       int faultTolerance,
       List<PeerHealth> others,
       List<ViewMember> members) {
-    List<NodeId> needed = members.stream().map(ViewMember::node).toList();
+    List<NodeId> memberNodes = members.stream().map(ViewMember::node).toList();
     List<NodeId> witnesses = new ArrayList<>(view.witnesses());
-    needed.stream().filter(node -> !witnesses.contains(node)).forEach(witnesses::add);
-    List<NodeId> newcomers = newcomers(view, others);
-    newcomers.stream().filter(node -> !witnesses.contains(node)).forEach(witnesses::add);
+    memberNodes.stream().filter(node -> !witnesses.contains(node)).forEach(witnesses::add);
+    List<NodeId> joiningNodes = joiningNodes(view, others);
+    joiningNodes.stream().filter(node -> !witnesses.contains(node)).forEach(witnesses::add);
     List<NodeId> superseded =
         witnesses.stream().filter(node -> superseded(node, witnesses, others)).toList();
     witnesses.removeAll(superseded);
     long excess = witnesses.stream().filter(node -> !view.hasWitness(node)).count();
-    List<NodeId> silent =
+    List<NodeId> unresponsive =
         witnesses.stream()
-            .filter(node -> !node.equals(self) && !needed.contains(node))
-            .filter(node -> silence(others, node) > ReplicationTimeouts.WITNESS_REPLACED)
-            .sorted(Comparator.comparing((NodeId node) -> -silence(others, node)))
+            .filter(node -> !node.equals(self) && !memberNodes.contains(node))
+            .filter(
+                node ->
+                    unresponsiveMicros(others, node)
+                        > ReplicationTimeouts.WITNESS_REPLACEMENT_DELAY_MICROS)
+            .sorted(Comparator.comparing((NodeId node) -> -unresponsiveMicros(others, node)))
             .toList();
-    silent.stream().limit(excess).forEach(witnesses::remove);
+    unresponsive.stream().limit(excess).forEach(witnesses::remove);
     if (excess == 0) {
-      removeLoneSilent(needed, self, faultTolerance, others, witnesses);
+      removeSingleUnresponsive(memberNodes, self, faultTolerance, others, witnesses);
     }
     return witnesses;
   }
 
   /** Nodes that become witnesses: once one has waited long enough, others go along. */
-  private static List<NodeId> newcomers(View view, List<PeerHealth> others) {
+  private static List<NodeId> joiningNodes(View view, List<PeerHealth> others) {
     List<PeerHealth> outside =
-        others.stream().filter(other -> other.well() && !view.hasWitness(other.node())).toList();
+        others.stream().filter(other -> other.healthy() && !view.hasWitness(other.node())).toList();
     if (outside.stream().noneMatch(PeerHealth::eligible)) {
       return List.of();
     }
     return outside.stream()
-        .filter(other -> other.eligible() || joinsAlong(other))
+        .filter(other -> other.eligible() || joinsTogether(other))
         .map(PeerHealth::node)
         .toList();
   }
 
-  private static boolean joinsAlong(PeerHealth other) {
-    return other.wellMicros() >= ReplicationTimeouts.JOIN_ALONG
-        && other.patienceMicros() <= ReplicationTimeouts.JOIN_AFTER;
+  private static boolean joinsTogether(PeerHealth other) {
+    return other.healthyMicros() >= ReplicationTimeouts.JOIN_TOGETHER_DELAY_MICROS
+        && other.joinDelayMicros() <= ReplicationTimeouts.JOIN_DELAY_MICROS;
   }
 
   /**
@@ -174,37 +183,38 @@
    * and would only make majorities harder.
    */
   private static boolean superseded(NodeId node, List<NodeId> witnesses, List<PeerHealth> others) {
-    return wellFor(others, node) == 0
+    return healthyMicros(others, node) == 0
         && witnesses.stream()
             .filter(other -> !other.equals(node) && other.address().equals(node.address()))
-            .anyMatch(other -> wellFor(others, other) > 0);
+            .anyMatch(other -> healthyMicros(others, other) > 0);
   }
 
-  private static long wellFor(List<PeerHealth> others, NodeId node) {
-    return standing(others, node).map(PeerHealth::wellMicros).orElse(0L);
+  private static long healthyMicros(List<PeerHealth> others, NodeId node) {
+    return healthOf(others, node).map(PeerHealth::healthyMicros).orElse(0L);
   }
 
-  private static long silence(List<PeerHealth> others, NodeId node) {
-    return standing(others, node).map(PeerHealth::silentMicros).orElse(0L);
+  private static long unresponsiveMicros(List<PeerHealth> others, NodeId node) {
+    return healthOf(others, node).map(PeerHealth::unresponsiveMicros).orElse(0L);
   }
 
-  private static void removeLoneSilent(
-      List<NodeId> needed,
+  private static void removeSingleUnresponsive(
+      List<NodeId> memberNodes,
       NodeId self,
       int faultTolerance,
       List<PeerHealth> others,
       List<NodeId> witnesses) {
-    List<NodeId> silent =
+    List<NodeId> unresponsive =
         witnesses.stream()
             .filter(node -> !node.equals(self))
-            .filter(node -> standing(others, node).filter(PeerHealth::well).isEmpty())
+            .filter(node -> healthOf(others, node).filter(PeerHealth::healthy).isEmpty())
             .toList();
-    boolean enoughLeft = witnesses.size() - 1 >= Math.max(LEAST_WITNESSES, 2 * faultTolerance + 1);
-    if (silent.size() != 1 || !enoughLeft || needed.contains(silent.get(0))) {
+    boolean enoughRemain = witnesses.size() - 1 >= Math.max(MIN_WITNESSES, 2 * faultTolerance + 1);
+    if (unresponsive.size() != 1 || !enoughRemain || memberNodes.contains(unresponsive.get(0))) {
       return;
     }
-    if (silence(others, silent.get(0)) > ReplicationTimeouts.WITNESS_REMOVED) {
-      witnesses.remove(silent.get(0));
+    if (unresponsiveMicros(others, unresponsive.get(0))
+        > ReplicationTimeouts.WITNESS_REMOVAL_DELAY_MICROS) {
+      witnesses.remove(unresponsive.get(0));
     }
   }
 
@@ -212,21 +222,22 @@
    * The view of a member that takes over.
    *
    * @param self the member; it may lead
-   * @param answering members whose disk works, the taker among them
+   * @param responding members whose disk works, the taker among them
    * @param installed those of them that hold every committed record
    */
-  static View takenOver(
-      View view, NodeId self, int faultTolerance, List<NodeId> answering, List<NodeId> installed) {
-    List<ViewMember> kept = new ArrayList<>();
+  static View viewAfterFailover(
+      View view, NodeId self, int faultTolerance, List<NodeId> responding, List<NodeId> installed) {
+    List<ViewMember> retained = new ArrayList<>();
     List<ViewMember> others = new ArrayList<>();
     for (ViewMember member : view.members()) {
-      (answering.contains(member.node()) ? kept : others).add(member);
+      (responding.contains(member.node()) ? retained : others).add(member);
     }
-    long holders = kept.stream().filter(member -> installed.contains(member.node())).count();
+    long completeCopies =
+        retained.stream().filter(member -> installed.contains(member.node())).count();
     others.stream()
         .sorted(Comparator.comparing(member -> member.node().equals(view.primary()) ? 1 : 0))
-        .limit(Math.max(0, faultTolerance + 1 - holders))
-        .forEach(kept::add);
-    return new View(view.epoch() + 1, self, inOrder(view, kept), view.witnesses());
+        .limit(Math.max(0, faultTolerance + 1 - completeCopies))
+        .forEach(retained::add);
+    return new View(view.epoch() + 1, self, inViewOrder(view, retained), view.witnesses());
   }
 }
--- a/src/main/java/slateslip/coordination/Peer.java
+++ b/src/main/java/slateslip/coordination/Peer.java
@@ -2,115 +2,117 @@
 
 /** What the primary knows of another node. */
 final class Peer {
-  private static final long NEVER = Long.MIN_VALUE / 4;
-  private static final long MEGABYTE = 1 << 20;
+  private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
+  private static final long BYTES_PER_MEGABYTE = 1 << 20;
 
   final NodeId node;
-  private final long knownSince;
+  private final long knownSinceMicros;
   ReplicaStatus status;
-  long heardAt = NEVER;
-  long echoedSentAt = NEVER;
-  long cleanRound;
-  long wellSince = Long.MAX_VALUE;
-  int drops;
-  long droppedAt = NEVER;
-  PrimaryTerm sentTenure = PrimaryTerm.NONE;
+  long lastHeardMicros = NEVER_MICROS;
+  long acknowledgedSentMicros = NEVER_MICROS;
+  long confirmedRound;
+  long healthySinceMicros = Long.MAX_VALUE;
+  int dropCount;
+  long droppedAtMicros = NEVER_MICROS;
+  PrimaryTerm sentTerm = PrimaryTerm.NONE;
   long sentSequence;
   long sentRound;
-  private boolean owes;
-  private long owesSince;
-  private long owesBound;
+  private boolean awaitingDurable;
+  private long awaitingDurableSinceMicros;
+  private long durableTimeoutMicros;
 
   /** A node, known since a time. */
-  Peer(NodeId node, long knownSince) {
+  Peer(NodeId node, long knownSinceMicros) {
     this.node = node;
-    this.knownSince = knownSince;
+    this.knownSinceMicros = knownSinceMicros;
   }
 
   /** Forgets what was sent in another tenure. */
-  void beginTenure() {
-    cleanRound = 0;
-    sentTenure = PrimaryTerm.NONE;
-    owes = false;
+  void beginTerm() {
+    confirmedRound = 0;
+    sentTerm = PrimaryTerm.NONE;
+    awaitingDurable = false;
   }
 
   /** Something was sent that must reach the disk. */
-  void sent(PrimaryTerm tenure, long sequence, long round, long bytes, long now) {
-    sentTenure = tenure;
+  void sent(PrimaryTerm term, long sequence, long round, long bytes, long nowMicros) {
+    sentTerm = term;
     sentSequence = sequence;
     sentRound = round;
-    if (!owes) {
-      owes = true;
-      owesSince = now;
-      owesBound = ReplicationTimeouts.APPEND_BOUND;
+    if (!awaitingDurable) {
+      awaitingDurable = true;
+      awaitingDurableSinceMicros = nowMicros;
+      durableTimeoutMicros = ReplicationTimeouts.APPEND_TIMEOUT_MICROS;
     }
-    owesBound += bytes * ReplicationTimeouts.TRANSFER_PER_MB / MEGABYTE;
+    durableTimeoutMicros +=
+        bytes * ReplicationTimeouts.TRANSFER_TIMEOUT_PER_MB_MICROS / BYTES_PER_MEGABYTE;
   }
 
   /** Whether all up to a record is on its disk in that tenure, and it follows no later view. */
-  boolean hasDurable(PrimaryTerm tenure, long sequence) {
+  boolean hasDurable(PrimaryTerm term, long sequence) {
     return status != null
-        && status.durable().equals(tenure)
+        && status.durableTerm().equals(term)
         && status.durableSequence() >= sequence
-        && status.decidedEpoch() <= tenure.epoch()
-        && !status.acceptedLater();
+        && status.decidedEpoch() <= term.epoch()
+        && !status.acceptedNewerView();
   }
 
   /** Notes whether it still owes what was sent last. */
-  void settle(PrimaryTerm tenure) {
-    if (hasDurable(tenure, sentSequence)) {
-      owes = false;
+  void updateAwaitingDurable(PrimaryTerm term) {
+    if (hasDurable(term, sentSequence)) {
+      awaitingDurable = false;
     }
   }
 
-  boolean overdue(long now) {
-    return owes && now - owesSince > owesBound;
+  boolean durableOverdue(long nowMicros) {
+    return awaitingDurable && nowMicros - awaitingDurableSinceMicros > durableTimeoutMicros;
   }
 
   /** How long no answer has come to what was sent. */
-  long silentFor(long now, long leadingSince) {
-    return now - Math.max(echoedSentAt, leadingSince);
+  long microsSinceAcknowledgement(long nowMicros, long leadingSinceMicros) {
+    return nowMicros - Math.max(acknowledgedSentMicros, leadingSinceMicros);
   }
 
   /** How long no answer has come, over all tenures of this leader. */
-  long unheardFor(long now) {
-    return now - Math.max(echoedSentAt, knownSince);
+  long microsUnheard(long nowMicros) {
+    return nowMicros - Math.max(acknowledgedSentMicros, knownSinceMicros);
   }
 
   /** Whether it answers, its disk works, and it is to stay. */
-  boolean well(long now, long leadingSince) {
-    return silentFor(now, leadingSince) < ReplicationTimeouts.SILENCE
-        && (status == null || status.fit())
-        && !overdue(now);
+  boolean healthy(long nowMicros, long leadingSinceMicros) {
+    return microsSinceAcknowledgement(nowMicros, leadingSinceMicros)
+            < ReplicationTimeouts.PEER_TIMEOUT_MICROS
+        && (status == null || status.healthy())
+        && !durableOverdue(nowMicros);
   }
 
   /** Keeps the time since which it has been well. */
-  void watch(long now, long leadingSince) {
-    boolean heard = echoedSentAt > NEVER;
-    if (!heard || !well(now, leadingSince)) {
-      wellSince = Long.MAX_VALUE;
-    } else if (wellSince == Long.MAX_VALUE) {
-      wellSince = now;
-    } else if (now - wellSince > ReplicationTimeouts.DROPS_FORGOTTEN) {
-      drops = 0;
+  void updateHealth(long nowMicros, long leadingSinceMicros) {
+    boolean everAcknowledged = acknowledgedSentMicros > NEVER_MICROS;
+    if (!everAcknowledged || !healthy(nowMicros, leadingSinceMicros)) {
+      healthySinceMicros = Long.MAX_VALUE;
+    } else if (healthySinceMicros == Long.MAX_VALUE) {
+      healthySinceMicros = nowMicros;
+    } else if (nowMicros - healthySinceMicros > ReplicationTimeouts.DROP_COUNT_RESET_MICROS) {
+      dropCount = 0;
     }
   }
 
-  long wellFor(long now) {
-    return wellSince == Long.MAX_VALUE ? 0 : now - wellSince;
+  long healthyMicros(long nowMicros) {
+    return healthySinceMicros == Long.MAX_VALUE ? 0 : nowMicros - healthySinceMicros;
   }
 
   /** How long it must be well before it is taken in, longer each time that it was dropped. */
-  long patience() {
-    if (drops == 0) {
-      return ReplicationTimeouts.JOIN_AFTER;
+  long joinDelayMicros() {
+    if (dropCount == 0) {
+      return ReplicationTimeouts.JOIN_DELAY_MICROS;
     }
-    return ReplicationTimeouts.REJOIN_AFTER
-        << Math.min(drops - 1, ReplicationTimeouts.REJOIN_DOUBLINGS);
+    return ReplicationTimeouts.REJOIN_DELAY_MICROS
+        << Math.min(dropCount - 1, ReplicationTimeouts.MAX_REJOIN_DOUBLINGS);
   }
 
-  void dropped(long now) {
-    drops++;
-    droppedAt = now;
+  void dropped(long nowMicros) {
+    dropCount++;
+    droppedAtMicros = nowMicros;
   }
 }
--- a/src/main/java/slateslip/coordination/PeerTable.java
+++ b/src/main/java/slateslip/coordination/PeerTable.java
@@ -10,16 +10,16 @@
 
 /** The other nodes as the primary sees them, and its rounds of heartbeats. */
 final class PeerTable {
-  private static final int ROUNDS_KEPT = 256;
+  private static final int MAX_ROUNDS = 256;
 
-  private record Round(long number, long sentAt) {}
+  private record Round(long number, long sentAtMicros) {}
 
   private final ReplicaContext context;
   private final Map<NodeId, Peer> peers = new TreeMap<>();
   private List<Peer> targets = List.of();
   private final Deque<Round> rounds = new ArrayDeque<>();
   private long round;
-  private long leadingSince;
+  private long leadingSinceMicros;
 
   PeerTable(ReplicaContext context) {
     this.context = context;
@@ -29,12 +29,12 @@
     return round;
   }
 
-  long leadingSince() {
-    return leadingSince;
+  long leadingSinceMicros() {
+    return leadingSinceMicros;
   }
 
   Peer of(NodeId node) {
-    return peers.computeIfAbsent(node, added -> new Peer(added, context.now));
+    return peers.computeIfAbsent(node, added -> new Peer(added, context.nowMicros));
   }
 
   /**
@@ -42,29 +42,29 @@
    *
    * @param resumed whether this node has led until now
    */
-  void beginTenure(boolean resumed) {
+  void beginTerm(boolean resumed) {
     if (!resumed) {
-      leadingSince = context.now;
+      leadingSinceMicros = context.nowMicros;
       peers.clear();
     }
-    peers.values().forEach(Peer::beginTenure);
+    peers.values().forEach(Peer::beginTerm);
     review();
   }
 
   /** Opens a round. */
   void beginRound() {
     round++;
-    rounds.addLast(new Round(round, context.now));
-    if (rounds.size() > ROUNDS_KEPT) {
+    rounds.addLast(new Round(round, context.nowMicros));
+    if (rounds.size() > MAX_ROUNDS) {
       rounds.removeFirst();
     }
   }
 
   /** A node answered a round of this tenure. */
-  void echoed(Peer peer, long echoedRound) {
+  void heartbeatAcknowledged(Peer peer, long acknowledgedRound) {
     for (Round sent : rounds) {
-      if (sent.number() == echoedRound) {
-        peer.echoedSentAt = Math.max(peer.echoedSentAt, sent.sentAt());
+      if (sent.number() == acknowledgedRound) {
+        peer.acknowledgedSentMicros = Math.max(peer.acknowledgedSentMicros, sent.sentAtMicros());
       }
     }
   }
@@ -78,45 +78,49 @@
   void review() {
     Set<NodeId> nodes = new TreeSet<>(context.view().witnesses());
     for (Peer peer : peers.values()) {
-      if (context.now - peer.heardAt < ReplicationTimeouts.GUEST_KEPT) {
+      if (context.nowMicros - peer.lastHeardMicros < ReplicationTimeouts.LEARNER_TIMEOUT_MICROS) {
         nodes.add(peer.node);
       }
     }
     nodes.remove(context.self);
-    peers.keySet().removeIf(node -> !nodes.contains(node) && !keptForPenalty(node));
+    peers.keySet().removeIf(node -> !nodes.contains(node) && !isDropCountRetained(node));
     targets = nodes.stream().map(this::of).toList();
-    targets.forEach(peer -> peer.watch(context.now, leadingSince));
+    targets.forEach(peer -> peer.updateHealth(context.nowMicros, leadingSinceMicros));
   }
 
-  private boolean keptForPenalty(NodeId node) {
-    return context.now - peers.get(node).droppedAt < ReplicationTimeouts.DROPS_KEPT;
+  private boolean isDropCountRetained(NodeId node) {
+    return context.nowMicros - peers.get(node).droppedAtMicros
+        < ReplicationTimeouts.DROP_COUNT_RETENTION_MICROS;
   }
 
-  boolean well(Peer peer) {
-    return peer.well(context.now, leadingSince);
+  boolean isHealthy(Peer peer) {
+    return peer.healthy(context.nowMicros, leadingSinceMicros);
   }
 
   /** Whether a majority of the view's witnesses, this node among them, has answered of late. */
   boolean hearsMajority() {
     View view = context.view();
-    long heard =
-        view.witnesses().stream().filter(node -> node.equals(context.self) || hears(node)).count();
-    return heard >= view.majority();
+    long heardWitnesses =
+        view.witnesses().stream()
+            .filter(node -> node.equals(context.self) || isHeard(node))
+            .count();
+    return heardWitnesses >= view.majority();
   }
 
-  private boolean hears(NodeId node) {
-    return of(node).silentFor(context.now, leadingSince) < ReplicationTimeouts.SILENCE;
+  private boolean isHeard(NodeId node) {
+    return of(node).microsSinceAcknowledgement(context.nowMicros, leadingSinceMicros)
+        < ReplicationTimeouts.PEER_TIMEOUT_MICROS;
   }
 
   /** Whether a majority answered that round or a later one and has accepted no later view. */
-  boolean cleanMajority(long since) {
+  boolean isConfirmedByMajority(long round) {
     View view = context.view();
-    boolean own = view.hasWitness(context.self) && !context.witness.hasAccepted();
-    long others =
+    boolean selfConfirms = view.hasWitness(context.self) && !context.witness.hasAccepted();
+    long confirmingPeers =
         view.witnesses().stream()
             .filter(node -> !node.equals(context.self))
-            .filter(node -> of(node).cleanRound >= since)
+            .filter(node -> of(node).confirmedRound >= round)
             .count();
-    return others + (own ? 1 : 0) >= view.majority();
+    return confirmingPeers + (selfConfirms ? 1 : 0) >= view.majority();
   }
 }
--- a/src/main/java/slateslip/coordination/PendingRequests.java
+++ b/src/main/java/slateslip/coordination/PendingRequests.java
@@ -7,25 +7,25 @@
 
 /** Clients' calls at the primary: commands one after the other, and confirmations. */
 final class PendingRequests {
-  private record QueuedCommand(long clientToken, byte[] command, long arrivedAt) {}
+  private record QueuedCommand(long clientToken, byte[] command, long arrivedAtMicros) {}
 
   /** Waits for a clean majority of a round. */
   private record PendingConfirmation(
-      long clientToken, Optional<byte[]> answer, long round, long arrivedAt) {}
+      long clientToken, Optional<byte[]> response, long round, long arrivedAtMicros) {}
 
   private final ReplicaContext context;
-  private final Deque<QueuedCommand> waiting = new ArrayDeque<>();
-  private final Deque<PendingConfirmation> questions = new ArrayDeque<>();
-  private QueuedCommand current;
-  private long currentSequence;
-  private boolean roundWanted;
+  private final Deque<QueuedCommand> queuedCommands = new ArrayDeque<>();
+  private final Deque<PendingConfirmation> pendingConfirmations = new ArrayDeque<>();
+  private QueuedCommand inFlightCommand;
+  private long inFlightSequence;
+  private boolean heartbeatRoundRequested;
 
   PendingRequests(ReplicaContext context) {
     this.context = context;
   }
 
   void propose(long clientToken, byte[] command) {
-    waiting.addLast(new QueuedCommand(clientToken, command, context.now));
+    queuedCommands.addLast(new QueuedCommand(clientToken, command, context.nowMicros));
   }
 
   /**
@@ -34,18 +34,19 @@
    * @param lastRound newest round so far
    */
   void confirm(long clientToken, long lastRound) {
-    ask(clientToken, Optional.empty(), lastRound);
+    awaitConfirmation(clientToken, Optional.empty(), lastRound);
   }
 
-  private void ask(long clientToken, Optional<byte[]> answer, long lastRound) {
-    questions.addLast(new PendingConfirmation(clientToken, answer, lastRound + 1, context.now));
-    roundWanted = true;
+  private void awaitConfirmation(long clientToken, Optional<byte[]> response, long lastRound) {
+    pendingConfirmations.addLast(
+        new PendingConfirmation(clientToken, response, lastRound + 1, context.nowMicros));
+    heartbeatRoundRequested = true;
   }
 
   /** Whether a round is to begin at once. */
-  boolean takeRoundWanted() {
-    boolean result = roundWanted;
-    roundWanted = false;
+  boolean pollHeartbeatRoundRequest() {
+    boolean result = heartbeatRoundRequested;
+    heartbeatRoundRequested = false;
     return result;
   }
 
@@ -56,75 +57,78 @@
    * @return the record, if there is one
    */
   Optional<byte[]> nextRecord(long lastRound) {
-    while (!waiting.isEmpty()) {
-      QueuedCommand command = waiting.removeFirst();
+    while (!queuedCommands.isEmpty()) {
+      QueuedCommand command = queuedCommands.removeFirst();
       PreparedCommand preparation = context.store.state().prepare(command.command());
       if (preparation instanceof PreparedCommand.Change change) {
-        current = command;
-        currentSequence = context.store.lastSequence() + 1;
+        inFlightCommand = command;
+        inFlightSequence = context.store.lastSequence() + 1;
         return Optional.of(change.record());
       }
-      byte[] answer = ((PreparedCommand.Response) preparation).answer();
-      ask(command.clientToken(), Optional.of(answer), lastRound);
+      byte[] response = ((PreparedCommand.Response) preparation).response();
+      awaitConfirmation(command.clientToken(), Optional.of(response), lastRound);
     }
     return Optional.empty();
   }
 
   /** Answers the command whose record is committed. */
   void committed() {
-    if (current != null && context.store.appliedSequence() >= currentSequence) {
-      context.outbox.result(new ClientResult.Committed(current.clientToken(), currentSequence));
-      current = null;
+    if (inFlightCommand != null && context.store.appliedSequence() >= inFlightSequence) {
+      context.outbox.result(
+          new ClientResult.Committed(inFlightCommand.clientToken(), inFlightSequence));
+      inFlightCommand = null;
     }
   }
 
   /** Answers what a clean majority of that round allows to be answered. */
   void confirmed(PeerTable peers) {
-    while (!questions.isEmpty() && peers.cleanMajority(questions.peekFirst().round())) {
-      PendingConfirmation question = questions.removeFirst();
-      long token = question.clientToken();
+    while (!pendingConfirmations.isEmpty()
+        && peers.isConfirmedByMajority(pendingConfirmations.peekFirst().round())) {
+      PendingConfirmation confirmation = pendingConfirmations.removeFirst();
+      long token = confirmation.clientToken();
       context.outbox.result(
-          question
-              .answer()
-              .<ClientResult>map(answer -> new ClientResult.Responded(token, answer))
+          confirmation
+              .response()
+              .<ClientResult>map(response -> new ClientResult.Responded(token, response))
               .orElseGet(() -> new ClientResult.Confirmed(token)));
     }
   }
 
-  boolean hasQuestions() {
-    return !questions.isEmpty();
+  boolean hasPendingConfirmations() {
+    return !pendingConfirmations.isEmpty();
   }
 
   /** Answers what has waited too long. */
   void expire() {
-    long oldest = context.now - ReplicationTimeouts.CALL_BOUND;
-    if (current != null && current.arrivedAt() < oldest) {
-      unavailable(current.clientToken());
-      current = null;
+    long oldestMicros = context.nowMicros - ReplicationTimeouts.REQUEST_TIMEOUT_MICROS;
+    if (inFlightCommand != null && inFlightCommand.arrivedAtMicros() < oldestMicros) {
+      unavailable(inFlightCommand.clientToken());
+      inFlightCommand = null;
     }
-    Iterator<PendingConfirmation> iterator = questions.iterator();
+    Iterator<PendingConfirmation> iterator = pendingConfirmations.iterator();
     while (iterator.hasNext()) {
-      PendingConfirmation question = iterator.next();
-      if (question.arrivedAt() < oldest) {
+      PendingConfirmation confirmation = iterator.next();
+      if (confirmation.arrivedAtMicros() < oldestMicros) {
         iterator.remove();
-        unavailable(question.clientToken());
+        unavailable(confirmation.clientToken());
       }
     }
-    while (!waiting.isEmpty() && waiting.peekFirst().arrivedAt() < oldest) {
-      unavailable(waiting.removeFirst().clientToken());
+    while (!queuedCommands.isEmpty()
+        && queuedCommands.peekFirst().arrivedAtMicros() < oldestMicros) {
+      unavailable(queuedCommands.removeFirst().clientToken());
     }
   }
 
   /** The node is the primary no longer. */
   void stepDown(Optional<NodeAddress> primary) {
-    if (current != null) {
-      unavailable(current.clientToken());
-      current = null;
+    if (inFlightCommand != null) {
+      unavailable(inFlightCommand.clientToken());
+      inFlightCommand = null;
     }
-    questions.forEach(question -> notPrimary(question.clientToken(), primary));
-    questions.clear();
-    waiting.forEach(command -> notPrimary(command.clientToken(), primary));
-    waiting.clear();
+    pendingConfirmations.forEach(confirmation -> notPrimary(confirmation.clientToken(), primary));
+    pendingConfirmations.clear();
+    queuedCommands.forEach(command -> notPrimary(command.clientToken(), primary));
+    queuedCommands.clear();
   }
 
   void notPrimary(long clientToken, Optional<NodeAddress> primary) {
--- a/src/main/java/slateslip/coordination/PreparedCommand.java
+++ b/src/main/java/slateslip/coordination/PreparedCommand.java
@@ -12,7 +12,7 @@
   /**
    * An answer from the state as it is.
    *
-   * @param answer handed back to the client
+   * @param response handed back to the client
    */
-  record Response(byte[] answer) implements PreparedCommand {}
+  record Response(byte[] response) implements PreparedCommand {}
 }
--- a/src/main/java/slateslip/coordination/PrimaryRole.java
+++ b/src/main/java/slateslip/coordination/PrimaryRole.java
@@ -8,21 +8,21 @@
 final class PrimaryRole {
   private final ReplicaContext context;
   private final PeerTable peers;
-  private final PendingRequests calls;
+  private final PendingRequests requests;
   private boolean leading;
   private boolean active;
-  private PrimaryTerm tenure = PrimaryTerm.NONE;
-  private long openSequence;
-  private long lastRoundAt;
-  private long resignedUntil;
-  private long lastChangeAt;
-  private long reviewedAt;
+  private PrimaryTerm term = PrimaryTerm.NONE;
+  private long termStartSequence;
+  private long lastRoundMicros;
+  private long resignedUntilMicros;
+  private long lastViewChangeMicros;
+  private long lastReviewMicros;
   private boolean reviewDue;
 
-  PrimaryRole(ReplicaContext context, PeerTable peers, PendingRequests calls) {
+  PrimaryRole(ReplicaContext context, PeerTable peers, PendingRequests requests) {
     this.context = context;
     this.peers = peers;
-    this.calls = calls;
+    this.requests = requests;
   }
 
   boolean leading() {
@@ -36,14 +36,14 @@
 
   /** Begins to lead the newest view, of which this node is the primary. */
   void begin() {
-    peers.beginTenure(leading);
+    peers.beginTerm(leading);
     leading = true;
     active = true;
-    tenure = context.store.installed().next(context.view().epoch());
+    term = context.store.installed().next(context.view().epoch());
     StateTransfer own = context.store.transferFrom(context.store.appliedSequence());
-    context.store.beginTenure(tenure);
-    context.write(new DurableRecord.Installation(tenure, own), own.bytes(), () -> {});
-    openSequence = context.store.lastSequence();
+    context.store.beginTerm(term);
+    context.write(new DurableRecord.Installation(term, own), own.bytes(), () -> {});
+    termStartSequence = context.store.lastSequence();
     beginRound();
   }
 
@@ -52,58 +52,58 @@
     if (leading) {
       leading = false;
       active = false;
-      calls.stepDown(successor);
+      requests.stepDown(successor);
     }
   }
 
   /** Whether the node answers clients. */
   boolean serving() {
-    return active() && allInstalled() && context.store.appliedSequence() >= openSequence;
+    return active() && allInstalled() && context.store.appliedSequence() >= termStartSequence;
   }
 
   private boolean selfInstalled() {
-    return context.disk.durable().tenure().equals(tenure);
+    return context.durableWrites.durable().term().equals(term);
   }
 
   private boolean allInstalled() {
-    return selfInstalled() && committable(openSequence);
+    return selfInstalled() && committable(termStartSequence);
   }
 
   /** Whether every member has that record on disk, and there are enough members. */
   private boolean committable(long sequence) {
     View view = context.view();
-    return view.members().size() >= context.membersNeeded()
+    return view.members().size() >= context.requiredMembers()
         && selfInstalled()
-        && context.disk.durable().sequence() >= sequence
+        && context.durableWrites.durable().sequence() >= sequence
         && view.members().stream()
             .map(ViewMember::node)
             .filter(node -> !node.equals(context.self))
-            .allMatch(node -> peers.of(node).hasDurable(tenure, sequence));
+            .allMatch(node -> peers.of(node).hasDurable(term, sequence));
   }
 
   /** A node answered a heartbeat. */
   void heartbeatReply(NodeId from, ReplicaMessage.HeartbeatReply reply) {
-    if (!leading || !reply.tenure().equals(tenure)) {
+    if (!leading || !reply.term().equals(term)) {
       return;
     }
     Peer peer = peers.of(from);
-    peer.heardAt = context.now;
+    peer.lastHeardMicros = context.nowMicros;
     peer.status = reply.status();
-    peers.echoed(peer, reply.round());
-    if (reply.status().decidedEpoch() == tenure.epoch() && !reply.status().acceptedLater()) {
-      peer.cleanRound = Math.max(peer.cleanRound, reply.round());
+    peers.heartbeatAcknowledged(peer, reply.round());
+    if (reply.status().decidedEpoch() == term.epoch() && !reply.status().acceptedNewerView()) {
+      peer.confirmedRound = Math.max(peer.confirmedRound, reply.round());
     }
-    resendWhatWasLost(peer, reply.round());
-    peer.settle(tenure);
+    resendIfLost(peer, reply.round());
+    peer.updateAwaitingDurable(term);
   }
 
-  private void resendWhatWasLost(Peer peer, long round) {
-    boolean sentBefore = peer.sentTenure.equals(tenure) && peer.sentRound < round;
+  private void resendIfLost(Peer peer, long round) {
+    boolean sentBefore = peer.sentTerm.equals(term) && peer.sentRound < round;
     if (!sentBefore) {
       return;
     }
     boolean lost =
-        !peer.status.received().equals(tenure)
+        !peer.status.receivedTerm().equals(term)
             || peer.status.receivedSequence() < peer.sentSequence;
     if (lost) {
       install(peer);
@@ -112,20 +112,20 @@
 
   /** A node has something on disk. */
   void synced(NodeId from, ReplicaMessage.Synced message) {
-    if (!leading || !message.tenure().equals(tenure)) {
+    if (!leading || !message.term().equals(term)) {
       return;
     }
     Peer peer = peers.of(from);
     if (peer.status != null) {
-      peer.status = peer.status.withDurable(message.tenure(), message.sequence());
-      peer.settle(tenure);
+      peer.status = peer.status.withDurable(message.term(), message.sequence());
+      peer.updateAwaitingDurable(term);
     }
   }
 
   /** A node without a primary asks. */
   void hello(NodeId from, ReplicaStatus status) {
     Peer peer = peers.of(from);
-    peer.heardAt = context.now;
+    peer.lastHeardMicros = context.nowMicros;
     if (peer.status == null) {
       peer.status = status;
       peers.review();
@@ -138,10 +138,10 @@
     if (!leading) {
       return;
     }
-    if (context.now - reviewedAt >= ReplicationTimeouts.REVIEW) {
+    if (context.nowMicros - lastReviewMicros >= ReplicationTimeouts.REVIEW_INTERVAL_MICROS) {
       review();
     }
-    if (context.now - lastRoundAt >= ReplicationTimeouts.HEARTBEAT) {
+    if (context.nowMicros - lastRoundMicros >= ReplicationTimeouts.HEARTBEAT_INTERVAL_MICROS) {
       beginRound();
     }
     if (selfInstalled()) {
@@ -149,38 +149,38 @@
     }
     commit();
     if (serving()) {
-      calls.confirmed(peers);
+      requests.confirmed(peers);
       if (!proposing) {
         appendNext();
       }
     }
-    calls.expire();
-    if (calls.takeRoundWanted()) {
+    requests.expire();
+    if (requests.pollHeartbeatRoundRequest()) {
       beginRound();
     }
   }
 
   private void review() {
-    reviewedAt = context.now;
+    lastReviewMicros = context.nowMicros;
     reviewDue = true;
     peers.review();
-    boolean resigned = context.now < resignedUntil;
+    boolean resigned = context.nowMicros < resignedUntilMicros;
     active = peers.hearsMajority() && !resigned;
   }
 
   private void beginRound() {
     peers.beginRound();
-    lastRoundAt = context.now;
+    lastRoundMicros = context.nowMicros;
     peers.targets().forEach(this::heartbeat);
   }
 
   private void heartbeat(Peer peer) {
-    boolean knows = peer.status != null && peer.status.decidedEpoch() == tenure.epoch();
-    View view = knows ? View.NONE : context.view();
+    boolean knowsView = peer.status != null && peer.status.decidedEpoch() == term.epoch();
+    View view = knowsView ? View.NONE : context.view();
     context.outbox.send(
         peer.node.address(),
         new ReplicaMessage.Heartbeat(
-            tenure, peers.round(), context.store.appliedSequence(), active, view));
+            term, peers.round(), context.store.appliedSequence(), active, view));
   }
 
   private void replicate(Peer peer) {
@@ -188,7 +188,7 @@
       return;
     }
     long newest = context.store.lastSequence();
-    if (!peer.sentTenure.equals(tenure)) {
+    if (!peer.sentTerm.equals(term)) {
       install(peer);
     } else if (context.store.hasPending() && peer.sentSequence == newest - 1) {
       append(peer);
@@ -199,7 +199,7 @@
 
   private void install(Peer peer) {
     StateTransfer transfer = context.store.transferFrom(peer.status.committedSequence());
-    context.outbox.send(peer.node.address(), new ReplicaMessage.Install(tenure, transfer));
+    context.outbox.send(peer.node.address(), new ReplicaMessage.Install(term, transfer));
     sent(peer, transfer.bytes());
   }
 
@@ -208,12 +208,12 @@
     context.outbox.send(
         peer.node.address(),
         new ReplicaMessage.Append(
-            tenure, context.store.lastSequence(), context.store.appliedSequence(), record));
+            term, context.store.lastSequence(), context.store.appliedSequence(), record));
     sent(peer, record.length);
   }
 
   private void sent(Peer peer, long bytes) {
-    peer.sent(tenure, context.store.lastSequence(), peers.round(), bytes, context.now);
+    peer.sent(term, context.store.lastSequence(), peers.round(), bytes, context.nowMicros);
   }
 
   private void commit() {
@@ -221,7 +221,7 @@
       return;
     }
     context.store.commitTo(context.store.lastSequence());
-    calls.committed();
+    requests.committed();
     beginRound();
   }
 
@@ -229,7 +229,7 @@
     if (context.store.hasPending()) {
       return;
     }
-    Optional<byte[]> record = calls.nextRecord(peers.round());
+    Optional<byte[]> record = requests.nextRecord(peers.round());
     if (record.isEmpty()) {
       return;
     }
@@ -242,80 +242,81 @@
   }
 
   /** Whether the view should be changed; found out once a review. */
-  boolean wantsChange() {
+  boolean needsViewChange() {
     if (!reviewDue) {
       return false;
     }
     reviewDue = false;
-    return laterViewAccepted() || wantedView().isPresent();
+    return newerViewAccepted() || nextView().isPresent();
   }
 
   /** The view that should follow, if the present one won't do. */
-  Optional<View> wantedView() {
+  Optional<View> nextView() {
     if (!active()
         || !selfInstalled()
-        || context.now - lastChangeAt < ReplicationTimeouts.CHANGE_PAUSE) {
+        || context.nowMicros - lastViewChangeMicros
+            < ReplicationTimeouts.MIN_VIEW_CHANGE_INTERVAL_MICROS) {
       return Optional.empty();
     }
-    return MembershipPolicy.wantedByPrimary(
-        context.view(), context.self, context.settings.faultTolerance(), standings());
+    return MembershipPolicy.nextViewOfPrimary(
+        context.view(), context.self, context.settings.faultTolerance(), peerHealth());
   }
 
   /** Whether a witness has accepted a view that this node has not heard the end of. */
-  private boolean laterViewAccepted() {
+  private boolean newerViewAccepted() {
     return context.witness.hasAccepted()
         || peers.targets().stream()
             .filter(peer -> context.view().hasWitness(peer.node))
-            .anyMatch(this::hasAcceptedLater);
+            .anyMatch(this::hasAcceptedNewerView);
   }
 
-  private boolean hasAcceptedLater(Peer peer) {
+  private boolean hasAcceptedNewerView(Peer peer) {
     return peer.status != null
-        && peer.status.acceptedLater()
+        && peer.status.acceptedNewerView()
         && peer.status.decidedEpoch() == context.view().epoch();
   }
 
-  private List<MembershipPolicy.PeerHealth> standings() {
-    List<MembershipPolicy.PeerHealth> standings = new ArrayList<>();
+  private List<MembershipPolicy.PeerHealth> peerHealth() {
+    List<MembershipPolicy.PeerHealth> peerHealth = new ArrayList<>();
     for (Peer peer : peers.targets()) {
-      standings.add(
+      peerHealth.add(
           new MembershipPolicy.PeerHealth(
               peer.node,
-              peers.well(peer),
-              peer.hasDurable(tenure, openSequence),
-              peer.hasDurable(tenure, context.store.lastSequence()),
-              peer.unheardFor(context.now),
-              peer.wellFor(context.now),
-              peer.patience()));
+              peers.isHealthy(peer),
+              peer.hasDurable(term, termStartSequence),
+              peer.hasDurable(term, context.store.lastSequence()),
+              peer.microsUnheard(context.nowMicros),
+              peer.healthyMicros(context.nowMicros),
+              peer.joinDelayMicros()));
     }
-    return standings;
+    return peerHealth;
   }
 
   /** Notes who was dropped by a view of this node's own. */
   void viewDecided(View before, View after) {
-    lastChangeAt = context.now;
+    lastViewChangeMicros = context.nowMicros;
     before.members().stream()
         .map(ViewMember::node)
         .filter(node -> !after.hasMember(node))
-        .forEach(node -> peers.of(node).dropped(context.now));
+        .forEach(node -> peers.of(node).dropped(context.nowMicros));
   }
 
   /** Hands over to another member if the own disk doesn't work or the process is to end. */
-  void resignIfUnwell() {
-    if (!leading || context.fit() || context.now < resignedUntil) {
+  void resignIfUnhealthy() {
+    if (!leading || context.healthy() || context.nowMicros < resignedUntilMicros) {
       return;
     }
     context.view().members().stream()
         .map(ViewMember::node)
         .filter(node -> !node.equals(context.self))
         .map(peers::of)
-        .filter(peers::well)
+        .filter(peers::isHealthy)
         .findFirst()
         .ifPresent(this::resignTo);
   }
 
   private void resignTo(Peer successor) {
-    resignedUntil = context.now + ReplicationTimeouts.RESIGNED;
+    resignedUntilMicros = context.nowMicros + ReplicationTimeouts.RESIGNATION_MICROS;
     active = false;
     context.outbox.send(
         successor.node.address(), new ReplicaMessage.TransferLeadership(context.view().epoch()));
--- a/src/main/java/slateslip/coordination/Proposer.java
+++ b/src/main/java/slateslip/coordination/Proposer.java
@@ -11,7 +11,7 @@
   /** What the rest of the node does with a proposal. */
   interface Host {
     /** The view to propose if none was accepted before; empty to give up. */
-    Optional<View> ownValue(View base, Map<NodeId, ReplicaMessage.Promise> promises);
+    Optional<View> valueToPropose(View base, Map<NodeId, ReplicaMessage.Promise> promises);
 
     /** A majority of the base's witnesses accepted the view. */
     void decided(View base, View view);
@@ -20,16 +20,16 @@
   private final ReplicaContext context;
   private final Host host;
   private final Map<NodeId, ReplicaMessage.Promise> promises = new HashMap<>();
-  private final Set<NodeId> accepts = new HashSet<>();
-  private final Set<NodeId> refusals = new HashSet<>();
+  private final Set<NodeId> acceptedBy = new HashSet<>();
+  private final Set<NodeId> rejections = new HashSet<>();
   private boolean busy;
-  private boolean consented;
+  private boolean primaryConsents;
   private View base = View.NONE;
   private Ballot ballot = Ballot.NONE;
   private View value = View.NONE;
-  private long startedAt;
-  private long majorityAt;
-  private long nextAttemptAt;
+  private long startedMicros;
+  private long majorityMicros;
+  private long nextAttemptMicros;
   private long highestRound;
 
   Proposer(ReplicaContext context, Host host) {
@@ -43,18 +43,18 @@
 
   /** Whether a proposal may begin now. */
   boolean ready() {
-    return !busy && context.now >= nextAttemptAt;
+    return !busy && context.nowMicros >= nextAttemptMicros;
   }
 
   /** When something is due without a message; a time far away if nothing is. */
-  long dueAt() {
+  long wakeAtMicros() {
     if (!busy) {
-      return nextAttemptAt;
+      return nextAttemptMicros;
     }
-    boolean waits = value.isNone() && promises.size() >= base.majority();
-    return waits
-        ? majorityAt + ReplicationTimeouts.PROMISE_GRACE
-        : startedAt + ReplicationTimeouts.PROPOSAL_BOUND;
+    boolean awaitsPromises = value.isNone() && promises.size() >= base.majority();
+    return awaitsPromises
+        ? majorityMicros + ReplicationTimeouts.PROMISE_GRACE_MICROS
+        : startedMicros + ReplicationTimeouts.PROPOSAL_TIMEOUT_MICROS;
   }
 
   /**
@@ -63,60 +63,61 @@
    */
   void begin(boolean primaryConsents) {
     busy = true;
-    consented = primaryConsents;
+    this.primaryConsents = primaryConsents;
     base = context.view();
     value = View.NONE;
     promises.clear();
-    accepts.clear();
-    refusals.clear();
-    startedAt = context.now;
+    acceptedBy.clear();
+    rejections.clear();
+    startedMicros = context.nowMicros;
     highestRound = Math.max(highestRound, context.witness.promised().round()) + 1;
     ballot = new Ballot(highestRound, context.self);
     context.outbox.send(
-        context.self.address(), new ReplicaMessage.Prepare(base, ballot, consented));
+        context.self.address(), new ReplicaMessage.Prepare(base, ballot, primaryConsents));
   }
 
   /** Gives up a proposal and waits before the next one. */
-  void abandon(long leastPause) {
+  void abandon(long minDelayMicros) {
     busy = false;
     long backoff =
-        context.randomBetween(ReplicationTimeouts.BACKOFF_LEAST, ReplicationTimeouts.BACKOFF_MOST);
-    nextAttemptAt = context.now + leastPause + backoff;
+        context.randomBetween(
+            ReplicationTimeouts.MIN_BACKOFF_MICROS, ReplicationTimeouts.MAX_BACKOFF_MICROS);
+    nextAttemptMicros = context.nowMicros + minDelayMicros + backoff;
   }
 
   /** A newer view is known. */
   void viewChanged() {
     busy = false;
-    nextAttemptAt = context.now;
+    nextAttemptMicros = context.nowMicros;
   }
 
   void promise(NodeId from, ReplicaMessage.Promise message) {
-    if (!concerns(from, message.baseEpoch(), message.ballot()) || !value.isNone()) {
+    if (!isCurrent(from, message.baseEpoch(), message.ballot()) || !value.isNone()) {
       return;
     }
     promises.put(from, message);
     if (from.equals(context.self)) {
-      toOthers(new ReplicaMessage.Prepare(base, ballot, consented));
+      sendToOtherWitnesses(new ReplicaMessage.Prepare(base, ballot, primaryConsents));
     }
     if (promises.size() == base.majority()) {
-      majorityAt = context.now;
+      majorityMicros = context.nowMicros;
     }
     tick();
   }
 
   void accepted(NodeId from, ReplicaMessage.Accepted message) {
-    if (!concerns(from, message.baseEpoch(), message.ballot()) || value.isNone()) {
+    if (!isCurrent(from, message.baseEpoch(), message.ballot()) || value.isNone()) {
       return;
     }
-    accepts.add(from);
-    if (accepts.size() >= base.majority()) {
+    acceptedBy.add(from);
+    if (acceptedBy.size() >= base.majority()) {
       busy = false;
       host.decided(base, value);
     }
   }
 
-  void refused(NodeId from, ReplicaMessage.Rejected message) {
-    if (!concerns(from, message.baseEpoch(), message.ballot())) {
+  void rejected(NodeId from, ReplicaMessage.Rejected message) {
+    if (!isCurrent(from, message.baseEpoch(), message.ballot())) {
       return;
     }
     highestRound = Math.max(highestRound, message.promised().round());
@@ -124,14 +125,17 @@
       abandon(0);
       return;
     }
-    refusals.add(from);
-    if (base.witnesses().size() - refusals.size() < base.majority()) {
-      abandon(ReplicationTimeouts.REFUSED_PAUSE);
+    rejections.add(from);
+    if (base.witnesses().size() - rejections.size() < base.majority()) {
+      abandon(ReplicationTimeouts.REJECTED_BACKOFF_MICROS);
     }
   }
 
-  private boolean concerns(NodeId from, long baseEpoch, Ballot of) {
-    return busy && baseEpoch == base.epoch() && of.equals(ballot) && base.hasWitness(from);
+  private boolean isCurrent(NodeId from, long baseEpoch, Ballot messageBallot) {
+    return busy
+        && baseEpoch == base.epoch()
+        && messageBallot.equals(ballot)
+        && base.hasWitness(from);
   }
 
   /** Chooses the value when it is time, and gives up a proposal that takes too long. */
@@ -139,7 +143,7 @@
     if (!busy) {
       return;
     }
-    if (context.now - startedAt > ReplicationTimeouts.PROPOSAL_BOUND) {
+    if (context.nowMicros - startedMicros > ReplicationTimeouts.PROPOSAL_TIMEOUT_MICROS) {
       abandon(0);
       return;
     }
@@ -151,13 +155,14 @@
   private boolean promisesSuffice() {
     boolean allMembers =
         base.members().stream().allMatch(member -> promises.containsKey(member.node()));
-    return allMembers || context.now - majorityAt >= ReplicationTimeouts.PROMISE_GRACE;
+    return allMembers
+        || context.nowMicros - majorityMicros >= ReplicationTimeouts.PROMISE_GRACE_MICROS;
   }
 
   private void choose() {
     Optional<View> chosen = newestAccepted();
     if (chosen.isEmpty()) {
-      chosen = host.ownValue(base, promises);
+      chosen = host.valueToPropose(base, promises);
     }
     if (chosen.isEmpty()) {
       abandon(0);
@@ -166,7 +171,7 @@
     value = chosen.get();
     ReplicaMessage accept = new ReplicaMessage.Accept(base.epoch(), ballot, value);
     context.outbox.send(context.self.address(), accept);
-    toOthers(accept);
+    sendToOtherWitnesses(accept);
   }
 
   /** A value that a witness has accepted may have been decided: it must be taken. */
@@ -177,7 +182,7 @@
         .map(ReplicaMessage.Promise::accepted);
   }
 
-  private void toOthers(ReplicaMessage message) {
+  private void sendToOtherWitnesses(ReplicaMessage message) {
     base.witnesses().stream()
         .filter(node -> !node.equals(context.self))
         .forEach(node -> context.outbox.send(node.address(), message));
--- a/src/main/java/slateslip/coordination/Recovery.java
+++ b/src/main/java/slateslip/coordination/Recovery.java
@@ -13,14 +13,14 @@
     }
     records.forEach(record -> replay(record, context));
     ReplicaStore store = context.store;
-    context.disk.recovered(new DurablePosition(store.installed(), store.lastSequence()));
+    context.durableWrites.recovered(new DurablePosition(store.installed(), store.lastSequence()));
   }
 
   private static void replay(DurableRecord record, ReplicaContext context) {
     if (record instanceof DurableRecord.Snapshot snapshot) {
       context.self = snapshot.self();
       context.witness = snapshot.witness();
-      context.store.install(snapshot.installed(), snapshot.state());
+      context.store.install(snapshot.installedTerm(), snapshot.state());
     } else if (record instanceof DurableRecord.Vote vote) {
       context.witness = vote.witness();
     } else if (record instanceof DurableRecord.Installation installation) {
@@ -32,9 +32,9 @@
 
   /** When it was written, the records up to its base were known to be committed. */
   private static void replay(DurableRecord.Installation installation, ReplicaStore store) {
-    if (!installation.state().whole()) {
+    if (!installation.state().complete()) {
       store.commitTo(installation.state().baseSequence());
     }
-    store.install(installation.tenure(), installation.state());
+    store.install(installation.term(), installation.state());
   }
 }
--- a/src/main/java/slateslip/coordination/ReplicaContext.java
+++ b/src/main/java/slateslip/coordination/ReplicaContext.java
@@ -8,20 +8,21 @@
   final SplittableRandom random;
   final EffectsBuilder outbox;
   final ReplicaStore store;
-  final DurableWriteQueue disk;
+  final DurableWriteQueue durableWrites;
   NodeId self = NodeId.NONE;
   WitnessState witness = WitnessState.NONE;
-  long now;
+  long nowMicros;
 
   /** Whether the process is about to end. */
-  boolean leaving;
+  boolean shuttingDown;
 
   ReplicaContext(ReplicaSettings settings, ReplicatedState state, long randomSeed) {
     this.settings = settings;
     random = new SplittableRandom(randomSeed);
     outbox = new EffectsBuilder(settings.address());
     store = new ReplicaStore(state);
-    disk = new DurableWriteQueue(outbox, settings.journalBytes(), this::snapshot);
+    durableWrites =
+        new DurableWriteQueue(outbox, settings.snapshotThresholdBytes(), this::snapshot);
   }
 
   /** Newest decided view known. */
@@ -34,34 +35,34 @@
   }
 
   /** Members that must have a record before it is committed, at least. */
-  int membersNeeded() {
+  int requiredMembers() {
     return settings.faultTolerance() + 1;
   }
 
   /** Whether this node may lead or be a member: its disk works, and it is to stay. */
-  boolean fit() {
-    return !leaving && disk.healthy(now);
+  boolean healthy() {
+    return !shuttingDown && durableWrites.healthy(nowMicros);
   }
 
   /** Starts a durable write of what the memory holds already. */
   void write(DurableRecord record, long bytes, Runnable then) {
-    disk.write(now, record, bytes, mark(), then);
+    durableWrites.write(nowMicros, record, bytes, position(), then);
   }
 
   void writeVote(Runnable then) {
     write(new DurableRecord.Vote(witness), 0, then);
   }
 
-  void retryDisk() {
-    disk.retry(now, mark());
+  void retryDurableWrites() {
+    durableWrites.retry(nowMicros, position());
   }
 
-  private DurablePosition mark() {
+  private DurablePosition position() {
     return new DurablePosition(store.installed(), store.lastSequence());
   }
 
   private DurableRecord.Snapshot snapshot() {
-    return new DurableRecord.Snapshot(self, witness, store.installed(), store.whole());
+    return new DurableRecord.Snapshot(self, witness, store.installed(), store.completeTransfer());
   }
 
   /** What this node tells of itself. */
@@ -71,14 +72,14 @@
         witness.hasAccepted(),
         store.installed(),
         store.lastSequence(),
-        disk.durable().tenure(),
-        disk.durable().sequence(),
+        durableWrites.durable().term(),
+        durableWrites.durable().sequence(),
         store.appliedSequence(),
-        fit());
+        healthy());
   }
 
   /** A random time in microseconds. */
-  long randomBetween(long least, long most) {
-    return random.nextLong(least, most + 1);
+  long randomBetween(long minMicros, long maxMicros) {
+    return random.nextLong(minMicros, maxMicros + 1);
   }
 }
--- a/src/main/java/slateslip/coordination/ReplicaMessage.java
+++ b/src/main/java/slateslip/coordination/ReplicaMessage.java
@@ -13,24 +13,23 @@
   /**
    * Of the primary, in regular rounds and at each commit or confirmation.
    *
-   * @param tenure of the primary
+   * @param term of the primary
    * @param round rises with each round of heartbeats
    * @param committedSequence records committed
    * @param active whether the primary hears a majority of the witnesses and means to go on
    * @param view the view, or {@link View#NONE} if the receiver is known to have it
    */
-  record Heartbeat(
-      PrimaryTerm tenure, long round, long committedSequence, boolean active, View view)
+  record Heartbeat(PrimaryTerm term, long round, long committedSequence, boolean active, View view)
       implements ReplicaMessage {}
 
   /**
    * Response to a heartbeat, once it has been handled.
    *
-   * @param tenure of the heartbeat
+   * @param term of the heartbeat
    * @param round of the heartbeat
    * @param status of the replying node
    */
-  record HeartbeatReply(PrimaryTerm tenure, long round, ReplicaStatus status)
+  record HeartbeatReply(PrimaryTerm term, long round, ReplicaStatus status)
       implements ReplicaMessage {}
 
   /**
@@ -45,9 +44,9 @@
    *
    * @param base newest decided view that the proposer knows
    * @param ballot its ballot
-   * @param consented whether the base's primary itself proposes or has resigned
+   * @param primaryConsents whether the base's primary itself proposes or has resigned
    */
-  record Prepare(View base, Ballot ballot, boolean consented) implements ReplicaMessage {}
+  record Prepare(View base, Ballot ballot, boolean primaryConsents) implements ReplicaMessage {}
 
   /**
    * Promise, on disk, to take no lower ballot.
@@ -93,29 +92,29 @@
   /**
    * The state that a view begins with, or that a node outside of it follows from.
    *
-   * @param tenure of the primary
+   * @param term of the primary
    * @param state whole, or from what the receiver is known to have
    */
-  record Install(PrimaryTerm tenure, StateTransfer state) implements ReplicaMessage {}
+  record Install(PrimaryTerm term, StateTransfer state) implements ReplicaMessage {}
 
   /**
    * One record.
    *
-   * @param tenure of the primary
+   * @param term of the primary
    * @param sequence of the record
    * @param committedSequence records committed
    * @param record its bytes
    */
-  record Append(PrimaryTerm tenure, long sequence, long committedSequence, byte[] record)
+  record Append(PrimaryTerm term, long sequence, long committedSequence, byte[] record)
       implements ReplicaMessage {}
 
   /**
    * Everything up to a sequence number is on disk.
    *
-   * @param tenure installed on disk
+   * @param term installed on disk
    * @param sequence last record on disk
    */
-  record Synced(PrimaryTerm tenure, long sequence) implements ReplicaMessage {}
+  record Synced(PrimaryTerm term, long sequence) implements ReplicaMessage {}
 
   /**
    * The primary resigns in favour of the receiver.
--- a/src/main/java/slateslip/coordination/ReplicaSettings.java
+++ b/src/main/java/slateslip/coordination/ReplicaSettings.java
@@ -9,14 +9,14 @@
  * @param seeds addresses of nodes to ask first
  * @param bootstrap whether the whole system starts for the first time
  * @param faultTolerance nodes that may be lost at once
- * @param journalBytes bytes of records after which a snapshot is written instead
+ * @param snapshotThresholdBytes bytes of records after which a snapshot is written instead
  */
 public record ReplicaSettings(
     NodeAddress address,
     List<NodeAddress> seeds,
     boolean bootstrap,
     int faultTolerance,
-    long journalBytes) {
+    long snapshotThresholdBytes) {
   /** Copies the list. */
   public ReplicaSettings {
     seeds = List.copyOf(seeds);
--- a/src/main/java/slateslip/coordination/ReplicaStatus.java
+++ b/src/main/java/slateslip/coordination/ReplicaStatus.java
@@ -4,34 +4,35 @@
  * What a node tells of itself.
  *
  * @param decidedEpoch epoch of the newest decided view that it knows
- * @param acceptedLater whether it has accepted a view after that one
- * @param received tenure whose installation it has received last
+ * @param acceptedNewerView whether it has accepted a view after that one
+ * @param receivedTerm tenure whose installation it has received last
  * @param receivedSequence last record received
- * @param durable tenure whose installation it has on disk
+ * @param durableTerm tenure whose installation it has on disk
  * @param durableSequence last record that it has on disk
  * @param committedSequence records that it knows to be committed
- * @param fit whether its disk takes writes within the bound, and its process is not about to end
+ * @param healthy whether its disk takes writes within the bound, and its process is not about to
+ *     end
  */
 public record ReplicaStatus(
     long decidedEpoch,
-    boolean acceptedLater,
-    PrimaryTerm received,
+    boolean acceptedNewerView,
+    PrimaryTerm receivedTerm,
     long receivedSequence,
-    PrimaryTerm durable,
+    PrimaryTerm durableTerm,
     long durableSequence,
     long committedSequence,
-    boolean fit) {
+    boolean healthy) {
 
   /** The same with newer news of the disk. */
-  ReplicaStatus withDurable(PrimaryTerm tenure, long sequence) {
+  ReplicaStatus withDurable(PrimaryTerm term, long sequence) {
     return new ReplicaStatus(
         decidedEpoch,
-        acceptedLater,
-        received,
+        acceptedNewerView,
+        receivedTerm,
         receivedSequence,
-        tenure,
+        term,
         sequence,
         committedSequence,
-        fit);
+        healthy);
   }
 }
--- a/src/main/java/slateslip/coordination/ReplicaStore.java
+++ b/src/main/java/slateslip/coordination/ReplicaStore.java
@@ -58,33 +58,33 @@
   }
 
   /** A primary's own state becomes that of its new tenure. */
-  void beginTenure(PrimaryTerm tenure) {
-    installed = tenure;
+  void beginTerm(PrimaryTerm term) {
+    installed = term;
   }
 
   /**
    * Takes over a primary's state; false if it doesn't fit what is here. Within one tenure records
    * are only added, as what came before may have been acknowledged.
    */
-  boolean install(PrimaryTerm tenure, StateTransfer transfer) {
-    int order = tenure.compareTo(installed);
-    if (order == 0) {
+  boolean install(PrimaryTerm term, StateTransfer transfer) {
+    int termOrder = term.compareTo(installed);
+    if (termOrder == 0) {
       commitTo(transfer.baseSequence());
     }
     boolean baseHere = transfer.baseSequence() <= appliedSequence;
-    if (order < 0 || (!baseHere && !transfer.whole())) {
+    if (termOrder < 0 || (!baseHere && !transfer.complete())) {
       return false;
     }
     if (transfer.lastSequence() < appliedSequence) {
       return false;
     }
-    if (order > 0) {
+    if (termOrder > 0) {
       pending = null;
     }
     if (!baseHere) {
       restore(transfer);
     }
-    installed = tenure;
+    installed = term;
     long sequence = transfer.baseSequence();
     for (byte[] record : transfer.records()) {
       sequence++;
@@ -138,7 +138,7 @@
   StateTransfer transferFrom(long receiverSequence) {
     long missing = appliedSequence - receiverSequence;
     if (missing > recent.size()) {
-      return whole();
+      return completeTransfer();
     }
     List<byte[]> records = new ArrayList<>();
     long base = Math.min(receiverSequence, appliedSequence);
@@ -149,7 +149,7 @@
   }
 
   /** The whole state. */
-  StateTransfer whole() {
+  StateTransfer completeTransfer() {
     List<byte[]> records = new ArrayList<>();
     addPending(records);
     return new StateTransfer(appliedSequence, true, state.snapshot(), records, appliedSequence);
--- a/src/main/java/slateslip/coordination/Witness.java
+++ b/src/main/java/slateslip/coordination/Witness.java
@@ -8,11 +8,11 @@
   }
 
   private final ReplicaContext context;
-  private final PrimaryLiveness watch;
+  private final PrimaryLiveness primaryLiveness;
 
-  Witness(ReplicaContext context, PrimaryLiveness watch) {
+  Witness(ReplicaContext context, PrimaryLiveness primaryLiveness) {
     this.context = context;
-    this.watch = watch;
+    this.primaryLiveness = primaryLiveness;
   }
 
   /** First phase; the base is the newest decided view that this node knows. */
@@ -20,11 +20,11 @@
     WitnessState state = context.witness;
     long epoch = state.decided().epoch();
     if (message.ballot().compareTo(state.promised()) < 0) {
-      refuse(from, epoch, message.ballot(), state.promised(), false);
+      reject(from, epoch, message.ballot(), state.promised(), false);
       return;
     }
-    if (!message.consented() && watch.primaryAlive()) {
-      refuse(from, epoch, message.ballot(), Ballot.NONE, true);
+    if (!message.primaryConsents() && primaryLiveness.primaryAlive()) {
+      reject(from, epoch, message.ballot(), Ballot.NONE, true);
       return;
     }
     context.witness =
@@ -47,7 +47,7 @@
       return;
     }
     if (message.ballot().compareTo(state.promised()) < 0) {
-      refuse(from, epoch, message.ballot(), state.promised(), false);
+      reject(from, epoch, message.ballot(), state.promised(), false);
       return;
     }
     context.witness =
@@ -58,7 +58,7 @@
                 from.address(), new ReplicaMessage.Accepted(epoch, message.ballot())));
   }
 
-  private void refuse(
+  private void reject(
       NodeId from, long epoch, Ballot ballot, Ballot promised, boolean primaryAlive) {
     context.outbox.send(
         from.address(), new ReplicaMessage.Rejected(epoch, ballot, promised, primaryAlive));
--- a/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
@@ -60,7 +60,7 @@
     FieldCodec.put(encoder.self(), record.self());
     FieldCodec.put(encoder.promised(), record.witness().promised());
     FieldCodec.put(encoder.acceptedBallot(), record.witness().acceptedBallot());
-    FieldCodec.put(encoder.installed(), record.installed());
+    FieldCodec.put(encoder.installed(), record.installedTerm());
     byte[] decided = NestedBlocks.encode(record.witness().decided());
     encoder.putDecided(decided, 0, decided.length);
     byte[] accepted = NestedBlocks.encode(record.witness().accepted());
@@ -85,7 +85,7 @@
   private static int write(DurableRecord.Installation record, ExpandableArrayBuffer buffer) {
     InstallationRecordEncoder encoder =
         new InstallationRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
-    FieldCodec.put(encoder.tenure(), record.tenure());
+    FieldCodec.put(encoder.tenure(), record.term());
     byte[] state = NestedBlocks.encode(record.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
@@ -117,16 +117,18 @@
     NodeId self = FieldCodec.node(decoder.self());
     Ballot promised = FieldCodec.ballot(decoder.promised());
     Ballot acceptedBallot = FieldCodec.ballot(decoder.acceptedBallot());
-    PrimaryTerm installed = FieldCodec.tenure(decoder.installed());
-    byte[] decidedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.decidedLength());
+    PrimaryTerm installedTerm = FieldCodec.term(decoder.installed());
+    byte[] decidedBytes =
+        FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.decidedLength());
     decoder.getDecided(decidedBytes, 0, decidedBytes.length);
-    byte[] acceptedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.acceptedLength());
+    byte[] acceptedBytes =
+        FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.acceptedLength());
     decoder.getAccepted(acceptedBytes, 0, acceptedBytes.length);
-    byte[] stateBytes = FieldCodec.room(buffer, decoder.limit(), decoder.stateLength());
+    byte[] stateBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
     WitnessState witness = witness(promised, acceptedBallot, decidedBytes, acceptedBytes);
     StateTransfer state = NestedBlocks.state(stateBytes);
-    return new DurableRecord.Snapshot(self, witness, installed, state);
+    return new DurableRecord.Snapshot(self, witness, installedTerm, state);
   }
 
   private static DurableRecord readVote(DirectBuffer buffer) {
@@ -135,9 +137,11 @@
     check(header, VoteRecordDecoder.BLOCK_LENGTH);
     Ballot promised = FieldCodec.ballot(decoder.promised());
     Ballot acceptedBallot = FieldCodec.ballot(decoder.acceptedBallot());
-    byte[] decidedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.decidedLength());
+    byte[] decidedBytes =
+        FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.decidedLength());
     decoder.getDecided(decidedBytes, 0, decidedBytes.length);
-    byte[] acceptedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.acceptedLength());
+    byte[] acceptedBytes =
+        FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.acceptedLength());
     decoder.getAccepted(acceptedBytes, 0, acceptedBytes.length);
     return new DurableRecord.Vote(witness(promised, acceptedBallot, decidedBytes, acceptedBytes));
   }
@@ -154,10 +158,10 @@
     InstallationRecordDecoder decoder =
         new InstallationRecordDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(header, InstallationRecordDecoder.BLOCK_LENGTH);
-    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
-    byte[] stateBytes = FieldCodec.room(buffer, decoder.limit(), decoder.stateLength());
+    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    byte[] stateBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
-    return new DurableRecord.Installation(tenure, NestedBlocks.state(stateBytes));
+    return new DurableRecord.Installation(term, NestedBlocks.state(stateBytes));
   }
 
   private static DurableRecord readEntry(DirectBuffer buffer) {
@@ -166,7 +170,7 @@
     check(header, EntryRecordDecoder.BLOCK_LENGTH);
     long sequence = decoder.sequence();
     long committedSequence = decoder.committedSequence();
-    byte[] record = FieldCodec.room(buffer, decoder.limit(), decoder.recordLength());
+    byte[] record = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.recordLength());
     decoder.getRecord(record, 0, record.length);
     return new DurableRecord.Entry(sequence, committedSequence, record);
   }
--- a/src/main/java/slateslip/protocol/coordination/FieldCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/FieldCodec.java
@@ -44,26 +44,26 @@
     return new Ballot(decoder.round(), proposer);
   }
 
-  static void put(TenureNumberEncoder encoder, PrimaryTerm tenure) {
-    encoder.epoch(tenure.epoch()).incarnation(tenure.incarnation());
+  static void put(TenureNumberEncoder encoder, PrimaryTerm term) {
+    encoder.epoch(term.epoch()).incarnation(term.incarnation());
   }
 
-  static PrimaryTerm tenure(TenureNumberDecoder decoder) {
+  static PrimaryTerm term(TenureNumberDecoder decoder) {
     return new PrimaryTerm(decoder.epoch(), decoder.incarnation());
   }
 
   static void put(StatusReportEncoder encoder, ReplicaStatus status) {
     encoder
         .decidedEpoch(status.decidedEpoch())
-        .receivedEpoch(status.received().epoch())
-        .receivedIncarnation(status.received().incarnation())
+        .receivedEpoch(status.receivedTerm().epoch())
+        .receivedIncarnation(status.receivedTerm().incarnation())
         .receivedSequence(status.receivedSequence())
-        .durableEpoch(status.durable().epoch())
-        .durableIncarnation(status.durable().incarnation())
+        .durableEpoch(status.durableTerm().epoch())
+        .durableIncarnation(status.durableTerm().incarnation())
         .durableSequence(status.durableSequence())
         .committedSequence(status.committedSequence())
-        .acceptedLater(flag(status.acceptedLater()).value())
-        .diskHealthy(flag(status.fit()).value());
+        .acceptedLater(flag(status.acceptedNewerView()).value())
+        .diskHealthy(flag(status.healthy()).value());
   }
 
   static ReplicaStatus status(StatusReportDecoder decoder) {
@@ -92,7 +92,7 @@
    * @param limit where its length field begins
    * @param length as the message says
    */
-  static byte[] room(DirectBuffer buffer, int limit, int length) {
+  static byte[] allocateBytes(DirectBuffer buffer, int limit, int length) {
     return new byte[MessageReader.checkedLength(buffer, limit + LENGTH_BYTES, length)];
   }
 
--- a/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
+++ b/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
@@ -80,7 +80,7 @@
     encoder
         .baseSequence(state.baseSequence())
         .committedSequence(state.committedSequence())
-        .whole(FieldCodec.flag(state.whole()));
+        .whole(FieldCodec.flag(state.complete()));
     TransferImageEncoder.RecordsEncoder records = encoder.recordsCount(state.records().size());
     for (byte[] record : state.records()) {
       records.next().putRecord(record, 0, record.length);
@@ -105,11 +105,11 @@
     boolean whole = FieldCodec.isSet(decoder.whole());
     List<byte[]> records = new ArrayList<>();
     for (TransferImageDecoder.RecordsDecoder next : decoder.records()) {
-      byte[] record = FieldCodec.room(buffer, decoder.limit(), next.recordLength());
+      byte[] record = FieldCodec.allocateBytes(buffer, decoder.limit(), next.recordLength());
       next.getRecord(record, 0, record.length);
       records.add(record);
     }
-    byte[] base = FieldCodec.room(buffer, decoder.limit(), decoder.baseLength());
+    byte[] base = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.baseLength());
     decoder.getBase(base, 0, base.length);
     return new StateTransfer(baseSequence, whole, base, records, committedSequence);
   }
--- a/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
@@ -61,7 +61,7 @@
     check(HelloDecoder.BLOCK_LENGTH, HelloDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
     ReplicaStatus status = FieldCodec.status(decoder.status());
-    byte[] viewBytes = FieldCodec.room(buffer, decoder.limit(), decoder.viewLength());
+    byte[] viewBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.viewLength());
     decoder.getView(viewBytes, 0, viewBytes.length);
     View view = NestedBlocks.view(viewBytes);
     return new ReplicaFrame(from, new ReplicaMessage.Hello(view, status));
@@ -71,15 +71,15 @@
     HeartbeatDecoder decoder = new HeartbeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HeartbeatDecoder.BLOCK_LENGTH, HeartbeatDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.tenure());
     long round = decoder.round();
     long committedSequence = decoder.committedSequence();
     boolean active = FieldCodec.isSet(decoder.active());
-    byte[] viewBytes = FieldCodec.room(buffer, decoder.limit(), decoder.viewLength());
+    byte[] viewBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.viewLength());
     decoder.getView(viewBytes, 0, viewBytes.length);
     View view = NestedBlocks.view(viewBytes);
     return new ReplicaFrame(
-        from, new ReplicaMessage.Heartbeat(tenure, round, committedSequence, active, view));
+        from, new ReplicaMessage.Heartbeat(term, round, committedSequence, active, view));
   }
 
   private ReplicaFrame readHeartbeatReply() {
@@ -87,17 +87,17 @@
         new HeartbeatReplyDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HeartbeatReplyDecoder.BLOCK_LENGTH, HeartbeatReplyDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.tenure());
     long round = decoder.round();
     ReplicaStatus status = FieldCodec.status(decoder.status());
-    return new ReplicaFrame(from, new ReplicaMessage.HeartbeatReply(tenure, round, status));
+    return new ReplicaFrame(from, new ReplicaMessage.HeartbeatReply(term, round, status));
   }
 
   private ReplicaFrame readDecided() {
     DecidedDecoder decoder = new DecidedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(DecidedDecoder.BLOCK_LENGTH, DecidedDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    byte[] viewBytes = FieldCodec.room(buffer, decoder.limit(), decoder.viewLength());
+    byte[] viewBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.viewLength());
     decoder.getView(viewBytes, 0, viewBytes.length);
     View view = NestedBlocks.view(viewBytes);
     return new ReplicaFrame(from, new ReplicaMessage.Decided(view));
@@ -108,11 +108,11 @@
     check(PrepareDecoder.BLOCK_LENGTH, PrepareDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
     Ballot ballot = FieldCodec.ballot(decoder.ballot());
-    boolean consented = FieldCodec.isSet(decoder.consented());
-    byte[] baseBytes = FieldCodec.room(buffer, decoder.limit(), decoder.baseLength());
+    boolean primaryConsents = FieldCodec.isSet(decoder.consented());
+    byte[] baseBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.baseLength());
     decoder.getBase(baseBytes, 0, baseBytes.length);
     View base = NestedBlocks.view(baseBytes);
-    return new ReplicaFrame(from, new ReplicaMessage.Prepare(base, ballot, consented));
+    return new ReplicaFrame(from, new ReplicaMessage.Prepare(base, ballot, primaryConsents));
   }
 
   private ReplicaFrame readPromise() {
@@ -123,7 +123,8 @@
     Ballot ballot = FieldCodec.ballot(decoder.ballot());
     Ballot acceptedBallot = FieldCodec.ballot(decoder.acceptedBallot());
     ReplicaStatus status = FieldCodec.status(decoder.status());
-    byte[] acceptedBytes = FieldCodec.room(buffer, decoder.limit(), decoder.acceptedLength());
+    byte[] acceptedBytes =
+        FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.acceptedLength());
     decoder.getAccepted(acceptedBytes, 0, acceptedBytes.length);
     View accepted = NestedBlocks.view(acceptedBytes);
     return new ReplicaFrame(
@@ -136,7 +137,7 @@
     NodeId from = FieldCodec.node(decoder.sender());
     long baseEpoch = decoder.baseEpoch();
     Ballot ballot = FieldCodec.ballot(decoder.ballot());
-    byte[] valueBytes = FieldCodec.room(buffer, decoder.limit(), decoder.valueLength());
+    byte[] valueBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.valueLength());
     decoder.getValue(valueBytes, 0, valueBytes.length);
     View value = NestedBlocks.view(valueBytes);
     return new ReplicaFrame(from, new ReplicaMessage.Accept(baseEpoch, ballot, value));
@@ -167,33 +168,33 @@
     InstallDecoder decoder = new InstallDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(InstallDecoder.BLOCK_LENGTH, InstallDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
-    byte[] stateBytes = FieldCodec.room(buffer, decoder.limit(), decoder.stateLength());
+    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    byte[] stateBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
     StateTransfer state = NestedBlocks.state(stateBytes);
-    return new ReplicaFrame(from, new ReplicaMessage.Install(tenure, state));
+    return new ReplicaFrame(from, new ReplicaMessage.Install(term, state));
   }
 
   private ReplicaFrame readAppend() {
     AppendDecoder decoder = new AppendDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(AppendDecoder.BLOCK_LENGTH, AppendDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.tenure());
     long sequence = decoder.sequence();
     long committedSequence = decoder.committedSequence();
-    byte[] record = FieldCodec.room(buffer, decoder.limit(), decoder.recordLength());
+    byte[] record = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.recordLength());
     decoder.getRecord(record, 0, record.length);
     return new ReplicaFrame(
-        from, new ReplicaMessage.Append(tenure, sequence, committedSequence, record));
+        from, new ReplicaMessage.Append(term, sequence, committedSequence, record));
   }
 
   private ReplicaFrame readSynced() {
     SyncedDecoder decoder = new SyncedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(SyncedDecoder.BLOCK_LENGTH, SyncedDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm tenure = FieldCodec.tenure(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.tenure());
     long sequence = decoder.sequence();
-    return new ReplicaFrame(from, new ReplicaMessage.Synced(tenure, sequence));
+    return new ReplicaFrame(from, new ReplicaMessage.Synced(term, sequence));
   }
 
   private ReplicaFrame readTakeOver() {
--- a/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
@@ -91,7 +91,7 @@
   private int write(ReplicaMessage.Heartbeat message) {
     HeartbeatEncoder encoder = new HeartbeatEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.tenure(), message.term());
     encoder.round(message.round());
     encoder.committedSequence(message.committedSequence());
     encoder.active(FieldCodec.flag(message.active()));
@@ -104,7 +104,7 @@
     HeartbeatReplyEncoder encoder =
         new HeartbeatReplyEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.tenure(), message.term());
     encoder.round(message.round());
     FieldCodec.put(encoder.status(), message.status());
     return encoder.limit();
@@ -122,7 +122,7 @@
     PrepareEncoder encoder = new PrepareEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
     FieldCodec.put(encoder.ballot(), message.ballot());
-    encoder.consented(FieldCodec.flag(message.consented()));
+    encoder.consented(FieldCodec.flag(message.primaryConsents()));
     byte[] base = NestedBlocks.encode(message.base());
     encoder.putBase(base, 0, base.length);
     return encoder.limit();
@@ -171,7 +171,7 @@
   private int write(ReplicaMessage.Install message) {
     InstallEncoder encoder = new InstallEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.tenure(), message.term());
     byte[] state = NestedBlocks.encode(message.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
@@ -180,7 +180,7 @@
   private int write(ReplicaMessage.Append message) {
     AppendEncoder encoder = new AppendEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.tenure(), message.term());
     encoder.sequence(message.sequence());
     encoder.committedSequence(message.committedSequence());
     encoder.putRecord(message.record(), 0, message.record().length);
@@ -190,7 +190,7 @@
   private int write(ReplicaMessage.Synced message) {
     SyncedEncoder encoder = new SyncedEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.tenure());
+    FieldCodec.put(encoder.tenure(), message.term());
     encoder.sequence(message.sequence());
     return encoder.limit();
   }
--- a/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
@@ -162,7 +162,7 @@
   private static OperatorResponse answerOf(ConfigurationState state, OperatorRequest call) {
     PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(call));
     assertThat(preparation, is(instanceOf(PreparedCommand.Response.class)));
-    return OperatorResponseCodec.decode(((PreparedCommand.Response) preparation).answer());
+    return OperatorResponseCodec.decode(((PreparedCommand.Response) preparation).response());
   }
 
   private static OperatorRequest put(long base, long version) {
--- a/src/test/java/slateslip/coordination/MembershipPolicyTest.java
+++ b/src/test/java/slateslip/coordination/MembershipPolicyTest.java
@@ -28,12 +28,14 @@
     return new View(4, A, entries, witnesses);
   }
 
-  private static PeerHealth well(NodeId node) {
-    return new PeerHealth(node, true, true, true, 0, LONG_WELL, ReplicationTimeouts.JOIN_AFTER);
+  private static PeerHealth healthy(NodeId node) {
+    return new PeerHealth(
+        node, true, true, true, 0, LONG_WELL, ReplicationTimeouts.JOIN_DELAY_MICROS);
   }
 
-  private static PeerHealth silent(NodeId node) {
-    return new PeerHealth(node, false, true, true, LONG_SILENT, 0, ReplicationTimeouts.JOIN_AFTER);
+  private static PeerHealth unresponsive(NodeId node) {
+    return new PeerHealth(
+        node, false, true, true, LONG_SILENT, 0, ReplicationTimeouts.JOIN_DELAY_MICROS);
   }
 
   private static List<NodeId> nodes(View view) {
@@ -43,15 +45,15 @@
   @Test
   void aWellViewStays() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    List<PeerHealth> others = List.of(well(B), well(C));
-    assertThat(MembershipPolicy.wantedByPrimary(view, A, 1, others), is(Optional.empty()));
+    List<PeerHealth> others = List.of(healthy(B), healthy(C));
+    assertThat(MembershipPolicy.nextViewOfPrimary(view, A, 1, others), is(Optional.empty()));
   }
 
   @Test
   void aSilentMemberIsDroppedWhileEnoughCopiesAreLeft() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    List<PeerHealth> others = List.of(well(B), silent(C));
-    View wanted = MembershipPolicy.wantedByPrimary(view, A, 1, others).orElseThrow();
+    List<PeerHealth> others = List.of(healthy(B), unresponsive(C));
+    View wanted = MembershipPolicy.nextViewOfPrimary(view, A, 1, others).orElseThrow();
     assertThat(nodes(wanted), contains(A, B));
     assertThat(wanted.witnesses(), contains(A, B, C));
   }
@@ -59,20 +61,21 @@
   @Test
   void whatMayBeTheLastCopyStaysUntilAnotherHasInstalled() {
     View view = view(List.of(A, C), List.of(A, B, C));
-    List<PeerHealth> others = List.of(well(B), silent(C));
-    View first = MembershipPolicy.wantedByPrimary(view, A, 1, others).orElseThrow();
+    List<PeerHealth> others = List.of(healthy(B), unresponsive(C));
+    View first = MembershipPolicy.nextViewOfPrimary(view, A, 1, others).orElseThrow();
     assertThat(nodes(first), containsInAnyOrder(A, B, C));
     assertThat(first.member(B).orElseThrow().sinceEpoch(), is(5L));
-    View second = MembershipPolicy.wantedByPrimary(first, A, 1, others).orElseThrow();
+    View second = MembershipPolicy.nextViewOfPrimary(first, A, 1, others).orElseThrow();
     assertThat(nodes(second), contains(A, B));
   }
 
   @Test
   void aWipedMachinesFormerSelfLeavesTheWitnessesAtOnce() {
     View view = view(List.of(A, B), List.of(A, B, C));
-    PeerHealth former = new PeerHealth(C, true, false, false, 0, 0, ReplicationTimeouts.JOIN_AFTER);
+    PeerHealth former =
+        new PeerHealth(C, true, false, false, 0, 0, ReplicationTimeouts.JOIN_DELAY_MICROS);
     View wanted =
-        MembershipPolicy.wantedByPrimary(view, A, 1, List.of(well(B), former, well(C_ANEW)))
+        MembershipPolicy.nextViewOfPrimary(view, A, 1, List.of(healthy(B), former, healthy(C_ANEW)))
             .orElseThrow();
     assertThat(wanted.witnesses(), containsInAnyOrder(A, B, C_ANEW));
   }
@@ -81,7 +84,8 @@
   void aNewcomerTakesThePlaceOfAWitnessThatIsGone() {
     View view = view(List.of(A, B), List.of(A, B, C));
     View wanted =
-        MembershipPolicy.wantedByPrimary(view, A, 1, List.of(well(B), silent(C), well(D)))
+        MembershipPolicy.nextViewOfPrimary(
+                view, A, 1, List.of(healthy(B), unresponsive(C), healthy(D)))
             .orElseThrow();
     assertThat(wanted.witnesses(), containsInAnyOrder(A, B, D));
   }
@@ -89,16 +93,16 @@
   @Test
   void nothingChangesWithoutAMajorityOfTheNewWitnesses() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    List<PeerHealth> others = List.of(silent(B), silent(C));
-    assertThat(MembershipPolicy.wantedByPrimary(view, A, 1, others), is(Optional.empty()));
+    List<PeerHealth> others = List.of(unresponsive(B), unresponsive(C));
+    assertThat(MembershipPolicy.nextViewOfPrimary(view, A, 1, others), is(Optional.empty()));
   }
 
   @Test
   void aTakeoverKeepsTheOldPrimaryLastAndOnlyIfNeeded() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
-    View whole = MembershipPolicy.takenOver(view, B, 1, List.of(B, C), List.of(B, C));
+    View whole = MembershipPolicy.viewAfterFailover(view, B, 1, List.of(B, C), List.of(B, C));
     assertThat(nodes(whole), contains(B, C));
-    View alone = MembershipPolicy.takenOver(view, B, 1, List.of(B), List.of(B));
+    View alone = MembershipPolicy.viewAfterFailover(view, B, 1, List.of(B), List.of(B));
     assertThat(nodes(alone), contains(B, C));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -69,13 +69,16 @@
   DurableRecord recovered(DurableRecord record) {
     if (this == FORGETS_TAKEN_CHANGES && record instanceof DurableRecord.Snapshot snapshot) {
       return new DurableRecord.Snapshot(
-          snapshot.self(), snapshot.witness(), snapshot.installed(), forgetful(snapshot.state()));
+          snapshot.self(),
+          snapshot.witness(),
+          snapshot.installedTerm(),
+          forgetful(snapshot.state()));
     }
     return record;
   }
 
   private static StateTransfer forgetful(StateTransfer state) {
-    if (!state.whole() || state.base().length == 0) {
+    if (!state.complete() || state.base().length == 0) {
       return state;
     }
     ConfigurationStateSnapshot image =
@@ -95,12 +98,12 @@
       return Optional.empty();
     }
     WitnessState witness = snapshot.witness();
-    PrimaryTerm installed = snapshot.installed();
+    PrimaryTerm installed = snapshot.installedTerm();
     for (DurableRecord record : before) {
       if (record instanceof DurableRecord.Vote vote) {
         witness = vote.witness();
       } else if (record instanceof DurableRecord.Installation installation) {
-        installed = installation.tenure();
+        installed = installation.term();
       }
     }
     StateTransfer nothing = new StateTransfer(0, true, new byte[0], List.of(), 0);
@@ -144,14 +147,13 @@
         && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame
         && frame.value().message() instanceof ReplicaMessage.Heartbeat heartbeat) {
       NodeId peer = new NodeId(NodeAddress.parse(to), NodeId.FOUNDER_DISK);
-      PrimaryTerm tenure = heartbeat.tenure();
+      PrimaryTerm term = heartbeat.term();
       long sequence = heartbeat.committedSequence();
       ReplicaStatus status =
-          new ReplicaStatus(
-              tenure.epoch(), false, tenure, sequence, tenure, sequence, sequence, true);
+          new ReplicaStatus(term.epoch(), false, term, sequence, term, sequence, sequence, true);
       return Optional.of(
           new ReplicaFrame(
-              peer, new ReplicaMessage.HeartbeatReply(tenure, heartbeat.round(), status)));
+              peer, new ReplicaMessage.HeartbeatReply(term, heartbeat.round(), status)));
     }
     return Optional.empty();
   }
@@ -209,27 +211,27 @@
 
   private ReplicaMessage changed(ReplicaMessage message) {
     if (this == SKIPS_A_RECORD && message instanceof ReplicaMessage.Install install) {
-      return new ReplicaMessage.Install(install.tenure(), skipping(install.state()));
+      return new ReplicaMessage.Install(install.term(), skipping(install.state()));
     }
     if (this == COUNTS_EMPTY_COPIES && message instanceof ReplicaMessage.HeartbeatReply reply) {
       ReplicaStatus status = reply.status();
       ReplicaStatus whole =
           new ReplicaStatus(
               status.decidedEpoch(),
-              status.acceptedLater(),
-              reply.tenure(),
+              status.acceptedNewerView(),
+              reply.term(),
               Long.MAX_VALUE,
-              reply.tenure(),
+              reply.term(),
               Long.MAX_VALUE,
               status.committedSequence(),
-              status.fit());
-      return new ReplicaMessage.HeartbeatReply(reply.tenure(), reply.round(), whole);
+              status.healthy());
+      return new ReplicaMessage.HeartbeatReply(reply.term(), reply.round(), whole);
     }
     return message;
   }
 
   private static StateTransfer skipping(StateTransfer state) {
-    if (state.whole() || state.records().size() < 2) {
+    if (state.complete() || state.records().size() < 2) {
       return state;
     }
     return new StateTransfer(
--- a/src/test/java/slateslip/simulation/control/Mutation.java
+++ b/src/test/java/slateslip/simulation/control/Mutation.java
@@ -63,7 +63,7 @@
       return new DurableRecord.Snapshot(
           snapshot.self(),
           WitnessState.decided(snapshot.witness().decided()),
-          snapshot.installed(),
+          snapshot.installedTerm(),
           snapshot.state());
     }
     return record;
@@ -71,11 +71,10 @@
 
   /** What a node wrongly answers to a message of an epoch before its own. */
   Optional<ReplicaMessage> wrongAnswer(ReplicaMessage message, long epoch) {
-    boolean old =
-        message instanceof ReplicaMessage.Append append && append.tenure().epoch() < epoch;
+    boolean old = message instanceof ReplicaMessage.Append append && append.term().epoch() < epoch;
     if (this == ACKNOWLEDGES_OLD_EPOCH && old) {
       ReplicaMessage.Append append = (ReplicaMessage.Append) message;
-      return Optional.of(new ReplicaMessage.Synced(append.tenure(), append.sequence()));
+      return Optional.of(new ReplicaMessage.Synced(append.term(), append.sequence()));
     }
     return Optional.empty();
   }
--- a/src/test/java/slateslip/simulation/control/ScriptedClient.java
+++ b/src/test/java/slateslip/simulation/control/ScriptedClient.java
@@ -57,7 +57,7 @@
     boolean accepted =
         result instanceof ClientResult.Committed
             || (result instanceof ClientResult.Responded answer
-                && ReferenceState.answer(answer.answer()) == ReferenceState.Answer.TAKEN_BEFORE);
+                && ReferenceState.answer(answer.response()) == ReferenceState.Answer.TAKEN_BEFORE);
     if (accepted) {
       world.history().acknowledged(change());
       taken++;
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -85,7 +85,7 @@
     if (result instanceof ClientResult.Committed) {
       accepted();
     } else if (result instanceof ClientResult.Responded answered) {
-      answered(ReferenceState.answer(answered.answer()));
+      answered(ReferenceState.answer(answered.response()));
     } else if (result instanceof ClientResult.Confirmed) {
       read(node.state().version());
     }
