--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -78,7 +78,7 @@
     this.settings = settings;
     startMicros = scheduler.nowMicros();
     table = new SessionTable(EXPIRY_HEARTBEATS * settings.heartbeatMillis() * MICROS_PER_MILLI);
-    table.holdExpiry(startMicros);
+    table.suspendExpiry(startMicros);
     waits = new PendingAcknowledgements(scheduler);
     links = new PeerLinks(scheduler, identity.greeting(), connector, new LinkListener());
     ControlReplica machine =
@@ -184,7 +184,7 @@
         table.isComplete(),
         table.revision(),
         subscribers.streams().size(),
-        links.reachability().reached(scheduler.nowMicros()));
+        links.reachability().reachablePeers(scheduler.nowMicros()));
   }
 
   private void beat() {
@@ -248,7 +248,7 @@
     if (subscribers.progress().slowestVersion() < version) {
       return false;
     }
-    for (String peer : links.reachability().reached(scheduler.nowMicros())) {
+    for (String peer : links.reachability().reachablePeers(scheduler.nowMicros())) {
       if (!peerProgress.isDelivered(peer, replica.role().epoch(), version)) {
         return false;
       }
@@ -257,7 +257,8 @@
   }
 
   private ControlPlaneMessage.Heartbeat heartbeat() {
-    List<String> agents = new ArrayList<>(links.reachability().reached(scheduler.nowMicros()));
+    List<String> agents =
+        new ArrayList<>(links.reachability().reachablePeers(scheduler.nowMicros()));
     agents.add(settings.address());
     boolean current = replica.hearsPrimary() && reachesMajority();
     return new ControlPlaneMessage.Heartbeat(current, state.version(), table.revision(), agents);
@@ -291,10 +292,10 @@
       if (beat.complete() && copiedFrom.contains(peer)) {
         table.markComplete();
       }
-      sessions.confirmed(peer, links.reachability().echoedMicros(peer));
+      sessions.confirmed(peer, links.reachability().acknowledgedMicros(peer));
     } else if (message instanceof ControlPeerMessage.SessionChanges changes) {
       sessions.merge(peer, changes);
-      if (changes.whole()) {
+      if (changes.fullTable()) {
         copiedFrom.add(peer);
       }
     } else if (message instanceof ControlPeerMessage.SessionRenewals renewals) {
@@ -310,15 +311,15 @@
       ControlPeerMessage.Hello sender, ControlPeerMessage message) {
     String peer = sender.address();
     if (message instanceof ControlPeerMessage.Hello) {
-      links.reachability().restarted(peer);
-      peerProgress.introduced(peer, sender.incarnation());
+      links.reachability().peerRestarted(peer);
+      peerProgress.peerStarted(peer, sender.incarnation());
       links.learn(List.of(peer));
     } else if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
       calls.forwarded(peer, forwarded);
     } else if (message instanceof ControlPeerMessage.ForwardedResponse answered) {
       calls.answered(peer, answered);
     } else if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
-      peerProgress.reported(
+      peerProgress.recordReport(
           peer, sender.incarnation(), replica.role().epoch(), delivered.slowestVersion());
       waits.check();
     } else if (message instanceof ControlPeerMessage.DemandReport demands) {
@@ -361,7 +362,7 @@
 
     @Override
     public void forgotten(String peer) {
-      peerProgress.forget(peer);
+      peerProgress.remove(peer);
       sessions.forgotten(peer);
     }
   }
--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -94,9 +94,10 @@
   /** A call that came to another agent. */
   void forwarded(String peer, ControlPeerMessage.ForwardedRequest message) {
     Consumer<OperatorResponse> back =
-        answer -> links.send(peer, new ControlPeerMessage.ForwardedResponse(message.id(), answer));
+        answer ->
+            links.send(peer, new ControlPeerMessage.ForwardedResponse(message.requestId(), answer));
     if (replica.isServing()) {
-      handle(message.call(), back);
+      handle(message.request(), back);
     } else {
       back.accept(OperatorResponse.unavailable("not the primary"));
     }
@@ -104,10 +105,10 @@
 
   /** The answer of the agent that a call was forwarded to. */
   void answered(String peer, ControlPeerMessage.ForwardedResponse message) {
-    PendingForward call = forwarded.get(message.id());
+    PendingForward call = forwarded.get(message.requestId());
     if (call != null && call.peer.equals(peer)) {
-      forwarded.remove(message.id());
-      call.answer.accept(message.answer());
+      forwarded.remove(message.requestId());
+      call.answer.accept(message.response());
     }
   }
 
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -59,22 +59,22 @@
   /** A beat has come. */
   void heard(String peer, ControlPeerMessage.Heartbeat beat) {
     learn(List.of(peer));
-    reachability.heard(scheduler.nowMicros(), peer, beat);
+    reachability.heartbeatReceived(scheduler.nowMicros(), peer, beat);
     learn(beat.knownAgents());
   }
 
   /** Sends beats, breaks off links that lead nowhere, and forgets agents that are long gone. */
   void beat(boolean complete, Collection<String> keptAgents) {
     long now = scheduler.nowMicros();
-    for (String forgotten : reachability.forget(now, keptAgents)) {
+    for (String forgotten : reachability.removeExpired(now, keptAgents)) {
       links.remove(forgotten).close();
       listener.forgotten(forgotten);
     }
-    List<String> known = reachability.known();
-    long number = reachability.numberOf(now);
+    List<String> known = reachability.knownPeers();
+    long number = reachability.heartbeatNumber(now);
     links.forEach(
         (peer, link) -> {
-          long echoed = reachability.newestBeat(peer);
+          long echoed = reachability.lastHeartbeatNumber(peer);
           send(peer, new ControlPeerMessage.Heartbeat(number, echoed, complete, known));
           resetIfSilent(now, peer, link);
         });
@@ -82,8 +82,8 @@
 
   private void resetIfSilent(long now, String peer, PeerConnector.PeerConnection link) {
     Long since = upSince.get(peer);
-    boolean settled = since != null && now - since > 2 * Reachability.SILENCE_MICROS;
-    if (settled && !reachability.isReached(now, peer)) {
+    boolean settled = since != null && now - since > 2 * Reachability.PEER_TIMEOUT_MICROS;
+    if (settled && !reachability.isReachable(now, peer)) {
       link.reset();
     }
   }
@@ -103,7 +103,7 @@
 
   /** Whether the link is up and the peer in reach. */
   boolean isUsable(String peer) {
-    return upSince.containsKey(peer) && reachability.isReached(scheduler.nowMicros(), peer);
+    return upSince.containsKey(peer) && reachability.isReachable(scheduler.nowMicros(), peer);
   }
 
   void close() {
--- a/src/main/java/slateslip/controlplane/agent/QuotaService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -68,13 +68,13 @@
   /** Another agent tells the demand of its data planes. */
   void demands(String peer, ControlPeerMessage.DemandReport demands) {
     if (holder.isSelf()) {
-      demands.agents().forEach(demand -> report(peer, demand));
+      demands.dataPlanes().forEach(demand -> report(peer, demand));
     }
   }
 
   /** The allocator tells the shares of data planes here. */
   void allotted(ControlPeerMessage.QuotaAllocations allotted) {
-    allotted.agents().forEach(this::deliver);
+    allotted.dataPlanes().forEach(this::deliver);
   }
 
   /** Sends demand on and, at the allocator, divides. */
@@ -124,11 +124,11 @@
     origins.values().removeIf(origin -> now - origin.reportedMicros > ENDED_MICROS);
     Map<String, List<DataPlaneQuota>> byPeer = new LinkedHashMap<>();
     for (DataPlaneAllocation allocation : allocator.allocate(now)) {
-      DemandSource origin = origins.get(allocation.agent());
+      DemandSource origin = origins.get(allocation.dataPlane());
       if (origin != null) {
         byPeer
             .computeIfAbsent(origin.peer, key -> new ArrayList<>())
-            .add(new DataPlaneQuota(allocation.agent(), allocation.shares()));
+            .add(new DataPlaneQuota(allocation.dataPlane(), allocation.shares()));
       }
     }
     byPeer.forEach(this::send);
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -77,7 +77,7 @@
     }
     HeartbeatResult result = table.heartbeat(scheduler.nowMicros(), session);
     if (result == HeartbeatResult.RENEWED) {
-      replication.renewed(session.id());
+      replication.renewedIds(session.id());
     }
     if (session.draining()) {
       leaving(session.id(), acknowledged);
@@ -91,7 +91,7 @@
 
   /** A backend says that it is gone. */
   void depart(String id, Consumer<Boolean> acknowledged) {
-    table.depart(scheduler.nowMicros(), id);
+    table.deregister(scheduler.nowMicros(), id);
     leaving(id, acknowledged);
   }
 
@@ -142,7 +142,7 @@
   void merge(String peer, ControlPeerMessage.SessionChanges changes) {
     long now = scheduler.nowMicros();
     changes.entries().forEach(entry -> table.merge(now, peer, entry));
-    changes.departed().forEach(id -> table.depart(now, id));
+    changes.deregistered().forEach(id -> table.deregister(now, id));
     subscribers.pump();
     if (changes.number() != 0) {
       long revision = table.revision();
@@ -175,18 +175,18 @@
 
   void disconnected(String peer) {
     replication.disconnected(peer);
-    table.holdExpiry(scheduler.nowMicros(), peer);
+    table.suspendExpiry(scheduler.nowMicros(), peer);
     unstored.values().forEach(peers -> peers.remove(peer));
     waits.check();
   }
 
   void forgotten(String peer) {
-    replication.forget(peer);
+    replication.remove(peer);
   }
 
   /** A peer has received all that was sent before this time. */
   void confirmed(String peer, long sentBeforeMicros) {
-    replication.confirmed(peer, sentBeforeMicros);
+    replication.acknowledged(peer, sentBeforeMicros);
   }
 
   /** Sends the renewals of the last while. */
@@ -198,7 +198,7 @@
   void expire() {
     long now = scheduler.nowMicros();
     if (!majority.isReached()) {
-      table.holdExpiry(now);
+      table.suspendExpiry(now);
     }
     table.expire(now);
     subscribers.pump();
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -73,7 +73,7 @@
 
   /** This data plane's share of the fleet-wide limits. */
   public void sharesChanged(QuotaAllocation shares) {
-    pools.agentsChanged(shares.agents());
+    pools.agentsChanged(shares.dataPlanes());
     driver.feed(new RouterInput.SharesChanged(shares));
   }
 
--- a/src/main/java/slateslip/dataplane/subscription/SessionTable.java
+++ b/src/main/java/slateslip/dataplane/subscription/SessionTable.java
@@ -104,7 +104,7 @@
         && one.zone().equals(other.zone())
         && one.version().equals(other.version())
         && one.slots() == other.slots()
-        && (one.coldLeftMillis() > 0) == (other.coldLeftMillis() > 0);
+        && (one.remainingWarmupMillis() > 0) == (other.remainingWarmupMillis() > 0);
   }
 
   private boolean remove(long nowMillis, String id, boolean told) {
--- a/src/main/java/slateslip/dataplane/subscription/Subscription.java
+++ b/src/main/java/slateslip/dataplane/subscription/Subscription.java
@@ -341,10 +341,10 @@
       tookSessions(stream, snapshot.revision(), changed || !listed);
       listed = true;
     } else if (message instanceof ControlPlaneMessage.SessionDelta delta) {
-      boolean changed = sessions.delta(now, delta.changed(), delta.gone());
+      boolean changed = sessions.delta(now, delta.changed(), delta.removedIds());
       tookSessions(stream, delta.revision(), changed);
     } else if (message instanceof ControlPlaneMessage.QuotaUpdate shares) {
-      outputs.add(new SubscriptionOutput.Share(shares.shares()));
+      outputs.add(new SubscriptionOutput.Share(shares.allocation()));
     }
   }
 
--- a/src/main/java/slateslip/distribution/BackendSession.java
+++ b/src/main/java/slateslip/distribution/BackendSession.java
@@ -10,7 +10,7 @@
  * @param version of its software
  * @param slots requests it works on at a time
  * @param draining whether it takes nothing new
- * @param coldLeftMillis how much longer it stays slow from its start
+ * @param remainingWarmupMillis how much longer it stays slow from its start
  * @param sequence the backend's own call number; a higher one is newer
  */
 public record BackendSession(
@@ -21,11 +21,11 @@
     String version,
     int slots,
     boolean draining,
-    long coldLeftMillis,
+    long remainingWarmupMillis,
     long sequence) {
   /** The same with another call number. */
-  public BackendSession withSequence(long changed) {
+  public BackendSession withSequence(long newSequence) {
     return new BackendSession(
-        id, service, address, zone, version, slots, draining, coldLeftMillis, changed);
+        id, service, address, zone, version, slots, draining, remainingWarmupMillis, newSequence);
   }
 }
--- a/src/main/java/slateslip/distribution/ControlPlaneMessage.java
+++ b/src/main/java/slateslip/distribution/ControlPlaneMessage.java
@@ -22,11 +22,11 @@
       implements ControlPlaneMessage {}
 
   /** Sessions that are new or changed, and ids of those that are gone. */
-  record SessionDelta(long revision, List<BackendSession> changed, List<String> gone)
+  record SessionDelta(long revision, List<BackendSession> changed, List<String> removedIds)
       implements ControlPlaneMessage {}
 
   /** The data plane's share of the fleet-wide limits. */
-  record QuotaUpdate(QuotaAllocation shares) implements ControlPlaneMessage {}
+  record QuotaUpdate(QuotaAllocation allocation) implements ControlPlaneMessage {}
 
   /**
    * Sent several times a second on every stream.
--- a/src/main/java/slateslip/distribution/QuotaAllocation.java
+++ b/src/main/java/slateslip/distribution/QuotaAllocation.java
@@ -5,10 +5,10 @@
 /**
  * One data plane's share of what is limited over the whole fleet.
  *
- * @param agents data planes that share the limits, this one included; at least 1
+ * @param dataPlanes data planes that share the limits, this one included; at least 1
  * @param tenants share of each tenant's quota that is not the equal share
  */
-public record QuotaAllocation(int agents, List<TenantShare> tenants) {
+public record QuotaAllocation(int dataPlanes, List<TenantShare> tenants) {
   /**
    * A share of a tenant's quota.
    *
--- a/src/main/java/slateslip/distribution/delivery/DeliveryProgress.java
+++ b/src/main/java/slateslip/distribution/delivery/DeliveryProgress.java
@@ -7,12 +7,12 @@
  */
 public record DeliveryProgress(long slowestVersion, long slowestRevision) {
   /** Told where there are no active streams: nobody has to be waited for. */
-  public static final long NOBODY = Long.MAX_VALUE;
+  public static final long NO_SUBSCRIBERS = Long.MAX_VALUE;
 
   /** Progress of these streams. */
   public static DeliveryProgress of(Collection<SubscriberDelivery> subscribers) {
-    long version = NOBODY;
-    long revision = NOBODY;
+    long version = NO_SUBSCRIBERS;
+    long revision = NO_SUBSCRIBERS;
     for (SubscriberDelivery subscriber : subscribers) {
       if (subscriber.isActive()) {
         version = Math.min(version, subscriber.acknowledgedVersion());
--- a/src/main/java/slateslip/distribution/delivery/PeerProgress.java
+++ b/src/main/java/slateslip/distribution/delivery/PeerProgress.java
@@ -15,9 +15,9 @@
   private record Report(long epoch, long slowestVersion) {}
 
   /** A peer's process has introduced itself. */
-  public void introduced(String peer, long incarnation) {
-    Long before = incarnations.put(peer, incarnation);
-    if (before == null || before != incarnation) {
+  public void peerStarted(String peer, long incarnation) {
+    Long previous = incarnations.put(peer, incarnation);
+    if (previous == null || previous != incarnation) {
       reports.remove(peer);
     }
   }
@@ -30,7 +30,7 @@
    * @param slowestVersion lowest version acknowledged there; {@link DeliveryProgress#NOBODY} if
    *     there are no data planes
    */
-  public void reported(String peer, long incarnation, long epoch, long slowestVersion) {
+  public void recordReport(String peer, long incarnation, long epoch, long slowestVersion) {
     if (incarnations.getOrDefault(peer, incarnation) == incarnation) {
       reports.put(peer, new Report(epoch, slowestVersion));
     }
@@ -43,7 +43,7 @@
   }
 
   /** The peer exists no more. */
-  public void forget(String peer) {
+  public void remove(String peer) {
     incarnations.remove(peer);
     reports.remove(peer);
   }
--- a/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
+++ b/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
@@ -80,18 +80,18 @@
   }
 
   private void addConfigurations(List<ControlPlaneMessage> messages) {
-    long newest = configurations.version();
-    if (sentVersion >= newest) {
+    long newestVersion = configurations.version();
+    if (sentVersion >= newestVersion) {
       return;
     }
-    List<ControlPlaneMessage> patches = patches(sentVersion, newest);
+    List<ControlPlaneMessage> patches = patches(sentVersion, newestVersion);
     if (patches.isEmpty()) {
       messages.add(
-          new ControlPlaneMessage.ConfigurationSnapshot(newest, configurations.document()));
+          new ControlPlaneMessage.ConfigurationSnapshot(newestVersion, configurations.document()));
     } else {
       messages.addAll(patches);
     }
-    sentVersion = newest;
+    sentVersion = newestVersion;
   }
 
   /** The patches that lead from one version to the other; empty if not all are known. */
@@ -111,34 +111,34 @@
   }
 
   private void addSessions(List<ControlPlaneMessage> messages) {
-    long newest = sessions.revision();
-    if (sentRevision == newest) {
+    long newestVersion = sessions.revision();
+    if (sentRevision == newestVersion) {
       return;
     }
     Optional<SessionChangeSet> changes =
         sentRevision == NOTHING_SENT ? Optional.empty() : sessions.changesAfter(sentRevision);
     if (changes.isPresent()) {
-      messages.add(delta(newest, changes.get()));
+      messages.add(delta(newestVersion, changes.get()));
     } else {
-      addWholeTable(messages, newest);
+      addFullTable(messages, newestVersion);
     }
-    sentRevision = newest;
+    sentRevision = newestVersion;
   }
 
   /** What is missing in a table may live all the same, so what has departed is named. */
-  private void addWholeTable(List<ControlPlaneMessage> messages, long revision) {
+  private void addFullTable(List<ControlPlaneMessage> messages, long revision) {
     messages.add(
         new ControlPlaneMessage.SessionSnapshot(
             revision, sessions.isComplete(), sessions.sessions()));
-    List<String> departed = sessions.departed();
-    if (!departed.isEmpty()) {
-      messages.add(new ControlPlaneMessage.SessionDelta(revision, List.of(), departed));
+    List<String> deregistered = sessions.deregisteredIds();
+    if (!deregistered.isEmpty()) {
+      messages.add(new ControlPlaneMessage.SessionDelta(revision, List.of(), deregistered));
     }
   }
 
   private ControlPlaneMessage delta(long revision, SessionChangeSet change) {
     List<BackendSession> changed = new ArrayList<>();
     change.changed().forEach(id -> sessions.session(id).ifPresent(changed::add));
-    return new ControlPlaneMessage.SessionDelta(revision, changed, change.gone());
+    return new ControlPlaneMessage.SessionDelta(revision, changed, change.removed());
   }
 }
--- a/src/main/java/slateslip/distribution/exchange/ControlPeerMessage.java
+++ b/src/main/java/slateslip/distribution/exchange/ControlPeerMessage.java
@@ -20,23 +20,23 @@
    * Sent several times a second.
    *
    * @param number rises with each beat
-   * @param echoed number of the newest beat that came from the receiver; 0 if none
+   * @param acknowledgedNumber number of the newest beat that came from the receiver; 0 if none
    * @param complete whether the sender's session table holds all that live
    * @param knownAgents IPv4 addresses of the control agents that it knows
    */
-  record Heartbeat(long number, long echoed, boolean complete, List<String> knownAgents)
+  record Heartbeat(long number, long acknowledgedNumber, boolean complete, List<String> knownAgents)
       implements ControlPeerMessage {}
 
   /**
    * Sessions that are new or changed, and those that ended.
    *
    * @param number to be told back by {@link SessionChangesAcknowledged}; 0 if nobody waits for it
-   * @param whole whether these are all that the sender has
+   * @param fullTable whether these are all that the sender has
    * @param entries new or changed ones
-   * @param departed ids of backends that have said that they are gone
+   * @param deregistered ids of backends that have said that they are gone
    */
   record SessionChanges(
-      long number, boolean whole, List<SessionEntry> entries, List<String> departed)
+      long number, boolean fullTable, List<SessionEntry> entries, List<String> deregistered)
       implements ControlPeerMessage {}
 
   /** Calls that changed nothing. */
@@ -47,11 +47,12 @@
    */
   record SessionChangesAcknowledged(long number) implements ControlPeerMessage {}
 
-  /** A call of the operator's for the primary; {@code id} is the sender's own. */
-  record ForwardedRequest(long id, OperatorRequest call) implements ControlPeerMessage {}
+  /** A call of the operator's for the primary; {@code requestId} is the sender's own. */
+  record ForwardedRequest(long requestId, OperatorRequest request) implements ControlPeerMessage {}
 
   /** Response to {@link ForwardedRequest}. */
-  record ForwardedResponse(long id, OperatorResponse answer) implements ControlPeerMessage {}
+  record ForwardedResponse(long requestId, OperatorResponse response)
+      implements ControlPeerMessage {}
 
   /**
    * How far the data planes at the sender are.
@@ -62,10 +63,10 @@
   record DeliveryReport(long slowestVersion) implements ControlPeerMessage {}
 
   /** Demand of the data planes at the sender. */
-  record DemandReport(List<DataPlaneDemand> agents) implements ControlPeerMessage {}
+  record DemandReport(List<DataPlaneDemand> dataPlanes) implements ControlPeerMessage {}
 
   /** Shares for the data planes at the receiver. */
-  record QuotaAllocations(List<DataPlaneQuota> agents) implements ControlPeerMessage {}
+  record QuotaAllocations(List<DataPlaneQuota> dataPlanes) implements ControlPeerMessage {}
 
   /**
    * Demand of one data plane.
--- a/src/main/java/slateslip/distribution/exchange/Reachability.java
+++ b/src/main/java/slateslip/distribution/exchange/Reachability.java
@@ -14,10 +14,10 @@
  */
 public final class Reachability {
   /** A peer that was not heard, or has not heard, for this long is out of reach. */
-  public static final long SILENCE_MICROS = 700_000;
+  public static final long PEER_TIMEOUT_MICROS = 700_000;
 
   /** A peer that is not named by anyone and was not heard for this long is forgotten. */
-  private static final long FORGET_MICROS = 20_000_000;
+  private static final long RETENTION_MICROS = 20_000_000;
 
   private final String self;
   private final long numberBase;
@@ -35,14 +35,14 @@
   }
 
   /** Number of a beat that is sent now. */
-  public long numberOf(long nowMicros) {
+  public long heartbeatNumber(long nowMicros) {
     return numberBase + nowMicros;
   }
 
   /** When the newest beat was sent that the peer is known to have; 0 if none is. */
-  public long echoedMicros(String peer) {
+  public long acknowledgedMicros(String peer) {
     PeerContact contact = contacts.get(peer);
-    return contact == null ? 0 : contact.echoedMicros;
+    return contact == null ? 0 : contact.acknowledgedMicros;
   }
 
   /** Takes note of agents that are said to exist; the new ones among them. */
@@ -58,31 +58,33 @@
   }
 
   /** Takes note of a beat. */
-  public void heard(long nowMicros, String peer, ControlPeerMessage.Heartbeat beat) {
+  public void heartbeatReceived(
+      long nowMicros, String peer, ControlPeerMessage.Heartbeat heartbeat) {
     PeerContact contact = contacts.computeIfAbsent(peer, key -> new PeerContact(nowMicros));
-    contact.heardAtMicros = nowMicros;
+    contact.lastHeardMicros = nowMicros;
     contact.everHeard = true;
-    contact.newestBeat = beat.number();
-    contact.echoedMicros = Math.max(contact.echoedMicros, sentAt(nowMicros, beat.echoed()));
+    contact.lastHeartbeatNumber = heartbeat.number();
+    contact.acknowledgedMicros =
+        Math.max(contact.acknowledgedMicros, sentMicros(nowMicros, heartbeat.acknowledgedNumber()));
   }
 
   /** When the beat of this number was sent; 0 if an earlier life of this process sent it. */
-  private long sentAt(long nowMicros, long number) {
+  private long sentMicros(long nowMicros, long number) {
     long micros = number - numberBase;
     return micros > 0 && micros <= nowMicros ? micros : 0;
   }
 
   /** What the next beat to a peer echoes. */
-  public long newestBeat(String peer) {
+  public long lastHeartbeatNumber(String peer) {
     PeerContact contact = contacts.get(peer);
-    return contact == null ? 0 : contact.newestBeat;
+    return contact == null ? 0 : contact.lastHeartbeatNumber;
   }
 
   /** A peer's process has started anew: what was echoed before says nothing. */
-  public void restarted(String peer) {
+  public void peerRestarted(String peer) {
     PeerContact contact = contacts.get(peer);
     if (contact != null) {
-      contact.newestBeat = 0;
+      contact.lastHeartbeatNumber = 0;
     }
   }
 
@@ -91,57 +93,57 @@
     PeerContact contact = contacts.get(peer);
     return contact != null
         && contact.everHeard
-        && nowMicros - contact.heardAtMicros < SILENCE_MICROS;
+        && nowMicros - contact.lastHeardMicros < PEER_TIMEOUT_MICROS;
   }
 
   /** Whether the peer was heard lately and has lately heard this agent. */
-  public boolean isReached(long nowMicros, String peer) {
+  public boolean isReachable(long nowMicros, String peer) {
     PeerContact contact = contacts.get(peer);
     return isHeard(nowMicros, peer)
-        && contact.echoedMicros > 0
-        && nowMicros - contact.echoedMicros < SILENCE_MICROS;
+        && contact.acknowledgedMicros > 0
+        && nowMicros - contact.acknowledgedMicros < PEER_TIMEOUT_MICROS;
   }
 
   /** Agents in reach, without this one. */
-  public List<String> reached(long nowMicros) {
-    return contacts.keySet().stream().filter(peer -> isReached(nowMicros, peer)).toList();
+  public List<String> reachablePeers(long nowMicros) {
+    return contacts.keySet().stream().filter(peer -> isReachable(nowMicros, peer)).toList();
   }
 
   /** All agents that are known, without this one. */
-  public List<String> known() {
+  public List<String> knownPeers() {
     return List.copyOf(contacts.keySet());
   }
 
   /** Whether more than half of these agents are in reach, this one counted if it is among them. */
-  public boolean reachesMajority(long nowMicros, Collection<String> electorate) {
-    long reached =
-        electorate.stream()
-            .filter(address -> address.equals(self) || isReached(nowMicros, address))
+  public boolean reachesMajority(long nowMicros, Collection<String> witnesses) {
+    long reachablePeers =
+        witnesses.stream()
+            .filter(address -> address.equals(self) || isReachable(nowMicros, address))
             .count();
-    return 2 * reached > electorate.size();
+    return 2 * reachablePeers > witnesses.size();
   }
 
   /** Forgets agents that are not among the kept ones and were not heard for long; returns them. */
-  public List<String> forget(long nowMicros, Collection<String> kept) {
-    List<String> forgotten = new ArrayList<>();
+  public List<String> removeExpired(long nowMicros, Collection<String> retained) {
+    List<String> removed = new ArrayList<>();
     for (Map.Entry<String, PeerContact> entry : contacts.entrySet()) {
-      boolean silent = nowMicros - entry.getValue().heardAtMicros > FORGET_MICROS;
-      if (silent && !kept.contains(entry.getKey())) {
-        forgotten.add(entry.getKey());
+      boolean expired = nowMicros - entry.getValue().lastHeardMicros > RETENTION_MICROS;
+      if (expired && !retained.contains(entry.getKey())) {
+        removed.add(entry.getKey());
       }
     }
-    forgotten.forEach(contacts::remove);
-    return forgotten;
+    removed.forEach(contacts::remove);
+    return removed;
   }
 
   private static final class PeerContact {
-    private long heardAtMicros;
+    private long lastHeardMicros;
     private boolean everHeard;
-    private long newestBeat;
-    private long echoedMicros;
+    private long lastHeartbeatNumber;
+    private long acknowledgedMicros;
 
     private PeerContact(long learnedAtMicros) {
-      heardAtMicros = learnedAtMicros;
+      lastHeardMicros = learnedAtMicros;
     }
   }
 }
--- a/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
@@ -16,9 +16,9 @@
  *
  * <p>A state machine without a clock; one instance divides for all data planes. A fraction that
  * shrinks takes effect at once; one that grows takes only what the others gave up at least {@link
- * #SETTLE_MICROS} ago, so that the fractions in force never sum above 1 as long as a message takes
- * less than that. A data plane that is silent keeps its last fraction, which it lowers to the equal
- * share by itself ({@link #SHARES_STALE_MICROS}), until it is removed.
+ * #PROPAGATION_MICROS} ago, so that the fractions in force never sum above 1 as long as a message
+ * takes less than that. A data plane that is silent keeps its last fraction, which it lowers to the
+ * equal share by itself ({@link #ALLOCATION_TTL_MICROS}), until it is removed.
  */
 public final class QuotaAllocator {
   /**
@@ -26,71 +26,71 @@
    * had more. Danger: at 3 s a change of the primary, with nobody cut off, leaves a data plane that
    * has a third of the clients with a sixth of the quotas.
    */
-  public static final long SHARES_STALE_MICROS = 10_000_000;
+  public static final long ALLOCATION_TTL_MICROS = 10_000_000;
 
   /**
    * A fraction that was told counts as in force for once to twice this after a lower one was told.
    */
-  public static final long SETTLE_MICROS = 400_000;
+  public static final long PROPAGATION_MICROS = 400_000;
 
   /** A data plane that has not reported for this long is given no new fraction. */
-  private static final long SILENT_MICROS = 1_500_000;
+  private static final long REPORT_TIMEOUT_MICROS = 1_500_000;
 
   /** A removed data plane's fractions count as in force for this long: it may only be cut off. */
-  private static final long REMOVED_MICROS = 8_000_000;
+  private static final long REMOVED_RETENTION_MICROS = 8_000_000;
 
   /**
    * Time in which the weight of past demand falls to 1/e: most of a quota's window. Danger: at 2 s,
    * fractions move so fast that what was taken under them sums above the rule; the fleet test's
    * worst was 1.07 of it.
    */
-  private static final double DEMAND_MICROS = 6_000_000;
+  private static final double DEMAND_DECAY_MICROS = 6_000_000;
 
   /**
    * Part of each quota that is divided equally: what a data plane without demand so far begins
    * with.
    */
-  private static final double EQUAL_PART = 0.6;
+  private static final double EQUAL_SHARE_FRACTION = 0.6;
 
   /** The shares of one data plane. */
-  public record DataPlaneAllocation(String agent, QuotaAllocation shares) {}
+  public record DataPlaneAllocation(String dataPlane, QuotaAllocation shares) {}
 
   /** Demand and fraction of one tenant at one data plane. */
   private static final class TenantState {
-    long wantedBefore;
+    long lastWantedUnits;
     double demand;
-    double told;
+    double assigned;
 
     /** Highest fractions told in the present and in the last settling period. */
-    double highest;
+    double highestAssigned;
 
-    double highestBefore;
+    double previousHighestAssigned;
     long periodMicros;
 
     /** The highest fraction that the data plane may still be using. */
-    double inForce() {
-      return Math.max(highest, highestBefore);
+    double effectiveFraction() {
+      return Math.max(highestAssigned, previousHighestAssigned);
     }
 
     /** Begins a new period once this one is over and a report shows that its messages arrived. */
-    void settle(long nowMicros, long reportedMicros) {
-      if (Math.min(nowMicros, reportedMicros) - periodMicros >= SETTLE_MICROS) {
-        highestBefore = highest;
-        highest = told;
+    void advancePeriod(long nowMicros, long reportedMicros) {
+      if (Math.min(nowMicros, reportedMicros) - periodMicros >= PROPAGATION_MICROS) {
+        previousHighestAssigned = highestAssigned;
+        highestAssigned = assigned;
         periodMicros = nowMicros;
       }
     }
 
     /** It uses no more than this. */
-    void lower(double fraction) {
-      told = Math.min(told, fraction);
-      highest = Math.min(highest, fraction);
-      highestBefore = Math.min(highestBefore, fraction);
+    void capAt(double fraction) {
+      assigned = Math.min(assigned, fraction);
+      highestAssigned = Math.min(highestAssigned, fraction);
+      previousHighestAssigned = Math.min(previousHighestAssigned, fraction);
     }
 
-    void tell(double fraction) {
-      told = fraction;
-      highest = Math.max(highest, fraction);
+    void assign(double fraction) {
+      assigned = fraction;
+      highestAssigned = Math.max(highestAssigned, fraction);
     }
   }
 
@@ -98,38 +98,40 @@
     long incarnation;
     long reportedMicros;
     long removedMicros = Long.MAX_VALUE;
-    final Map<String, TenantState> cells = new HashMap<>();
+    final Map<String, TenantState> tenants = new HashMap<>();
   }
 
-  private final Map<String, DataPlaneState> agents = new LinkedHashMap<>();
+  private final Map<String, DataPlaneState> dataPlanes = new LinkedHashMap<>();
 
   /**
    * Takes a data plane's report.
    *
-   * @param agent its name
+   * @param dataPlane its name
    * @param incarnation drawn at its start: its counts begin at 0 with each
    * @param demand of each tenant since its start
    */
-  public void report(long nowMicros, String agent, long incarnation, List<TenantDemand> demand) {
-    DataPlaneState state = agents.computeIfAbsent(agent, name -> new DataPlaneState());
+  public void report(
+      long nowMicros, String dataPlane, long incarnation, List<TenantDemand> demand) {
+    DataPlaneState state = dataPlanes.computeIfAbsent(dataPlane, name -> new DataPlaneState());
     if (state.incarnation != incarnation) {
       state.incarnation = incarnation;
-      state.cells.values().forEach(cell -> cell.wantedBefore = 0);
+      state.tenants.values().forEach(tenantState -> tenantState.lastWantedUnits = 0);
     }
-    double fade = Math.exp(-(nowMicros - state.reportedMicros) / DEMAND_MICROS);
+    double decay = Math.exp(-(nowMicros - state.reportedMicros) / DEMAND_DECAY_MICROS);
     state.reportedMicros = nowMicros;
     state.removedMicros = Long.MAX_VALUE;
-    state.cells.values().forEach(cell -> cell.demand *= fade);
-    for (TenantDemand each : demand) {
-      TenantState cell = state.cells.computeIfAbsent(each.tenant(), name -> new TenantState());
-      cell.demand += Math.max(0, each.wantedUnits() - cell.wantedBefore);
-      cell.wantedBefore = each.wantedUnits();
+    state.tenants.values().forEach(tenantState -> tenantState.demand *= decay);
+    for (TenantDemand tenantDemand : demand) {
+      TenantState tenantState =
+          state.tenants.computeIfAbsent(tenantDemand.tenant(), name -> new TenantState());
+      tenantState.demand += Math.max(0, tenantDemand.wantedUnits() - tenantState.lastWantedUnits);
+      tenantState.lastWantedUnits = tenantDemand.wantedUnits();
     }
   }
 
   /** The data plane's stream has ended for good; what it was told stays reserved for a while. */
-  public void removed(long nowMicros, String agent) {
-    DataPlaneState state = agents.get(agent);
+  public void removed(long nowMicros, String dataPlane) {
+    DataPlaneState state = dataPlanes.get(dataPlane);
     if (state != null && state.removedMicros == Long.MAX_VALUE) {
       state.removedMicros = nowMicros;
     }
@@ -137,48 +139,52 @@
 
   /** Fractions of all data planes that report; each is to be sent to its data plane at once. */
   public List<DataPlaneAllocation> allocate(long nowMicros) {
-    agents.values().removeIf(agent -> nowMicros - agent.removedMicros > REMOVED_MICROS);
+    dataPlanes
+        .values()
+        .removeIf(dataPlane -> nowMicros - dataPlane.removedMicros > REMOVED_RETENTION_MICROS);
     TreeSet<String> tenants = new TreeSet<>();
-    agents.values().forEach(agent -> tenants.addAll(agent.cells.keySet()));
-    tenants.forEach(tenant -> divide(nowMicros, tenant));
+    dataPlanes.values().forEach(dataPlane -> tenants.addAll(dataPlane.tenants.keySet()));
+    tenants.forEach(tenant -> allocateTenant(nowMicros, tenant));
     List<DataPlaneAllocation> allocations = new ArrayList<>();
-    agents.forEach(
-        (name, agent) -> {
-          if (live(agent, nowMicros)) {
-            allocations.add(new DataPlaneAllocation(name, shares(agent, tenants)));
+    dataPlanes.forEach(
+        (name, dataPlane) -> {
+          if (isLive(dataPlane, nowMicros)) {
+            allocations.add(new DataPlaneAllocation(name, shares(dataPlane, tenants)));
           }
         });
     return allocations;
   }
 
-  private QuotaAllocation shares(DataPlaneState agent, Set<String> tenants) {
+  private QuotaAllocation shares(DataPlaneState dataPlane, Set<String> tenants) {
     List<TenantShare> shares = new ArrayList<>(tenants.size());
-    tenants.forEach(tenant -> shares.add(new TenantShare(tenant, agent.cells.get(tenant).told)));
-    return new QuotaAllocation(agents.size(), shares);
+    tenants.forEach(
+        tenant -> shares.add(new TenantShare(tenant, dataPlane.tenants.get(tenant).assigned)));
+    return new QuotaAllocation(dataPlanes.size(), shares);
   }
 
-  private boolean live(DataPlaneState agent, long nowMicros) {
-    return agent.removedMicros == Long.MAX_VALUE
-        && nowMicros - agent.reportedMicros <= SILENT_MICROS;
+  private boolean isLive(DataPlaneState dataPlane, long nowMicros) {
+    return dataPlane.removedMicros == Long.MAX_VALUE
+        && nowMicros - dataPlane.reportedMicros <= REPORT_TIMEOUT_MICROS;
   }
 
-  private void divide(long nowMicros, String tenant) {
-    double equal = 1.0 / agents.size();
-    double silent = 0;
+  private void allocateTenant(long nowMicros, String tenant) {
+    double equalShare = 1.0 / dataPlanes.size();
+    double reserved = 0;
     double demand = 0;
-    int live = 0;
-    for (DataPlaneState agent : agents.values()) {
-      TenantState cell = agent.cells.computeIfAbsent(tenant, name -> new TenantState());
-      cell.settle(nowMicros, agent.reportedMicros);
-      if (live(agent, nowMicros)) {
-        demand += cell.demand;
-        live++;
+    int liveCount = 0;
+    for (DataPlaneState dataPlane : dataPlanes.values()) {
+      TenantState tenantState =
+          dataPlane.tenants.computeIfAbsent(tenant, name -> new TenantState());
+      tenantState.advancePeriod(nowMicros, dataPlane.reportedMicros);
+      if (isLive(dataPlane, nowMicros)) {
+        demand += tenantState.demand;
+        liveCount++;
       } else {
-        silent += silentFraction(agent, cell, equal, nowMicros);
+        reserved += reservedFraction(dataPlane, tenantState, equalShare, nowMicros);
       }
     }
-    if (live > 0) {
-      tell(nowMicros, tenant, Math.max(0, 1 - silent), demand, live);
+    if (liveCount > 0) {
+      assign(nowMicros, tenant, Math.max(0, 1 - reserved), demand, liveCount);
     }
   }
 
@@ -186,39 +192,48 @@
    * What a silent data plane may still be using; without news it has lowered its fraction by
    * itself.
    */
-  private double silentFraction(
-      DataPlaneState agent, TenantState cell, double equal, long nowMicros) {
-    if (nowMicros - agent.reportedMicros > SHARES_STALE_MICROS + SETTLE_MICROS) {
+  private double reservedFraction(
+      DataPlaneState dataPlane, TenantState tenantState, double equalShare, long nowMicros) {
+    if (nowMicros - dataPlane.reportedMicros > ALLOCATION_TTL_MICROS + PROPAGATION_MICROS) {
       // Danger: were this forgotten when it reports again, it would be told more than the others
       // left.
-      cell.lower(equal);
+      tenantState.capAt(equalShare);
     }
-    return cell.inForce();
+    return tenantState.effectiveFraction();
   }
 
-  private void tell(long nowMicros, String tenant, double whole, double demand, int live) {
-    double growing = 0;
-    double room = whole;
-    for (DataPlaneState agent : agents.values()) {
-      if (live(agent, nowMicros)) {
-        TenantState cell = agent.cells.get(tenant);
-        growing += Math.max(0, wanted(cell, whole, demand, live) - cell.inForce());
-        room -= cell.inForce();
+  private void assign(
+      long nowMicros, String tenant, double available, double demand, int liveCount) {
+    double requestedGrowth = 0;
+    double unassigned = available;
+    for (DataPlaneState dataPlane : dataPlanes.values()) {
+      if (isLive(dataPlane, nowMicros)) {
+        TenantState tenantState = dataPlane.tenants.get(tenant);
+        requestedGrowth +=
+            Math.max(
+                0,
+                targetFraction(tenantState, available, demand, liveCount)
+                    - tenantState.effectiveFraction());
+        unassigned -= tenantState.effectiveFraction();
       }
     }
-    double growth = growing <= 0 ? 0 : Math.min(1, Math.max(0, room) / growing);
-    for (DataPlaneState agent : agents.values()) {
-      if (live(agent, nowMicros)) {
-        TenantState cell = agent.cells.get(tenant);
-        double wanted = wanted(cell, whole, demand, live);
-        double more = Math.max(0, wanted - cell.inForce());
-        cell.tell(Math.min(wanted, cell.inForce() + growth * more));
+    double growthRatio =
+        requestedGrowth <= 0 ? 0 : Math.min(1, Math.max(0, unassigned) / requestedGrowth);
+    for (DataPlaneState dataPlane : dataPlanes.values()) {
+      if (isLive(dataPlane, nowMicros)) {
+        TenantState tenantState = dataPlane.tenants.get(tenant);
+        double target = targetFraction(tenantState, available, demand, liveCount);
+        double increase = Math.max(0, target - tenantState.effectiveFraction());
+        tenantState.assign(
+            Math.min(target, tenantState.effectiveFraction() + growthRatio * increase));
       }
     }
   }
 
-  private static double wanted(TenantState cell, double whole, double demand, int live) {
-    double byDemand = demand > 0 ? cell.demand / demand : 1.0 / live;
-    return whole * (EQUAL_PART / live + (1 - EQUAL_PART) * byDemand);
+  private static double targetFraction(
+      TenantState tenantState, double available, double demand, int liveCount) {
+    double demandShare = demand > 0 ? tenantState.demand / demand : 1.0 / liveCount;
+    return available
+        * (EQUAL_SHARE_FRACTION / liveCount + (1 - EQUAL_SHARE_FRACTION) * demandShare);
   }
 }
--- a/src/main/java/slateslip/distribution/sessions/HintedHandoff.java
+++ b/src/main/java/slateslip/distribution/sessions/HintedHandoff.java
@@ -13,35 +13,35 @@
   static final int MAX_HINTS = 4_096;
 
   private final Set<String> ids = new LinkedHashSet<>();
-  private boolean overflown;
+  private boolean overflowed;
 
   /** Takes note of something that the peer has missed. */
   public void hint(String id) {
-    if (overflown) {
+    if (overflowed) {
       return;
     }
     ids.add(id);
     if (ids.size() > MAX_HINTS) {
-      requireWhole();
+      requireFullTable();
     }
   }
 
   /** The peer needs the whole table, as after its start. */
-  public void requireWhole() {
-    overflown = true;
+  public void requireFullTable() {
+    overflowed = true;
     ids.clear();
   }
 
   /** Whether the peer needs the whole table. */
-  public boolean needsWhole() {
-    return overflown;
+  public boolean needsFullTable() {
+    return overflowed;
   }
 
   /** Hands the hints over and keeps none. */
-  public List<String> take() {
-    List<String> taken = List.copyOf(ids);
+  public List<String> drain() {
+    List<String> drained = List.copyOf(ids);
     ids.clear();
-    overflown = false;
-    return taken;
+    overflowed = false;
+    return drained;
   }
 }
--- a/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
@@ -11,7 +11,7 @@
  * The newest changes of a table, so that a reader that has an older revision is told just these.
  */
 final class SessionChangeLog {
-  private static final int KEPT_CHANGES = 4_096;
+  private static final int MAX_CHANGES = 4_096;
 
   private final Deque<Entry> entries = new ArrayDeque<>();
   private long revision;
@@ -20,7 +20,7 @@
     add(id, false);
   }
 
-  void gone(String id) {
+  void removed(String id) {
     add(id, true);
   }
 
@@ -40,29 +40,29 @@
     if (readerRevision < oldestKnown) {
       return Optional.empty();
     }
-    Map<String, Boolean> goneById = new LinkedHashMap<>();
+    Map<String, Boolean> removedById = new LinkedHashMap<>();
     for (Entry entry : entries) {
       if (entry.revision > readerRevision) {
-        goneById.put(entry.id, entry.gone);
+        removedById.put(entry.id, entry.removed);
       }
     }
-    return Optional.of(new SessionChangeSet(ids(goneById, false), ids(goneById, true)));
+    return Optional.of(new SessionChangeSet(ids(removedById, false), ids(removedById, true)));
   }
 
-  private static List<String> ids(Map<String, Boolean> goneById, boolean gone) {
-    return goneById.entrySet().stream()
-        .filter(entry -> entry.getValue() == gone)
+  private static List<String> ids(Map<String, Boolean> removedById, boolean removed) {
+    return removedById.entrySet().stream()
+        .filter(entry -> entry.getValue() == removed)
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  private void add(String id, boolean gone) {
+  private void add(String id, boolean removed) {
     revision++;
-    entries.addLast(new Entry(revision, id, gone));
-    if (entries.size() > KEPT_CHANGES) {
+    entries.addLast(new Entry(revision, id, removed));
+    if (entries.size() > MAX_CHANGES) {
       entries.removeFirst();
     }
   }
 
-  private record Entry(long revision, String id, boolean gone) {}
+  private record Entry(long revision, String id, boolean removed) {}
 }
--- a/src/main/java/slateslip/distribution/sessions/SessionChangeSet.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionChangeSet.java
@@ -6,6 +6,6 @@
  * What changed of a {@link SessionTable}.
  *
  * @param changed ids of sessions that are new or differ in what data planes see
- * @param gone ids of sessions that are no more
+ * @param removed ids of sessions that are no more
  */
-public record SessionChangeSet(List<String> changed, List<String> gone) {}
+public record SessionChangeSet(List<String> changed, List<String> removed) {}
--- a/src/main/java/slateslip/distribution/sessions/SessionReplication.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionReplication.java
@@ -18,11 +18,11 @@
  * batches, and a peer that was away is handed what it has missed.
  */
 public final class SessionReplication {
-  private static final long CONFIRMED = Long.MIN_VALUE;
+  private static final long ACKNOWLEDGED = Long.MIN_VALUE;
 
   private final SessionTable table;
   private final Map<String, Peer> peers = new TreeMap<>();
-  private final Set<String> renewed = new LinkedHashSet<>();
+  private final Set<String> renewedIds = new LinkedHashSet<>();
 
   /** Replicates this table. */
   public SessionReplication(SessionTable table) {
@@ -41,14 +41,14 @@
     Peer peer = peers.computeIfAbsent(address, key -> new Peer());
     if (peer.incarnation != incarnation) {
       peer.incarnation = incarnation;
-      peer.missed.requireWhole();
+      peer.hints.requireFullTable();
     }
     peer.connected = true;
-    boolean whole = peer.missed.needsWhole();
-    List<String> hints = peer.missed.take();
-    if (whole) {
-      peer.wholeSentMicros = nowMicros;
-      return List.of(new OutboundMessage(address, wholeTable(nowMicros)));
+    boolean needsFullTable = peer.hints.needsFullTable();
+    List<String> hints = peer.hints.drain();
+    if (needsFullTable) {
+      peer.fullTableSentMicros = nowMicros;
+      return List.of(new OutboundMessage(address, fullTable(nowMicros)));
     }
     if (hints.isEmpty()) {
       return List.of();
@@ -62,31 +62,31 @@
     Peer peer = peers.get(address);
     if (peer != null && peer.connected) {
       peer.connected = false;
-      peer.unconfirmed.keySet().forEach(peer.missed::hint);
-      peer.unconfirmed.clear();
-      if (peer.wholeSentMicros != CONFIRMED) {
-        peer.missed.requireWhole();
+      peer.unacknowledged.keySet().forEach(peer.hints::hint);
+      peer.unacknowledged.clear();
+      if (peer.fullTableSentMicros != ACKNOWLEDGED) {
+        peer.hints.requireFullTable();
       }
     }
   }
 
   /** The peer has received all that was sent before this time. */
-  public void confirmed(String address, long sentBeforeMicros) {
+  public void acknowledged(String address, long sentBeforeMicros) {
     Peer peer = peers.get(address);
     if (peer == null) {
       return;
     }
-    if (peer.wholeSentMicros < sentBeforeMicros) {
-      peer.wholeSentMicros = CONFIRMED;
+    if (peer.fullTableSentMicros < sentBeforeMicros) {
+      peer.fullTableSentMicros = ACKNOWLEDGED;
     }
-    Iterator<Long> oldestFirst = peer.unconfirmed.values().iterator();
+    Iterator<Long> oldestFirst = peer.unacknowledged.values().iterator();
     while (oldestFirst.hasNext() && oldestFirst.next() < sentBeforeMicros) {
       oldestFirst.remove();
     }
   }
 
   /** The peer exists no more. */
-  public void forget(String address) {
+  public void remove(String address) {
     peers.remove(address);
   }
 
@@ -108,76 +108,76 @@
    * @param number to be told back by each peer that gets it; 0 if nobody waits
    */
   public List<OutboundMessage> changed(long nowMicros, long number, List<String> ids) {
-    ids.forEach(renewed::remove);
+    ids.forEach(renewedIds::remove);
     ControlPeerMessage message = changes(nowMicros, number, ids);
-    return toAll(nowMicros, ids, message);
+    return sendToAllPeers(nowMicros, ids, message);
   }
 
   /** A session was renewed here; it goes out with the next batch. */
-  public void renewed(String id) {
-    renewed.add(id);
+  public void renewedIds(String id) {
+    renewedIds.add(id);
   }
 
   /** The batch of renewals since the last one. */
   public List<OutboundMessage> flushRenewals(long nowMicros) {
-    if (renewed.isEmpty()) {
+    if (renewedIds.isEmpty()) {
       return List.of();
     }
     List<SessionRenewal> renewals = new ArrayList<>();
-    for (String id : renewed) {
+    for (String id : renewedIds) {
       table
           .entry(nowMicros, id)
           .ifPresent(entry -> renewals.add(new SessionRenewal(id, entry.heardAgeMillis())));
     }
-    List<String> ids = List.copyOf(renewed);
-    renewed.clear();
-    return toAll(nowMicros, ids, new ControlPeerMessage.SessionRenewals(renewals));
+    List<String> ids = List.copyOf(renewedIds);
+    renewedIds.clear();
+    return sendToAllPeers(nowMicros, ids, new ControlPeerMessage.SessionRenewals(renewals));
   }
 
-  private List<OutboundMessage> toAll(
+  private List<OutboundMessage> sendToAllPeers(
       long nowMicros, List<String> ids, ControlPeerMessage message) {
-    List<OutboundMessage> sends = new ArrayList<>();
+    List<OutboundMessage> messages = new ArrayList<>();
     peers.forEach(
         (address, peer) -> {
           if (peer.connected) {
             peer.sent(nowMicros, ids);
-            sends.add(new OutboundMessage(address, message));
+            messages.add(new OutboundMessage(address, message));
           } else {
-            ids.forEach(peer.missed::hint);
+            ids.forEach(peer.hints::hint);
           }
         });
-    return sends;
+    return messages;
   }
 
-  private ControlPeerMessage wholeTable(long nowMicros) {
+  private ControlPeerMessage fullTable(long nowMicros) {
     return new ControlPeerMessage.SessionChanges(
-        0, true, table.entries(nowMicros), table.departed());
+        0, true, table.entries(nowMicros), table.deregisteredIds());
   }
 
   private ControlPeerMessage changes(long nowMicros, long number, List<String> ids) {
     List<SessionEntry> entries = new ArrayList<>();
-    List<String> departed = new ArrayList<>();
+    List<String> deregistered = new ArrayList<>();
     for (String id : ids) {
-      table.entry(nowMicros, id).ifPresentOrElse(entries::add, () -> departed.add(id));
+      table.entry(nowMicros, id).ifPresentOrElse(entries::add, () -> deregistered.add(id));
     }
-    departed.removeIf(id -> !table.isDeparted(id));
-    return new ControlPeerMessage.SessionChanges(number, false, entries, departed);
+    deregistered.removeIf(id -> !table.isDeregistered(id));
+    return new ControlPeerMessage.SessionChanges(number, false, entries, deregistered);
   }
 
   private static final class Peer {
-    private final HintedHandoff missed = new HintedHandoff();
+    private final HintedHandoff hints = new HintedHandoff();
 
     /** When each id was sent last, oldest first, until the peer is known to have it. */
-    private final Map<String, Long> unconfirmed = new LinkedHashMap<>();
+    private final Map<String, Long> unacknowledged = new LinkedHashMap<>();
 
-    private long wholeSentMicros = CONFIRMED;
+    private long fullTableSentMicros = ACKNOWLEDGED;
     private long incarnation;
     private boolean connected;
 
     private void sent(long nowMicros, List<String> ids) {
       for (String id : ids) {
-        unconfirmed.remove(id);
-        unconfirmed.put(id, nowMicros);
+        unacknowledged.remove(id);
+        unacknowledged.put(id, nowMicros);
       }
     }
   }
--- a/src/main/java/slateslip/distribution/sessions/SessionTable.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTable.java
@@ -24,18 +24,18 @@
 public final class SessionTable {
   private static final long MICROS_PER_MILLI = 1_000;
 
-  private static final String SELF = "";
+  private static final String LOCAL = "";
 
   private final long expiryMicros;
 
   /** A live backend is heard more often than this: expiry takes three heartbeats. */
-  private final long silenceMicros;
+  private final long livenessTimeoutMicros;
 
-  private final Map<String, TrackedSession> held = new HashMap<>();
+  private final Map<String, TrackedSession> tracked = new HashMap<>();
   private final Map<String, String> idByAddress = new HashMap<>();
-  private final SessionTombstones ended = new SessionTombstones();
-  private final SessionChangeLog log = new SessionChangeLog();
-  private long noExpiryBeforeMicros;
+  private final SessionTombstones tombstones = new SessionTombstones();
+  private final SessionChangeLog changeLog = new SessionChangeLog();
+  private long expirySuspendedUntilMicros;
   private boolean complete;
 
   /**
@@ -45,86 +45,94 @@
    */
   public SessionTable(long expiryMicros) {
     this.expiryMicros = expiryMicros;
-    silenceMicros = expiryMicros / 2;
+    livenessTimeoutMicros = expiryMicros / 2;
   }
 
   /** A call of a backend. */
   public HeartbeatResult heartbeat(long nowMicros, BackendSession session) {
-    if (ended.isDeparted(session.id())) {
+    if (tombstones.isDeregistered(session.id())) {
       return HeartbeatResult.STALE;
     }
-    TrackedSession known = held.get(session.id());
-    if (known == null) {
-      return isNews(session) && add(session, registeredAt(session, nowMicros), nowMicros, SELF)
+    TrackedSession trackedSession = tracked.get(session.id());
+    if (trackedSession == null) {
+      return isNewer(session)
+              && add(session, registeredAtMicros(session, nowMicros), nowMicros, LOCAL)
           ? HeartbeatResult.CHANGED
           : HeartbeatResult.STALE;
     }
-    if (session.sequence() <= known.session.sequence()) {
+    if (session.sequence() <= trackedSession.session.sequence()) {
       return HeartbeatResult.STALE;
     }
-    boolean adopted = !known.heardFrom.equals(SELF);
-    known.heardFrom = SELF;
-    if (renew(known, session, nowMicros)) {
+    boolean adopted = !trackedSession.heardFrom.equals(LOCAL);
+    trackedSession.heardFrom = LOCAL;
+    if (renew(trackedSession, session, nowMicros)) {
       return HeartbeatResult.CHANGED;
     }
     return adopted ? HeartbeatResult.ADOPTED : HeartbeatResult.RENEWED;
   }
 
-  private boolean isNews(BackendSession session) {
-    return ended
-        .former(session.id())
-        .map(former -> session.sequence() > former.session().sequence())
+  private boolean isNewer(BackendSession session) {
+    return tombstones
+        .evicted(session.id())
+        .map(evicted -> session.sequence() > evicted.session().sequence())
         .orElse(true);
   }
 
-  private long registeredAt(BackendSession session, long firstHeardMicros) {
-    return ended
-        .former(session.id())
-        .map(former -> Math.min(former.registeredAtMicros(), firstHeardMicros))
+  private long registeredAtMicros(BackendSession session, long firstHeardMicros) {
+    return tombstones
+        .evicted(session.id())
+        .map(evicted -> Math.min(evicted.registeredAtMicros(), firstHeardMicros))
         .orElse(firstHeardMicros);
   }
 
   /** A backend has said that it is gone; whether that was new. */
-  public boolean depart(long nowMicros, String id) {
-    boolean news = !ended.isDeparted(id);
-    ended.addDeparted(id, nowMicros);
-    if (held.containsKey(id)) {
-      drop(id);
-    } else if (news) {
-      log.gone(id); // data planes may know it from an agent that has lost its table since
+  public boolean deregister(long nowMicros, String id) {
+    boolean isNew = !tombstones.isDeregistered(id);
+    tombstones.addDeregistered(id, nowMicros);
+    if (tracked.containsKey(id)) {
+      remove(id);
+    } else if (isNew) {
+      changeLog.removed(id); // data planes may know it from an agent that has lost its table since
     }
-    return news;
+    return isNew;
   }
 
   /** Takes over what a peer holds. */
   public void merge(long nowMicros, String peer, SessionEntry entry) {
     BackendSession session = entry.session();
-    long heardAt = nowMicros - entry.heardAgeMillis() * MICROS_PER_MILLI;
-    long registeredAt = nowMicros - entry.registeredAgeMillis() * MICROS_PER_MILLI;
-    if (ended.isDeparted(session.id())) {
+    long heardAtMicros = nowMicros - entry.heardAgeMillis() * MICROS_PER_MILLI;
+    long registeredAtMicros = nowMicros - entry.registeredAgeMillis() * MICROS_PER_MILLI;
+    if (tombstones.isDeregistered(session.id())) {
       return;
     }
-    TrackedSession known = held.get(session.id());
-    if (known == null) {
-      mergeUnknown(nowMicros, peer, session, registeredAt(session, registeredAt), heardAt);
+    TrackedSession trackedSession = tracked.get(session.id());
+    if (trackedSession == null) {
+      mergeUnknown(
+          nowMicros, peer, session, registeredAtMicros(session, registeredAtMicros), heardAtMicros);
       return;
     }
-    if (nowMicros - heardAt < expiryMicros) {
-      known.heard(heardAt, peer);
+    if (nowMicros - heardAtMicros < expiryMicros) {
+      trackedSession.recordHeard(heardAtMicros, peer);
     }
-    known.registeredAtMicros = Math.min(known.registeredAtMicros, registeredAt);
-    if (session.sequence() > known.session.sequence()) {
-      renew(known, session, known.heardAtMicros);
+    trackedSession.registeredAtMicros =
+        Math.min(trackedSession.registeredAtMicros, registeredAtMicros);
+    if (session.sequence() > trackedSession.session.sequence()) {
+      renew(trackedSession, session, trackedSession.heardAtMicros);
     }
   }
 
   /** One that was not heard for long is only remembered: renewals of it may follow. */
   private void mergeUnknown(
-      long nowMicros, String peer, BackendSession session, long registeredAt, long heardAt) {
-    if (nowMicros - heardAt < expiryMicros) {
-      add(session, registeredAt, heardAt, peer);
-    } else if (isNews(session)) {
-      ended.addFormer(new SessionTombstones.EvictedSession(session, registeredAt), nowMicros);
+      long nowMicros,
+      String peer,
+      BackendSession session,
+      long registeredAtMicros,
+      long heardAtMicros) {
+    if (nowMicros - heardAtMicros < expiryMicros) {
+      add(session, registeredAtMicros, heardAtMicros, peer);
+    } else if (isNewer(session)) {
+      tombstones.addEvicted(
+          new SessionTombstones.EvictedSession(session, registeredAtMicros), nowMicros);
     }
   }
 
@@ -133,59 +141,60 @@
    * departed.
    */
   public boolean merge(long nowMicros, String peer, SessionRenewal renewal) {
-    long heardAt = nowMicros - renewal.heardAgeMillis() * MICROS_PER_MILLI;
-    TrackedSession known = held.get(renewal.id());
-    if (known != null) {
-      known.heard(heardAt, peer);
+    long heardAtMicros = nowMicros - renewal.heardAgeMillis() * MICROS_PER_MILLI;
+    TrackedSession trackedSession = tracked.get(renewal.id());
+    if (trackedSession != null) {
+      trackedSession.recordHeard(heardAtMicros, peer);
       return true;
     }
-    Optional<SessionTombstones.EvictedSession> former = ended.former(renewal.id());
-    if (former.isPresent() && nowMicros - heardAt < expiryMicros) {
-      SessionTombstones.EvictedSession back = former.get();
-      if (add(back.session(), back.registeredAtMicros(), heardAt, peer)) {
-        held.get(renewal.id()).revived = true;
+    Optional<SessionTombstones.EvictedSession> evicted = tombstones.evicted(renewal.id());
+    if (evicted.isPresent() && nowMicros - heardAtMicros < expiryMicros) {
+      SessionTombstones.EvictedSession revivedSession = evicted.get();
+      if (add(revivedSession.session(), revivedSession.registeredAtMicros(), heardAtMicros, peer)) {
+        tracked.get(renewal.id()).revived = true;
       }
     }
-    return former.isPresent();
+    return evicted.isPresent();
   }
 
   /** Drops what has not been renewed; nothing while that would be for want of hearing. */
   public void expire(long nowMicros) {
-    ended.forgetBefore(nowMicros);
-    if (nowMicros < noExpiryBeforeMicros) {
+    tombstones.removeExpired(nowMicros);
+    if (nowMicros < expirySuspendedUntilMicros) {
       return;
     }
     List<String> expired = new ArrayList<>();
-    for (TrackedSession each : held.values()) {
-      if (nowMicros - each.heardAtMicros >= expiryMicros
-          && nowMicros >= each.noExpiryBeforeMicros) {
-        expired.add(each.session.id());
+    for (TrackedSession trackedSession : tracked.values()) {
+      if (nowMicros - trackedSession.heardAtMicros >= expiryMicros
+          && nowMicros >= trackedSession.expirySuspendedUntilMicros) {
+        expired.add(trackedSession.session.id());
       }
     }
     for (String id : expired) {
-      end(held.get(id), nowMicros);
+      evict(tracked.get(id), nowMicros);
     }
   }
 
-  private void end(TrackedSession former, long nowMicros) {
-    ended.addFormer(
-        new SessionTombstones.EvictedSession(former.session, former.registeredAtMicros), nowMicros);
-    drop(former.session.id());
+  private void evict(TrackedSession evicted, long nowMicros) {
+    tombstones.addEvicted(
+        new SessionTombstones.EvictedSession(evicted.session, evicted.registeredAtMicros),
+        nowMicros);
+    remove(evicted.session.id());
   }
 
   /** Nothing expires for one expiry time from now: calls may have gone unheard. */
-  public void holdExpiry(long nowMicros) {
-    noExpiryBeforeMicros = Math.max(noExpiryBeforeMicros, nowMicros + expiryMicros);
+  public void suspendExpiry(long nowMicros) {
+    expirySuspendedUntilMicros = Math.max(expirySuspendedUntilMicros, nowMicros + expiryMicros);
   }
 
   /**
    * What a peer was the last to tell of does not expire for one expiry time from now: its backends
    * may call the peer, whose news do not come, until they call another agent.
    */
-  public void holdExpiry(long nowMicros, String peer) {
-    for (TrackedSession each : held.values()) {
-      if (each.heardFrom.equals(peer)) {
-        each.noExpiryBeforeMicros = nowMicros + expiryMicros;
+  public void suspendExpiry(long nowMicros, String peer) {
+    for (TrackedSession trackedSession : tracked.values()) {
+      if (trackedSession.heardFrom.equals(peer)) {
+        trackedSession.expirySuspendedUntilMicros = nowMicros + expiryMicros;
       }
     }
   }
@@ -194,7 +203,7 @@
   public void markComplete() {
     if (!complete) {
       complete = true;
-      log.restart();
+      changeLog.restart();
     }
   }
 
@@ -205,80 +214,87 @@
 
   /** Rises with each change that data planes see. */
   public long revision() {
-    return log.revision();
+    return changeLog.revision();
   }
 
   /** What changed after a revision; empty if that is not known any more. */
   public Optional<SessionChangeSet> changesAfter(long revision) {
-    return log.changesAfter(revision);
+    return changeLog.changesAfter(revision);
   }
 
   /** A session as data planes are told of it, if it is there. */
   public Optional<BackendSession> session(String id) {
-    return Optional.ofNullable(held.get(id)).map(TrackedSession::toldSession);
+    return Optional.ofNullable(tracked.get(id)).map(TrackedSession::publishedSession);
   }
 
   /** All sessions as data planes are told of them. */
   public List<BackendSession> sessions() {
-    return held.values().stream().map(TrackedSession::toldSession).toList();
+    return tracked.values().stream().map(TrackedSession::publishedSession).toList();
   }
 
   /** A session as another agent takes it, if it is there. */
   public Optional<SessionEntry> entry(long nowMicros, String id) {
-    return Optional.ofNullable(held.get(id)).map(known -> known.toEntry(nowMicros));
+    return Optional.ofNullable(tracked.get(id))
+        .map(trackedSession -> trackedSession.toEntry(nowMicros));
   }
 
   /** All sessions as another agent takes them. */
   public List<SessionEntry> entries(long nowMicros) {
-    return held.values().stream().map(known -> known.toEntry(nowMicros)).toList();
+    return tracked.values().stream()
+        .map(trackedSession -> trackedSession.toEntry(nowMicros))
+        .toList();
   }
 
   /** Ids of backends that have said that they are gone. */
-  public List<String> departed() {
-    return ended.departedIds();
+  public List<String> deregisteredIds() {
+    return tombstones.deregisteredIds();
   }
 
   /** Whether a backend has said that it is gone. */
-  public boolean isDeparted(String id) {
-    return ended.isDeparted(id);
+  public boolean isDeregistered(String id) {
+    return tombstones.isDeregistered(id);
   }
 
-  private boolean add(BackendSession session, long registeredAt, long heardAt, String heardFrom) {
-    TrackedSession rival = held.get(idByAddress.getOrDefault(session.address(), ""));
-    if (rival != null) {
-      boolean rivalIsNewer = rival.registeredAtMicros > registeredAt;
-      boolean rivalIsHeard = heardAt - rival.heardAtMicros < silenceMicros;
-      if (rivalIsNewer && rivalIsHeard) {
-        ended.addFormer(new SessionTombstones.EvictedSession(session, registeredAt), heardAt);
+  private boolean add(
+      BackendSession session, long registeredAtMicros, long heardAtMicros, String heardFrom) {
+    TrackedSession incumbent = tracked.get(idByAddress.getOrDefault(session.address(), ""));
+    if (incumbent != null) {
+      boolean incumbentIsNewer = incumbent.registeredAtMicros > registeredAtMicros;
+      boolean incumbentIsAlive = heardAtMicros - incumbent.heardAtMicros < livenessTimeoutMicros;
+      if (incumbentIsNewer && incumbentIsAlive) {
+        tombstones.addEvicted(
+            new SessionTombstones.EvictedSession(session, registeredAtMicros), heardAtMicros);
         return false;
       }
-      end(rival, heardAt);
+      evict(incumbent, heardAtMicros);
     }
-    ended.remove(session.id());
-    held.put(session.id(), new TrackedSession(session, registeredAt, heardAt, heardFrom));
+    tombstones.remove(session.id());
+    tracked.put(
+        session.id(), new TrackedSession(session, registeredAtMicros, heardAtMicros, heardFrom));
     idByAddress.put(session.address(), session.id());
-    log.changed(session.id());
+    changeLog.changed(session.id());
     return true;
   }
 
   /** Puts a newer call in place; whether data planes see a difference. */
-  private boolean renew(TrackedSession known, BackendSession session, long heardAt) {
-    BackendSession before = known.session;
+  private boolean renew(TrackedSession trackedSession, BackendSession session, long heardAtMicros) {
+    BackendSession before = trackedSession.session;
     if (!before.address().equals(session.address())) {
-      drop(before.id());
-      return add(session, known.registeredAtMicros, heardAt, known.heardFrom);
+      remove(before.id());
+      return add(
+          session, trackedSession.registeredAtMicros, heardAtMicros, trackedSession.heardFrom);
     }
-    known.session = session;
-    known.revived = false;
-    known.heardAtMicros = heardAt;
-    if (sameToDataPlanes(before, session)) {
+    trackedSession.session = session;
+    trackedSession.revived = false;
+    trackedSession.heardAtMicros = heardAtMicros;
+    if (isEquivalentForDataPlanes(before, session)) {
       return false;
     }
-    log.changed(session.id());
+    changeLog.changed(session.id());
     return true;
   }
 
-  private static boolean sameToDataPlanes(BackendSession first, BackendSession second) {
+  private static boolean isEquivalentForDataPlanes(BackendSession first, BackendSession second) {
     return first.draining() == second.draining()
         && first.slots() == second.slots()
         && first.service().equals(second.service())
@@ -286,10 +302,10 @@
         && first.version().equals(second.version());
   }
 
-  private void drop(String id) {
-    TrackedSession dropped = held.remove(id);
-    idByAddress.remove(dropped.session.address(), id);
-    log.gone(id);
+  private void remove(String id) {
+    TrackedSession removed = tracked.remove(id);
+    idByAddress.remove(removed.session.address(), id);
+    changeLog.removed(id);
   }
 
   /** A session and when it was heard. */
@@ -297,12 +313,12 @@
     private BackendSession session;
     private long registeredAtMicros;
     private long heardAtMicros;
-    private long noExpiryBeforeMicros;
+    private long expirySuspendedUntilMicros;
 
     /** Whether it has come back by a renewal, which does not tell its newest call. */
     private boolean revived;
 
-    /** Address of the peer that told of its newest call; {@link #SELF} if the call came here. */
+    /** Address of the peer that told of its newest call; {@link #LOCAL} if the call came here. */
     private String heardFrom;
 
     private TrackedSession(
@@ -313,7 +329,7 @@
       this.heardFrom = heardFrom;
     }
 
-    private void heard(long atMicros, String peer) {
+    private void recordHeard(long atMicros, String peer) {
       if (atMicros > heardAtMicros) {
         heardAtMicros = atMicros;
         heardFrom = peer;
@@ -324,7 +340,7 @@
      * As data planes are told of it. They were told that one that has come back was gone, so they
      * take it only with a higher number; its backend has called again since, so that is true.
      */
-    private BackendSession toldSession() {
+    private BackendSession publishedSession() {
       return revived ? session.withSequence(session.sequence() + 1) : session;
     }
 
--- a/src/main/java/slateslip/distribution/sessions/SessionTombstones.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTombstones.java
@@ -14,9 +14,9 @@
  */
 final class SessionTombstones {
   /** Longer than any call, or copy of another agent's table, can be under way. */
-  private static final long KEPT_MICROS = 120_000_000;
+  private static final long RETENTION_MICROS = 120_000_000;
 
-  private final Map<String, Tombstone> ended = new LinkedHashMap<>();
+  private final Map<String, Tombstone> tombstones = new LinkedHashMap<>();
 
   /**
    * A session that was in the table.
@@ -27,49 +27,50 @@
   record EvictedSession(BackendSession session, long registeredAtMicros) {}
 
   /** The backend has said that it is gone: the incarnation never comes back. */
-  void addDeparted(String id, long nowMicros) {
-    ended.remove(id);
-    ended.put(id, new Tombstone(Optional.empty(), nowMicros));
+  void addDeregistered(String id, long nowMicros) {
+    tombstones.remove(id);
+    tombstones.put(id, new Tombstone(Optional.empty(), nowMicros));
   }
 
   /** The incarnation was not heard, or another one has its address; it may come back. */
-  void addFormer(EvictedSession former, long nowMicros) {
-    String id = former.session().id();
-    ended.remove(id);
-    ended.put(id, new Tombstone(Optional.of(former), nowMicros));
+  void addEvicted(EvictedSession evicted, long nowMicros) {
+    String id = evicted.session().id();
+    tombstones.remove(id);
+    tombstones.put(id, new Tombstone(Optional.of(evicted), nowMicros));
   }
 
   /** Whether the incarnation never comes back. */
-  boolean isDeparted(String id) {
-    Tombstone entry = ended.get(id);
-    return entry != null && entry.former.isEmpty();
+  boolean isDeregistered(String id) {
+    Tombstone tombstone = tombstones.get(id);
+    return tombstone != null && tombstone.evicted.isEmpty();
   }
 
   /** An incarnation that may come back, if it was in the table. */
-  Optional<EvictedSession> former(String id) {
-    return Optional.ofNullable(ended.get(id)).flatMap(Tombstone::former);
+  Optional<EvictedSession> evicted(String id) {
+    return Optional.ofNullable(tombstones.get(id)).flatMap(Tombstone::evicted);
   }
 
   /** The incarnation is in the table again. */
   void remove(String id) {
-    ended.remove(id);
+    tombstones.remove(id);
   }
 
   /** Ids of those that never come back. */
-  List<String> departedIds() {
-    return ended.entrySet().stream()
-        .filter(entry -> entry.getValue().former.isEmpty())
+  List<String> deregisteredIds() {
+    return tombstones.entrySet().stream()
+        .filter(tombstone -> tombstone.getValue().evicted.isEmpty())
         .map(Map.Entry::getKey)
         .toList();
   }
 
   /** Forgets what ended too long ago to matter. */
-  void forgetBefore(long nowMicros) {
-    Iterator<Tombstone> oldestFirst = ended.values().iterator();
-    while (oldestFirst.hasNext() && nowMicros - oldestFirst.next().endedAtMicros > KEPT_MICROS) {
+  void removeExpired(long nowMicros) {
+    Iterator<Tombstone> oldestFirst = tombstones.values().iterator();
+    while (oldestFirst.hasNext()
+        && nowMicros - oldestFirst.next().createdAtMicros > RETENTION_MICROS) {
       oldestFirst.remove();
     }
   }
 
-  private record Tombstone(Optional<EvictedSession> former, long endedAtMicros) {}
+  private record Tombstone(Optional<EvictedSession> evicted, long createdAtMicros) {}
 }
--- a/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
@@ -62,7 +62,7 @@
           snapshot.revision(), true, snapshot.complete(), snapshot.sessions(), List.of());
     }
     if (message instanceof ControlPlaneMessage.SessionDelta delta) {
-      return writeSessions(delta.revision(), false, false, delta.changed(), delta.gone());
+      return writeSessions(delta.revision(), false, false, delta.changed(), delta.removedIds());
     }
     if (message instanceof ControlPlaneMessage.QuotaUpdate shares) {
       return write(shares);
@@ -153,7 +153,7 @@
     encoder
         .slots(session.slots())
         .draining(flag(session.draining()))
-        .coldLeftMillis(session.coldLeftMillis())
+        .coldLeftMillis(session.remainingWarmupMillis())
         .sequence(session.sequence())
         .instance(session.id())
         .service(session.service())
@@ -166,9 +166,10 @@
     SharesEncoder encoder =
         new SharesEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
-            .agents(message.shares().agents());
-    SharesEncoder.TenantsEncoder group = encoder.tenantsCount(message.shares().tenants().size());
-    for (TenantShare share : message.shares().tenants()) {
+            .agents(message.allocation().dataPlanes());
+    SharesEncoder.TenantsEncoder group =
+        encoder.tenantsCount(message.allocation().tenants().size());
+    for (TenantShare share : message.allocation().tenants()) {
       group.next().fraction(share.fraction()).tenant(share.tenant());
     }
     return encoder.encodedLength();
--- a/src/main/java/slateslip/protocol/exchange/ControlPeerEncoder.java
+++ b/src/main/java/slateslip/protocol/exchange/ControlPeerEncoder.java
@@ -88,7 +88,7 @@
         new BeatEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .number(message.number())
-            .echoed(message.echoed())
+            .echoed(message.acknowledgedNumber())
             .complete(flag(message.complete()));
     BeatEncoder.KnownAgentsEncoder group = encoder.knownAgentsCount(message.knownAgents().size());
     for (String address : message.knownAgents()) {
@@ -98,10 +98,10 @@
   }
 
   private int write(ControlPeerMessage.ForwardedRequest message) {
-    OperatorRequest call = message.call();
+    OperatorRequest call = message.request();
     return new ForwardedEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
-        .call(message.id())
+        .call(message.requestId())
         .baseVersion(call.baseVersion())
         .method(OperatorMethods.toWire(call.method()))
         .putContent(call.body(), 0, call.body().length)
@@ -109,12 +109,12 @@
   }
 
   private int write(ControlPeerMessage.ForwardedResponse message) {
-    byte[] body = message.answer().body();
+    byte[] body = message.response().body();
     return new AnsweredEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
-        .call(message.id())
-        .configurationVersion(message.answer().version())
-        .status(message.answer().status())
+        .call(message.requestId())
+        .configurationVersion(message.response().version())
+        .status(message.response().status())
         .putContent(body, 0, body.length)
         .encodedLength();
   }
@@ -124,13 +124,14 @@
         new SessionChangesEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .number(message.number())
-            .whole(flag(message.whole()));
+            .whole(flag(message.fullTable()));
     SessionChangesEncoder.EntriesEncoder entries = encoder.entriesCount(message.entries().size());
     for (SessionEntry entry : message.entries()) {
       write(entry, entries.next());
     }
-    SessionChangesEncoder.DepartedEncoder ids = encoder.departedCount(message.departed().size());
-    for (String id : message.departed()) {
+    SessionChangesEncoder.DepartedEncoder ids =
+        encoder.departedCount(message.deregistered().size());
+    for (String id : message.deregistered()) {
       ids.next().instance(id);
     }
     return encoder.encodedLength();
@@ -143,7 +144,7 @@
         .heardAgeMillis(entry.heardAgeMillis())
         .slots(session.slots())
         .draining(flag(session.draining()))
-        .coldLeftMillis(session.coldLeftMillis())
+        .coldLeftMillis(session.remainingWarmupMillis())
         .sequence(session.sequence())
         .instance(session.id())
         .service(session.service())
@@ -165,8 +166,8 @@
 
   private int write(ControlPeerMessage.DemandReport message) {
     DemandsEncoder encoder = new DemandsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
-    DemandsEncoder.AgentsEncoder agents = encoder.agentsCount(message.agents().size());
-    for (DataPlaneDemand demand : message.agents()) {
+    DemandsEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
+    for (DataPlaneDemand demand : message.dataPlanes()) {
       DemandsEncoder.AgentsEncoder agent = agents.next().incarnation(demand.incarnation());
       DemandsEncoder.AgentsEncoder.TenantsEncoder tenants =
           agent.tenantsCount(demand.tenants().size());
@@ -184,9 +185,9 @@
 
   private int write(ControlPeerMessage.QuotaAllocations message) {
     AllottedEncoder encoder = new AllottedEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
-    AllottedEncoder.AgentsEncoder agents = encoder.agentsCount(message.agents().size());
-    for (DataPlaneQuota allotted : message.agents()) {
-      AllottedEncoder.AgentsEncoder agent = agents.next().agents(allotted.shares().agents());
+    AllottedEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
+    for (DataPlaneQuota allotted : message.dataPlanes()) {
+      AllottedEncoder.AgentsEncoder agent = agents.next().agents(allotted.shares().dataPlanes());
       AllottedEncoder.AgentsEncoder.TenantsEncoder tenants =
           agent.tenantsCount(allotted.shares().tenants().size());
       for (TenantShare share : allotted.shares().tenants()) {
--- a/src/main/java/slateslip/protocol/exchange/OperatorResponseCodec.java
+++ b/src/main/java/slateslip/protocol/exchange/OperatorResponseCodec.java
@@ -19,7 +19,7 @@
   public static OperatorResponse decode(byte[] bytes) {
     if (new ControlPeerCodec().decode(bytes) instanceof Decoded.Message<ControlPeerMessage> message
         && message.value() instanceof ControlPeerMessage.ForwardedResponse answered) {
-      return answered.answer();
+      return answered.response();
     }
     throw new IllegalStateException("not an answer of this process");
   }
--- a/src/main/java/slateslip/routing/quota/TenantQuotas.java
+++ b/src/main/java/slateslip/routing/quota/TenantQuotas.java
@@ -62,7 +62,7 @@
 
   /** Takes this data plane's shares. */
   public void shares(QuotaAllocation shares, long nowMicros) {
-    agents = Math.max(1, shares.agents());
+    agents = Math.max(1, shares.dataPlanes());
     fractions.clear();
     for (TenantShare share : shares.tenants()) {
       fractions.put(share.tenant(), Math.min(1, Math.max(0, share.fraction())));
@@ -117,7 +117,7 @@
   }
 
   private void checkStale(long nowMicros) {
-    if (!stale && nowMicros - sharesMicros > QuotaAllocator.SHARES_STALE_MICROS) {
+    if (!stale && nowMicros - sharesMicros > QuotaAllocator.ALLOCATION_TTL_MICROS) {
       stale = true;
       states.values().forEach(this::apply);
     }
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
@@ -99,7 +99,7 @@
     Map<String, QuotaAllocation> byName = new HashMap<>();
     allocator
         .allocate(loop.nowMicros())
-        .forEach(allocation -> byName.put(allocation.agent(), allocation.shares()));
+        .forEach(allocation -> byName.put(allocation.dataPlane(), allocation.shares()));
     for (DataPlaneHost host : hosts) {
       QuotaAllocation shares = byName.get(name(host));
       if (shares != null) {
--- a/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
@@ -137,7 +137,8 @@
   }
 
   private static boolean isGone(ControlPlaneMessage message, String id) {
-    return message instanceof ControlPlaneMessage.SessionDelta delta && delta.gone().contains(id);
+    return message instanceof ControlPlaneMessage.SessionDelta delta
+        && delta.removedIds().contains(id);
   }
 
   private int config(int agent, String base, String body) throws Exception {
--- a/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
+++ b/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
@@ -17,36 +17,36 @@
   @Test
   void aPeerThatHasSaidNothingIsWaitedFor() {
     assertThat(progress.isDelivered(PEER, EPOCH, 1), is(false));
-    progress.introduced(PEER, 7);
-    progress.reported(PEER, 7, EPOCH, DeliveryProgress.NOBODY);
+    progress.peerStarted(PEER, 7);
+    progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
     assertThat(progress.isDelivered(PEER, EPOCH, 9), is(true));
   }
 
   @Test
   void whatAnEarlierProcessSaidDoesNotCount() {
-    progress.introduced(PEER, 7);
-    progress.reported(PEER, 7, EPOCH, DeliveryProgress.NOBODY);
-    progress.introduced(PEER, 8);
+    progress.peerStarted(PEER, 7);
+    progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
+    progress.peerStarted(PEER, 8);
     assertThat(progress.isDelivered(PEER, EPOCH, 1), is(false));
-    progress.reported(PEER, 7, EPOCH, DeliveryProgress.NOBODY);
+    progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
     assertThat(progress.isDelivered(PEER, EPOCH, 1), is(false));
-    progress.reported(PEER, 8, EPOCH, 3);
+    progress.recordReport(PEER, 8, EPOCH, 3);
     assertThat(progress.isDelivered(PEER, EPOCH, 3), is(true));
     assertThat(progress.isDelivered(PEER, EPOCH, 4), is(false));
   }
 
   @Test
   void whatWasSaidInAnEarlierTenureDoesNotCount() {
-    progress.introduced(PEER, 7);
-    progress.reported(PEER, 7, EPOCH, DeliveryProgress.NOBODY);
+    progress.peerStarted(PEER, 7);
+    progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
     assertThat(progress.isDelivered(PEER, EPOCH + 1, 1), is(false));
   }
 
   @Test
   void anotherConnectionOfTheSameProcessChangesNothing() {
-    progress.introduced(PEER, 7);
-    progress.reported(PEER, 7, EPOCH, 5);
-    progress.introduced(PEER, 7);
+    progress.peerStarted(PEER, 7);
+    progress.recordReport(PEER, 7, EPOCH, 5);
+    progress.peerStarted(PEER, 7);
     assertThat(progress.isDelivered(PEER, EPOCH, 5), is(true));
   }
 }
--- a/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
+++ b/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
@@ -83,11 +83,11 @@
     delivery.pending();
     register("a", 1);
     register("b", 2);
-    sessions.depart(NOW, "a");
+    sessions.deregister(NOW, "a");
     List<ControlPlaneMessage> messages = delivery.pending();
     assertThat(messages, hasSize(1));
     ControlPlaneMessage.SessionDelta delta = (ControlPlaneMessage.SessionDelta) messages.get(0);
-    assertThat(delta.gone(), is(List.of("a")));
+    assertThat(delta.removedIds(), is(List.of("a")));
     assertThat(delta.changed(), hasSize(1));
     assertThat(delta.revision(), is(sessions.revision()));
   }
@@ -115,7 +115,7 @@
     assertThat(progress, is(new DeliveryProgress(4, 1)));
     assertThat(
         DeliveryProgress.of(List.of(standby)),
-        is(new DeliveryProgress(DeliveryProgress.NOBODY, DeliveryProgress.NOBODY)));
+        is(new DeliveryProgress(DeliveryProgress.NO_SUBSCRIBERS, DeliveryProgress.NO_SUBSCRIBERS)));
   }
 
   @Test
--- a/src/test/java/slateslip/distribution/exchange/ReachabilityTest.java
+++ b/src/test/java/slateslip/distribution/exchange/ReachabilityTest.java
@@ -27,39 +27,40 @@
 
   @Test
   void aPeerThatIsHeardButDoesNotHearIsNotInReach() {
-    heard(START, PEER, 1, 0);
+    heartbeatReceived(START, PEER, 1, 0);
     assertThat(reachability.isHeard(START, PEER), is(true));
-    assertThat(reachability.isReached(START, PEER), is(false));
-    heard(START, PEER, 2, START - Reachability.SILENCE_MICROS);
-    assertThat(reachability.isReached(START, PEER), is(false));
-    heard(START, PEER, 3, START - 1);
-    assertThat(reachability.isReached(START, PEER), is(true));
+    assertThat(reachability.isReachable(START, PEER), is(false));
+    heartbeatReceived(START, PEER, 2, START - Reachability.PEER_TIMEOUT_MICROS);
+    assertThat(reachability.isReachable(START, PEER), is(false));
+    heartbeatReceived(START, PEER, 3, START - 1);
+    assertThat(reachability.isReachable(START, PEER), is(true));
   }
 
   @Test
   void theEchoOfAnEarlierLifesBeatShowsNothing() {
     Reachability former = new Reachability(SELF, FORMER_INCARNATION);
-    long formerBeat = former.numberOf(START + 900_000_000);
-    reachability.heard(
+    long formerBeat = former.heartbeatNumber(START + 900_000_000);
+    reachability.heartbeatReceived(
         START, PEER, new ControlPeerMessage.Heartbeat(1, formerBeat, true, List.of()));
-    assertThat(reachability.isReached(START, PEER), is(false));
-    assertThat(reachability.echoedMicros(PEER), is(0L));
-    long laterBeat = new Reachability(SELF, -FORMER_INCARNATION).numberOf(START);
-    reachability.heard(
+    assertThat(reachability.isReachable(START, PEER), is(false));
+    assertThat(reachability.acknowledgedMicros(PEER), is(0L));
+    long laterBeat = new Reachability(SELF, -FORMER_INCARNATION).heartbeatNumber(START);
+    reachability.heartbeatReceived(
         START, PEER, new ControlPeerMessage.Heartbeat(2, laterBeat, true, List.of()));
-    assertThat(reachability.isReached(START, PEER), is(false));
+    assertThat(reachability.isReachable(START, PEER), is(false));
   }
 
   @Test
   void silenceEndsReach() {
-    heard(START, PEER, 1, START);
-    assertThat(reachability.reached(START + Reachability.SILENCE_MICROS - 1), contains(PEER));
-    assertThat(reachability.reached(START + Reachability.SILENCE_MICROS), is(empty()));
+    heartbeatReceived(START, PEER, 1, START);
+    assertThat(
+        reachability.reachablePeers(START + Reachability.PEER_TIMEOUT_MICROS - 1), contains(PEER));
+    assertThat(reachability.reachablePeers(START + Reachability.PEER_TIMEOUT_MICROS), is(empty()));
   }
 
   @Test
   void aMajorityCountsThisAgentOnlyIfItIsOfTheElectorate() {
-    heard(START, PEER, 1, START);
+    heartbeatReceived(START, PEER, 1, START);
     assertThat(reachability.reachesMajority(START, List.of(SELF, PEER, OTHER)), is(true));
     assertThat(reachability.reachesMajority(START, List.of(PEER, OTHER, "10.4.0.1")), is(false));
     assertThat(reachability.reachesMajority(START, List.of(SELF, PEER, OTHER, "x")), is(false));
@@ -67,22 +68,23 @@
 
   @Test
   void echoesTheNewestBeatAndForgetsItWhenThePeerStartsAnew() {
-    heard(START, PEER, 41, START);
-    assertThat(reachability.newestBeat(PEER), is(41L));
-    reachability.restarted(PEER);
-    assertThat(reachability.newestBeat(PEER), is(0L));
+    heartbeatReceived(START, PEER, 41, START);
+    assertThat(reachability.lastHeartbeatNumber(PEER), is(41L));
+    reachability.peerRestarted(PEER);
+    assertThat(reachability.lastHeartbeatNumber(PEER), is(0L));
   }
 
   @Test
   void agentsLongUnheardAreForgottenUnlessNamed() {
     reachability.learn(START, List.of(PEER, OTHER));
     long later = START + 60_000_000;
-    assertThat(reachability.forget(later, List.of(OTHER)), contains(PEER));
-    assertThat(reachability.known(), contains(OTHER));
+    assertThat(reachability.removeExpired(later, List.of(OTHER)), contains(PEER));
+    assertThat(reachability.knownPeers(), contains(OTHER));
   }
 
-  private void heard(long now, String peer, long number, long echoed) {
-    long echo = echoed == 0 ? 0 : reachability.numberOf(echoed);
-    reachability.heard(now, peer, new ControlPeerMessage.Heartbeat(number, echo, true, List.of()));
+  private void heartbeatReceived(long now, String peer, long number, long echoed) {
+    long echo = echoed == 0 ? 0 : reachability.heartbeatNumber(echoed);
+    reachability.heartbeatReceived(
+        now, peer, new ControlPeerMessage.Heartbeat(number, echo, true, List.of()));
   }
 }
--- a/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
+++ b/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
@@ -24,11 +24,11 @@
   private static final long SECOND = 1_000_000;
   private static final double ROUNDING = 1e-9;
 
-  private record Message(long dueMicros, int agent, double fraction) {}
+  private record Message(long dueMicros, int dataPlane, double fraction) {}
 
   private final QuotaAllocator allocator = new QuotaAllocator();
-  private final long[] wanted = new long[AGENTS];
-  private final double[] inForce = new double[AGENTS];
+  private final long[] target = new long[AGENTS];
+  private final double[] effectiveFraction = new double[AGENTS];
   private final long[] toldMicros = new long[AGENTS];
   private final boolean[] cut = new boolean[AGENTS];
   private final Deque<Message> onTheWay = new ArrayDeque<>();
@@ -39,33 +39,34 @@
    */
   private void round(long delayMicros, double... demand) {
     now += TICK;
-    for (int agent = 0; agent < AGENTS; agent++) {
-      wanted[agent] += (long) demand[agent];
-      if (!cut[agent]) {
-        allocator.report(now, "a" + agent, 1, List.of(new TenantDemand("t", wanted[agent], 0)));
+    for (int dataPlane = 0; dataPlane < AGENTS; dataPlane++) {
+      target[dataPlane] += (long) demand[dataPlane];
+      if (!cut[dataPlane]) {
+        allocator.report(
+            now, "a" + dataPlane, 1, List.of(new TenantDemand("t", target[dataPlane], 0)));
       }
     }
-    for (DataPlaneAllocation each : allocator.allocate(now)) {
-      int agent = Integer.parseInt(each.agent().substring(1));
-      if (!cut[agent]) {
-        TenantShare share = each.shares().tenants().get(0);
-        onTheWay.add(new Message(now + delayMicros, agent, share.fraction()));
+    for (DataPlaneAllocation tenantDemand : allocator.allocate(now)) {
+      int dataPlane = Integer.parseInt(tenantDemand.dataPlane().substring(1));
+      if (!cut[dataPlane]) {
+        TenantShare share = tenantDemand.shares().tenants().get(0);
+        onTheWay.add(new Message(now + delayMicros, dataPlane, share.fraction()));
       }
     }
     while (!onTheWay.isEmpty() && onTheWay.peek().dueMicros() <= now + TICK) {
       Message message = onTheWay.poll();
       lowerStale(message.dueMicros());
-      inForce[message.agent()] = message.fraction();
-      toldMicros[message.agent()] = message.dueMicros();
+      effectiveFraction[message.dataPlane()] = message.fraction();
+      toldMicros[message.dataPlane()] = message.dueMicros();
       checkSum();
     }
   }
 
   /** Data planes without news fall back to the equal share by themselves. */
   private void lowerStale(long atMicros) {
-    for (int agent = 0; agent < AGENTS; agent++) {
-      if (atMicros - toldMicros[agent] > QuotaAllocator.SHARES_STALE_MICROS) {
-        inForce[agent] = Math.min(inForce[agent], 1.0 / AGENTS);
+    for (int dataPlane = 0; dataPlane < AGENTS; dataPlane++) {
+      if (atMicros - toldMicros[dataPlane] > QuotaAllocator.ALLOCATION_TTL_MICROS) {
+        effectiveFraction[dataPlane] = Math.min(effectiveFraction[dataPlane], 1.0 / AGENTS);
       }
     }
   }
@@ -76,8 +77,8 @@
 
   private double sum() {
     double sum = 0;
-    for (double each : inForce) {
-      sum += each;
+    for (double tenantDemand : effectiveFraction) {
+      sum += tenantDemand;
     }
     return sum;
   }
@@ -88,14 +89,14 @@
       round(10_000, 9_000, 1_000, 0, 0);
     }
     assertThat(sum(), closeTo(1, 0.01));
-    assertThat(inForce[0], greaterThan(0.45));
-    assertThat("one without demand can begin", inForce[3], greaterThan(0.1));
+    assertThat(effectiveFraction[0], greaterThan(0.45));
+    assertThat("one without demand can begin", effectiveFraction[3], greaterThan(0.1));
     for (int i = 0; i < 100; i++) {
       round(10_000, 0, 1_000, 0, 9_000);
     }
     assertThat(sum(), closeTo(1, 0.01));
-    assertThat(inForce[3], greaterThan(0.45));
-    assertThat(inForce[0], lessThan(0.2));
+    assertThat(effectiveFraction[3], greaterThan(0.45));
+    assertThat(effectiveFraction[0], lessThan(0.2));
   }
 
   @ParameterizedTest
@@ -119,12 +120,12 @@
     for (int i = 0; i < 50; i++) {
       round(10_000, 5_000, 5_000, 5_000, 5_000);
     }
-    double kept = inForce[0];
+    double kept = effectiveFraction[0];
     cut[0] = true;
     for (int i = 0; i < 25; i++) {
       round(10_000, 5_000, 50_000, 5_000, 5_000);
     }
-    assertThat(inForce[0], is(kept));
+    assertThat(effectiveFraction[0], is(kept));
     assertThat(sum(), closeTo(1, 0.01));
   }
 
@@ -135,7 +136,7 @@
     }
     cut[0] = true;
     allocator.removed(now, "a0");
-    inForce[0] = 0;
+    effectiveFraction[0] = 0;
     for (int i = 0; i < 10 * SECOND / TICK; i++) {
       round(10_000, 0, 5_000, 5_000, 5_000);
     }
--- a/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
@@ -27,21 +27,21 @@
   @Test
   void aPeerThatConnectsFirstGetsTheWholeTable() {
     register("a", 1);
-    table.depart(now, "gone");
-    List<OutboundMessage> sends = replication.connected(now, PEER, 7);
-    SessionChanges whole = (SessionChanges) sends.get(0).message();
-    assertThat(whole.whole(), is(true));
-    assertThat(ids(whole), contains("a"));
-    assertThat(whole.departed(), contains("gone"));
+    table.deregister(now, "gone");
+    List<OutboundMessage> messages = replication.connected(now, PEER, 7);
+    SessionChanges needsFullTable = (SessionChanges) messages.get(0).message();
+    assertThat(needsFullTable.fullTable(), is(true));
+    assertThat(ids(needsFullTable), contains("a"));
+    assertThat(needsFullTable.deregistered(), contains("gone"));
   }
 
   @Test
   void changesGoOutAtOnceAndRenewalsInBatches() {
     replication.connected(now, PEER, 7);
     register("a", 1);
-    List<OutboundMessage> sends = replication.changed(now, 4, List.of("a"));
-    assertThat(((SessionChanges) sends.get(0).message()).number(), is(4L));
-    replication.renewed("a");
+    List<OutboundMessage> messages = replication.changed(now, 4, List.of("a"));
+    assertThat(((SessionChanges) messages.get(0).message()).number(), is(4L));
+    replication.renewedIds("a");
     List<OutboundMessage> batch = replication.flushRenewals(now);
     assertThat(((SessionRenewals) batch.get(0).message()).renewals(), hasSize(1));
     assertThat(replication.flushRenewals(now), is(empty()));
@@ -51,35 +51,35 @@
   void aDepartureIsToldAsOneAndAnExpiryIsNot() {
     replication.connected(now, PEER, 7);
     register("a", 1);
-    table.depart(now, "a");
+    table.deregister(now, "a");
     SessionChanges change =
         (SessionChanges) replication.changed(now, 0, List.of("a", "expired")).get(0).message();
-    assertThat(change.departed(), contains("a"));
+    assertThat(change.deregistered(), contains("a"));
     assertThat(change.entries(), is(empty()));
   }
 
   @Test
   void aPeerThatWasAwayIsHandedWhatItMissed() {
     replication.connected(now, PEER, 7);
-    replication.confirmed(PEER, now + 1);
+    replication.acknowledged(PEER, now + 1);
     replication.disconnected(PEER);
     register("a", 1);
     assertThat(replication.changed(now, 0, List.of("a")), is(empty()));
     SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
-    assertThat(handed.whole(), is(false));
+    assertThat(handed.fullTable(), is(false));
     assertThat(ids(handed), contains("a"));
   }
 
   @Test
   void whatWasSentButNotConfirmedIsHandedOverAgain() {
     replication.connected(now, PEER, 7);
-    replication.confirmed(PEER, now + 1);
+    replication.acknowledged(PEER, now + 1);
     register("a", 1);
     replication.changed(now, 0, List.of("a"));
     now += 10;
     register("b", 1);
     replication.changed(now, 0, List.of("b"));
-    replication.confirmed(PEER, now);
+    replication.acknowledged(PEER, now);
     replication.disconnected(PEER);
     SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
     assertThat(ids(handed), contains("b"));
@@ -89,22 +89,22 @@
   void aPeerThatStartedAnewGetsTheWholeTable() {
     register("a", 1);
     replication.connected(now, PEER, 7);
-    replication.confirmed(PEER, now + 1);
+    replication.acknowledged(PEER, now + 1);
     replication.disconnected(PEER);
     SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 8).get(0).message();
-    assertThat(handed.whole(), is(true));
+    assertThat(handed.fullTable(), is(true));
   }
 
   @Test
   void aPeerWithTooManyHintsGetsTheWholeTable() {
     replication.connected(now, PEER, 7);
-    replication.confirmed(PEER, now + 1);
+    replication.acknowledged(PEER, now + 1);
     replication.disconnected(PEER);
     for (int index = 0; index <= HintedHandoff.MAX_HINTS; index++) {
       replication.changed(now, 0, List.of("i-" + index));
     }
     SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
-    assertThat(handed.whole(), is(true));
+    assertThat(handed.fullTable(), is(true));
   }
 
   @Test
@@ -126,7 +126,7 @@
           connected = !connected;
         }
         case 1 -> {
-          table.depart(now, id + "-" + step / 2_000);
+          table.deregister(now, id + "-" + step / 2_000);
           deliver(replication.changed(now, 0, List.of(id + "-" + step / 2_000)), other, true);
         }
         default -> {
@@ -142,7 +142,7 @@
         }
       }
       if (connected && random.nextBoolean()) {
-        replication.confirmed(PEER, confirmedUpTo);
+        replication.acknowledged(PEER, confirmedUpTo);
       }
     }
     if (!connected) {
@@ -151,14 +151,14 @@
     assertThat(live(other), is(live(table)));
   }
 
-  private void deliver(List<OutboundMessage> sends, SessionTable other, boolean arrives) {
+  private void deliver(List<OutboundMessage> messages, SessionTable other, boolean arrives) {
     if (!arrives) {
       return;
     }
-    for (OutboundMessage send : sends) {
+    for (OutboundMessage send : messages) {
       SessionChanges changes = (SessionChanges) send.message();
       changes.entries().forEach(entry -> other.merge(now, PEER, entry));
-      changes.departed().forEach(id -> other.depart(now, id));
+      changes.deregistered().forEach(id -> other.deregister(now, id));
     }
   }
 
--- a/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
@@ -53,17 +53,17 @@
   @Test
   void whatHasDepartedNeverComesBack() {
     call(START, "a", FIRST_ADDRESS, 1);
-    assertThat(table.depart(START, "a"), is(true));
-    assertThat(table.depart(START, "a"), is(false));
+    assertThat(table.deregister(START, "a"), is(true));
+    assertThat(table.deregister(START, "a"), is(false));
     assertThat(call(START, "a", FIRST_ADDRESS, 9), is(HeartbeatResult.STALE));
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 10), 0, 0));
     assertThat(ids(), is(empty()));
-    assertThat(table.departed(), contains("a"));
+    assertThat(table.deregisteredIds(), contains("a"));
   }
 
   @Test
   void departureOfAnUnknownBackendIsKeptAgainstItsLateCalls() {
-    table.depart(START, "a");
+    table.deregister(START, "a");
     assertThat(call(START, "a", FIRST_ADDRESS, 1), is(HeartbeatResult.STALE));
   }
 
@@ -113,7 +113,7 @@
   @Test
   void nothingExpiresWhileCallsMayHaveGoneUnheard() {
     call(START, "a", FIRST_ADDRESS, 1);
-    table.holdExpiry(START + EXPIRY - 1);
+    table.suspendExpiry(START + EXPIRY - 1);
     table.expire(START + 2 * EXPIRY - 2);
     assertThat(ids(), contains("a"));
     table.expire(START + 2 * EXPIRY - 1);
@@ -158,10 +158,10 @@
     call(START, "a", FIRST_ADDRESS, 1);
     long read = table.revision();
     call(START, "b", SECOND_ADDRESS, 1);
-    table.depart(START, "a");
+    table.deregister(START, "a");
     SessionChangeSet change = table.changesAfter(read).get();
     assertThat(change.changed(), contains("b"));
-    assertThat(change.gone(), contains("a"));
+    assertThat(change.removed(), contains("a"));
     assertThat(table.changesAfter(table.revision()).get().changed(), is(empty()));
   }
 
@@ -169,10 +169,10 @@
   void oneThatCameAndWentBetweenIsToldAsGone() {
     long read = table.revision();
     call(START, "a", FIRST_ADDRESS, 1);
-    table.depart(START, "a");
+    table.deregister(START, "a");
     SessionChangeSet change = table.changesAfter(read).get();
     assertThat(change.changed(), is(empty()));
-    assertThat(change.gone(), contains("a"));
+    assertThat(change.removed(), contains("a"));
   }
 
   @Test
@@ -195,7 +195,7 @@
     long later = START + EXPIRY / 2;
     assertThat(call(later, "live", FIRST_ADDRESS, 4), is(HeartbeatResult.CHANGED));
     assertThat(ids(), contains("live"));
-    assertThat(table.departed(), is(empty()));
+    assertThat(table.deregisteredIds(), is(empty()));
   }
 
   @Test
@@ -248,15 +248,15 @@
   @Test
   void theDepartureOfAnUnknownBackendIsToldToReaders() {
     long read = table.revision();
-    table.depart(START, "a");
-    assertThat(table.changesAfter(read).get().gone(), contains("a"));
+    table.deregister(START, "a");
+    assertThat(table.changesAfter(read).get().removed(), contains("a"));
   }
 
   @Test
   void aLostPeerHoldsOnlyWhatItWasTheLastToTellOf() {
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 1), 0, 0));
     table.merge(START, OTHER_PEER, entry(session("b", SECOND_ADDRESS, 1), 0, 0));
-    table.holdExpiry(START + EXPIRY - 1, PEER);
+    table.suspendExpiry(START + EXPIRY - 1, PEER);
     table.expire(START + EXPIRY);
     assertThat(ids(), contains("a"));
     table.expire(START + 2 * EXPIRY - 1);
@@ -267,7 +267,7 @@
   void aPeerThatIsLostOverAndOverKeepsNoDeadBackendOfAnothersAlive() {
     call(START, "a", FIRST_ADDRESS, 1);
     for (long at = START; at < START + EXPIRY; at += EXPIRY / 4) {
-      table.holdExpiry(at, PEER);
+      table.suspendExpiry(at, PEER);
     }
     table.expire(START + EXPIRY);
     assertThat(ids(), is(empty()));
--- a/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
@@ -128,7 +128,7 @@
 
   private static void write(BackendSession session, SessionsEncoder.ChangedEncoder encoder) {
     encoder.slots(session.slots()).draining(session.draining() ? Flag.YES : Flag.NO);
-    encoder.coldLeftMillis(session.coldLeftMillis()).sequence(session.sequence()).weight(8);
+    encoder.coldLeftMillis(session.remainingWarmupMillis()).sequence(session.sequence()).weight(8);
     encoder.instance(session.id()).service(session.service()).address(session.address());
     encoder.zone(session.zone()).software(session.version());
   }
--- a/src/test/java/slateslip/protocol/exchange/ControlPeerCodecTest.java
+++ b/src/test/java/slateslip/protocol/exchange/ControlPeerCodecTest.java
@@ -76,18 +76,18 @@
       ControlPeerMessage.ForwardedRequest forwarded =
           (ControlPeerMessage.ForwardedRequest)
               read(new ControlPeerMessage.ForwardedRequest(2, call));
-      assertThat(forwarded.id(), is(2L));
-      assertThat(forwarded.call().method(), is(method));
-      assertThat(forwarded.call().baseVersion(), is(6L));
-      assertThat(forwarded.call().body(), equalTo(BODY));
+      assertThat(forwarded.requestId(), is(2L));
+      assertThat(forwarded.request().method(), is(method));
+      assertThat(forwarded.request().baseVersion(), is(6L));
+      assertThat(forwarded.request().body(), equalTo(BODY));
     }
     OperatorResponse answer = new OperatorResponse(412, 7, BODY);
     ControlPeerMessage.ForwardedResponse answered =
         (ControlPeerMessage.ForwardedResponse)
             read(new ControlPeerMessage.ForwardedResponse(2, answer));
-    assertThat(answered.answer().status(), is(412));
-    assertThat(answered.answer().version(), is(7L));
-    assertThat(answered.answer().body(), equalTo(BODY));
+    assertThat(answered.response().status(), is(412));
+    assertThat(answered.response().version(), is(7L));
+    assertThat(answered.response().body(), equalTo(BODY));
   }
 
   @Test
--- a/src/test/java/slateslip/routing/quota/QuotaFleetTest.java
+++ b/src/test/java/slateslip/routing/quota/QuotaFleetTest.java
@@ -117,7 +117,7 @@
         }
       }
       for (DataPlaneAllocation each : allocator.allocate(now)) {
-        Agent agent = agents.get(Integer.parseInt(each.agent().substring(1)));
+        Agent agent = agents.get(Integer.parseInt(each.dataPlane().substring(1)));
         if (!agent.cut) {
           agent.quotas.shares(each.shares(), now);
         }
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -191,12 +191,13 @@
 
   private ControlPeerMessage changed(ControlPeerMessage message) {
     if (this == IGNORES_DELIVERY && message instanceof ControlPeerMessage.DeliveryReport) {
-      return new ControlPeerMessage.DeliveryReport(DeliveryProgress.NOBODY);
+      return new ControlPeerMessage.DeliveryReport(DeliveryProgress.NO_SUBSCRIBERS);
     }
     if (message instanceof ControlPeerMessage.SessionChanges changes) {
-      List<String> departed = this == HIDES_DEPARTURES ? new ArrayList<>() : changes.departed();
+      List<String> deregistered =
+          this == HIDES_DEPARTURES ? new ArrayList<>() : changes.deregistered();
       return new ControlPeerMessage.SessionChanges(
-          changes.number(), changes.whole(), changes.entries(), departed);
+          changes.number(), changes.fullTable(), changes.entries(), deregistered);
     }
     return message;
   }
--- a/src/test/java/slateslip/simulation/agents/AgentWorld.java
+++ b/src/test/java/slateslip/simulation/agents/AgentWorld.java
@@ -240,10 +240,11 @@
         refused);
   }
 
-  void depart(ControlMachine machine, String id, Consumer<Boolean> acknowledged, Runnable refused) {
+  void deregister(
+      ControlMachine machine, String id, Consumer<Boolean> acknowledged, Runnable refused) {
     network.request(
         machine,
-        once("departure", (Consumer<Boolean> back) -> machine.depart(id, back)),
+        once("departure", (Consumer<Boolean> back) -> machine.deregister(id, back)),
         acknowledged,
         refused);
   }
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -152,7 +152,7 @@
     agent.heartbeat(session, acknowledged);
   }
 
-  void depart(String id, Consumer<Boolean> acknowledged) {
+  void deregister(String id, Consumer<Boolean> acknowledged) {
     agent.depart(id, acknowledged);
   }
 
--- a/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
@@ -196,7 +196,7 @@
     if (session.draining() && own.leavingAcknowledgedAt == Long.MAX_VALUE) {
       world.rules().leavingAcknowledged(own.id);
       own.leavingAcknowledgedAt = events.now();
-      events.in(DRAIN, () -> depart(own, TRIES));
+      events.in(DRAIN, () -> deregister(own, TRIES));
     }
   }
 
@@ -209,7 +209,7 @@
       case DRAINS -> drain(own);
       case DELETES_FIRST -> {
         own.draining = true;
-        depart(own, TRIES);
+        deregister(own, TRIES);
         events.in(DRAIN, () -> end(own));
       }
       case CRASHES -> end(own);
@@ -219,11 +219,11 @@
   private void drain(Incarnation own) {
     own.draining = true;
     call(own, TRIES, own.nextSession());
-    events.in(UNACKNOWLEDGED_DRAIN, () -> depart(own, TRIES));
+    events.in(UNACKNOWLEDGED_DRAIN, () -> deregister(own, TRIES));
     events.in(UNACKNOWLEDGED_DRAIN, () -> end(own));
   }
 
-  private void depart(Incarnation own, int triesLeft) {
+  private void deregister(Incarnation own, int triesLeft) {
     if (own.departureAcknowledged || triesLeft == 0) {
       return;
     }
@@ -234,10 +234,10 @@
           if (!over[0]) {
             over[0] = true;
             agent = null;
-            depart(own, triesLeft - 1);
+            deregister(own, triesLeft - 1);
           }
         };
-    world.depart(
+    world.deregister(
         calledAgent(),
         own.id,
         acknowledged -> {
--- a/src/test/java/slateslip/simulation/dataplane/Mutants.java
+++ b/src/test/java/slateslip/simulation/dataplane/Mutants.java
@@ -100,7 +100,8 @@
             }
             List<QuotaAllocation.TenantShare> kept = new ArrayList<>();
             largest.forEach((name, part) -> kept.add(new QuotaAllocation.TenantShare(name, part)));
-            return new RouterInput.SharesChanged(new QuotaAllocation(told.shares().agents(), kept));
+            return new RouterInput.SharesChanged(
+                new QuotaAllocation(told.shares().dataPlanes(), kept));
           },
           Stream::of);
     };
@@ -113,7 +114,7 @@
             input instanceof RouterInput.SharesChanged told
                 ? new RouterInput.SharesChanged(
                     new QuotaAllocation(
-                        told.shares().agents(),
+                        told.shares().dataPlanes(),
                         told.shares().tenants().stream()
                             .map(share -> new QuotaAllocation.TenantShare(share.tenant(), 1))
                             .toList()))
@@ -164,7 +165,7 @@
         session.version(),
         session.slots(),
         false,
-        session.coldLeftMillis(),
+        session.remainingWarmupMillis(),
         session.sequence());
   }
 
