--- a/src/main/java/slateslip/cli/ControlClient.java
+++ b/src/main/java/slateslip/cli/ControlClient.java
@@ -22,9 +22,9 @@
   private static final int REQUEST_TIMEOUT = 408;
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int FIRST_SERVER_ERROR = 500;
-  private static final int NO_ANSWER = 0;
+  private static final int NO_RESPONSE = 0;
   private static final int ATTEMPTS = 12;
-  private static final int LONGEST_DELAY_FACTOR = 8;
+  private static final int MAX_DELAY_FACTOR = 8;
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(6);
   private static final MediaType JSON = MediaType.get("application/json");
@@ -41,19 +41,19 @@
     }
 
     /** Whether the call has been refused for good. */
-    boolean isRefusal() {
-      return status >= 400 && status < FIRST_SERVER_ERROR && !isWorthRetrying();
+    boolean isRejection() {
+      return status >= 400 && status < FIRST_SERVER_ERROR && !isRetryable();
     }
 
-    boolean isWorthRetrying() {
-      return status == NO_ANSWER
+    boolean isRetryable() {
+      return status == NO_RESPONSE
           || status == REQUEST_TIMEOUT
           || status == TOO_MANY_REQUESTS
           || status >= FIRST_SERVER_ERROR;
     }
 
     String describe() {
-      return status == NO_ANSWER ? "no answer: " + body : "status " + status + ": " + body;
+      return status == NO_RESPONSE ? "no answer: " + body : "status " + status + ": " + body;
     }
   }
 
@@ -77,10 +77,10 @@
     RetryPolicyBuilder<Reply> policy =
         RetryPolicy.<Reply>builder()
             .handle(IOException.class)
-            .handleResultIf(Reply::isWorthRetrying)
+            .handleResultIf(Reply::isRetryable)
             .withMaxAttempts(ATTEMPTS);
     if (!delay.isZero()) {
-      policy.withBackoff(delay, delay.multipliedBy(LONGEST_DELAY_FACTOR));
+      policy.withBackoff(delay, delay.multipliedBy(MAX_DELAY_FACTOR));
     }
     retries = policy.build();
   }
@@ -104,7 +104,7 @@
                 return attempt(request.url("http://" + agent + path).build());
               });
     } catch (FailsafeException failure) {
-      return new Reply(NO_ANSWER, String.valueOf(failure.getCause()));
+      return new Reply(NO_RESPONSE, String.valueOf(failure.getCause()));
     }
   }
 
--- a/src/main/java/slateslip/cli/OperatorCommands.java
+++ b/src/main/java/slateslip/cli/OperatorCommands.java
@@ -96,7 +96,7 @@
     ControlClient.Reply reply = client.send(method, "/config", base, document);
     if (!reply.isSuccess()) {
       errors.println(reply.describe());
-      return reply.isRefusal() ? ExitStatus.INVALID : ExitStatus.FAILURE;
+      return reply.isRejection() ? ExitStatus.INVALID : ExitStatus.FAILURE;
     }
     output.println("acknowledged, on top of version " + base);
     return ExitStatus.SUCCESS;
--- a/src/main/java/slateslip/configuration/ConfigurationDocument.java
+++ b/src/main/java/slateslip/configuration/ConfigurationDocument.java
@@ -29,7 +29,7 @@
    * @param currentVersion the new version has to be above this; 0 if there is none yet
    */
   public static ConfigurationOutcome parse(byte[] document, long currentVersion) {
-    return DocumentReader.whole(document, currentVersion);
+    return DocumentReader.document(document, currentVersion);
   }
 
   /**
@@ -46,7 +46,7 @@
    * are kept as they were sent, and are missing from {@link #configuration}.
    */
   public static ConfigurationOutcome committed(byte[] document) {
-    return DocumentReader.committedWhole(document);
+    return DocumentReader.committedDocument(document);
   }
 
   /** This configuration with a change applied that is in force, as for {@link #committed}. */
--- a/src/main/java/slateslip/configuration/DocumentParts.java
+++ b/src/main/java/slateslip/configuration/DocumentParts.java
@@ -98,7 +98,7 @@
   private NamedItems<String> unread(String field, ValidationErrors problems) {
     NamedItems<String> none = NamedItems.none(field, UNREAD);
     byte[] json = others.get(field);
-    return json == null ? none : none.with(JsonSlice.ofWhole(json), problems);
+    return json == null ? none : none.with(JsonSlice.ofDocument(json), problems);
   }
 
   private DocumentParts withLimits(JsonSlice value, ValidationErrors problems) {
--- a/src/main/java/slateslip/configuration/DocumentReader.java
+++ b/src/main/java/slateslip/configuration/DocumentReader.java
@@ -13,8 +13,8 @@
   private DocumentReader() {}
 
   /** Reads a whole document and has it checked. */
-  static ConfigurationOutcome whole(byte[] document, long currentVersion) {
-    return read(document, DocumentReader::readWhole, checkedAgainst(currentVersion));
+  static ConfigurationOutcome document(byte[] document, long currentVersion) {
+    return read(document, DocumentReader::readDocument, checkedAgainst(currentVersion));
   }
 
   /** Reads a change and has its result checked. */
@@ -26,8 +26,8 @@
   }
 
   /** Reads a whole document that has been found valid before, maybe by another program version. */
-  static ConfigurationOutcome committedWhole(byte[] document) {
-    return read(document, DocumentReader::readWhole, UNCHECKED);
+  static ConfigurationOutcome committedDocument(byte[] document) {
+    return read(document, DocumentReader::readDocument, UNCHECKED);
   }
 
   /** Reads a change that has been found valid before, maybe by another program version. */
@@ -58,13 +58,13 @@
     if (malformed != null) {
       return unreadable(malformed);
     }
-    JsonSlice whole = JsonSlice.ofWhole(json);
-    if (!whole.isObject()) {
+    JsonSlice document = JsonSlice.ofDocument(json);
+    if (!document.isObject()) {
       return unreadable("it is not an object");
     }
     try {
       ValidationErrors problems = new ValidationErrors();
-      DocumentParts parts = reading.read(presentFields(whole), problems);
+      DocumentParts parts = reading.read(presentFields(document), problems);
       String problem = check.problem(parts, problems);
       return problem == null
           ? parsed(parts.withMissingLists())
@@ -90,7 +90,8 @@
     return new ConfigurationOutcome.Parsed(new ConfigurationDocument(parts, configuration));
   }
 
-  private static DocumentParts readWhole(Map<String, JsonSlice> fields, ValidationErrors problems) {
+  private static DocumentParts readDocument(
+      Map<String, JsonSlice> fields, ValidationErrors problems) {
     DocumentParts parts = DocumentParts.NONE;
     for (Map.Entry<String, JsonSlice> field : fields.entrySet()) {
       parts = parts.replaced(field.getKey(), field.getValue(), problems);
--- a/src/main/java/slateslip/configuration/JsonSlice.java
+++ b/src/main/java/slateslip/configuration/JsonSlice.java
@@ -16,7 +16,7 @@
   private static final int NULL_LENGTH = 4;
 
   /** The one value of a text that {@link JsonSyntax} has found well formed. */
-  static JsonSlice ofWhole(byte[] text) {
+  static JsonSlice ofDocument(byte[] text) {
     int start = skipSeparators(text, 0);
     return new JsonSlice(text, start, skipValue(text, start));
   }
--- a/src/main/java/slateslip/configuration/Route.java
+++ b/src/main/java/slateslip/configuration/Route.java
@@ -17,7 +17,7 @@
  * @param isPublic whether no key is needed
  * @param sticky whether requests name parts of prompts that backends keep
  * @param resumable whether a stream may be taken up at another backend
- * @param gapAimMillis longest pause between events that keeps an answer in time; 0 if not given
+ * @param targetGapMillis longest pause between events that keeps an answer in time; 0 if not given
  */
 public record Route(
     String name,
@@ -32,7 +32,7 @@
     boolean isPublic,
     boolean sticky,
     boolean resumable,
-    long gapAimMillis) {
+    long targetGapMillis) {
 
   /** A service and its weight within a route. */
   public record WeightedService(String service, int weight) {}
--- a/src/main/java/slateslip/configuration/RouteFormat.java
+++ b/src/main/java/slateslip/configuration/RouteFormat.java
@@ -25,7 +25,7 @@
     private boolean isPublic;
     private boolean sticky;
     private boolean resumable;
-    private long gapAimMillis;
+    private long targetGapMillis;
   }
 
   @Override
@@ -53,7 +53,7 @@
         draft.isPublic,
         draft.sticky,
         draft.resumable,
-        draft.gapAimMillis);
+        draft.targetGapMillis);
   }
 
   private static void readField(Draft draft, FieldReader fields) {
@@ -72,7 +72,7 @@
       case "public" -> draft.isPublic = fields.flag(false);
       case "sticky" -> draft.sticky = fields.flag(false);
       case "resumable" -> draft.resumable = fields.flag(false);
-      case "gap_aim_ms" -> draft.gapAimMillis = fields.count(0);
+      case "gap_aim_ms" -> draft.targetGapMillis = fields.count(0);
       default -> fields.skip();
     }
   }
@@ -142,7 +142,7 @@
     if (draft.split.isEmpty()) {
       return List.of(new Route.WeightedService(draft.service, 1));
     }
-    double scale = draft.split.stream().allMatch(RouteFormat::isWhole) ? 1 : scale(draft.split);
+    double scale = draft.split.stream().allMatch(RouteFormat::isInteger) ? 1 : scale(draft.split);
     List<Route.WeightedService> targets = new ArrayList<>(draft.split.size());
     for (Target target : draft.split) {
       int weight = (int) Math.ceil(target.weight() * scale);
@@ -151,7 +151,7 @@
     return targets;
   }
 
-  private static boolean isWhole(Target target) {
+  private static boolean isInteger(Target target) {
     return target.weight() == Math.rint(target.weight()) && target.weight() <= FRACTION_SCALE;
   }
 
--- a/src/main/java/slateslip/configuration/VersionNumber.java
+++ b/src/main/java/slateslip/configuration/VersionNumber.java
@@ -10,7 +10,7 @@
   static long read(JsonSlice value, ValidationErrors problems) {
     try {
       return new BigDecimal(value.toString()).longValueExact();
-    } catch (NumberFormatException | ArithmeticException notWhole) {
+    } catch (NumberFormatException | ArithmeticException notAnInteger) {
       problems.report(DocumentParts.VERSION, "is not a whole number");
       return 0;
     }
--- a/src/main/java/slateslip/controlplane/AsyncBodyReader.java
+++ b/src/main/java/slateslip/controlplane/AsyncBodyReader.java
@@ -9,16 +9,16 @@
 
 /** Reads the body of a call as its bytes come: a caller that is slow holds no thread. */
 final class AsyncBodyReader implements ReadListener {
-  private static final int PART_BYTES = 16 * 1024;
+  private static final int CHUNK_BYTES = 16 * 1024;
 
   private final ServletInputStream input;
-  private final int limit;
+  private final int maxBytes;
   private final ByteArrayOutputStream content = new ByteArrayOutputStream();
-  private final CompletableFuture<byte[]> whole = new CompletableFuture<>();
+  private final CompletableFuture<byte[]> result = new CompletableFuture<>();
 
-  private AsyncBodyReader(ServletInputStream input, int limit) {
+  private AsyncBodyReader(ServletInputStream input, int maxBytes) {
     this.input = input;
-    this.limit = limit;
+    this.maxBytes = maxBytes;
   }
 
   /**
@@ -27,11 +27,11 @@
    * @return completes with the body, or with a {@link BodyTooLargeException} if it is longer than
    *     the limit
    */
-  static CompletableFuture<byte[]> read(HttpServletRequest request, int limit) {
+  static CompletableFuture<byte[]> read(HttpServletRequest request, int maxBytes) {
     try {
-      AsyncBodyReader body = new AsyncBodyReader(request.getInputStream(), limit);
+      AsyncBodyReader body = new AsyncBodyReader(request.getInputStream(), maxBytes);
       body.input.setReadListener(body);
-      return body.whole;
+      return body.result;
     } catch (IOException failed) {
       return CompletableFuture.failedFuture(failed);
     }
@@ -39,35 +39,35 @@
 
   @Override
   public void onDataAvailable() throws IOException {
-    byte[] part = new byte[PART_BYTES];
-    while (!whole.isDone() && input.isReady()) {
-      int count = input.read(part);
+    byte[] chunk = new byte[CHUNK_BYTES];
+    while (!result.isDone() && input.isReady()) {
+      int count = input.read(chunk);
       if (count < 0) {
         return;
       }
-      content.write(part, 0, count);
-      if (content.size() > limit) {
-        whole.completeExceptionally(new BodyTooLargeException(limit));
+      content.write(chunk, 0, count);
+      if (content.size() > maxBytes) {
+        result.completeExceptionally(new BodyTooLargeException(maxBytes));
       }
     }
   }
 
   @Override
   public void onAllDataRead() {
-    whole.complete(content.toByteArray());
+    result.complete(content.toByteArray());
   }
 
   @Override
   public void onError(Throwable failure) {
-    whole.completeExceptionally(failure);
+    result.completeExceptionally(failure);
   }
 
   /** The body is longer than it may be. */
   static final class BodyTooLargeException extends IOException {
     private static final long serialVersionUID = 1;
 
-    private BodyTooLargeException(int limit) {
-      super("the body is longer than " + limit + " bytes");
+    private BodyTooLargeException(int maxBytes) {
+      super("the body is longer than " + maxBytes + " bytes");
     }
   }
 }
--- a/src/main/java/slateslip/controlplane/ControlApi.java
+++ b/src/main/java/slateslip/controlplane/ControlApi.java
@@ -44,7 +44,7 @@
   private static final byte[] ACKNOWLEDGED = "{}".getBytes(StandardCharsets.UTF_8);
 
   private final ControlAgent agent;
-  private final Executor loop;
+  private final Executor eventLoop;
   private final Supplier<String> status;
   private final Supplier<String> metrics;
   private final Javalin server;
@@ -52,28 +52,28 @@
   /**
    * Not listening yet.
    *
-   * @param loop runs tasks on the agent's event loop
+   * @param eventLoop runs tasks on the agent's event loop
    * @param status JSON; called on the event loop
    * @param metrics in Prometheus' text format; called on the event loop
    */
   ControlApi(
       InetSocketAddress address,
       ControlAgent agent,
-      Executor loop,
+      Executor eventLoop,
       Supplier<String> status,
       Supplier<String> metrics) {
     this.agent = agent;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
     this.status = status;
     this.metrics = metrics;
     server = Javalin.create(config -> configure(config, address));
-    server.put("/config", context -> change(context, OperatorRequest.Method.PUT));
-    server.patch("/config", context -> change(context, OperatorRequest.Method.PATCH));
+    server.put("/config", context -> handleChange(context, OperatorRequest.Method.PUT));
+    server.patch("/config", context -> handleChange(context, OperatorRequest.Method.PATCH));
     server.get("/config", this::readConfiguration);
     server.put("/instances/{id}", this::heartbeat);
-    server.delete("/instances/{id}", this::depart);
-    server.get("/status", context -> text(context, JSON, this.status));
-    server.get("/metrics", context -> text(context, "text/plain; version=0.0.4", this.metrics));
+    server.delete("/instances/{id}", this::deregister);
+    server.get("/status", context -> sendText(context, JSON, this.status));
+    server.get("/metrics", context -> sendText(context, "text/plain; version=0.0.4", this.metrics));
   }
 
   private static void configure(JavalinConfig config, InetSocketAddress address) {
@@ -112,29 +112,32 @@
     server.stop();
   }
 
-  private void change(Context context, OperatorRequest.Method method) {
+  private void handleChange(Context context, OperatorRequest.Method method) {
     Long base = IfMatchHeader.version(context.header("If-Match"));
     if (base == null) {
-      fail(context, BAD_REQUEST, "If-Match is not the version that the change builds on");
+      sendError(context, BAD_REQUEST, "If-Match is not the version that the change builds on");
       return;
     }
     withBody(
-        context, MAX_BODY_BYTES, body -> call(context, new OperatorRequest(method, base, body)));
+        context, MAX_BODY_BYTES, body -> submit(context, new OperatorRequest(method, base, body)));
   }
 
   private void readConfiguration(Context context) {
-    OperatorRequest call = new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0]);
-    context.future(() -> call(context, call));
+    OperatorRequest request = new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0]);
+    context.future(() -> submit(context, request));
   }
 
-  private CompletableFuture<?> call(Context context, OperatorRequest call) {
-    return onLoop(
-        answer -> agent.call(call, answer),
-        (OperatorResponse answer) -> {
-          if (answer.status() == OperatorResponse.OK) {
-            context.contentType(JSON).result(answer.body());
+  private CompletableFuture<?> submit(Context context, OperatorRequest request) {
+    return submitToLoop(
+        completion -> agent.handleOperatorRequest(request, completion),
+        (OperatorResponse completion) -> {
+          if (completion.status() == OperatorResponse.OK) {
+            context.contentType(JSON).result(completion.body());
           } else {
-            fail(context, answer.status(), new String(answer.body(), StandardCharsets.UTF_8));
+            sendError(
+                context,
+                completion.status(),
+                new String(completion.body(), StandardCharsets.UTF_8));
           }
         });
   }
@@ -142,25 +145,25 @@
   private void heartbeat(Context context) {
     String id = context.pathParam("id");
     withBody(
-        context, MAX_INSTANCE_BYTES, body -> heartbeat(context, InstanceParser.read(id, body)));
+        context, MAX_INSTANCE_BYTES, body -> heartbeat(context, InstanceParser.parse(id, body)));
   }
 
   private CompletableFuture<?> heartbeat(Context context, InstanceParseResult reading) {
     if (reading instanceof InstanceParseResult.Valid valid) {
-      return onLoop(
-          acknowledged -> agent.heartbeat(valid.session(), acknowledged),
+      return submitToLoop(
+          acknowledged -> agent.dataPlaneHeartbeat(valid.session(), acknowledged),
           (Boolean acknowledged) -> acknowledge(context, acknowledged));
     }
-    fail(context, BAD_REQUEST, ((InstanceParseResult.Invalid) reading).message());
+    sendError(context, BAD_REQUEST, ((InstanceParseResult.Invalid) reading).message());
     return CompletableFuture.completedFuture(null);
   }
 
-  private void depart(Context context) {
+  private void deregister(Context context) {
     String id = context.pathParam("id");
     context.future(
         () ->
-            onLoop(
-                acknowledged -> agent.depart(id, acknowledged),
+            submitToLoop(
+                acknowledged -> agent.deregister(id, acknowledged),
                 (Boolean acknowledged) -> acknowledge(context, acknowledged)));
   }
 
@@ -168,15 +171,15 @@
     if (acknowledged) {
       context.contentType(JSON).result(ACKNOWLEDGED);
     } else {
-      fail(context, UNAVAILABLE, "this agent does not reach the others");
+      sendError(context, UNAVAILABLE, "this agent does not reach the others");
     }
   }
 
-  private void text(Context context, String type, Supplier<String> source) {
+  private void sendText(Context context, String type, Supplier<String> source) {
     context.future(
         () ->
-            onLoop(
-                (Consumer<String> answer) -> answer.accept(source.get()),
+            submitToLoop(
+                (Consumer<String> completion) -> completion.accept(source.get()),
                 (String found) -> context.contentType(type).result(found)));
   }
 
@@ -186,11 +189,11 @@
     context.future(
         () ->
             AsyncBodyReader.read(context.req(), limit)
-                .handle((body, failure) -> goOn(context, body, failure, next))
-                .thenCompose(answered -> answered));
+                .handle((body, failure) -> handleBody(context, body, failure, next))
+                .thenCompose(completed -> completed));
   }
 
-  private static CompletableFuture<?> goOn(
+  private static CompletableFuture<?> handleBody(
       Context context,
       byte[] body,
       Throwable failure,
@@ -200,24 +203,24 @@
     }
     if (failure instanceof AsyncBodyReader.BodyTooLargeException) {
       context.header("Connection", "close");
-      fail(context, TOO_LARGE, failure.getMessage());
+      sendError(context, TOO_LARGE, failure.getMessage());
     } else {
       // The order may have been taken before, at another agent, so this must not look like a
       // refusal.
       context.header("Connection", "close");
-      fail(context, REQUEST_TIMEOUT, "the body did not come whole");
+      sendError(context, REQUEST_TIMEOUT, "the body did not come whole");
     }
     return CompletableFuture.completedFuture(null);
   }
 
   /** Hands a task to the event loop, and its answer back to the call without holding a thread. */
-  private <T> CompletableFuture<?> onLoop(Consumer<Consumer<T>> task, Consumer<T> write) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.execute(() -> task.accept(answer::complete));
-    return answer.thenAccept(write);
+  private <T> CompletableFuture<?> submitToLoop(Consumer<Consumer<T>> task, Consumer<T> write) {
+    CompletableFuture<T> completion = new CompletableFuture<>();
+    eventLoop.execute(() -> task.accept(completion::complete));
+    return completion.thenAccept(write);
   }
 
-  private static void fail(Context context, int status, String message) {
+  private static void sendError(Context context, int status, String message) {
     context.status(status).contentType(JSON).result("{\"error\":" + Json.quoted(message) + "}");
   }
 }
--- a/src/main/java/slateslip/controlplane/ControlPlane.java
+++ b/src/main/java/slateslip/controlplane/ControlPlane.java
@@ -27,8 +27,8 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final EventLoop loop = group.next();
-  private final DiskWriteAheadLog disk;
+  private final EventLoop eventLoop = group.next();
+  private final DiskWriteAheadLog writeAheadLog;
   private final ControlAgent agent;
   private final InternalServer internal;
   private final ControlApi api;
@@ -37,29 +37,29 @@
     AgentSettings agentSettings = agentSettings(settings);
     AgentIdentity identity =
         new AgentIdentity(agentSettings.address(), ThreadLocalRandom.current().nextLong());
-    disk =
+    writeAheadLog =
         DiskWriteAheadLog.open(
-            settings.dataDirectory(), new RingOptions(RING_FILES, RING_FILE_BYTES), loop);
+            settings.dataDirectory(), new RingOptions(RING_FILES, RING_FILE_BYTES), eventLoop);
     agent =
         new ControlAgent(
-            new EventLoopScheduler(loop, new MonotonicClock()),
-            (address, greeting, listener) -> connect(settings, address, greeting, listener),
+            new EventLoopScheduler(eventLoop, new MonotonicClock()),
+            (address, encodedHello, listener) -> connect(settings, address, encodedHello, listener),
             agentSettings,
             identity,
-            disk,
-            ControlPlane::stopAtOnce);
-    internal = new InternalServer(group, new ControlPeerCodec().encode(identity.greeting()), agent);
+            writeAheadLog,
+            ControlPlane::halt);
+    internal = new InternalServer(group, new ControlPeerCodec().encode(identity.hello()), agent);
     api =
         new ControlApi(
             settings.controlListen(),
             agent,
-            loop,
+            eventLoop,
             () -> StatusReport.json(agent.status()),
             () -> StatusReport.metrics(agent.status()));
   }
 
   /** The platform starts the process again, on what its disk holds. */
-  private static void stopAtOnce(RuntimeException broken) {
+  private static void halt(RuntimeException broken) {
     LOG.fatal("a broken invariant ends this process", broken);
     Runtime.getRuntime().halt(BROKEN_INVARIANT_STATUS);
   }
@@ -75,11 +75,11 @@
   }
 
   private PeerConnector.PeerConnection connect(
-      NodeSettings settings, String address, byte[] greeting, PeerConnector.Listener listener) {
+      NodeSettings settings, String address, byte[] encodedHello, PeerConnector.Listener listener) {
     InetSocketAddress peer = new InetSocketAddress(address, settings.ports().first());
     ReconnectingPeerConnection link =
-        new ReconnectingPeerConnection(loop, peer, greeting, listener);
-    link.dial();
+        new ReconnectingPeerConnection(eventLoop, peer, encodedHello, listener);
+    link.connect();
     return link;
   }
 
@@ -91,31 +91,32 @@
   public static ControlPlane start(NodeSettings settings) throws IOException {
     ControlPlane started = new ControlPlane(settings);
     started.internal.listen(new InetSocketAddress(settings.ip(), settings.ports().first()));
-    started.loop.execute(started.agent::start);
+    started.eventLoop.execute(started.agent::start);
     started.api.start();
     return started;
   }
 
   /** Takes over what may change while it runs: the seeds. */
   public void settingsChanged(NodeSettings settings) {
-    loop.execute(() -> agent.settingsChanged(agentSettings(settings)));
+    eventLoop.execute(() -> agent.settingsChanged(agentSettings(settings)));
   }
 
   /**
    * Has the others take over what this agent does for the control state, and serves until then.
    *
-   * @param boundMillis after this time it ends in any case
-   * @param left told once, on the event loop
+   * @param timeoutMillis after this time it ends in any case
+   * @param released told once, on the event loop
    */
-  public void leave(long boundMillis, Runnable left) {
-    loop.execute(() -> agent.leave(TimeUnit.MILLISECONDS.toMicros(boundMillis), left));
+  public void shutDownGracefully(long timeoutMillis, Runnable released) {
+    eventLoop.execute(
+        () -> agent.shutDownGracefully(TimeUnit.MILLISECONDS.toMicros(timeoutMillis), released));
   }
 
   /** Stops taking calls and ends all threads. */
   public void stop() {
     api.stop();
     internal.close();
-    disk.stop();
+    writeAheadLog.stop();
     group.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
   }
 }
--- a/src/main/java/slateslip/controlplane/ControlPlaneMain.java
+++ b/src/main/java/slateslip/controlplane/ControlPlaneMain.java
@@ -11,7 +11,7 @@
 /** Entry point of the control plane binary. */
 public final class ControlPlaneMain {
   /** Copying the state to another member takes less, also on a slow disk. */
-  private static final long LONGEST_LEAVE_MILLIS = 3_000;
+  private static final long MAX_SHUTDOWN_MILLIS = 3_000;
 
   private ControlPlaneMain() {}
 
@@ -21,10 +21,10 @@
   }
 
   /** Ends within the grace period, once the control state does not need this agent's copy. */
-  private static void leave(ControlPlane controlPlane, NodeSettings settings) {
+  private static void shutDownGracefully(ControlPlane controlPlane, NodeSettings settings) {
     long graceMillis = settings.bounds().gracePeriodMillis();
-    long boundMillis = Math.min(LONGEST_LEAVE_MILLIS, graceMillis / 2);
-    controlPlane.leave(boundMillis, () -> System.exit(0));
+    long timeoutMillis = Math.min(MAX_SHUTDOWN_MILLIS, graceMillis / 2);
+    controlPlane.shutDownGracefully(timeoutMillis, () -> System.exit(0));
   }
 
   private static void start(Path settingsFile, NodeSettings settings) throws IOException {
@@ -32,10 +32,10 @@
       throw new IOException("listen.control and data_dir are needed by the control plane");
     }
     ControlPlane controlPlane = ControlPlane.start(settings);
-    SettingsFileWatcher watch =
+    SettingsFileWatcher watcher =
         new SettingsFileWatcher(settingsFile, controlPlane::settingsChanged);
-    Signal.handle(new Signal("HUP"), signal -> watch.read());
-    Signal.handle(new Signal("TERM"), signal -> leave(controlPlane, settings));
-    watch.start();
+    Signal.handle(new Signal("HUP"), signal -> watcher.reload());
+    Signal.handle(new Signal("TERM"), signal -> shutDownGracefully(controlPlane, settings));
+    watcher.start();
   }
 }
--- a/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
+++ b/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
@@ -28,27 +28,27 @@
   private static final Logger LOG = Logger.getLogger(DiskWriteAheadLog.class);
 
   /** Between two parts of the preallocation: writes that come meanwhile go first. */
-  private static final long PREALLOCATION_PAUSE_MILLIS = 50;
+  private static final long PREALLOCATION_INTERVAL_MILLIS = 50;
 
   private final RingStorage ring;
-  private final Executor loop;
+  private final Executor eventLoop;
   private final List<DurableRecord> recovered;
   private final BlockingQueue<QueuedWrite> queue = new LinkedBlockingQueue<>();
-  private final Thread thread = new Thread(this::writeForEver, "disk");
+  private final Thread thread = new Thread(this::runWriter, "disk");
 
-  private DiskWriteAheadLog(RingStorage ring, List<DurableRecord> recovered, Executor loop) {
+  private DiskWriteAheadLog(RingStorage ring, List<DurableRecord> recovered, Executor eventLoop) {
     this.ring = ring;
-    this.loop = loop;
+    this.eventLoop = eventLoop;
     this.recovered = recovered;
   }
 
   /**
    * Opens the ring in a folder, which is made if it is missing.
    *
-   * @param loop the event loop, on which outcomes of writes are told
+   * @param eventLoop the event loop, on which outcomes of writes are told
    * @throws IOException if the folder cannot be read, or holds what this program cannot read
    */
-  static DiskWriteAheadLog open(Path folder, RingOptions options, Executor loop)
+  static DiskWriteAheadLog open(Path folder, RingOptions options, Executor eventLoop)
       throws IOException {
     Files.createDirectories(folder);
     RingStorage ring = RingStorage.open(new DiskFolder(folder), options);
@@ -59,7 +59,7 @@
       }
       recovered.add(record.value());
     }
-    return new DiskWriteAheadLog(ring, recovered, loop);
+    return new DiskWriteAheadLog(ring, recovered, eventLoop);
   }
 
   @Override
@@ -85,14 +85,14 @@
   }
 
   @Override
-  public void write(DurableRecord record, Consumer<Boolean> done) {
-    queue.add(new QueuedWrite(record, done));
+  public void write(DurableRecord record, Consumer<Boolean> onComplete) {
+    queue.add(new QueuedWrite(record, onComplete));
   }
 
-  private void writeForEver() {
+  private void runWriter() {
     try {
       while (true) {
-        QueuedWrite next = queue.poll(PREALLOCATION_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        QueuedWrite next = queue.poll(PREALLOCATION_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         if (next == null) {
           preallocate();
         } else {
@@ -113,27 +113,27 @@
 
   private void write(QueuedWrite first) throws InterruptedException {
     if (first.record instanceof DurableRecord.Snapshot) {
-      StorageOutcome outcome = ring.begin(DurableRecordCodec.encode(first.record));
-      tell(List.of(first), outcome);
+      StorageOutcome outcome = ring.beginFile(DurableRecordCodec.encode(first.record));
+      complete(List.of(first), outcome);
       return;
     }
-    List<QueuedWrite> together = new ArrayList<>();
-    together.add(first);
+    List<QueuedWrite> batch = new ArrayList<>();
+    batch.add(first);
     while (queue.peek() != null && !(queue.peek().record instanceof DurableRecord.Snapshot)) {
-      together.add(queue.take());
+      batch.add(queue.take());
     }
     List<byte[]> payloads = new ArrayList<>();
-    together.forEach(write -> payloads.add(DurableRecordCodec.encode(write.record)));
-    tell(together, ring.append(payloads));
+    batch.forEach(write -> payloads.add(DurableRecordCodec.encode(write.record)));
+    complete(batch, ring.append(payloads));
   }
 
-  private void tell(List<QueuedWrite> writes, StorageOutcome outcome) {
+  private void complete(List<QueuedWrite> writes, StorageOutcome outcome) {
     boolean durable = outcome == StorageOutcome.DURABLE;
     if (!durable) {
       LOG.warnf("a write to disk failed: %s", outcome);
     }
-    writes.forEach(write -> loop.execute(() -> write.done.accept(durable)));
+    writes.forEach(write -> eventLoop.execute(() -> write.onComplete.accept(durable)));
   }
 
-  private record QueuedWrite(DurableRecord record, Consumer<Boolean> done) {}
+  private record QueuedWrite(DurableRecord record, Consumer<Boolean> onComplete) {}
 }
--- a/src/main/java/slateslip/controlplane/EventLoopScheduler.java
+++ b/src/main/java/slateslip/controlplane/EventLoopScheduler.java
@@ -7,11 +7,11 @@
 
 /** Steady time and timers of a Netty event loop. */
 final class EventLoopScheduler implements Scheduler {
-  private final EventLoop loop;
+  private final EventLoop eventLoop;
   private final MonotonicClock clock;
 
-  EventLoopScheduler(EventLoop loop, MonotonicClock clock) {
-    this.loop = loop;
+  EventLoopScheduler(EventLoop eventLoop, MonotonicClock clock) {
+    this.eventLoop = eventLoop;
     this.clock = clock;
   }
 
@@ -22,12 +22,12 @@
 
   @Override
   public Timer schedule(long delayMicros, Runnable task) {
-    ScheduledFuture<?> scheduled = loop.schedule(task, delayMicros, TimeUnit.MICROSECONDS);
+    ScheduledFuture<?> scheduled = eventLoop.schedule(task, delayMicros, TimeUnit.MICROSECONDS);
     return () -> scheduled.cancel(false);
   }
 
   @Override
-  public void repeat(long periodMicros, Runnable task) {
-    loop.scheduleAtFixedRate(task, periodMicros, periodMicros, TimeUnit.MICROSECONDS);
+  public void scheduleAtFixedRate(long periodMicros, Runnable task) {
+    eventLoop.scheduleAtFixedRate(task, periodMicros, periodMicros, TimeUnit.MICROSECONDS);
   }
 }
--- a/src/main/java/slateslip/controlplane/InstanceParser.java
+++ b/src/main/java/slateslip/controlplane/InstanceParser.java
@@ -20,7 +20,7 @@
   private String version;
   private String state;
   private int slots;
-  private long coldLeftMillis;
+  private long remainingWarmupMillis;
   private long sequence = -1;
 
   private InstanceParser(String id) {
@@ -28,23 +28,23 @@
   }
 
   /** Reads a call of this instance. */
-  static InstanceParseResult read(String id, byte[] body) {
+  static InstanceParseResult parse(String id, byte[] body) {
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
       return new InstanceParseResult.Invalid("the instance's id is empty or too long");
     }
-    String problem = isObject(body) ? JsonSyntax.problem(body) : "the document is not an object";
-    if (problem != null) {
-      return new InstanceParseResult.Invalid(problem);
+    String error = isObject(body) ? JsonSyntax.problem(body) : "the document is not an object";
+    if (error != null) {
+      return new InstanceParseResult.Invalid(error);
     }
     InstanceParser reader = new InstanceParser(id);
-    ValidationErrors problems = new ValidationErrors();
-    try (FieldReader fields = new FieldReader(body, problems)) {
+    ValidationErrors errors = new ValidationErrors();
+    try (FieldReader fields = new FieldReader(body, errors)) {
       reader.readFields(fields);
     }
-    problem = problems.first() == null ? reader.missing() : problems.first();
-    return problem == null
+    error = errors.first() == null ? reader.firstError() : errors.first();
+    return error == null
         ? new InstanceParseResult.Valid(reader.session())
-        : new InstanceParseResult.Invalid(problem);
+        : new InstanceParseResult.Invalid(error);
   }
 
   private static boolean isObject(byte[] body) {
@@ -73,14 +73,14 @@
       case "version" -> version = fields.text();
       case "state" -> state = fields.text();
       case "slots" -> slots = fields.smallCount(0);
-      case "cold_left_ms" -> coldLeftMillis = fields.count(0);
+      case "cold_left_ms" -> remainingWarmupMillis = fields.count(0);
       case "seq" -> sequence = fields.count(-1);
       default -> fields.skip();
     }
   }
 
   /** What is missing or wrong; null if nothing is. */
-  private String missing() {
+  private String firstError() {
     if (service == null || service.isEmpty()) {
       return "service is missing";
     }
@@ -119,7 +119,7 @@
         version == null ? "" : version,
         slots,
         DRAINING.equals(state),
-        coldLeftMillis,
+        remainingWarmupMillis,
         sequence);
   }
 }
--- a/src/main/java/slateslip/controlplane/InternalServer.java
+++ b/src/main/java/slateslip/controlplane/InternalServer.java
@@ -28,24 +28,24 @@
   private static final int BACKLOG = 1024;
 
   /** Everybody sends something several times a second. */
-  private static final long SILENCE_MILLIS = 3_000;
+  private static final long READ_TIMEOUT_MILLIS = 3_000;
 
   /** Beyond this nothing is queued on a stream; what it misses comes later as one change. */
   private static final int MAX_UNSENT_BYTES = 256 * 1024;
 
   private final EventLoopGroup group;
-  private final byte[] greeting;
+  private final byte[] encodedHello;
   private final IncomingConnection.Listener listener;
   private Channel server;
 
   /**
    * Not listening yet.
    *
-   * @param greeting encoded, sent back to a peer that has greeted
+   * @param encodedHello encoded, sent back to a peer that has greeted
    */
-  InternalServer(EventLoopGroup group, byte[] greeting, IncomingConnection.Listener listener) {
+  InternalServer(EventLoopGroup group, byte[] encodedHello, IncomingConnection.Listener listener) {
     this.group = group;
-    this.greeting = greeting;
+    this.encodedHello = encodedHello;
     this.listener = listener;
   }
 
@@ -70,16 +70,16 @@
           protected void initChannel(Channel channel) {
             channel
                 .pipeline()
-                .addLast(new ReadTimeoutHandler(SILENCE_MILLIS, TimeUnit.MILLISECONDS));
+                .addLast(new ReadTimeoutHandler(READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             Framing.addDecoder(channel.pipeline());
             channel.pipeline().addLast(new Connection());
           }
         });
-    ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
-    if (!bound.isSuccess()) {
-      throw new IOException("cannot listen on " + address, bound.cause());
+    ChannelFuture bindFuture = bootstrap.bind(address).awaitUninterruptibly();
+    if (!bindFuture.isSuccess()) {
+      throw new IOException("cannot listen on " + address, bindFuture.cause());
     }
-    server = bound.channel();
+    server = bindFuture.channel();
   }
 
   /** Where it listens. */
@@ -98,7 +98,8 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
       connection =
-          new IncomingConnection(new NettyDataPlaneStream(context.channel()), greeting, listener);
+          new IncomingConnection(
+              new NettyDataPlaneStream(context.channel()), encodedHello, listener);
     }
 
     @Override
--- a/src/main/java/slateslip/controlplane/ReconnectingPeerConnection.java
+++ b/src/main/java/slateslip/controlplane/ReconnectingPeerConnection.java
@@ -24,34 +24,37 @@
  */
 final class ReconnectingPeerConnection implements PeerConnector.PeerConnection {
   private static final Logger LOG = Logger.getLogger(ReconnectingPeerConnection.class);
-  private static final int CONNECT_MILLIS = 500;
-  private static final long FIRST_PAUSE_MILLIS = 30;
-  private static final long LONGEST_PAUSE_MILLIS = 400;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
+  private static final long INITIAL_BACKOFF_MILLIS = 30;
+  private static final long MAX_BACKOFF_MILLIS = 400;
 
   /** A peer that leaves this much unread is not served on this connection any more. */
   private static final int MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
-  private final EventLoop loop;
+  private final EventLoop eventLoop;
   private final InetSocketAddress address;
-  private final byte[] greeting;
+  private final byte[] encodedHello;
   private final PeerConnector.Listener listener;
   private Channel channel;
-  private boolean greeted;
+  private boolean helloReceived;
   private boolean closed;
-  private long pauseMillis = FIRST_PAUSE_MILLIS;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
   ReconnectingPeerConnection(
-      EventLoop loop, InetSocketAddress address, byte[] greeting, PeerConnector.Listener listener) {
-    this.loop = loop;
+      EventLoop eventLoop,
+      InetSocketAddress address,
+      byte[] encodedHello,
+      PeerConnector.Listener listener) {
+    this.eventLoop = eventLoop;
     this.address = address;
-    this.greeting = greeting;
+    this.encodedHello = encodedHello;
     this.listener = listener;
   }
 
-  void dial() {
+  void connect() {
     Bootstrap bootstrap = new Bootstrap();
-    bootstrap.group(loop).channel(NioSocketChannel.class);
-    bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+    bootstrap.group(eventLoop).channel(NioSocketChannel.class);
+    bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
     bootstrap.option(ChannelOption.TCP_NODELAY, true);
     bootstrap.option(ChannelOption.SO_LINGER, 0);
     bootstrap.option(
@@ -60,50 +63,50 @@
     bootstrap.handler(
         new ChannelInitializer<Channel>() {
           @Override
-          protected void initChannel(Channel dialled) {
-            Framing.addDecoder(dialled.pipeline());
-            dialled.pipeline().addLast(new Reader());
+          protected void initChannel(Channel channel) {
+            Framing.addDecoder(channel.pipeline());
+            channel.pipeline().addLast(new Reader());
           }
         });
-    ChannelFuture connecting = bootstrap.connect(address);
-    connecting.addListener(done -> connected(connecting));
+    ChannelFuture connectFuture = bootstrap.connect(address);
+    connectFuture.addListener(completed -> connected(connectFuture));
   }
 
-  private void connected(ChannelFuture connecting) {
-    if (!connecting.isSuccess()) {
-      dialLater();
+  private void connected(ChannelFuture connectFuture) {
+    if (!connectFuture.isSuccess()) {
+      reconnectLater();
       return;
     }
     if (closed) {
-      connecting.channel().close();
+      connectFuture.channel().close();
       return;
     }
-    channel = connecting.channel();
-    channel.closeFuture().addListener(done -> broken());
-    send(greeting);
+    channel = connectFuture.channel();
+    channel.closeFuture().addListener(completed -> connectionLost());
+    send(encodedHello);
   }
 
-  private void broken() {
-    boolean wasUp = greeted;
+  private void connectionLost() {
+    boolean wasConnected = helloReceived;
     channel = null;
-    greeted = false;
-    if (wasUp) {
-      listener.down();
+    helloReceived = false;
+    if (wasConnected) {
+      listener.disconnected();
     }
-    dialLater();
+    reconnectLater();
   }
 
-  private void dialLater() {
+  private void reconnectLater() {
     if (closed) {
       return;
     }
-    loop.schedule(this::dialAgain, pauseMillis, TimeUnit.MILLISECONDS);
-    pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
+    eventLoop.schedule(this::reconnect, backoffMillis, TimeUnit.MILLISECONDS);
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
   }
 
-  private void dialAgain() {
+  private void reconnect() {
     if (!closed) {
-      dial();
+      connect();
     }
   }
 
@@ -136,10 +139,10 @@
   private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf message) {
-      if (!greeted) {
-        greeted = true;
-        pauseMillis = FIRST_PAUSE_MILLIS;
-        listener.up(Framing.bytes(message));
+      if (!helloReceived) {
+        helloReceived = true;
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        listener.connected(Framing.bytes(message));
       }
     }
 
--- a/src/main/java/slateslip/controlplane/agent/AgentIdentity.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentIdentity.java
@@ -10,7 +10,7 @@
  */
 public record AgentIdentity(String address, long incarnation) {
   /** What it says first on a connection. */
-  public ControlPeerMessage.Hello greeting() {
+  public ControlPeerMessage.Hello hello() {
     return new ControlPeerMessage.Hello(address, incarnation);
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/AgentSettings.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentSettings.java
@@ -9,7 +9,7 @@
  * @param address IPv4 address of its machine
  * @param seeds IPv4 addresses of control agents
  * @param bootstrap whether the whole system starts for the first time
- * @param toleratedMachines machines that may be lost at once
+ * @param faultTolerance machines that may be lost at once
  * @param heartbeatMillis between two calls of a backend
  */
 public record AgentSettings(
@@ -17,5 +17,5 @@
     String address,
     List<String> seeds,
     boolean bootstrap,
-    int toleratedMachines,
+    int faultTolerance,
     long heartbeatMillis) {}
--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -34,30 +34,30 @@
   /** A backend may miss this many calls. */
   private static final int EXPIRY_HEARTBEATS = 3;
 
-  private static final long PEER_BEAT_MICROS = 150_000;
-  private static final long STREAM_BEAT_MICROS = 200_000;
-  private static final long RENEWAL_MICROS = 300_000;
-  private static final long EXPIRY_CHECK_MICROS = 200_000;
-  private static final long LEAVE_CHECK_MICROS = 20_000;
-  private static final long SHARES_MICROS = 250_000;
-  private static final long JOURNAL_BYTES = 6L * 1024 * 1024;
+  private static final long PEER_HEARTBEAT_INTERVAL_MICROS = 150_000;
+  private static final long STREAM_HEARTBEAT_INTERVAL_MICROS = 200_000;
+  private static final long RENEWAL_BATCH_INTERVAL_MICROS = 300_000;
+  private static final long EXPIRY_CHECK_INTERVAL_MICROS = 200_000;
+  private static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 20_000;
+  private static final long QUOTA_INTERVAL_MICROS = 250_000;
+  private static final long SNAPSHOT_THRESHOLD_BYTES = 6L * 1024 * 1024;
 
   private final Scheduler scheduler;
   private final ConfigurationState state = new ConfigurationState();
-  private final SessionTable table;
+  private final SessionTable sessionTable;
   private final PeerLinks links;
   private final ReplicaHost replica;
   private final DataPlaneSubscriptions subscribers;
-  private final PendingAcknowledgements waits;
+  private final PendingAcknowledgements pendingAcknowledgements;
   private final SessionService sessions;
-  private final OperatorRequestHandler calls;
+  private final OperatorRequestHandler operatorRequests;
   private final PeerProgress peerProgress = new PeerProgress();
 
   /** Peers whose whole table has been taken over. */
-  private final Set<String> copiedFrom = new HashSet<>();
+  private final Set<String> fullTablesReceivedFrom = new HashSet<>();
 
-  private final long startMicros;
-  private final QuotaService shares;
+  private final long startedMicros;
+  private final QuotaService quotas;
   private AgentSettings settings;
   private long reportedVersion = -1;
 
@@ -72,41 +72,45 @@
       PeerConnector connector,
       AgentSettings settings,
       AgentIdentity identity,
-      WriteAheadLog log,
+      WriteAheadLog writeAheadLog,
       Consumer<RuntimeException> brokenInvariant) {
     this.scheduler = scheduler;
     this.settings = settings;
-    startMicros = scheduler.nowMicros();
-    table = new SessionTable(EXPIRY_HEARTBEATS * settings.heartbeatMillis() * MICROS_PER_MILLI);
-    table.suspendExpiry(startMicros);
-    waits = new PendingAcknowledgements(scheduler);
-    links = new PeerLinks(scheduler, identity.greeting(), connector, new LinkListener());
-    ControlReplica machine =
+    startedMicros = scheduler.nowMicros();
+    sessionTable =
+        new SessionTable(EXPIRY_HEARTBEATS * settings.heartbeatMillis() * MICROS_PER_MILLI);
+    sessionTable.suspendExpiry(startedMicros);
+    pendingAcknowledgements = new PendingAcknowledgements(scheduler);
+    links = new PeerLinks(scheduler, identity.hello(), connector, new LinkListener());
+    ControlReplica controlReplica =
         new ControlReplica(replicaSettings(identity), state, identity.incarnation());
     replica =
         new ReplicaHost(
             scheduler,
-            machine,
-            log,
+            controlReplica,
+            writeAheadLog,
             (to, message) -> links.send(to.toString(), message),
             this::configurationChanged,
             brokenInvariant);
     subscribers =
         new DataPlaneSubscriptions(
-            new CommittedConfigurations(), table, this::heartbeat, new StreamListener());
+            new CommittedConfigurations(),
+            sessionTable,
+            this::dataPlaneHeartbeat,
+            new StreamListener());
     sessions =
         new SessionService(
             identity.incarnation(),
             scheduler,
-            table,
+            sessionTable,
             links,
             subscribers,
-            waits,
+            pendingAcknowledgements,
             this::reachesMajority);
-    calls =
+    operatorRequests =
         new OperatorRequestHandler(
-            identity.incarnation(), scheduler, replica, state, links, this::awaitDelivery);
-    shares =
+            identity.incarnation(), scheduler, replica, state, links, this::awaitRollout);
+    quotas =
         new QuotaService(
             identity.address(), scheduler, links, subscribers, new PrimaryAllocatorRole());
   }
@@ -116,59 +120,61 @@
         NodeAddress.parse(identity.address()),
         settings.seeds().stream().map(NodeAddress::parse).toList(),
         settings.bootstrap(),
-        settings.toleratedMachines(),
-        JOURNAL_BYTES);
+        settings.faultTolerance(),
+        SNAPSHOT_THRESHOLD_BYTES);
   }
 
   /** Starts; on the event loop. */
   public void start() {
-    links.learn(settings.seeds());
+    links.connectTo(settings.seeds());
     replica.start();
-    scheduler.repeat(PEER_BEAT_MICROS, this::beat);
-    scheduler.repeat(STREAM_BEAT_MICROS, subscribers::beat);
-    scheduler.repeat(RENEWAL_MICROS, sessions::flushRenewals);
-    scheduler.repeat(EXPIRY_CHECK_MICROS, this::checkSessions);
-    scheduler.repeat(SHARES_MICROS, shares::tick);
+    scheduler.scheduleAtFixedRate(PEER_HEARTBEAT_INTERVAL_MICROS, this::sendHeartbeats);
+    scheduler.scheduleAtFixedRate(STREAM_HEARTBEAT_INTERVAL_MICROS, subscribers::sendHeartbeats);
+    scheduler.scheduleAtFixedRate(RENEWAL_BATCH_INTERVAL_MICROS, sessions::flushRenewals);
+    scheduler.scheduleAtFixedRate(EXPIRY_CHECK_INTERVAL_MICROS, this::expireSessions);
+    scheduler.scheduleAtFixedRate(QUOTA_INTERVAL_MICROS, quotas::tick);
   }
 
   /**
    * The process is asked to end.
    *
-   * @param boundMicros after this time it ends in any case
-   * @param left told once, when the view no longer counts on this agent's copy of the state
+   * @param timeoutMicros after this time it ends in any case
+   * @param released told once, when the view no longer counts on this agent's copy of the state
    */
-  public void leave(long boundMicros, Runnable left) {
-    replica.leave();
-    awaitLeave(scheduler.nowMicros() + boundMicros, left);
+  public void shutDownGracefully(long timeoutMicros, Runnable released) {
+    replica.shutDown();
+    awaitRelease(scheduler.nowMicros() + timeoutMicros, released);
   }
 
-  private void awaitLeave(long latestMicros, Runnable left) {
-    if (!replica.isMember() || scheduler.nowMicros() >= latestMicros) {
-      left.run();
+  private void awaitRelease(long deadlineMicros, Runnable released) {
+    if (!replica.isMember() || scheduler.nowMicros() >= deadlineMicros) {
+      released.run();
     } else {
-      scheduler.schedule(LEAVE_CHECK_MICROS, () -> awaitLeave(latestMicros, left));
+      scheduler.schedule(
+          SHUTDOWN_CHECK_INTERVAL_MICROS, () -> awaitRelease(deadlineMicros, released));
     }
   }
 
   /** Takes over seeds that have changed. */
   public void settingsChanged(AgentSettings changed) {
     settings = changed;
-    links.learn(settings.seeds());
+    links.connectTo(settings.seeds());
   }
 
   /** A backend's call; {@code acknowledged} is told once whether it is. */
-  public void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
+  public void dataPlaneHeartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
     sessions.heartbeat(session, acknowledged);
   }
 
   /** A backend is gone; {@code acknowledged} is told once whether the call is. */
-  public void depart(String id, Consumer<Boolean> acknowledged) {
-    sessions.depart(id, acknowledged);
+  public void deregister(String id, Consumer<Boolean> acknowledged) {
+    sessions.deregister(id, acknowledged);
   }
 
   /** A call of the operator's; answered once. */
-  public void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
-    calls.call(call, answer);
+  public void handleOperatorRequest(
+      OperatorRequest handleOperatorRequest, Consumer<OperatorResponse> answer) {
+    operatorRequests.handleRequest(handleOperatorRequest, answer);
   }
 
   /** Figures of this agent. */
@@ -180,25 +186,25 @@
         replica.isServing(),
         replica.hearsPrimary() && reachesMajority(),
         state.version(),
-        table.sessions().size(),
-        table.isComplete(),
-        table.revision(),
+        sessionTable.sessions().size(),
+        sessionTable.isComplete(),
+        sessionTable.revision(),
         subscribers.streams().size(),
         links.reachability().reachablePeers(scheduler.nowMicros()));
   }
 
-  private void beat() {
-    Set<String> kept = new LinkedHashSet<>(settings.seeds());
-    kept.addAll(electorate());
-    links.learn(kept);
-    links.beat(table.isComplete(), kept);
-    reportProgress(true);
+  private void sendHeartbeats() {
+    Set<String> retainedAgents = new LinkedHashSet<>(settings.seeds());
+    retainedAgents.addAll(witnessAddresses());
+    links.connectTo(retainedAgents);
+    links.sendHeartbeats(sessionTable.isComplete(), retainedAgents);
+    reportDeliveryProgress(true);
   }
 
-  private void checkSessions() {
-    boolean heardEverybody = scheduler.nowMicros() - startMicros > expiryMicros();
-    if (heardEverybody && reachesMajority()) {
-      table.markComplete();
+  private void expireSessions() {
+    boolean allBackendsHadTime = scheduler.nowMicros() - startedMicros > expiryMicros();
+    if (allBackendsHadTime && reachesMajority()) {
+      sessionTable.markComplete();
     }
     sessions.expire();
   }
@@ -208,7 +214,7 @@
   }
 
   /** Addresses of those whose majority decides who leads. */
-  private Collection<String> electorate() {
+  private Collection<String> witnessAddresses() {
     List<String> addresses = new ArrayList<>();
     for (NodeId witness : replica.view().witnesses()) {
       addresses.add(witness.address().toString());
@@ -217,22 +223,22 @@
   }
 
   private boolean reachesMajority() {
-    Collection<String> electorate = electorate();
-    return !electorate.isEmpty()
-        && links.reachability().reachesMajority(scheduler.nowMicros(), electorate);
+    Collection<String> witnessAddresses = witnessAddresses();
+    return !witnessAddresses.isEmpty()
+        && links.reachability().reachesMajority(scheduler.nowMicros(), witnessAddresses);
   }
 
   private void configurationChanged() {
     LogContext.version(state.version());
-    subscribers.pump();
-    reportProgress(false);
-    waits.check();
+    subscribers.deliverPending();
+    reportDeliveryProgress(false);
+    pendingAcknowledgements.recheck();
   }
 
   /** Tells the primary how far the data planes here are, if that is news or it is time to. */
-  private void reportProgress(boolean always) {
+  private void reportDeliveryProgress(boolean evenIfUnchanged) {
     long version = subscribers.progress().slowestVersion();
-    if (replica.isServing() || (!always && version == reportedVersion)) {
+    if (replica.isServing() || (!evenIfUnchanged && version == reportedVersion)) {
       return;
     }
     reportedVersion = version;
@@ -240,11 +246,12 @@
     links.send(primary, new ControlPeerMessage.DeliveryReport(version));
   }
 
-  private void awaitDelivery(long version, long boundMillis, Runnable then) {
-    waits.await(() -> isDelivered(version), boundMillis, inTime -> then.run());
+  private void awaitRollout(long version, long timeoutMillis, Runnable onDelivered) {
+    pendingAcknowledgements.await(
+        () -> isRolledOut(version), timeoutMillis, inTime -> onDelivered.run());
   }
 
-  private boolean isDelivered(long version) {
+  private boolean isRolledOut(long version) {
     if (subscribers.progress().slowestVersion() < version) {
       return false;
     }
@@ -256,16 +263,17 @@
     return true;
   }
 
-  private ControlPlaneMessage.Heartbeat heartbeat() {
+  private ControlPlaneMessage.Heartbeat dataPlaneHeartbeat() {
     List<String> agents =
         new ArrayList<>(links.reachability().reachablePeers(scheduler.nowMicros()));
     agents.add(settings.address());
     boolean current = replica.hearsPrimary() && reachesMajority();
-    return new ControlPlaneMessage.Heartbeat(current, state.version(), table.revision(), agents);
+    return new ControlPlaneMessage.Heartbeat(
+        current, state.version(), sessionTable.revision(), agents);
   }
 
   @Override
-  public void fromDataPlane(DataPlaneStream stream, DataPlaneMessage message) {
+  public void dataPlaneMessageReceived(DataPlaneStream stream, DataPlaneMessage message) {
     subscribers.received(stream, message);
   }
 
@@ -280,28 +288,28 @@
   }
 
   @Override
-  public void fromReplica(ReplicaFrame frame) {
+  public void replicaMessageReceived(ReplicaFrame frame) {
     replica.received(frame);
   }
 
   @Override
-  public void fromPeer(ControlPeerMessage.Hello sender, ControlPeerMessage message) {
+  public void peerMessageReceived(ControlPeerMessage.Hello sender, ControlPeerMessage message) {
     String peer = sender.address();
-    if (message instanceof ControlPeerMessage.Heartbeat beat) {
-      links.heard(peer, beat);
-      if (beat.complete() && copiedFrom.contains(peer)) {
-        table.markComplete();
+    if (message instanceof ControlPeerMessage.Heartbeat sendHeartbeats) {
+      links.heartbeatReceived(peer, sendHeartbeats);
+      if (sendHeartbeats.complete() && fullTablesReceivedFrom.contains(peer)) {
+        sessionTable.markComplete();
       }
-      sessions.confirmed(peer, links.reachability().acknowledgedMicros(peer));
+      sessions.heartbeatAcknowledged(peer, links.reachability().acknowledgedMicros(peer));
     } else if (message instanceof ControlPeerMessage.SessionChanges changes) {
       sessions.merge(peer, changes);
       if (changes.fullTable()) {
-        copiedFrom.add(peer);
+        fullTablesReceivedFrom.add(peer);
       }
     } else if (message instanceof ControlPeerMessage.SessionRenewals renewals) {
       sessions.merge(peer, renewals);
     } else if (message instanceof ControlPeerMessage.SessionChangesAcknowledged stored) {
-      sessions.stored(peer, stored.number());
+      sessions.changesAcknowledged(peer, stored.number());
     } else {
       fromPeerAboutConfiguration(sender, message);
     }
@@ -313,19 +321,19 @@
     if (message instanceof ControlPeerMessage.Hello) {
       links.reachability().peerRestarted(peer);
       peerProgress.peerStarted(peer, sender.incarnation());
-      links.learn(List.of(peer));
+      links.connectTo(List.of(peer));
     } else if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
-      calls.forwarded(peer, forwarded);
+      operatorRequests.forwardedRequestReceived(peer, forwarded);
     } else if (message instanceof ControlPeerMessage.ForwardedResponse answered) {
-      calls.answered(peer, answered);
+      operatorRequests.forwardedResponseReceived(peer, answered);
     } else if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
       peerProgress.recordReport(
           peer, sender.incarnation(), replica.role().epoch(), delivered.slowestVersion());
-      waits.check();
+      pendingAcknowledgements.recheck();
     } else if (message instanceof ControlPeerMessage.DemandReport demands) {
-      shares.demands(peer, demands);
+      quotas.demandReportReceived(peer, demands);
     } else if (message instanceof ControlPeerMessage.QuotaAllocations allotted) {
-      shares.allotted(allotted);
+      quotas.allocationsReceived(allotted);
     }
   }
 
@@ -349,21 +357,21 @@
 
   private final class LinkListener implements PeerLinks.Listener {
     @Override
-    public void linkUp(String peer, long incarnation) {
+    public void peerConnected(String peer, long incarnation) {
       LOG.infof("control agent %s connected", peer);
       sessions.connected(peer, incarnation);
     }
 
     @Override
-    public void linkDown(String peer) {
+    public void peerDisconnected(String peer) {
       LOG.infof("control agent %s disconnected", peer);
       sessions.disconnected(peer);
     }
 
     @Override
-    public void forgotten(String peer) {
+    public void peerRemoved(String peer) {
       peerProgress.remove(peer);
-      sessions.forgotten(peer);
+      sessions.peerRemoved(peer);
     }
   }
 
@@ -382,14 +390,15 @@
 
   private final class StreamListener implements DataPlaneSubscriptions.Listener {
     @Override
-    public void progressed() {
-      reportProgress(false);
-      waits.check();
+    public void progressChanged() {
+      reportDeliveryProgress(false);
+      pendingAcknowledgements.recheck();
     }
 
     @Override
-    public void demand(DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demand) {
-      shares.demand(subscriber, demand);
+    public void demandReceived(
+        DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demand) {
+      quotas.demandReceived(subscriber, demand);
     }
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
+++ b/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
@@ -28,10 +28,11 @@
   /** Is told what data planes say. */
   interface Listener {
     /** An active stream has come, gone or acknowledged something. */
-    void progressed();
+    void progressChanged();
 
     /** A data plane tells its demand. */
-    void demand(DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demand);
+    void demandReceived(
+        DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demandReceived);
   }
 
   DataPlaneSubscriptions(
@@ -53,9 +54,11 @@
       stream.close();
     } else if (message instanceof DataPlaneMessage.Acknowledge acknowledge) {
       delivery.acknowledge(acknowledge);
-      listener.progressed();
-    } else if (message instanceof DataPlaneMessage.Demand demand) {
-      delivery.subscription().ifPresent(subscriber -> listener.demand(subscriber, demand));
+      listener.progressChanged();
+    } else if (message instanceof DataPlaneMessage.Demand demandReceived) {
+      delivery
+          .subscription()
+          .ifPresent(subscriber -> listener.demandReceived(subscriber, demandReceived));
     } else if (message instanceof DataPlaneMessage.Ping ping) {
       send(stream, new ControlPlaneMessage.Pong(ping.nonce()));
     }
@@ -69,31 +72,31 @@
         streams.computeIfAbsent(stream, key -> new SubscriberDelivery(configurations, sessions));
     delivery.subscribe(message);
     send(stream, heartbeat.get());
-    pump(stream, delivery);
-    listener.progressed();
+    deliverPending(stream, delivery);
+    listener.progressChanged();
   }
 
   void closed(DataPlaneStream stream) {
     SubscriberDelivery delivery = streams.remove(stream);
     if (delivery != null && delivery.isActive()) {
-      listener.progressed();
+      listener.progressChanged();
     }
   }
 
   /** Sends what has changed to all active streams that take more. */
-  void pump() {
-    streams.forEach(this::pump);
+  void deliverPending() {
+    streams.forEach(this::deliverPending);
   }
 
   /** The stream takes more again. */
   void writable(DataPlaneStream stream) {
     SubscriberDelivery delivery = streams.get(stream);
     if (delivery != null) {
-      pump(stream, delivery);
+      deliverPending(stream, delivery);
     }
   }
 
-  private void pump(DataPlaneStream stream, SubscriberDelivery delivery) {
+  private void deliverPending(DataPlaneStream stream, SubscriberDelivery delivery) {
     if (!stream.isWritable()) {
       return;
     }
@@ -104,7 +107,7 @@
   }
 
   /** Sends a heartbeat on every stream that takes more. */
-  void beat() {
+  void sendHeartbeats() {
     ControlPlaneMessage.Heartbeat message = heartbeat.get();
     streams.keySet().forEach(stream -> send(stream, message));
   }
--- a/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
+++ b/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
@@ -19,17 +19,17 @@
   private static final Logger LOG = Logger.getLogger(IncomingConnection.class);
 
   private final DataPlaneStream stream;
-  private final byte[] greeting;
+  private final byte[] encodedHello;
   private final Listener listener;
-  private final DistributionCodec distribution = new DistributionCodec();
-  private final ControlPeerCodec exchange = new ControlPeerCodec();
+  private final DistributionCodec dataPlaneCodec = new DistributionCodec();
+  private final ControlPeerCodec peerCodec = new ControlPeerCodec();
   private ControlPeerMessage.Hello peer;
-  private boolean dataPlane;
+  private boolean isDataPlane;
 
   /** Takes what comes in. */
   public interface Listener {
     /** A message of a data plane. */
-    void fromDataPlane(DataPlaneStream stream, DataPlaneMessage message);
+    void dataPlaneMessageReceived(DataPlaneStream stream, DataPlaneMessage message);
 
     /** The stream of a data plane takes more again. */
     void dataPlaneWritable(DataPlaneStream stream);
@@ -38,77 +38,77 @@
     void dataPlaneClosed(DataPlaneStream stream);
 
     /** A peer's message; {@code sender} is the greeting of the connection that it came on. */
-    void fromPeer(ControlPeerMessage.Hello sender, ControlPeerMessage message);
+    void peerMessageReceived(ControlPeerMessage.Hello sender, ControlPeerMessage message);
 
     /** A message about the replicated control state. */
-    void fromReplica(ReplicaFrame frame);
+    void replicaMessageReceived(ReplicaFrame frame);
   }
 
   /**
    * Nothing has come yet.
    *
-   * @param greeting encoded, sent back to a peer that has greeted
+   * @param encodedHello encoded, sent back to a peer that has greeted
    */
-  public IncomingConnection(DataPlaneStream stream, byte[] greeting, Listener listener) {
+  public IncomingConnection(DataPlaneStream stream, byte[] encodedHello, Listener listener) {
     this.stream = stream;
-    this.greeting = greeting;
+    this.encodedHello = encodedHello;
     this.listener = listener;
   }
 
   /** Takes one encoded message. */
   public void received(byte[] message) {
     if (peer != null) {
-      fromPeer(message);
-    } else if (dataPlane || MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID) {
-      fromDataPlane(message);
+      peerMessageReceived(message);
+    } else if (isDataPlane || MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID) {
+      dataPlaneMessageReceived(message);
     } else {
-      greet(message);
+      receiveHello(message);
     }
   }
 
   /** The connection takes more again. */
   public void writable() {
-    if (dataPlane) {
+    if (isDataPlane) {
       listener.dataPlaneWritable(stream);
     }
   }
 
   /** The connection has ended. */
   public void closed() {
-    if (dataPlane) {
+    if (isDataPlane) {
       listener.dataPlaneClosed(stream);
     }
   }
 
-  private void greet(byte[] message) {
-    if (exchange.decode(message) instanceof Decoded.Message<ControlPeerMessage> decoded
-        && decoded.value() instanceof ControlPeerMessage.Hello first) {
-      peer = first;
-      stream.write(greeting);
+  private void receiveHello(byte[] message) {
+    if (peerCodec.decode(message) instanceof Decoded.Message<ControlPeerMessage> decoded
+        && decoded.value() instanceof ControlPeerMessage.Hello hello) {
+      peer = hello;
+      stream.write(encodedHello);
       stream.flush();
-      listener.fromPeer(peer, first);
+      listener.peerMessageReceived(peer, hello);
     } else {
       close("no greeting");
     }
   }
 
-  private void fromDataPlane(byte[] message) {
-    Decoded<DataPlaneMessage> decoded = distribution.decodeToControl(message);
+  private void dataPlaneMessageReceived(byte[] message) {
+    Decoded<DataPlaneMessage> decoded = dataPlaneCodec.decodeToControl(message);
     if (decoded instanceof Decoded.Message<DataPlaneMessage> known) {
-      dataPlane = true;
-      listener.fromDataPlane(stream, known.value());
+      isDataPlane = true;
+      listener.dataPlaneMessageReceived(stream, known.value());
     } else if (decoded instanceof Decoded.Malformed<DataPlaneMessage> malformed) {
       close(malformed.reason());
-    } else if (!dataPlane) {
+    } else if (!isDataPlane) {
       close("a first message of another protocol");
     }
   }
 
-  private void fromPeer(byte[] message) {
+  private void peerMessageReceived(byte[] message) {
     if (MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID) {
-      Decoded<ControlPeerMessage> decoded = exchange.decode(message);
+      Decoded<ControlPeerMessage> decoded = peerCodec.decode(message);
       if (decoded instanceof Decoded.Message<ControlPeerMessage> known) {
-        listener.fromPeer(peer, known.value());
+        listener.peerMessageReceived(peer, known.value());
       } else if (decoded instanceof Decoded.Malformed<ControlPeerMessage> malformed) {
         close(malformed.reason());
       }
@@ -116,7 +116,7 @@
     }
     Decoded<ReplicaFrame> decoded = ReplicaMessageCodec.decode(message);
     if (decoded instanceof Decoded.Message<ReplicaFrame> known) {
-      listener.fromReplica(known.value());
+      listener.replicaMessageReceived(known.value());
     } else if (decoded instanceof Decoded.Malformed<ReplicaFrame> malformed) {
       close(malformed.reason());
     }
--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -20,28 +20,28 @@
  */
 final class OperatorRequestHandler {
   /** Callers try another agent after a second of silence. */
-  private static final long FORWARD_BOUND_MICROS = 900_000;
+  private static final long FORWARD_TIMEOUT_MICROS = 900_000;
 
   /** How long an acknowledgement waits for data planes to put the version in force. */
-  private static final long DELIVERY_BOUND_MILLIS = 400;
+  private static final long ROLLOUT_TIMEOUT_MILLIS = 400;
 
   private final Scheduler scheduler;
   private final ReplicaHost replica;
   private final ConfigurationState state;
   private final PeerLinks links;
-  private final ConfigurationRollout delivery;
-  private final Map<Long, PendingForward> forwarded = new HashMap<>();
+  private final ConfigurationRollout rollout;
+  private final Map<Long, PendingForward> forwardedRequestReceived = new HashMap<>();
 
   /** Begins at a number drawn at random, so that no two lives of an agent use one id. */
-  private long lastId;
+  private long lastRequestId;
 
   /** A call that another agent was asked to answer. */
-  private record PendingForward(String peer, Consumer<OperatorResponse> answer) {}
+  private record PendingForward(String peer, Consumer<OperatorResponse> responseHandler) {}
 
   /** Waits for deliveries at all agents. */
   interface ConfigurationRollout {
     /** Calls back once all data planes in reach have this version, or after the bound. */
-    void await(long version, long boundMillis, Runnable then);
+    void await(long version, long timeoutMillis, Runnable onComplete);
   }
 
   /**
@@ -56,71 +56,75 @@
       ReplicaHost replica,
       ConfigurationState state,
       PeerLinks links,
-      ConfigurationRollout delivery) {
-    lastId = incarnation;
+      ConfigurationRollout rollout) {
+    lastRequestId = incarnation;
     this.scheduler = scheduler;
     this.replica = replica;
     this.state = state;
     this.links = links;
-    this.delivery = delivery;
+    this.rollout = rollout;
   }
 
   /** A call that came to this agent; answered once. */
-  void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
+  void handleRequest(OperatorRequest request, Consumer<OperatorResponse> responseHandler) {
     if (replica.isServing()) {
-      handle(call, answer);
+      handleAsPrimary(request, responseHandler);
       return;
     }
     NodeId primary = replica.role().primary();
     String peer = primary.address().toString();
     if (!links.isUsable(peer)) {
-      answer.accept(OperatorResponse.unavailable("no primary in reach"));
+      responseHandler.accept(OperatorResponse.unavailable("no primary in reach"));
       return;
     }
-    lastId++;
-    long id = lastId;
-    forwarded.put(id, new PendingForward(peer, answer));
-    links.send(peer, new ControlPeerMessage.ForwardedRequest(id, call));
-    scheduler.schedule(FORWARD_BOUND_MICROS, () -> giveUp(id));
+    lastRequestId++;
+    long requestId = lastRequestId;
+    forwardedRequestReceived.put(requestId, new PendingForward(peer, responseHandler));
+    links.send(peer, new ControlPeerMessage.ForwardedRequest(requestId, request));
+    scheduler.schedule(FORWARD_TIMEOUT_MICROS, () -> timeOut(requestId));
   }
 
-  private void giveUp(long id) {
-    PendingForward call = forwarded.remove(id);
-    if (call != null) {
-      call.answer.accept(OperatorResponse.unavailable("no answer of the primary"));
+  private void timeOut(long requestId) {
+    PendingForward request = forwardedRequestReceived.remove(requestId);
+    if (request != null) {
+      request.responseHandler.accept(OperatorResponse.unavailable("no answer of the primary"));
     }
   }
 
   /** A call that came to another agent. */
-  void forwarded(String peer, ControlPeerMessage.ForwardedRequest message) {
-    Consumer<OperatorResponse> back =
-        answer ->
-            links.send(peer, new ControlPeerMessage.ForwardedResponse(message.requestId(), answer));
+  void forwardedRequestReceived(String peer, ControlPeerMessage.ForwardedRequest message) {
+    Consumer<OperatorResponse> respond =
+        responseHandler ->
+            links.send(
+                peer,
+                new ControlPeerMessage.ForwardedResponse(message.requestId(), responseHandler));
     if (replica.isServing()) {
-      handle(message.request(), back);
+      handleAsPrimary(message.request(), respond);
     } else {
-      back.accept(OperatorResponse.unavailable("not the primary"));
+      respond.accept(OperatorResponse.unavailable("not the primary"));
     }
   }
 
   /** The answer of the agent that a call was forwarded to. */
-  void answered(String peer, ControlPeerMessage.ForwardedResponse message) {
-    PendingForward call = forwarded.get(message.requestId());
-    if (call != null && call.peer.equals(peer)) {
-      forwarded.remove(message.requestId());
-      call.answer.accept(message.response());
+  void forwardedResponseReceived(String peer, ControlPeerMessage.ForwardedResponse message) {
+    PendingForward request = forwardedRequestReceived.get(message.requestId());
+    if (request != null && request.peer.equals(peer)) {
+      forwardedRequestReceived.remove(message.requestId());
+      request.responseHandler.accept(message.response());
     }
   }
 
-  private void handle(OperatorRequest call, Consumer<OperatorResponse> answer) {
-    if (call.method() == OperatorRequest.Method.GET) {
-      replica.confirm(result -> answer.accept(readAnswer(result)));
+  private void handleAsPrimary(
+      OperatorRequest request, Consumer<OperatorResponse> responseHandler) {
+    if (request.method() == OperatorRequest.Method.GET) {
+      replica.confirm(result -> responseHandler.accept(readResponse(result)));
     } else {
-      replica.propose(OperatorRequestCodec.encode(call), result -> changed(result, answer));
+      replica.propose(
+          OperatorRequestCodec.encode(request), result -> changeCompleted(result, responseHandler));
     }
   }
 
-  private OperatorResponse readAnswer(ClientResult result) {
+  private OperatorResponse readResponse(ClientResult result) {
     if (!(result instanceof ClientResult.Confirmed)) {
       return OperatorResponse.unavailable("the state may not be current");
     }
@@ -131,27 +135,29 @@
             () -> OperatorResponse.of(OperatorResponse.NOT_FOUND, 0, "no configuration yet"));
   }
 
-  private void changed(ClientResult result, Consumer<OperatorResponse> answer) {
+  private void changeCompleted(ClientResult result, Consumer<OperatorResponse> responseHandler) {
     if (result instanceof ClientResult.Committed) {
-      acknowledge(state.version(), answer);
-    } else if (result instanceof ClientResult.Responded answered) {
-      OperatorResponse prepared = OperatorResponseCodec.decode(answered.response());
-      if (prepared.status() == OperatorResponse.OK) {
-        acknowledge(prepared.version(), answer);
+      acknowledge(state.version(), responseHandler);
+    } else if (result instanceof ClientResult.Responded forwardedResponseReceived) {
+      OperatorResponse response =
+          OperatorResponseCodec.decode(forwardedResponseReceived.response());
+      if (response.status() == OperatorResponse.OK) {
+        acknowledge(response.version(), responseHandler);
       } else {
-        answer.accept(prepared);
+        responseHandler.accept(response);
       }
     } else {
-      answer.accept(OperatorResponse.unavailable("the change may or may not come into force"));
+      responseHandler.accept(
+          OperatorResponse.unavailable("the change may or may not come into force"));
     }
   }
 
   /** A committed change is acknowledged once it is in force, as far as that is seen in time. */
-  private void acknowledge(long version, Consumer<OperatorResponse> answer) {
+  private void acknowledge(long version, Consumer<OperatorResponse> responseHandler) {
     byte[] body = ("{\"version\":" + version + "}").getBytes(StandardCharsets.UTF_8);
-    delivery.await(
+    rollout.await(
         version,
-        DELIVERY_BOUND_MILLIS,
-        () -> answer.accept(new OperatorResponse(OperatorResponse.OK, version, body)));
+        ROLLOUT_TIMEOUT_MILLIS,
+        () -> responseHandler.accept(new OperatorResponse(OperatorResponse.OK, version, body)));
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/PeerConnector.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerConnector.java
@@ -6,10 +6,10 @@
    * Begins to connect, and connects anew whenever the connection breaks, until it is closed.
    *
    * @param address IPv4 address of the peer
-   * @param greeting first message on each connection, encoded
+   * @param encodedHello first message on each connection, encoded
    * @param listener told, on the event loop, what becomes of the connection
    */
-  PeerConnection connect(String address, byte[] greeting, Listener listener);
+  PeerConnection connect(String address, byte[] encodedHello, Listener listener);
 
   /** The connection on which this agent sends to one peer. */
   interface PeerConnection {
@@ -26,9 +26,9 @@
   /** Is told what becomes of a connection. */
   interface Listener {
     /** The peer has answered with its greeting, encoded. */
-    void up(byte[] peerGreeting);
+    void connected(byte[] encodedPeerHello);
 
     /** The connection was up and has broken. */
-    void down();
+    void disconnected();
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -19,17 +19,17 @@
   private final ControlPeerMessage.Hello self;
   private final PeerConnector connector;
   private final Reachability reachability;
-  private final Map<String, Long> upSince = new TreeMap<>();
+  private final Map<String, Long> connectedSinceMicros = new TreeMap<>();
   private final Map<String, PeerConnector.PeerConnection> links = new TreeMap<>();
   private final Listener listener;
 
   /** Is told which links are up. */
   interface Listener {
-    void linkUp(String peer, long incarnation);
+    void peerConnected(String peer, long incarnation);
 
-    void linkDown(String peer);
+    void peerDisconnected(String peer);
 
-    void forgotten(String peer);
+    void peerRemoved(String peer);
   }
 
   /** No links yet. */
@@ -50,40 +50,42 @@
   }
 
   /** Dials agents that were not known. */
-  void learn(Collection<String> addresses) {
+  void connectTo(Collection<String> addresses) {
     for (String address : reachability.learn(scheduler.nowMicros(), addresses)) {
       links.put(address, connector.connect(address, codec.encode(self), new LinkListener(address)));
     }
   }
 
   /** A beat has come. */
-  void heard(String peer, ControlPeerMessage.Heartbeat beat) {
-    learn(List.of(peer));
-    reachability.heartbeatReceived(scheduler.nowMicros(), peer, beat);
-    learn(beat.knownAgents());
+  void heartbeatReceived(String peer, ControlPeerMessage.Heartbeat sendHeartbeats) {
+    connectTo(List.of(peer));
+    reachability.heartbeatReceived(scheduler.nowMicros(), peer, sendHeartbeats);
+    connectTo(sendHeartbeats.knownAgents());
   }
 
   /** Sends beats, breaks off links that lead nowhere, and forgets agents that are long gone. */
-  void beat(boolean complete, Collection<String> keptAgents) {
+  void sendHeartbeats(boolean complete, Collection<String> retainedAgents) {
     long now = scheduler.nowMicros();
-    for (String forgotten : reachability.removeExpired(now, keptAgents)) {
-      links.remove(forgotten).close();
-      listener.forgotten(forgotten);
+    for (String peerRemoved : reachability.removeExpired(now, retainedAgents)) {
+      links.remove(peerRemoved).close();
+      listener.peerRemoved(peerRemoved);
     }
-    List<String> known = reachability.knownPeers();
+    List<String> knownAgents = reachability.knownPeers();
     long number = reachability.heartbeatNumber(now);
     links.forEach(
         (peer, link) -> {
-          long echoed = reachability.lastHeartbeatNumber(peer);
-          send(peer, new ControlPeerMessage.Heartbeat(number, echoed, complete, known));
-          resetIfSilent(now, peer, link);
+          long acknowledgedNumber = reachability.lastHeartbeatNumber(peer);
+          send(
+              peer,
+              new ControlPeerMessage.Heartbeat(number, acknowledgedNumber, complete, knownAgents));
+          resetIfUnreachable(now, peer, link);
         });
   }
 
-  private void resetIfSilent(long now, String peer, PeerConnector.PeerConnection link) {
-    Long since = upSince.get(peer);
-    boolean settled = since != null && now - since > 2 * Reachability.PEER_TIMEOUT_MICROS;
-    if (settled && !reachability.isReachable(now, peer)) {
+  private void resetIfUnreachable(long now, String peer, PeerConnector.PeerConnection link) {
+    Long since = connectedSinceMicros.get(peer);
+    boolean wasUpLongEnough = since != null && now - since > 2 * Reachability.PEER_TIMEOUT_MICROS;
+    if (wasUpLongEnough && !reachability.isReachable(now, peer)) {
       link.reset();
     }
   }
@@ -103,7 +105,8 @@
 
   /** Whether the link is up and the peer in reach. */
   boolean isUsable(String peer) {
-    return upSince.containsKey(peer) && reachability.isReachable(scheduler.nowMicros(), peer);
+    return connectedSinceMicros.containsKey(peer)
+        && reachability.isReachable(scheduler.nowMicros(), peer);
   }
 
   void close() {
@@ -118,20 +121,20 @@
     }
 
     @Override
-    public void up(byte[] peerGreeting) {
-      if (codec.decode(peerGreeting) instanceof Decoded.Message<ControlPeerMessage> message
-          && message.value() instanceof ControlPeerMessage.Hello greeting) {
-        upSince.put(peer, scheduler.nowMicros());
-        listener.linkUp(peer, greeting.incarnation());
+    public void connected(byte[] encodedPeerHello) {
+      if (codec.decode(encodedPeerHello) instanceof Decoded.Message<ControlPeerMessage> message
+          && message.value() instanceof ControlPeerMessage.Hello hello) {
+        connectedSinceMicros.put(peer, scheduler.nowMicros());
+        listener.peerConnected(peer, hello.incarnation());
       } else {
         links.get(peer).reset();
       }
     }
 
     @Override
-    public void down() {
-      if (upSince.remove(peer) != null) {
-        listener.linkDown(peer);
+    public void disconnected() {
+      if (connectedSinceMicros.remove(peer) != null) {
+        listener.peerDisconnected(peer);
       }
     }
   }
--- a/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
+++ b/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
@@ -12,7 +12,7 @@
   private static final long MICROS_PER_MILLI = 1_000;
 
   private final Scheduler scheduler;
-  private final Set<PendingAcknowledgement> waits = new LinkedHashSet<>();
+  private final Set<PendingAcknowledgement> pending = new LinkedHashSet<>();
 
   PendingAcknowledgements(Scheduler scheduler) {
     this.scheduler = scheduler;
@@ -21,43 +21,43 @@
   /**
    * Waits for a condition.
    *
-   * @param delivered whether it holds now; asked at each {@link #check}
-   * @param then is told once whether it came to hold in time
+   * @param condition whether it holds now; asked at each {@link #recheck}
+   * @param onComplete is told once whether it came to hold in time
    */
-  void await(BooleanSupplier delivered, long boundMillis, Consumer<Boolean> then) {
-    if (delivered.getAsBoolean()) {
-      then.accept(true);
+  void await(BooleanSupplier condition, long timeoutMillis, Consumer<Boolean> onComplete) {
+    if (condition.getAsBoolean()) {
+      onComplete.accept(true);
       return;
     }
-    PendingAcknowledgement wait = new PendingAcknowledgement(delivered, then);
-    waits.add(wait);
-    scheduler.schedule(boundMillis * MICROS_PER_MILLI, () -> end(wait, false));
+    PendingAcknowledgement acknowledgement = new PendingAcknowledgement(condition, onComplete);
+    pending.add(acknowledgement);
+    scheduler.schedule(timeoutMillis * MICROS_PER_MILLI, () -> complete(acknowledgement, false));
   }
 
   /** Something was delivered, or somebody has gone who was waited for. */
-  void check() {
-    List<PendingAcknowledgement> ended = new ArrayList<>();
-    for (PendingAcknowledgement wait : waits) {
-      if (wait.delivered.getAsBoolean()) {
-        ended.add(wait);
+  void recheck() {
+    List<PendingAcknowledgement> satisfied = new ArrayList<>();
+    for (PendingAcknowledgement acknowledgement : pending) {
+      if (acknowledgement.condition.getAsBoolean()) {
+        satisfied.add(acknowledgement);
       }
     }
-    ended.forEach(wait -> end(wait, true));
+    satisfied.forEach(acknowledgement -> complete(acknowledgement, true));
   }
 
-  private void end(PendingAcknowledgement wait, boolean delivered) {
-    if (waits.remove(wait)) {
-      wait.then.accept(delivered);
+  private void complete(PendingAcknowledgement acknowledgement, boolean condition) {
+    if (pending.remove(acknowledgement)) {
+      acknowledgement.onComplete.accept(condition);
     }
   }
 
   private static final class PendingAcknowledgement {
-    private final BooleanSupplier delivered;
-    private final Consumer<Boolean> then;
+    private final BooleanSupplier condition;
+    private final Consumer<Boolean> onComplete;
 
-    private PendingAcknowledgement(BooleanSupplier delivered, Consumer<Boolean> then) {
-      this.delivered = delivered;
-      this.then = then;
+    private PendingAcknowledgement(BooleanSupplier condition, Consumer<Boolean> onComplete) {
+      this.condition = condition;
+      this.onComplete = onComplete;
     }
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/QuotaService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -19,22 +19,22 @@
  */
 final class QuotaService {
   /** A new allocator listens for this long first, so that it divides among all data planes. */
-  private static final long LISTEN_MICROS = 800_000;
+  private static final long WARMUP_MICROS = 800_000;
 
   /** A data plane that has not reported for this long has ended. */
-  private static final long ENDED_MICROS = 10_000_000;
+  private static final long DATA_PLANE_TIMEOUT_MICROS = 10_000_000;
 
   private final String self;
   private final Scheduler scheduler;
   private final PeerLinks links;
   private final DataPlaneSubscriptions subscribers;
-  private final AllocatorRole holder;
-  private final Map<String, DataPlaneDemand> unsent = new LinkedHashMap<>();
+  private final AllocatorRole allocatorRole;
+  private final Map<String, DataPlaneDemand> pendingDemand = new LinkedHashMap<>();
   private QuotaAllocator allocator;
-  private long allocatorSinceMicros;
+  private long allocatorStartedMicros;
 
   /** The data planes that report to this allocator: where from, and when last. */
-  private final Map<String, DemandSource> origins = new HashMap<>();
+  private final Map<String, DemandSource> demandSources = new HashMap<>();
 
   /** Says which agent divides the limits. */
   interface AllocatorRole {
@@ -52,97 +52,105 @@
       Scheduler scheduler,
       PeerLinks links,
       DataPlaneSubscriptions subscribers,
-      AllocatorRole holder) {
+      AllocatorRole allocatorRole) {
     this.self = self;
     this.scheduler = scheduler;
     this.links = links;
     this.subscribers = subscribers;
-    this.holder = holder;
+    this.allocatorRole = allocatorRole;
   }
 
   /** A data plane at this agent tells its demand. */
-  void demand(DataPlaneMessage.Subscribe from, DataPlaneMessage.Demand demand) {
-    unsent.put(from.node(), new DataPlaneDemand(from.node(), from.incarnation(), demand.tenants()));
+  void demandReceived(DataPlaneMessage.Subscribe from, DataPlaneMessage.Demand demandReceived) {
+    pendingDemand.put(
+        from.node(),
+        new DataPlaneDemand(from.node(), from.incarnation(), demandReceived.tenants()));
   }
 
   /** Another agent tells the demand of its data planes. */
-  void demands(String peer, ControlPeerMessage.DemandReport demands) {
-    if (holder.isSelf()) {
-      demands.dataPlanes().forEach(demand -> report(peer, demand));
+  void demandReportReceived(String peer, ControlPeerMessage.DemandReport demandReportReceived) {
+    if (allocatorRole.isSelf()) {
+      demandReportReceived.dataPlanes().forEach(demandReceived -> report(peer, demandReceived));
     }
   }
 
   /** The allocator tells the shares of data planes here. */
-  void allotted(ControlPeerMessage.QuotaAllocations allotted) {
-    allotted.dataPlanes().forEach(this::deliver);
+  void allocationsReceived(ControlPeerMessage.QuotaAllocations allocationsReceived) {
+    allocationsReceived.dataPlanes().forEach(this::deliver);
   }
 
   /** Sends demand on and, at the allocator, divides. */
   void tick() {
-    takeRole();
-    List<DataPlaneDemand> demands = List.copyOf(unsent.values());
-    unsent.clear();
-    if (holder.isSelf()) {
-      demands.forEach(demand -> report(self, demand));
-      divide();
-    } else if (!demands.isEmpty()) {
-      links.send(holder.address(), new ControlPeerMessage.DemandReport(demands));
+    updateRole();
+    List<DataPlaneDemand> demandReportReceived = List.copyOf(pendingDemand.values());
+    pendingDemand.clear();
+    if (allocatorRole.isSelf()) {
+      demandReportReceived.forEach(demandReceived -> report(self, demandReceived));
+      allocate();
+    } else if (!demandReportReceived.isEmpty()) {
+      links.send(
+          allocatorRole.address(), new ControlPeerMessage.DemandReport(demandReportReceived));
     }
   }
 
   /** Whoever takes the role begins without memory: what was told before is outdated soon. */
-  private void takeRole() {
-    if (!holder.isSelf()) {
+  private void updateRole() {
+    if (!allocatorRole.isSelf()) {
       allocator = null;
-      origins.clear();
+      demandSources.clear();
     } else if (allocator == null) {
       allocator = new QuotaAllocator();
-      allocatorSinceMicros = scheduler.nowMicros();
+      allocatorStartedMicros = scheduler.nowMicros();
     }
   }
 
-  private void report(String peer, DataPlaneDemand demand) {
+  private void report(String peer, DataPlaneDemand demandReceived) {
     if (allocator == null) {
       return;
     }
     long now = scheduler.nowMicros();
-    origins.put(demand.node(), new DemandSource(peer, now));
-    allocator.report(now, demand.node(), demand.incarnation(), demand.tenants());
+    demandSources.put(demandReceived.node(), new DemandSource(peer, now));
+    allocator.report(
+        now, demandReceived.node(), demandReceived.incarnation(), demandReceived.tenants());
   }
 
-  private void divide() {
+  private void allocate() {
     long now = scheduler.nowMicros();
-    if (now - allocatorSinceMicros < LISTEN_MICROS) {
+    if (now - allocatorStartedMicros < WARMUP_MICROS) {
       return;
     }
-    origins.forEach(
-        (node, origin) -> {
-          if (now - origin.reportedMicros > ENDED_MICROS) {
+    demandSources.forEach(
+        (node, source) -> {
+          if (now - source.reportedMicros > DATA_PLANE_TIMEOUT_MICROS) {
             allocator.removed(now, node);
           }
         });
-    origins.values().removeIf(origin -> now - origin.reportedMicros > ENDED_MICROS);
+    demandSources
+        .values()
+        .removeIf(source -> now - source.reportedMicros > DATA_PLANE_TIMEOUT_MICROS);
     Map<String, List<DataPlaneQuota>> byPeer = new LinkedHashMap<>();
     for (DataPlaneAllocation allocation : allocator.allocate(now)) {
-      DemandSource origin = origins.get(allocation.dataPlane());
-      if (origin != null) {
+      DemandSource source = demandSources.get(allocation.dataPlane());
+      if (source != null) {
         byPeer
-            .computeIfAbsent(origin.peer, key -> new ArrayList<>())
+            .computeIfAbsent(source.peer, key -> new ArrayList<>())
             .add(new DataPlaneQuota(allocation.dataPlane(), allocation.shares()));
       }
     }
     byPeer.forEach(this::send);
   }
 
-  private void send(String peer, List<DataPlaneQuota> shares) {
+  private void send(String peer, List<DataPlaneQuota> quotas) {
     if (peer.equals(self)) {
-      shares.forEach(this::deliver);
+      quotas.forEach(this::deliver);
     } else {
-      links.send(peer, new ControlPeerMessage.QuotaAllocations(shares));
+      links.send(peer, new ControlPeerMessage.QuotaAllocations(quotas));
     }
   }
 
-  private void deliver(DataPlaneQuota allotted) {
-    subscribers.sendTo(allotted.node(), new ControlPlaneMessage.QuotaUpdate(allotted.shares()));
+  private void deliver(DataPlaneQuota allocationsReceived) {
+    subscribers.sendTo(
+        allocationsReceived.node(),
+        new ControlPlaneMessage.QuotaUpdate(allocationsReceived.shares()));
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -21,14 +21,14 @@
 
   private final Scheduler scheduler;
   private final ControlReplica replica;
-  private final WriteAheadLog disk;
+  private final WriteAheadLog writeAheadLog;
   private final PeerSender sender;
-  private final Runnable applied;
-  private final Consumer<RuntimeException> brokenInvariant;
-  private final Map<Long, Consumer<ClientResult>> waiting = new HashMap<>();
+  private final Runnable onApplied;
+  private final Consumer<RuntimeException> onBrokenInvariant;
+  private final Map<Long, Consumer<ClientResult>> pendingResults = new HashMap<>();
   private long lastToken;
   private RoleStatus role;
-  private Scheduler.Timer wake;
+  private Scheduler.Timer wakeTimer;
 
   /** Sends a message to a peer; it may be lost. */
   interface PeerSender {
@@ -38,28 +38,28 @@
   /**
    * A replica that has not started.
    *
-   * @param applied told after the committed state has changed
-   * @param brokenInvariant told of a failure in the middle of an input: the replica's state is then
-   *     not to be trusted, and the process has to end
+   * @param onApplied told after the committed state has changed
+   * @param onBrokenInvariant told of a failure in the middle of an input: the replica's state is
+   *     then not to be trusted, and the process has to end
    */
   ReplicaHost(
       Scheduler scheduler,
       ControlReplica replica,
-      WriteAheadLog disk,
+      WriteAheadLog writeAheadLog,
       PeerSender sender,
-      Runnable applied,
-      Consumer<RuntimeException> brokenInvariant) {
+      Runnable onApplied,
+      Consumer<RuntimeException> onBrokenInvariant) {
     this.scheduler = scheduler;
     this.replica = replica;
-    this.disk = disk;
+    this.writeAheadLog = writeAheadLog;
     this.sender = sender;
-    this.applied = applied;
-    this.brokenInvariant = brokenInvariant;
+    this.onApplied = onApplied;
+    this.onBrokenInvariant = onBrokenInvariant;
   }
 
   void start() {
-    handle(new ReplicaInput.Start(disk.recovered()));
-    disk.start();
+    handle(new ReplicaInput.Start(writeAheadLog.recovered()));
+    writeAheadLog.start();
   }
 
   void received(ReplicaFrame frame) {
@@ -94,7 +94,7 @@
   }
 
   /** Others are to take over what this node does in the view. */
-  void leave() {
+  void shutDown() {
     handle(new ReplicaInput.Shutdown());
   }
 
@@ -109,7 +109,7 @@
 
   private long nextToken(Consumer<ClientResult> result) {
     lastToken++;
-    waiting.put(lastToken, result);
+    pendingResults.put(lastToken, result);
     return lastToken;
   }
 
@@ -118,21 +118,21 @@
     try {
       effects = replica.handle(scheduler.nowMicros(), input);
     } catch (RuntimeException broken) {
-      brokenInvariant.accept(broken);
+      onBrokenInvariant.accept(broken);
       throw broken;
     }
-    logChange(effects.role());
+    logRoleChange(effects.role());
     role = effects.role();
     effects.writes().forEach(this::write);
     effects.sends().forEach(this::send);
     if (effects.applied()) {
-      applied.run();
+      onApplied.run();
     }
-    effects.results().forEach(this::answer);
-    wakeAt(effects.wakeAtMicros());
+    effects.results().forEach(this::complete);
+    scheduleWake(effects.wakeAtMicros());
   }
 
-  private void logChange(RoleStatus now) {
+  private void logRoleChange(RoleStatus now) {
     boolean changed =
         role == null || now.epoch() != role.epoch() || now.serving() != role.serving();
     if (changed) {
@@ -143,7 +143,7 @@
   }
 
   private void write(Effects.DurableWrite write) {
-    disk.write(write.record(), durable -> written(write.token(), durable));
+    writeAheadLog.write(write.record(), durable -> written(write.token(), durable));
   }
 
   private void written(long token, boolean durable) {
@@ -154,18 +154,18 @@
     sender.send(send.to(), ReplicaMessageCodec.encode(role.self(), send.message()));
   }
 
-  private void answer(ClientResult result) {
-    Consumer<ClientResult> callback = waiting.remove(result.clientToken());
+  private void complete(ClientResult result) {
+    Consumer<ClientResult> callback = pendingResults.remove(result.clientToken());
     if (callback != null) {
       callback.accept(result);
     }
   }
 
-  private void wakeAt(long atMicros) {
-    if (wake != null) {
-      wake.cancel();
+  private void scheduleWake(long atMicros) {
+    if (wakeTimer != null) {
+      wakeTimer.cancel();
     }
     long delay = Math.max(0, atMicros - scheduler.nowMicros());
-    wake = scheduler.schedule(delay, () -> handle(new ReplicaInput.Tick()));
+    wakeTimer = scheduler.schedule(delay, () -> handle(new ReplicaInput.Tick()));
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/Scheduler.java
+++ b/src/main/java/slateslip/controlplane/agent/Scheduler.java
@@ -9,7 +9,7 @@
   Timer schedule(long delayMicros, Runnable task);
 
   /** Runs a task on the event loop over and over, with a period in microseconds. */
-  void repeat(long periodMicros, Runnable task);
+  void scheduleAtFixedRate(long periodMicros, Runnable task);
 
   /** A task that is scheduled. */
   interface Timer {
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -16,22 +16,22 @@
 /** Calls of backends, and what other agents say of them. Confined to the event loop. */
 final class SessionService {
   /** How long the answer to a backend that leaves waits for those that route to it. */
-  private static final long LEAVE_WAIT_MILLIS = 300;
+  private static final long DRAIN_ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 300;
 
   /** How long a peer's answer waits for its own data planes. */
-  private static final long STORED_WAIT_MILLIS = 200;
+  private static final long PEER_ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 200;
 
   private final Scheduler scheduler;
   private final SessionTable table;
   private final SessionReplication replication;
   private final PeerLinks links;
   private final DataPlaneSubscriptions subscribers;
-  private final PendingAcknowledgements waits;
+  private final PendingAcknowledgements pendingAcknowledgements;
   private final Majority majority;
-  private final Map<Long, Set<String>> unstored = new TreeMap<>();
+  private final Map<Long, Set<String>> unacknowledgedPeers = new TreeMap<>();
 
   /** Begins at a number drawn at random, so that no two lives of an agent use one. */
-  private long lastNumber;
+  private long lastChangeNumber;
 
   /** Whether this agent reaches a majority of those that keep the control state. */
   interface Majority {
@@ -50,14 +50,14 @@
       SessionTable table,
       PeerLinks links,
       DataPlaneSubscriptions subscribers,
-      PendingAcknowledgements waits,
+      PendingAcknowledgements pendingAcknowledgements,
       Majority majority) {
-    lastNumber = incarnation;
+    lastChangeNumber = incarnation;
     this.scheduler = scheduler;
     this.table = table;
     this.links = links;
     this.subscribers = subscribers;
-    this.waits = waits;
+    this.pendingAcknowledgements = pendingAcknowledgements;
     this.majority = majority;
     replication = new SessionReplication(table);
   }
@@ -70,8 +70,8 @@
    * a known backend leaves, which is never wrong later.
    */
   void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
-    boolean knownToLeave = session.draining() && table.session(session.id()).isPresent();
-    if (!majority.isReached() && !knownToLeave) {
+    boolean drainingKnownBackend = session.draining() && table.session(session.id()).isPresent();
+    if (!majority.isReached() && !drainingKnownBackend) {
       acknowledged.accept(false);
       return;
     }
@@ -80,62 +80,62 @@
       replication.renewedIds(session.id());
     }
     if (session.draining()) {
-      leaving(session.id(), acknowledged);
+      acknowledgeOnceReplicated(session.id(), acknowledged);
       return;
     }
     if (result == HeartbeatResult.CHANGED || result == HeartbeatResult.ADOPTED) {
-      changed(0, session.id());
+      replicateChange(0, session.id());
     }
     acknowledged.accept(majority.isReached());
   }
 
   /** A backend says that it is gone. */
-  void depart(String id, Consumer<Boolean> acknowledged) {
+  void deregister(String id, Consumer<Boolean> acknowledged) {
     table.deregister(scheduler.nowMicros(), id);
-    leaving(id, acknowledged);
+    acknowledgeOnceReplicated(id, acknowledged);
   }
 
   /** Acknowledged once all that may route to the backend know, or after a bounded time. */
-  private void leaving(String id, Consumer<Boolean> acknowledged) {
+  private void acknowledgeOnceReplicated(String id, Consumer<Boolean> acknowledged) {
     if (!majority.isReached()) {
-      changed(0, id);
+      replicateChange(0, id);
       acknowledged.accept(false);
       return;
     }
-    long number = nextNumber();
-    unstored.put(number, new HashSet<>(replication.connectedPeers()));
-    changed(number, id);
+    long number = nextChangeNumber();
+    unacknowledgedPeers.put(number, new HashSet<>(replication.connectedPeers()));
+    replicateChange(number, id);
     long revision = table.revision();
-    waits.await(
-        () -> isStored(number) && subscribers.progress().slowestRevision() >= revision,
-        LEAVE_WAIT_MILLIS,
+    pendingAcknowledgements.await(
+        () -> isAcknowledgedByPeers(number) && subscribers.progress().slowestRevision() >= revision,
+        DRAIN_ACKNOWLEDGEMENT_TIMEOUT_MILLIS,
         inTime -> {
-          unstored.remove(number);
+          unacknowledgedPeers.remove(number);
           acknowledged.accept(majority.isReached());
         });
   }
 
   /** A number that is not 0, which stands for a message that nobody waits for. */
-  private long nextNumber() {
-    lastNumber++;
-    if (lastNumber == 0) {
-      lastNumber++;
+  private long nextChangeNumber() {
+    lastChangeNumber++;
+    if (lastChangeNumber == 0) {
+      lastChangeNumber++;
     }
-    return lastNumber;
+    return lastChangeNumber;
   }
 
-  private boolean isStored(long number) {
-    Set<String> peers = unstored.get(number);
+  private boolean isAcknowledgedByPeers(long number) {
+    Set<String> peers = unacknowledgedPeers.get(number);
     return peers == null || peers.isEmpty();
   }
 
-  private void changed(long number, String id) {
+  private void replicateChange(long number, String id) {
     send(replication.changed(scheduler.nowMicros(), number, List.of(id)));
-    subscribers.pump();
+    subscribers.deliverPending();
   }
 
-  private void send(List<OutboundMessage> sends) {
-    sends.forEach(each -> links.send(each.peer(), each.message()));
+  private void send(List<OutboundMessage> messages) {
+    messages.forEach(outbound -> links.send(outbound.peer(), outbound.message()));
   }
 
   /** Changes at another agent. */
@@ -143,12 +143,12 @@
     long now = scheduler.nowMicros();
     changes.entries().forEach(entry -> table.merge(now, peer, entry));
     changes.deregistered().forEach(id -> table.deregister(now, id));
-    subscribers.pump();
+    subscribers.deliverPending();
     if (changes.number() != 0) {
       long revision = table.revision();
-      waits.await(
+      pendingAcknowledgements.await(
           () -> subscribers.progress().slowestRevision() >= revision,
-          STORED_WAIT_MILLIS,
+          PEER_ACKNOWLEDGEMENT_TIMEOUT_MILLIS,
           inTime ->
               links.send(
                   peer, new ControlPeerMessage.SessionChangesAcknowledged(changes.number())));
@@ -162,10 +162,10 @@
   }
 
   /** A peer has what was sent to it under this number. */
-  void stored(String peer, long number) {
-    Set<String> peers = unstored.get(number);
+  void changesAcknowledged(String peer, long number) {
+    Set<String> peers = unacknowledgedPeers.get(number);
     if (peers != null && peers.remove(peer)) {
-      waits.check();
+      pendingAcknowledgements.recheck();
     }
   }
 
@@ -176,16 +176,16 @@
   void disconnected(String peer) {
     replication.disconnected(peer);
     table.suspendExpiry(scheduler.nowMicros(), peer);
-    unstored.values().forEach(peers -> peers.remove(peer));
-    waits.check();
+    unacknowledgedPeers.values().forEach(peers -> peers.remove(peer));
+    pendingAcknowledgements.recheck();
   }
 
-  void forgotten(String peer) {
+  void peerRemoved(String peer) {
     replication.remove(peer);
   }
 
   /** A peer has received all that was sent before this time. */
-  void confirmed(String peer, long sentBeforeMicros) {
+  void heartbeatAcknowledged(String peer, long sentBeforeMicros) {
     replication.acknowledged(peer, sentBeforeMicros);
   }
 
@@ -201,6 +201,6 @@
       table.suspendExpiry(now);
     }
     table.expire(now);
-    subscribers.pump();
+    subscribers.deliverPending();
   }
 }
--- a/src/main/java/slateslip/controlplane/state/ConfigurationState.java
+++ b/src/main/java/slateslip/controlplane/state/ConfigurationState.java
@@ -27,15 +27,15 @@
  */
 public final class ConfigurationState implements ReplicatedState {
   /** Committed changes by which a call that is sent again is known. */
-  static final int KEPT_CHANGES = 4_096;
+  static final int MAX_REMEMBERED_CHANGES = 4_096;
 
   /** Newest changes that are handed to data planes as patches. */
-  private static final int KEPT_PATCHES = 16;
+  private static final int MAX_PATCHES = 16;
 
   private final Map<ChangeDigest, CommittedChange> changes = new LinkedHashMap<>();
   private final Map<Long, ConfigurationSource.Patch> patches = new LinkedHashMap<>();
   private ConfigurationDocument document;
-  private ValidatedRequest checked;
+  private ValidatedRequest validated;
 
   /** The newest configuration; empty before the first. */
   public Optional<ConfigurationDocument> document() {
@@ -56,40 +56,40 @@
   public PreparedCommand prepare(byte[] command) {
     if (!(OperatorRequestCodec.decode(command)
         instanceof Decoded.Message<OperatorRequest> message)) {
-      return answer(OperatorResponse.INVALID, "not a change");
+      return respond(OperatorResponse.INVALID, "not a change");
     }
-    OperatorRequest call = message.value();
-    CommittedChange earlier = changes.get(digest(call));
-    if (earlier != null) {
-      return answer(new OperatorResponse(OperatorResponse.OK, earlier.version(), new byte[0]));
+    OperatorRequest request = message.value();
+    CommittedChange previous = changes.get(digest(request));
+    if (previous != null) {
+      return respond(new OperatorResponse(OperatorResponse.OK, previous.version(), new byte[0]));
     }
-    if (call.baseVersion() != version()) {
-      return answer(OperatorResponse.CONFLICT, "the current version is " + version());
+    if (request.baseVersion() != version()) {
+      return respond(OperatorResponse.CONFLICT, "the current version is " + version());
     }
-    ConfigurationOutcome outcome = read(call);
+    ConfigurationOutcome outcome = read(request);
     if (outcome instanceof ConfigurationOutcome.Invalid invalid) {
-      return answer(OperatorResponse.INVALID, invalid.message());
+      return respond(OperatorResponse.INVALID, invalid.message());
     }
-    checked = new ValidatedRequest(call, outcome);
+    validated = new ValidatedRequest(request, outcome);
     return new PreparedCommand.Change(command);
   }
 
-  private PreparedCommand answer(int status, String message) {
-    return answer(OperatorResponse.of(status, version(), message));
+  private PreparedCommand respond(int status, String message) {
+    return respond(OperatorResponse.of(status, version(), message));
   }
 
-  private PreparedCommand answer(OperatorResponse answer) {
-    return new PreparedCommand.Response(OperatorResponseCodec.encode(answer));
+  private PreparedCommand respond(OperatorResponse response) {
+    return new PreparedCommand.Response(OperatorResponseCodec.encode(response));
   }
 
-  private ConfigurationOutcome read(OperatorRequest call) {
-    if (call.method() == OperatorRequest.Method.PUT) {
-      return ConfigurationDocument.parse(call.body(), version());
+  private ConfigurationOutcome read(OperatorRequest request) {
+    if (request.method() == OperatorRequest.Method.PUT) {
+      return ConfigurationDocument.parse(request.body(), version());
     }
     if (document == null) {
       return new ConfigurationOutcome.Invalid("there is no configuration to change yet");
     }
-    return document.patched(call.body());
+    return document.patched(request.body());
   }
 
   @Override
@@ -98,46 +98,47 @@
         instanceof Decoded.Message<OperatorRequest> message)) {
       throw new IllegalStateException("a committed record that is no change");
     }
-    OperatorRequest call = message.value();
-    if (!(outcomeOf(call) instanceof ConfigurationOutcome.Parsed parsed)) {
+    OperatorRequest request = message.value();
+    if (!(outcomeOf(request) instanceof ConfigurationOutcome.Parsed parsed)) {
       throw new IllegalStateException("a committed change that cannot be read");
     }
     document = parsed.document();
-    remember(call);
+    remember(request);
   }
 
   /** What reading the call gave; the primary has read it once already. */
-  private ConfigurationOutcome outcomeOf(OperatorRequest call) {
-    ValidatedRequest earlier = checked;
-    checked = null;
-    if (earlier != null && digest(earlier.call()).equals(digest(call))) {
-      return earlier.outcome();
+  private ConfigurationOutcome outcomeOf(OperatorRequest request) {
+    ValidatedRequest previous = validated;
+    validated = null;
+    if (previous != null && digest(previous.request()).equals(digest(request))) {
+      return previous.outcome();
     }
-    return readCommitted(call);
+    return readCommitted(request);
   }
 
   /** Whether the change is valid was decided by the primary that took it. */
-  private ConfigurationOutcome readCommitted(OperatorRequest call) {
-    return call.method() == OperatorRequest.Method.PUT || document == null
-        ? ConfigurationDocument.committed(call.body())
-        : document.committedPatch(call.body());
+  private ConfigurationOutcome readCommitted(OperatorRequest request) {
+    return request.method() == OperatorRequest.Method.PUT || document == null
+        ? ConfigurationDocument.committed(request.body())
+        : document.committedPatch(request.body());
   }
 
-  private void remember(OperatorRequest call) {
-    ChangeDigest digest = digest(call);
-    ByteBuffer halves = ByteBuffer.wrap(digest.toBytes());
+  private void remember(OperatorRequest request) {
+    ChangeDigest digest = digest(request);
+    ByteBuffer digestBytes = ByteBuffer.wrap(digest.toBytes());
     changes.put(
         digest,
-        new CommittedChange(call.baseVersion(), version(), halves.getLong(), halves.getLong()));
-    dropOldest(changes, KEPT_CHANGES);
-    if (call.method() == OperatorRequest.Method.PATCH) {
-      patches.put(call.baseVersion(), new ConfigurationSource.Patch(version(), call.body()));
-      dropOldest(patches, KEPT_PATCHES);
+        new CommittedChange(
+            request.baseVersion(), version(), digestBytes.getLong(), digestBytes.getLong()));
+    dropOldest(changes, MAX_REMEMBERED_CHANGES);
+    if (request.method() == OperatorRequest.Method.PATCH) {
+      patches.put(request.baseVersion(), new ConfigurationSource.Patch(version(), request.body()));
+      dropOldest(patches, MAX_PATCHES);
     }
   }
 
-  private static <K, V> void dropOldest(Map<K, V> map, int kept) {
-    if (map.size() > kept) {
+  private static <K, V> void dropOldest(Map<K, V> map, int limit) {
+    if (map.size() > limit) {
       map.remove(map.keySet().iterator().next());
     }
   }
@@ -154,7 +155,7 @@
     changes.clear();
     patches.clear();
     document = null;
-    checked = null;
+    validated = null;
     if (snapshot.length > 0) {
       restore(decode(snapshot));
     }
@@ -181,8 +182,8 @@
     document = parsed.document();
   }
 
-  private static ChangeDigest digest(OperatorRequest call) {
-    return ChangeDigest.of(call.method().name(), call.baseVersion(), call.body());
+  private static ChangeDigest digest(OperatorRequest request) {
+    return ChangeDigest.of(request.method().name(), request.baseVersion(), request.body());
   }
 
   private static ChangeDigest digest(CommittedChange change) {
@@ -191,5 +192,5 @@
     return ChangeDigest.ofBytes(bytes.array());
   }
 
-  private record ValidatedRequest(OperatorRequest call, ConfigurationOutcome outcome) {}
+  private record ValidatedRequest(OperatorRequest request, ConfigurationOutcome outcome) {}
 }
--- a/src/main/java/slateslip/dataplane/DataPlaneMain.java
+++ b/src/main/java/slateslip/dataplane/DataPlaneMain.java
@@ -24,7 +24,7 @@
     }
     DataPlane dataPlane = DataPlane.start(settings);
     SettingsFileWatcher watch = new SettingsFileWatcher(file, dataPlane::settingsChanged);
-    Signal.handle(new Signal("HUP"), signal -> watch.read());
+    Signal.handle(new Signal("HUP"), signal -> watch.reload());
     watch.start();
     Runtime.getRuntime().addShutdownHook(new Thread(() -> end(dataPlane)));
     dataPlane.awaitEnd();
--- a/src/main/java/slateslip/logging/LogSetup.java
+++ b/src/main/java/slateslip/logging/LogSetup.java
@@ -19,7 +19,7 @@
   private static final String[] QUIET_LIBRARIES = {"io.javalin", "org.eclipse.jetty", "io.netty"};
 
   /** Held here: the platform forgets loggers that nobody holds, and their levels with them. */
-  private static final Logger[] HELD_LOGGERS = new Logger[QUIET_LIBRARIES.length];
+  private static final Logger[] RETAINED_LOGGERS = new Logger[QUIET_LIBRARIES.length];
 
   private LogSetup() {}
 
@@ -42,8 +42,8 @@
     root.addHandler(new LineHandler(stream));
     root.setLevel(level);
     for (int index = 0; index < QUIET_LIBRARIES.length; index++) {
-      HELD_LOGGERS[index] = Logger.getLogger(QUIET_LIBRARIES[index]);
-      HELD_LOGGERS[index].setLevel(higher(level, Level.WARNING));
+      RETAINED_LOGGERS[index] = Logger.getLogger(QUIET_LIBRARIES[index]);
+      RETAINED_LOGGERS[index].setLevel(higher(level, Level.WARNING));
     }
   }
 
--- a/src/main/java/slateslip/protocol/MessageBuffer.java
+++ b/src/main/java/slateslip/protocol/MessageBuffer.java
@@ -8,7 +8,7 @@
  */
 public final class MessageBuffer {
   private static final int INITIAL_BYTES = 512;
-  private static final int KEPT_BYTES = 64 * 1024;
+  private static final int MAX_RETAINED_BYTES = 64 * 1024;
   private static final int HEADER_BYTES = 8;
 
   private ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_BYTES);
@@ -22,7 +22,7 @@
   public byte[] copy(int bodyLength) {
     byte[] bytes = new byte[HEADER_BYTES + bodyLength];
     buffer.getBytes(0, bytes);
-    if (buffer.capacity() > KEPT_BYTES) {
+    if (buffer.capacity() > MAX_RETAINED_BYTES) {
       buffer = new ExpandableArrayBuffer(INITIAL_BYTES);
     }
     return bytes;
--- a/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
+++ b/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
@@ -102,7 +102,7 @@
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long baseSequence = decoder.baseSequence();
     long committedSequence = decoder.committedSequence();
-    boolean whole = FieldCodec.isSet(decoder.whole());
+    boolean complete = FieldCodec.isSet(decoder.whole());
     List<byte[]> records = new ArrayList<>();
     for (TransferImageDecoder.RecordsDecoder next : decoder.records()) {
       byte[] record = FieldCodec.allocateBytes(buffer, decoder.limit(), next.recordLength());
@@ -111,7 +111,7 @@
     }
     byte[] base = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.baseLength());
     decoder.getBase(base, 0, base.length);
-    return new StateTransfer(baseSequence, whole, base, records, committedSequence);
+    return new StateTransfer(baseSequence, complete, base, records, committedSequence);
   }
 
   private static void expect(DirectBuffer buffer, int template) {
--- a/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
@@ -112,7 +112,7 @@
   private ControlPlaneMessage readSessions(DirectBuffer buffer) {
     SessionsDecoder decoder = new SessionsDecoder().wrapAndApplyHeader(buffer, 0, header);
     long revision = decoder.revision();
-    boolean whole = isSet(decoder.whole());
+    boolean fullTable = isSet(decoder.whole());
     boolean complete = isSet(decoder.complete());
     List<BackendSession> changed = new ArrayList<>();
     for (SessionsDecoder.ChangedDecoder session : decoder.changed()) {
@@ -122,7 +122,7 @@
     for (SessionsDecoder.GoneDecoder id : decoder.gone()) {
       gone.add(id.instance());
     }
-    return whole
+    return fullTable
         ? new ControlPlaneMessage.SessionSnapshot(revision, complete, changed)
         : new ControlPlaneMessage.SessionDelta(revision, changed, gone);
   }
@@ -130,7 +130,7 @@
   private static BackendSession readSession(SessionsDecoder.ChangedDecoder decoder) {
     int slots = decoder.slots();
     boolean draining = isSet(decoder.draining());
-    long coldLeftMillis = decoder.coldLeftMillis();
+    long remainingWarmupMillis = decoder.coldLeftMillis();
     long sequence = decoder.sequence();
     String id = decoder.instance();
     String service = decoder.service();
@@ -138,7 +138,7 @@
     String zone = decoder.zone();
     String software = decoder.software();
     return new BackendSession(
-        id, service, address, zone, software, slots, draining, coldLeftMillis, sequence);
+        id, service, address, zone, software, slots, draining, remainingWarmupMillis, sequence);
   }
 
   private ControlPlaneMessage readShares(DirectBuffer buffer) {
--- a/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
@@ -128,7 +128,7 @@
 
   private int writeSessions(
       long revision,
-      boolean whole,
+      boolean fullTable,
       boolean complete,
       List<BackendSession> changed,
       List<String> gone) {
@@ -136,7 +136,7 @@
         new SessionsEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .revision(revision)
-            .whole(flag(whole))
+            .whole(flag(fullTable))
             .complete(flag(complete));
     SessionsEncoder.ChangedEncoder sessions = encoder.changedCount(changed.size());
     for (BackendSession session : changed) {
--- a/src/main/java/slateslip/protocol/exchange/ControlPeerDecoder.java
+++ b/src/main/java/slateslip/protocol/exchange/ControlPeerDecoder.java
@@ -36,31 +36,31 @@
   /** Reads a message; null if its kind is not known. */
   ControlPeerMessage read(DirectBuffer buffer, int template) {
     return switch (template) {
-      case GreetingDecoder.TEMPLATE_ID -> readGreeting(buffer);
-      case BeatDecoder.TEMPLATE_ID -> readBeat(buffer);
+      case GreetingDecoder.TEMPLATE_ID -> readHello(buffer);
+      case BeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
       case SessionChangesDecoder.TEMPLATE_ID -> readChanges(buffer);
       case SessionRenewalsDecoder.TEMPLATE_ID -> readRenewals(buffer);
       case SessionsStoredDecoder.TEMPLATE_ID ->
           new ControlPeerMessage.SessionChangesAcknowledged(
               new SessionsStoredDecoder().wrapAndApplyHeader(buffer, 0, header).number());
-      case ForwardedDecoder.TEMPLATE_ID -> readForwarded(buffer);
-      case AnsweredDecoder.TEMPLATE_ID -> readAnswered(buffer);
+      case ForwardedDecoder.TEMPLATE_ID -> readForwardedRequest(buffer);
+      case AnsweredDecoder.TEMPLATE_ID -> readForwardedResponse(buffer);
       case DeliveredDecoder.TEMPLATE_ID ->
           new ControlPeerMessage.DeliveryReport(
               new DeliveredDecoder().wrapAndApplyHeader(buffer, 0, header).slowestVersion());
-      case DemandsDecoder.TEMPLATE_ID -> readDemands(buffer);
-      case AllottedDecoder.TEMPLATE_ID -> readAllotted(buffer);
+      case DemandsDecoder.TEMPLATE_ID -> readDemandReport(buffer);
+      case AllottedDecoder.TEMPLATE_ID -> readQuotaAllocations(buffer);
       default -> null;
     };
   }
 
-  private ControlPeerMessage readGreeting(DirectBuffer buffer) {
+  private ControlPeerMessage readHello(DirectBuffer buffer) {
     GreetingDecoder decoder = new GreetingDecoder().wrapAndApplyHeader(buffer, 0, header);
     long incarnation = decoder.incarnation();
     return new ControlPeerMessage.Hello(decoder.address(), incarnation);
   }
 
-  private ControlPeerMessage readBeat(DirectBuffer buffer) {
+  private ControlPeerMessage readHeartbeat(DirectBuffer buffer) {
     BeatDecoder decoder = new BeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
     long echoed = decoder.echoed();
@@ -72,7 +72,7 @@
     return new ControlPeerMessage.Heartbeat(number, echoed, complete, known);
   }
 
-  private ControlPeerMessage readForwarded(DirectBuffer buffer) {
+  private ControlPeerMessage readForwardedRequest(DirectBuffer buffer) {
     ForwardedDecoder decoder = new ForwardedDecoder().wrapAndApplyHeader(buffer, 0, header);
     long id = decoder.call();
     long baseVersion = decoder.baseVersion();
@@ -83,7 +83,7 @@
         id, new OperatorRequest(method, baseVersion, body));
   }
 
-  private ControlPeerMessage readAnswered(DirectBuffer buffer) {
+  private ControlPeerMessage readForwardedResponse(DirectBuffer buffer) {
     AnsweredDecoder decoder = new AnsweredDecoder().wrapAndApplyHeader(buffer, 0, header);
     long id = decoder.call();
     long version = decoder.configurationVersion();
@@ -103,16 +103,16 @@
     SessionChangesDecoder decoder =
         new SessionChangesDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
-    boolean whole = isSet(decoder.whole());
+    boolean fullTable = isSet(decoder.whole());
     List<SessionEntry> entries = new ArrayList<>();
     for (SessionChangesDecoder.EntriesDecoder entry : decoder.entries()) {
       entries.add(readEntry(entry));
     }
-    List<String> departed = new ArrayList<>();
+    List<String> deregistered = new ArrayList<>();
     for (SessionChangesDecoder.DepartedDecoder id : decoder.departed()) {
-      departed.add(id.instance());
+      deregistered.add(id.instance());
     }
-    return new ControlPeerMessage.SessionChanges(number, whole, entries, departed);
+    return new ControlPeerMessage.SessionChanges(number, fullTable, entries, deregistered);
   }
 
   private static SessionEntry readEntry(SessionChangesDecoder.EntriesDecoder decoder) {
@@ -120,7 +120,7 @@
     long heardAge = decoder.heardAgeMillis();
     int slots = decoder.slots();
     boolean draining = isSet(decoder.draining());
-    long coldLeft = decoder.coldLeftMillis();
+    long remainingWarmupMillis = decoder.coldLeftMillis();
     long sequence = decoder.sequence();
     String id = decoder.instance();
     String service = decoder.service();
@@ -129,7 +129,7 @@
     String software = decoder.software();
     BackendSession session =
         new BackendSession(
-            id, service, address, zone, software, slots, draining, coldLeft, sequence);
+            id, service, address, zone, software, slots, draining, remainingWarmupMillis, sequence);
     return new SessionEntry(session, registeredAge, heardAge);
   }
 
@@ -144,7 +144,7 @@
     return new ControlPeerMessage.SessionRenewals(renewals);
   }
 
-  private ControlPeerMessage readDemands(DirectBuffer buffer) {
+  private ControlPeerMessage readDemandReport(DirectBuffer buffer) {
     DemandsDecoder decoder = new DemandsDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<DataPlaneDemand> demands = new ArrayList<>();
     for (DemandsDecoder.AgentsDecoder agent : decoder.agents()) {
@@ -160,7 +160,7 @@
     return new ControlPeerMessage.DemandReport(demands);
   }
 
-  private ControlPeerMessage readAllotted(DirectBuffer buffer) {
+  private ControlPeerMessage readQuotaAllocations(DirectBuffer buffer) {
     AllottedDecoder decoder = new AllottedDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<DataPlaneQuota> allotted = new ArrayList<>();
     for (AllottedDecoder.AgentsDecoder agent : decoder.agents()) {
--- a/src/main/java/slateslip/protocol/exchange/ControlPeerEncoder.java
+++ b/src/main/java/slateslip/protocol/exchange/ControlPeerEncoder.java
@@ -34,17 +34,17 @@
   }
 
   private int write(ControlPeerMessage message) {
-    if (message instanceof ControlPeerMessage.Hello greeting) {
-      return write(greeting);
+    if (message instanceof ControlPeerMessage.Hello hello) {
+      return write(hello);
     }
-    if (message instanceof ControlPeerMessage.Heartbeat beat) {
-      return write(beat);
+    if (message instanceof ControlPeerMessage.Heartbeat heartbeat) {
+      return write(heartbeat);
     }
     if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
       return write(forwarded);
     }
-    if (message instanceof ControlPeerMessage.ForwardedResponse answered) {
-      return write(answered);
+    if (message instanceof ControlPeerMessage.ForwardedResponse response) {
+      return write(response);
     }
     if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
       DeliveredEncoder encoder = new DeliveredEncoder();
@@ -98,13 +98,13 @@
   }
 
   private int write(ControlPeerMessage.ForwardedRequest message) {
-    OperatorRequest call = message.request();
+    OperatorRequest request = message.request();
     return new ForwardedEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .call(message.requestId())
-        .baseVersion(call.baseVersion())
-        .method(OperatorMethods.toWire(call.method()))
-        .putContent(call.body(), 0, call.body().length)
+        .baseVersion(request.baseVersion())
+        .method(OperatorMethods.toWire(request.method()))
+        .putContent(request.body(), 0, request.body().length)
         .encodedLength();
   }
 
--- a/src/main/java/slateslip/protocol/exchange/OperatorRequestCodec.java
+++ b/src/main/java/slateslip/protocol/exchange/OperatorRequestCodec.java
@@ -16,14 +16,14 @@
   private OperatorRequestCodec() {}
 
   /** Bytes of a call. */
-  public static byte[] encode(OperatorRequest call) {
+  public static byte[] encode(OperatorRequest request) {
     MessageBuffer written = new MessageBuffer();
     int length =
         new ChangeEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder())
-            .baseVersion(call.baseVersion())
-            .method(OperatorMethods.toWire(call.method()))
-            .putContent(call.body(), 0, call.body().length)
+            .baseVersion(request.baseVersion())
+            .method(OperatorMethods.toWire(request.method()))
+            .putContent(request.body(), 0, request.body().length)
             .encodedLength();
     return written.copy(length);
   }
--- a/src/main/java/slateslip/protocol/exchange/OperatorResponseCodec.java
+++ b/src/main/java/slateslip/protocol/exchange/OperatorResponseCodec.java
@@ -6,20 +6,21 @@
 
 /** An answer to the operator by itself, as the replicated state hands it through. */
 public final class OperatorResponseCodec {
-  private static final long NO_CALL = 0;
+  private static final long NO_REQUEST_ID = 0;
 
   private OperatorResponseCodec() {}
 
   /** Bytes of an answer. */
-  public static byte[] encode(OperatorResponse answer) {
-    return new ControlPeerCodec().encode(new ControlPeerMessage.ForwardedResponse(NO_CALL, answer));
+  public static byte[] encode(OperatorResponse response) {
+    return new ControlPeerCodec()
+        .encode(new ControlPeerMessage.ForwardedResponse(NO_REQUEST_ID, response));
   }
 
   /** Reads what {@link #encode} wrote in this process. */
   public static OperatorResponse decode(byte[] bytes) {
     if (new ControlPeerCodec().decode(bytes) instanceof Decoded.Message<ControlPeerMessage> message
-        && message.value() instanceof ControlPeerMessage.ForwardedResponse answered) {
-      return answered.response();
+        && message.value() instanceof ControlPeerMessage.ForwardedResponse response) {
+      return response.response();
     }
     throw new IllegalStateException("not an answer of this process");
   }
--- a/src/main/java/slateslip/routing/Dispatcher.java
+++ b/src/main/java/slateslip/routing/Dispatcher.java
@@ -118,7 +118,7 @@
     if (!request.resumable()) {
       return 0;
     }
-    long millis = SILENCE_GAPS * request.route.gapAimMillis();
+    long millis = SILENCE_GAPS * request.route.targetGapMillis();
     return Math.max(SILENCE_LEAST_MICROS, millis * MICROS_PER_MILLI);
   }
 
--- a/src/main/java/slateslip/settings/Bounds.java
+++ b/src/main/java/slateslip/settings/Bounds.java
@@ -14,7 +14,7 @@
  * @param lossSlackMillis a request may still be closed unanswered within this time of its last byte
  * @param configurationApplyMillis after this time an acknowledged configuration is in force
  * @param rollbackSlackMillis tolerance of the check that a machine never goes back
- * @param skewBoundMillis added to {@code configurationApplyMillis} while the core is unstable
+ * @param maxSkewMillis added to {@code configurationApplyMillis} while the core is unstable
  * @param closed whether data planes refuse requests without contact to the core
  * @param revokeTimeoutMillis after this time a key that was taken away is refused
  * @param retryBudgetRatio repeats allowed, as a share of requests
@@ -38,7 +38,7 @@
     long lossSlackMillis,
     long configurationApplyMillis,
     long rollbackSlackMillis,
-    long skewBoundMillis,
+    long maxSkewMillis,
     boolean closed,
     long revokeTimeoutMillis,
     double retryBudgetRatio,
--- a/src/main/java/slateslip/settings/KeyReader.java
+++ b/src/main/java/slateslip/settings/KeyReader.java
@@ -33,7 +33,7 @@
   }
 
   /** The value of a key that has to be there. */
-  String needed(String key) {
+  String required(String key) {
     String value = text(key);
     if (value.isEmpty()) {
       problem(key, "is missing, the process needs it");
@@ -89,8 +89,8 @@
   }
 
   /** An IPv4 address of a key that has to be there; null if it is wrong. */
-  InetAddress neededAddress(String key) {
-    String value = needed(key);
+  InetAddress requiredAddress(String key) {
+    String value = required(key);
     InetAddress address = value.isEmpty() ? null : parseAddress(value);
     if (address == null && !value.isEmpty()) {
       problem(key, "\"" + value + "\" is not an IPv4 address a.b.c.d");
@@ -117,8 +117,8 @@
   }
 
   /** First and last port joined by a comma, of a key that has to be there; null if it is wrong. */
-  PortRange neededPortRange(String key) {
-    if (needed(key).isEmpty()) {
+  PortRange requiredPortRange(String key) {
+    if (required(key).isEmpty()) {
       return null;
     }
     List<String> parts = list(key);
--- a/src/main/java/slateslip/settings/NodeSettings.java
+++ b/src/main/java/slateslip/settings/NodeSettings.java
@@ -85,16 +85,16 @@
 
   private static NodeSettings read(KeyReader keys) {
     return new NodeSettings(
-        keys.needed("node"),
+        keys.required("node"),
         keys.text("role"),
-        keys.neededAddress("ip"),
-        keys.needed("zone"),
+        keys.requiredAddress("ip"),
+        keys.required("zone"),
         keys.text("region"),
         Map.copyOf(keys.withPrefix(ZONES_PREFIX)),
         keys.socketAddress("listen.front"),
         keys.socketAddress("listen.ready"),
         keys.socketAddress("listen.control"),
-        keys.neededPortRange("port_range"),
+        keys.requiredPortRange("port_range"),
         readSeeds(keys),
         keys.flag("bootstrap", false),
         keys.flag("counts_for_quorum", false),
@@ -107,7 +107,7 @@
   }
 
   private static List<InetSocketAddress> readSeeds(KeyReader keys) {
-    keys.needed(SEEDS);
+    keys.required(SEEDS);
     return List.copyOf(keys.socketAddresses(SEEDS));
   }
 
--- a/src/main/java/slateslip/settings/SettingsFileWatcher.java
+++ b/src/main/java/slateslip/settings/SettingsFileWatcher.java
@@ -14,35 +14,35 @@
  */
 public final class SettingsFileWatcher {
   private static final Logger LOG = Logger.getLogger(SettingsFileWatcher.class);
-  private static final long LOOK_MILLIS = 2_000;
+  private static final long POLL_INTERVAL_MILLIS = 2_000;
 
   private final Path file;
-  private final Consumer<NodeSettings> changed;
+  private final Consumer<NodeSettings> onChange;
   private FileTime modified;
 
   /**
    * A watch that does not look yet.
    *
-   * @param changed is told new settings, on any thread
+   * @param onChange is told new settings, on any thread
    */
-  public SettingsFileWatcher(Path file, Consumer<NodeSettings> changed) {
+  public SettingsFileWatcher(Path file, Consumer<NodeSettings> onChange) {
     this.file = file;
-    this.changed = changed;
+    this.onChange = onChange;
     this.modified = modifiedTime();
   }
 
   /** Looks at the file every now and then, on a thread of its own. */
   public void start() {
-    Thread thread = new Thread(this::lookForEver, "settings");
+    Thread thread = new Thread(this::pollUntilInterrupted, "settings");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void lookForEver() {
+  private void pollUntilInterrupted() {
     try {
       while (true) {
-        TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
-        look();
+        TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
+        reloadIfModified();
       }
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
@@ -50,19 +50,19 @@
   }
 
   /** Reads the file if it has another time than before. */
-  public synchronized void look() {
+  public synchronized void reloadIfModified() {
     FileTime now = modifiedTime();
     if (now != null && !now.equals(modified)) {
-      read();
+      reload();
     }
   }
 
   /** Reads the file. */
-  public synchronized void read() {
+  public synchronized void reload() {
     modified = modifiedTime();
     SettingsOutcome outcome = NodeSettings.load(file);
     if (outcome instanceof SettingsOutcome.Valid valid) {
-      changed.accept(valid.settings());
+      onChange.accept(valid.settings());
     } else if (outcome instanceof SettingsOutcome.Invalid invalid) {
       LOG.warnf("settings not taken over: %s", invalid.message());
     }
--- a/src/main/java/slateslip/storage/DiskFolder.java
+++ b/src/main/java/slateslip/storage/DiskFolder.java
@@ -51,21 +51,21 @@
 
     @Override
     public void read(long position, ByteBuffer into) throws IOException {
-      long at = position;
+      long offset = position;
       while (into.hasRemaining()) {
-        int count = channel.read(into, at);
+        int count = channel.read(into, offset);
         if (count < 0) {
           return;
         }
-        at += count;
+        offset += count;
       }
     }
 
     @Override
     public void write(long position, ByteBuffer bytes) throws IOException {
-      long at = position;
+      long offset = position;
       while (bytes.hasRemaining()) {
-        at += channel.write(bytes, at);
+        offset += channel.write(bytes, offset);
       }
     }
 
--- a/src/main/java/slateslip/storage/RecordFormat.java
+++ b/src/main/java/slateslip/storage/RecordFormat.java
@@ -77,13 +77,13 @@
       return Optional.empty();
     }
     Header header = found.get();
-    long left = file.length() - position - HEADER_BYTES;
+    long remaining = file.length() - position - HEADER_BYTES;
     boolean expected =
         header.generation() == generation
             && header.index() == index
             && header.kind() == kindAt(index)
             && header.length() >= 0
-            && header.length() <= left;
+            && header.length() <= remaining;
     if (!expected) {
       return Optional.empty();
     }
--- a/src/main/java/slateslip/storage/RingStorage.java
+++ b/src/main/java/slateslip/storage/RingStorage.java
@@ -9,11 +9,11 @@
 
 /**
  * A ring of preallocated files that hold records behind a snapshot. After {@link #open} and after
- * each failure nothing is taken until {@link #begin} has succeeded, in another file than the one
- * that holds the newest whole chain; so a torn or failed write never harms what was durable.
+ * each failure nothing is taken until {@link #beginFile} has succeeded, in another file than the
+ * one that holds the newest whole chain; so a torn or failed write never harms what was durable.
  */
 public final class RingStorage implements AutoCloseable {
-  private static final int PREALLOCATED_PART = 256 * 1024;
+  private static final int PREALLOCATION_CHUNK_BYTES = 256 * 1024;
   private static final String NO_SPACE = "No space";
 
   private record Slot(int number, long generation) {}
@@ -23,9 +23,9 @@
   private final StorageFile[] files;
   private final List<byte[]> recovered = new ArrayList<>();
   private boolean folderSynced;
-  private int keptSlot = -1;
+  private int durableSlot = -1;
   private long highestGeneration;
-  private boolean taking;
+  private boolean accepting;
   private int slot;
   private long position;
   private long index;
@@ -73,15 +73,15 @@
 
   private void readChain(Slot candidate) throws IOException {
     StorageFile file = files[candidate.number()];
-    long at = 0;
-    Optional<byte[]> payload = RecordFormat.payload(file, at, candidate.generation(), 0);
+    long offset = 0;
+    Optional<byte[]> payload = RecordFormat.payload(file, offset, candidate.generation(), 0);
     while (payload.isPresent()) {
       recovered.add(payload.get());
-      at += RecordFormat.HEADER_BYTES + payload.get().length;
-      payload = RecordFormat.payload(file, at, candidate.generation(), recovered.size());
+      offset += RecordFormat.HEADER_BYTES + payload.get().length;
+      payload = RecordFormat.payload(file, offset, candidate.generation(), recovered.size());
     }
     if (!recovered.isEmpty()) {
-      keptSlot = candidate.number();
+      durableSlot = candidate.number();
       highestGeneration = candidate.generation();
     }
   }
@@ -98,25 +98,25 @@
 
   /** Writes records behind the newest snapshot and syncs them; all count or none. */
   public StorageOutcome append(List<byte[]> payloads) {
-    if (!taking) {
+    if (!accepting) {
       return StorageOutcome.FAILED;
     }
     try {
       for (byte[] payload : payloads) {
-        put(payload);
+        writeRecord(payload);
       }
       files[slot].sync();
       return StorageOutcome.DURABLE;
     } catch (IOException e) {
-      taking = false;
+      accepting = false;
       return failure(e);
     }
   }
 
   /** Begins another file with a snapshot that stands for everything before it, and syncs it. */
-  public StorageOutcome begin(byte[] snapshot) {
-    taking = false;
-    slot = (keptSlot + 1) % files.length;
+  public StorageOutcome beginFile(byte[] snapshot) {
+    accepting = false;
+    slot = (durableSlot + 1) % files.length;
     highestGeneration++;
     position = 0;
     index = 0;
@@ -125,14 +125,14 @@
         files[slot] = folder.open(name(slot));
         folderSynced = false;
       }
-      put(snapshot);
+      writeRecord(snapshot);
       files[slot].sync();
       syncFolder();
     } catch (IOException e) {
       return failure(e);
     }
-    keptSlot = slot;
-    taking = true;
+    durableSlot = slot;
+    accepting = true;
     return StorageOutcome.DURABLE;
   }
 
@@ -143,7 +143,7 @@
     }
   }
 
-  private void put(byte[] payload) throws IOException {
+  private void writeRecord(byte[] payload) throws IOException {
     ByteBuffer bytes = RecordFormat.encode(highestGeneration, index, payload);
     int length = bytes.remaining();
     files[slot].write(position, bytes);
@@ -164,7 +164,7 @@
    * @return whether something may be left to do
    */
   public boolean preallocateNext() {
-    if (!taking) {
+    if (!accepting) {
       return false;
     }
     try {
@@ -187,7 +187,7 @@
   }
 
   private void extend(StorageFile file, long length) throws IOException {
-    long bytes = Math.min(PREALLOCATED_PART, options.fileBytes() - length);
+    long bytes = Math.min(PREALLOCATION_CHUNK_BYTES, options.fileBytes() - length);
     file.write(length, ByteBuffer.allocate((int) bytes));
     file.sync();
   }
--- a/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
@@ -26,7 +26,7 @@
     OperatorRequest first = put(0, 3);
     commit(first);
     assertThat(state.version(), is(3L));
-    OperatorResponse again = answer(first);
+    OperatorResponse again = respond(first);
     assertThat(again.status(), is(OperatorResponse.OK));
     assertThat(again.version(), is(3L));
   }
@@ -37,17 +37,17 @@
     commit(first);
     commit(put(3, 5));
     commit(patch(5, 9));
-    assertThat(answer(first).status(), is(OperatorResponse.OK));
-    assertThat(answer(first).version(), is(3L));
+    assertThat(respond(first).status(), is(OperatorResponse.OK));
+    assertThat(respond(first).version(), is(3L));
   }
 
   @Test
   void theSecondOfTwoOnTheSameVersionIsRefused() {
     commit(put(0, 3));
     commit(put(3, 5));
-    assertThat(answer(put(3, 6)).status(), is(OperatorResponse.CONFLICT));
+    assertThat(respond(put(3, 6)).status(), is(OperatorResponse.CONFLICT));
     assertThat(
-        answer(new OperatorRequest(Method.PUT, 3, body(5, "other"))).status(),
+        respond(new OperatorRequest(Method.PUT, 3, body(5, "other"))).status(),
         is(OperatorResponse.CONFLICT));
     assertThat(state.version(), is(5L));
   }
@@ -59,7 +59,7 @@
         "{\"version\":4,\"upsert\":{\"routes\":[{\"name\":\"new-kind\",\"timeout_ms\":0}]}}";
     OperatorRequest patch =
         new OperatorRequest(Method.PATCH, 3, unusable.getBytes(StandardCharsets.UTF_8));
-    assertThat(answer(patch).status(), is(OperatorResponse.INVALID));
+    assertThat(respond(patch).status(), is(OperatorResponse.INVALID));
     int usableBefore = state.document().orElseThrow().configuration().routes().size();
     state.apply(OperatorRequestCodec.encode(patch));
     assertThat(state.version(), is(4L));
@@ -69,15 +69,15 @@
     ConfigurationState copy = new ConfigurationState();
     copy.restore(state.snapshot());
     assertThat(copy.snapshot(), equalTo(state.snapshot()));
-    assertThat(answer(patch).status(), is(OperatorResponse.OK));
+    assertThat(respond(patch).status(), is(OperatorResponse.OK));
   }
 
   @Test
   void anInvalidChangeIsRefusedWithItsReason() {
     commit(put(0, 3));
-    assertThat(answer(put(3, 3)).status(), is(OperatorResponse.INVALID));
+    assertThat(respond(put(3, 3)).status(), is(OperatorResponse.INVALID));
     OperatorResponse cut =
-        answer(
+        respond(
             new OperatorRequest(Method.PUT, 3, "{\"version\":".getBytes(StandardCharsets.UTF_8)));
     assertThat(cut.status(), is(OperatorResponse.INVALID));
     assertThat(new String(cut.body(), StandardCharsets.UTF_8), containsString("ends early"));
@@ -85,7 +85,7 @@
 
   @Test
   void aPatchWithoutAConfigurationIsRefused() {
-    assertThat(answer(patch(0, 3)).status(), is(OperatorResponse.INVALID));
+    assertThat(respond(patch(0, 3)).status(), is(OperatorResponse.INVALID));
   }
 
   @Test
@@ -111,8 +111,8 @@
   @Test
   void replicasThatApplyTheSameRecordsAreTheSame() {
     ConfigurationState follower = new ConfigurationState();
-    for (OperatorRequest call : new OperatorRequest[] {put(0, 3), patch(3, 7), put(7, 8)}) {
-      byte[] record = prepared(call);
+    for (OperatorRequest request : new OperatorRequest[] {put(0, 3), patch(3, 7), put(7, 8)}) {
+      byte[] record = prepared(request);
       state.apply(record);
       follower.apply(record);
     }
@@ -145,22 +145,22 @@
     assertThat(state.version(), is(6L));
   }
 
-  private void commit(OperatorRequest call) {
-    state.apply(prepared(call));
+  private void commit(OperatorRequest request) {
+    state.apply(prepared(request));
   }
 
-  private byte[] prepared(OperatorRequest call) {
-    PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(call));
+  private byte[] prepared(OperatorRequest request) {
+    PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(request));
     assertThat(preparation, is(instanceOf(PreparedCommand.Change.class)));
     return ((PreparedCommand.Change) preparation).record();
   }
 
-  private OperatorResponse answer(OperatorRequest call) {
-    return answerOf(state, call);
+  private OperatorResponse respond(OperatorRequest request) {
+    return answerOf(state, request);
   }
 
-  private static OperatorResponse answerOf(ConfigurationState state, OperatorRequest call) {
-    PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(call));
+  private static OperatorResponse answerOf(ConfigurationState state, OperatorRequest request) {
+    PreparedCommand preparation = state.prepare(OperatorRequestCodec.encode(request));
     assertThat(preparation, is(instanceOf(PreparedCommand.Response.class)));
     return OperatorResponseCodec.decode(((PreparedCommand.Response) preparation).response());
   }
--- a/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
+++ b/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
@@ -100,9 +100,10 @@
   @ParameterizedTest
   @MethodSource("toDataPlane")
   void aMessageCutAnywhereIsMalformed(ControlPlaneMessage message) {
-    byte[] whole = codec.encode(message);
-    for (int length = 0; length < whole.length; length++) {
-      Decoded<ControlPlaneMessage> decoded = codec.decodeToDataPlane(Arrays.copyOf(whole, length));
+    byte[] fullTable = codec.encode(message);
+    for (int length = 0; length < fullTable.length; length++) {
+      Decoded<ControlPlaneMessage> decoded =
+          codec.decodeToDataPlane(Arrays.copyOf(fullTable, length));
       assertThat("cut at " + length, decoded, is(instanceOf(Decoded.Malformed.class)));
     }
   }
@@ -138,11 +139,11 @@
   @Test
   void damagedMessagesAreNeverThrownBack() {
     Random random = new Random(8);
-    List<byte[]> whole = new ArrayList<>();
-    toControl().forEach(message -> whole.add(codec.encode(message)));
-    toDataPlane().forEach(message -> whole.add(codec.encode(message)));
+    List<byte[]> fullTable = new ArrayList<>();
+    toControl().forEach(message -> fullTable.add(codec.encode(message)));
+    toDataPlane().forEach(message -> fullTable.add(codec.encode(message)));
     for (int round = 0; round < 20_000; round++) {
-      byte[] bytes = whole.get(random.nextInt(whole.size())).clone();
+      byte[] bytes = fullTable.get(random.nextInt(fullTable.size())).clone();
       for (int damage = 0; damage < 3; damage++) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       }
--- a/src/test/java/slateslip/protocol/exchange/ControlPeerCodecTest.java
+++ b/src/test/java/slateslip/protocol/exchange/ControlPeerCodecTest.java
@@ -62,9 +62,9 @@
   @ParameterizedTest
   @MethodSource("messages")
   void aMessageCutAnywhereIsMalformed(ControlPeerMessage message) {
-    byte[] whole = codec.encode(message);
-    for (int length = 0; length < whole.length; length++) {
-      Decoded<ControlPeerMessage> decoded = codec.decode(Arrays.copyOf(whole, length));
+    byte[] fullTable = codec.encode(message);
+    for (int length = 0; length < fullTable.length; length++) {
+      Decoded<ControlPeerMessage> decoded = codec.decode(Arrays.copyOf(fullTable, length));
       assertThat("cut at " + length, decoded, is(instanceOf(Decoded.Malformed.class)));
     }
   }
@@ -72,22 +72,22 @@
   @Test
   void callsAndAnswersKeepTheirBodies() {
     for (OperatorRequest.Method method : OperatorRequest.Method.values()) {
-      OperatorRequest call = new OperatorRequest(method, 6, BODY);
+      OperatorRequest request = new OperatorRequest(method, 6, BODY);
       ControlPeerMessage.ForwardedRequest forwarded =
           (ControlPeerMessage.ForwardedRequest)
-              read(new ControlPeerMessage.ForwardedRequest(2, call));
+              read(new ControlPeerMessage.ForwardedRequest(2, request));
       assertThat(forwarded.requestId(), is(2L));
       assertThat(forwarded.request().method(), is(method));
       assertThat(forwarded.request().baseVersion(), is(6L));
       assertThat(forwarded.request().body(), equalTo(BODY));
     }
-    OperatorResponse answer = new OperatorResponse(412, 7, BODY);
-    ControlPeerMessage.ForwardedResponse answered =
+    OperatorResponse response = new OperatorResponse(412, 7, BODY);
+    ControlPeerMessage.ForwardedResponse forwardedResponse =
         (ControlPeerMessage.ForwardedResponse)
-            read(new ControlPeerMessage.ForwardedResponse(2, answer));
-    assertThat(answered.response().status(), is(412));
-    assertThat(answered.response().version(), is(7L));
-    assertThat(answered.response().body(), equalTo(BODY));
+            read(new ControlPeerMessage.ForwardedResponse(2, response));
+    assertThat(forwardedResponse.response().status(), is(412));
+    assertThat(forwardedResponse.response().version(), is(7L));
+    assertThat(forwardedResponse.response().body(), equalTo(BODY));
   }
 
   @Test
@@ -101,8 +101,8 @@
     assertThat(read.changes(), equalTo(changes));
     assertThat(read.document(), equalTo(BODY));
 
-    OperatorRequest call = new OperatorRequest(OperatorRequest.Method.PATCH, 4, BODY);
-    byte[] record = OperatorRequestCodec.encode(call);
+    OperatorRequest request = new OperatorRequest(OperatorRequest.Method.PATCH, 4, BODY);
+    byte[] record = OperatorRequestCodec.encode(request);
     assertThat(ConfigurationStateCodec.decode(record), is(instanceOf(Decoded.Unknown.class)));
     OperatorRequest found =
         ((Decoded.Message<OperatorRequest>) OperatorRequestCodec.decode(record)).value();
@@ -113,9 +113,9 @@
   @Test
   void damageIsNeverThrownBack() {
     Random random = new Random(3);
-    List<byte[]> whole = messages().map(codec::encode).toList();
+    List<byte[]> fullTable = messages().map(codec::encode).toList();
     for (int round = 0; round < 20_000; round++) {
-      byte[] bytes = whole.get(random.nextInt(whole.size())).clone();
+      byte[] bytes = fullTable.get(random.nextInt(fullTable.size())).clone();
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       codec.decode(bytes);
--- a/src/test/java/slateslip/simulation/SimulatedDisk.java
+++ b/src/test/java/slateslip/simulation/SimulatedDisk.java
@@ -140,7 +140,7 @@
   private StorageOutcome put(Effects.DurableWrite write) {
     byte[] payload = DurableRecordCodec.encode(write.record());
     return write.record() instanceof DurableRecord.Snapshot
-        ? ring.begin(payload)
+        ? ring.beginFile(payload)
         : ring.append(List.of(payload));
   }
 
@@ -173,7 +173,7 @@
 
   /** Holds a record from now on, whatever it held before. */
   public void put(DurableRecord record) {
-    ring.begin(DurableRecordCodec.encode(record));
+    ring.beginFile(DurableRecordCodec.encode(record));
   }
 
   /** Loses everything, as a new disk. */
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -67,7 +67,7 @@
     SimulatedProcess process = new SimulatedProcess(events, random.split(), clockRate);
     started(process);
     AgentIdentity identity = new AgentIdentity(address(), mutation.incarnation(random.nextLong()));
-    greeting = new ControlPeerCodec().encode(identity.greeting());
+    greeting = new ControlPeerCodec().encode(identity.hello());
     AgentSettings settings =
         new AgentSettings(address(), address(), seeds, bootstrap, tolerance, heartbeatMillis);
     agent =
@@ -93,14 +93,14 @@
             ownGreeting,
             listener,
             mutation,
-            frame -> agent.fromReplica(frame),
+            frame -> agent.replicaMessageReceived(frame),
             number -> stored(peer, number));
     connection.dial();
     return connection;
   }
 
   private void stored(String peer, long number) {
-    agent.fromPeer(
+    agent.peerMessageReceived(
         new ControlPeerMessage.Hello(peer, 0),
         new ControlPeerMessage.SessionChangesAcknowledged(number));
   }
@@ -145,15 +145,15 @@
   }
 
   void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
-    agent.call(call, answer);
+    agent.handleOperatorRequest(call, answer);
   }
 
   void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
-    agent.heartbeat(session, acknowledged);
+    agent.dataPlaneHeartbeat(session, acknowledged);
   }
 
   void deregister(String id, Consumer<Boolean> acknowledged) {
-    agent.depart(id, acknowledged);
+    agent.deregister(id, acknowledged);
   }
 
   /** SIGTERM: the process ends once the view does not count on its copy, or after a bound. */
@@ -170,7 +170,7 @@
             ended.run();
           }
         };
-    terminated.execute(this, () -> agent.leave(boundMicros, () -> events.in(0, end)));
+    terminated.execute(this, () -> agent.shutDownGracefully(boundMicros, () -> events.in(0, end)));
   }
 
   void kill() {
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -72,7 +72,7 @@
         new Subscription(
             new DataPlaneIdentity(address(), random.nextLong(), "z", address()), seeds);
     newestHeartbeats = new HashMap<>();
-    process.repeat(TICK_MICROS, this::tick);
+    process.scheduleAtFixedRate(TICK_MICROS, this::tick);
   }
 
   void seedsChanged(List<String> seeds) {
--- a/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
@@ -96,7 +96,7 @@
     socket = null;
     greeted = false;
     if (wasUp) {
-      listener.down();
+      listener.disconnected();
     }
     dialLater();
   }
@@ -132,7 +132,7 @@
       if (socket == own && !greeted) {
         greeted = true;
         pause = FIRST_PAUSE;
-        listener.up(message);
+        listener.connected(message);
       }
     }
 
--- a/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
@@ -101,14 +101,14 @@
   }
 
   @Override
-  public void repeat(long periodMicros, Runnable task) {
+  public void scheduleAtFixedRate(long periodMicros, Runnable task) {
     events.in(toWorld(periodMicros), () -> repeatNow(periodMicros, task));
   }
 
   private void repeatNow(long periodMicros, Runnable task) {
     if (alive) {
       execute(this, task);
-      repeat(periodMicros, task);
+      scheduleAtFixedRate(periodMicros, task);
     }
   }
 
--- a/src/test/java/slateslip/storage/RingStorageTest.java
+++ b/src/test/java/slateslip/storage/RingStorageTest.java
@@ -44,7 +44,7 @@
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       assertThat(ring.recovered(), empty());
       for (int round = 0; round < 7; round++) {
-        assertThat(ring.begin(bytes("s" + round)), is(StorageOutcome.DURABLE));
+        assertThat(ring.beginFile(bytes("s" + round)), is(StorageOutcome.DURABLE));
         assertThat(append(ring, "r" + round), is(StorageOutcome.DURABLE));
       }
       ring.append(List.of(bytes("a"), bytes("b")));
@@ -56,7 +56,7 @@
   void takesNothingBeforeASnapshotHasBegun() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       assertThat(append(ring, "r"), is(StorageOutcome.FAILED));
-      ring.begin(bytes("s"));
+      ring.beginFile(bytes("s"));
       append(ring, "r");
     }
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
@@ -69,7 +69,7 @@
   void cutsATornTailAtEveryByte() throws IOException {
     int before;
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
-      ring.begin(bytes("snapshot"));
+      ring.beginFile(bytes("snapshot"));
       append(ring, "kept");
       before = folder.length(FIRST_FILE);
       append(ring, "last record");
@@ -87,9 +87,9 @@
   @Test
   void aHarmedNewestSnapshotLeavesTheChainBefore() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
-      ring.begin(bytes("old"));
+      ring.beginFile(bytes("old"));
       append(ring, "r");
-      ring.begin(bytes("new"));
+      ring.beginFile(bytes("new"));
     }
     for (int position = 0; position < folder.length("control-1.ring"); position++) {
       FaultyFolder harmed = folder.copy();
@@ -101,12 +101,12 @@
   @Test
   void whatALongerUseOfTheFileLeftIsNotTaken() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
-      ring.begin(bytes("s0"));
+      ring.beginFile(bytes("s0"));
       append(ring, "same length");
       append(ring, "left over");
-      ring.begin(bytes("s1"));
-      ring.begin(bytes("s2"));
-      ring.begin(bytes("s3"));
+      ring.beginFile(bytes("s1"));
+      ring.beginFile(bytes("s2"));
+      ring.beginFile(bytes("s3"));
     }
     assertThat(recovered(folder), contains("s3"));
   }
@@ -114,17 +114,17 @@
   @Test
   void aFullOrFailingDiskGivesAnOutcomeAndKeepsWhatWasDurable() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
-      ring.begin(bytes("s"));
+      ring.beginFile(bytes("s"));
       append(ring, "r");
       folder.setMode(FaultyFolder.Mode.FULL);
       assertThat(append(ring, "lost"), is(StorageOutcome.FULL));
       folder.setMode(FaultyFolder.Mode.WORKING);
       assertThat(append(ring, "behind the failure"), is(StorageOutcome.FAILED));
       folder.setMode(FaultyFolder.Mode.FAILING);
-      assertThat(ring.begin(bytes("t")), is(StorageOutcome.FAILED));
+      assertThat(ring.beginFile(bytes("t")), is(StorageOutcome.FAILED));
       assertThat(recovered(folder), contains("s", "r"));
       folder.setMode(FaultyFolder.Mode.WORKING);
-      assertThat(ring.begin(bytes("u")), is(StorageOutcome.DURABLE));
+      assertThat(ring.beginFile(bytes("u")), is(StorageOutcome.DURABLE));
     }
     assertThat(recovered(folder), contains("u"));
   }
@@ -152,7 +152,7 @@
         boolean snapshot = step == 0 || random.nextInt(3) == 0;
         disk.setMode(mode(random));
         StorageOutcome outcome =
-            snapshot ? ring.begin(bytes(text)) : ring.append(List.of(bytes(text)));
+            snapshot ? ring.beginFile(bytes(text)) : ring.append(List.of(bytes(text)));
         written.add(text);
         if (outcome == StorageOutcome.DURABLE) {
           if (snapshot) {
@@ -191,7 +191,7 @@
   void preallocatesInPartsWithoutHarm(@TempDir Path path) throws IOException {
     RingOptions options = new RingOptions(2, 700_000);
     try (RingStorage ring = RingStorage.open(new DiskFolder(path), options)) {
-      ring.begin(bytes("s"));
+      ring.beginFile(bytes("s"));
       int parts = 0;
       while (ring.preallocateNext()) {
         assertThat(append(ring, "r" + parts), is(StorageOutcome.DURABLE));
