--- a/src/main/java/slateslip/controlplane/ControlApi.java
+++ b/src/main/java/slateslip/controlplane/ControlApi.java
@@ -17,8 +17,8 @@
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import slateslip.controlplane.agent.ControlAgent;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
 
 /**
  * The HTTP interface of a control agent: the operator's configuration, calls of backends, status
--- a/src/main/java/slateslip/controlplane/ControlPlane.java
+++ b/src/main/java/slateslip/controlplane/ControlPlane.java
@@ -13,7 +13,7 @@
 import slateslip.controlplane.agent.AgentSettings;
 import slateslip.controlplane.agent.ControlAgent;
 import slateslip.controlplane.agent.PeerConnector;
-import slateslip.protocol.exchange.ControlPeerCodec;
+import slateslip.protocol.peer.ControlPeerCodec;
 import slateslip.settings.NodeSettings;
 import slateslip.storage.RingOptions;
 
--- a/src/main/java/slateslip/controlplane/agent/AgentIdentity.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentIdentity.java
@@ -1,6 +1,6 @@
 package slateslip.controlplane.agent;
 
-import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage;
 
 /**
  * This process, as other agents know it.
--- a/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
+++ b/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
@@ -2,13 +2,13 @@
 
 import org.jboss.logging.Logger;
 import slateslip.distribution.DataPlaneMessage;
-import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageReader;
 import slateslip.protocol.coordination.ReplicaFrame;
 import slateslip.protocol.coordination.ReplicaMessageCodec;
 import slateslip.protocol.distribution.DistributionCodec;
-import slateslip.protocol.exchange.ControlPeerCodec;
+import slateslip.protocol.peer.ControlPeerCodec;
 
 /**
  * One connection that came in at the port for other agents: the stream of a data plane, or a peer's
--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -9,11 +9,11 @@
 import slateslip.controlplane.state.ConfigurationState;
 import slateslip.coordination.ClientResult;
 import slateslip.coordination.NodeId;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
-import slateslip.protocol.exchange.OperatorRequestCodec;
-import slateslip.protocol.exchange.OperatorResponseCodec;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
+import slateslip.protocol.peer.OperatorRequestCodec;
+import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
  * Calls of the operator's: handled by the primary, forwarded by all others. Confined to the loop.
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.Reachability;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.Reachability;
 import slateslip.protocol.Decoded;
-import slateslip.protocol.exchange.ControlPeerCodec;
+import slateslip.protocol.peer.ControlPeerCodec;
 
 /**
  * The links to all other control agents, and which of them are in reach. Confined to the event
--- a/src/main/java/slateslip/controlplane/agent/QuotaService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.DataPlaneMessage;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneQuota;
 import slateslip.distribution.quota.QuotaAllocator;
 import slateslip.distribution.quota.QuotaAllocator.DataPlaneAllocation;
 
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage;
 import slateslip.distribution.sessions.HeartbeatResult;
 import slateslip.distribution.sessions.SessionReplication;
 import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
--- a/src/main/java/slateslip/controlplane/state/ConfigurationState.java
+++ b/src/main/java/slateslip/controlplane/state/ConfigurationState.java
@@ -12,14 +12,14 @@
 import slateslip.coordination.PreparedCommand;
 import slateslip.coordination.ReplicatedState;
 import slateslip.distribution.delivery.ConfigurationSource;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot.CommittedChange;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.ConfigurationStateSnapshot;
+import slateslip.distribution.peer.ConfigurationStateSnapshot.CommittedChange;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.protocol.Decoded;
-import slateslip.protocol.exchange.ConfigurationStateCodec;
-import slateslip.protocol.exchange.OperatorRequestCodec;
-import slateslip.protocol.exchange.OperatorResponseCodec;
+import slateslip.protocol.peer.ConfigurationStateCodec;
+import slateslip.protocol.peer.OperatorRequestCodec;
+import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
  * The operator's configuration as replicated state: a command is a call of the operator's, a record
--- a/src/main/java/slateslip/distribution/exchange/ControlPeerMessage.java
+++ b/src/main/java/slateslip/distribution/peer/ControlPeerMessage.java
@@ -1,4 +1,4 @@
-package slateslip.distribution.exchange;
+package slateslip.distribution.peer;
 
 import java.util.List;
 import slateslip.distribution.QuotaAllocation;
--- a/src/main/java/slateslip/distribution/exchange/OperatorRequest.java
+++ b/src/main/java/slateslip/distribution/peer/OperatorRequest.java
@@ -1,4 +1,4 @@
-package slateslip.distribution.exchange;
+package slateslip.distribution.peer;
 
 /**
  * A call of the operator's that changes or reads the configuration.
--- a/src/main/java/slateslip/distribution/exchange/SessionRenewal.java
+++ b/src/main/java/slateslip/distribution/peer/SessionRenewal.java
@@ -1,4 +1,4 @@
-package slateslip.distribution.exchange;
+package slateslip.distribution.peer;
 
 /**
  * A call of a backend that changed nothing but its session's age.
--- a/src/main/java/slateslip/distribution/exchange/package-info.java
+++ b/src/main/java/slateslip/distribution/peer/package-info.java
@@ -1,2 +1,2 @@
 /** Messages among control agents, besides those of the control state's replication. */
-package slateslip.distribution.exchange;
+package slateslip.distribution.peer;
--- a/src/main/java/slateslip/distribution/sessions/SessionReplication.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionReplication.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 
 /**
  * Keeps the tables of the other control agents like this one's: changes go out at once, renewals in
--- a/src/main/java/slateslip/distribution/sessions/SessionTable.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTable.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 
 /**
  * The sessions that one control agent knows: from backends that call it, and from other agents.
--- a/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
@@ -85,7 +85,7 @@
   private static int write(DurableRecord.Installation record, ExpandableArrayBuffer buffer) {
     InstallationRecordEncoder encoder =
         new InstallationRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
-    FieldCodec.put(encoder.tenure(), record.term());
+    FieldCodec.put(encoder.term(), record.term());
     byte[] state = NestedBlocks.encode(record.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
@@ -158,7 +158,7 @@
     InstallationRecordDecoder decoder =
         new InstallationRecordDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(header, InstallationRecordDecoder.BLOCK_LENGTH);
-    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.term());
     byte[] stateBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
     return new DurableRecord.Installation(term, NestedBlocks.state(stateBytes));
--- a/src/main/java/slateslip/protocol/coordination/FieldCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/FieldCodec.java
@@ -12,10 +12,10 @@
 import slateslip.protocol.coordination.generated.Flag;
 import slateslip.protocol.coordination.generated.NodeIdentityDecoder;
 import slateslip.protocol.coordination.generated.NodeIdentityEncoder;
+import slateslip.protocol.coordination.generated.PrimaryTermNumberDecoder;
+import slateslip.protocol.coordination.generated.PrimaryTermNumberEncoder;
 import slateslip.protocol.coordination.generated.StatusReportDecoder;
 import slateslip.protocol.coordination.generated.StatusReportEncoder;
-import slateslip.protocol.coordination.generated.TenureNumberDecoder;
-import slateslip.protocol.coordination.generated.TenureNumberEncoder;
 
 /** Parts that several messages have. */
 final class FieldCodec {
@@ -44,11 +44,11 @@
     return new Ballot(decoder.round(), proposer);
   }
 
-  static void put(TenureNumberEncoder encoder, PrimaryTerm term) {
+  static void put(PrimaryTermNumberEncoder encoder, PrimaryTerm term) {
     encoder.epoch(term.epoch()).incarnation(term.incarnation());
   }
 
-  static PrimaryTerm term(TenureNumberDecoder decoder) {
+  static PrimaryTerm term(PrimaryTermNumberDecoder decoder) {
     return new PrimaryTerm(decoder.epoch(), decoder.incarnation());
   }
 
@@ -62,14 +62,14 @@
         .durableIncarnation(status.durableTerm().incarnation())
         .durableSequence(status.durableSequence())
         .committedSequence(status.committedSequence())
-        .acceptedLater(flag(status.acceptedNewerView()).value())
+        .acceptedNewerView(flag(status.acceptedNewerView()).value())
         .diskHealthy(flag(status.healthy()).value());
   }
 
   static ReplicaStatus status(StatusReportDecoder decoder) {
     return new ReplicaStatus(
         decoder.decidedEpoch(),
-        decoder.acceptedLater() == YES,
+        decoder.acceptedNewerView() == YES,
         new PrimaryTerm(decoder.receivedEpoch(), decoder.receivedIncarnation()),
         decoder.receivedSequence(),
         new PrimaryTerm(decoder.durableEpoch(), decoder.durableIncarnation()),
--- a/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
+++ b/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
@@ -11,10 +11,10 @@
 import slateslip.coordination.ViewMember;
 import slateslip.protocol.coordination.generated.MessageHeaderDecoder;
 import slateslip.protocol.coordination.generated.MessageHeaderEncoder;
-import slateslip.protocol.coordination.generated.TransferImageDecoder;
-import slateslip.protocol.coordination.generated.TransferImageEncoder;
-import slateslip.protocol.coordination.generated.ViewImageDecoder;
-import slateslip.protocol.coordination.generated.ViewImageEncoder;
+import slateslip.protocol.coordination.generated.StateTransferBlockDecoder;
+import slateslip.protocol.coordination.generated.StateTransferBlockEncoder;
+import slateslip.protocol.coordination.generated.ViewBlockDecoder;
+import slateslip.protocol.coordination.generated.ViewBlockEncoder;
 
 /** Views and states inside of messages and records: each a message of its own. */
 final class NestedBlocks {
@@ -29,16 +29,16 @@
       return NOTHING;
     }
     ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(SMALL);
-    ViewImageEncoder encoder =
-        new ViewImageEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
+    ViewBlockEncoder encoder =
+        new ViewBlockEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder.epoch(view.epoch());
     FieldCodec.put(encoder.primary(), view.primary());
-    ViewImageEncoder.MembersEncoder members = encoder.membersCount(view.members().size());
+    ViewBlockEncoder.MembersEncoder members = encoder.membersCount(view.members().size());
     for (ViewMember member : view.members()) {
       members.next().sinceEpoch(member.sinceEpoch());
       FieldCodec.put(members.node(), member.node());
     }
-    ViewImageEncoder.WitnessesEncoder witnesses = encoder.witnessesCount(view.witnesses().size());
+    ViewBlockEncoder.WitnessesEncoder witnesses = encoder.witnessesCount(view.witnesses().size());
     for (NodeId witness : view.witnesses()) {
       FieldCodec.put(witnesses.next().node(), witness);
     }
@@ -56,17 +56,17 @@
       return View.NONE;
     }
     DirectBuffer buffer = new UnsafeBuffer(bytes);
-    expect(buffer, ViewImageDecoder.TEMPLATE_ID);
-    ViewImageDecoder decoder = new ViewImageDecoder();
+    expect(buffer, ViewBlockDecoder.TEMPLATE_ID);
+    ViewBlockDecoder decoder = new ViewBlockDecoder();
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long epoch = decoder.epoch();
     NodeId primary = FieldCodec.node(decoder.primary());
     List<ViewMember> members = new ArrayList<>();
-    for (ViewImageDecoder.MembersDecoder member : decoder.members()) {
+    for (ViewBlockDecoder.MembersDecoder member : decoder.members()) {
       members.add(new ViewMember(FieldCodec.node(member.node()), member.sinceEpoch()));
     }
     List<NodeId> witnesses = new ArrayList<>();
-    for (ViewImageDecoder.WitnessesDecoder witness : decoder.witnesses()) {
+    for (ViewBlockDecoder.WitnessesDecoder witness : decoder.witnesses()) {
       witnesses.add(FieldCodec.node(witness.node()));
     }
     return new View(epoch, primary, members, witnesses);
@@ -75,13 +75,13 @@
   /** A state's message. */
   static byte[] encode(StateTransfer state) {
     ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(SMALL + (int) state.bytes());
-    TransferImageEncoder encoder =
-        new TransferImageEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
+    StateTransferBlockEncoder encoder =
+        new StateTransferBlockEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder
         .baseSequence(state.baseSequence())
         .committedSequence(state.committedSequence())
-        .whole(FieldCodec.flag(state.complete()));
-    TransferImageEncoder.RecordsEncoder records = encoder.recordsCount(state.records().size());
+        .complete(FieldCodec.flag(state.complete()));
+    StateTransferBlockEncoder.RecordsEncoder records = encoder.recordsCount(state.records().size());
     for (byte[] record : state.records()) {
       records.next().putRecord(record, 0, record.length);
     }
@@ -97,14 +97,14 @@
    */
   static StateTransfer state(byte[] bytes) {
     DirectBuffer buffer = new UnsafeBuffer(bytes);
-    expect(buffer, TransferImageDecoder.TEMPLATE_ID);
-    TransferImageDecoder decoder = new TransferImageDecoder();
+    expect(buffer, StateTransferBlockDecoder.TEMPLATE_ID);
+    StateTransferBlockDecoder decoder = new StateTransferBlockDecoder();
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long baseSequence = decoder.baseSequence();
     long committedSequence = decoder.committedSequence();
-    boolean complete = FieldCodec.isSet(decoder.whole());
+    boolean complete = FieldCodec.isSet(decoder.complete());
     List<byte[]> records = new ArrayList<>();
-    for (TransferImageDecoder.RecordsDecoder next : decoder.records()) {
+    for (StateTransferBlockDecoder.RecordsDecoder next : decoder.records()) {
       byte[] record = FieldCodec.allocateBytes(buffer, decoder.limit(), next.recordLength());
       next.getRecord(record, 0, record.length);
       records.add(record);
--- a/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
@@ -19,9 +19,9 @@
 import slateslip.protocol.coordination.generated.MessageHeaderDecoder;
 import slateslip.protocol.coordination.generated.PrepareDecoder;
 import slateslip.protocol.coordination.generated.PromiseDecoder;
-import slateslip.protocol.coordination.generated.RefusedDecoder;
+import slateslip.protocol.coordination.generated.RejectedDecoder;
 import slateslip.protocol.coordination.generated.SyncedDecoder;
-import slateslip.protocol.coordination.generated.TakeOverDecoder;
+import slateslip.protocol.coordination.generated.TransferLeadershipDecoder;
 
 /** Reads one message; what is wrong with it is thrown, for the reader to turn into a value. */
 final class ReplicaMessageDecoder {
@@ -43,11 +43,11 @@
       case PromiseDecoder.TEMPLATE_ID -> readPromise();
       case AcceptDecoder.TEMPLATE_ID -> readAccept();
       case AcceptedDecoder.TEMPLATE_ID -> readAccepted();
-      case RefusedDecoder.TEMPLATE_ID -> readRefused();
+      case RejectedDecoder.TEMPLATE_ID -> readRefused();
       case InstallDecoder.TEMPLATE_ID -> readInstall();
       case AppendDecoder.TEMPLATE_ID -> readAppend();
       case SyncedDecoder.TEMPLATE_ID -> readSynced();
-      case TakeOverDecoder.TEMPLATE_ID -> readTakeOver();
+      case TransferLeadershipDecoder.TEMPLATE_ID -> readTakeOver();
       default -> null;
     };
   }
@@ -71,7 +71,7 @@
     HeartbeatDecoder decoder = new HeartbeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HeartbeatDecoder.BLOCK_LENGTH, HeartbeatDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.term());
     long round = decoder.round();
     long committedSequence = decoder.committedSequence();
     boolean active = FieldCodec.isSet(decoder.active());
@@ -87,7 +87,7 @@
         new HeartbeatReplyDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(HeartbeatReplyDecoder.BLOCK_LENGTH, HeartbeatReplyDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.term());
     long round = decoder.round();
     ReplicaStatus status = FieldCodec.status(decoder.status());
     return new ReplicaFrame(from, new ReplicaMessage.HeartbeatReply(term, round, status));
@@ -108,7 +108,7 @@
     check(PrepareDecoder.BLOCK_LENGTH, PrepareDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
     Ballot ballot = FieldCodec.ballot(decoder.ballot());
-    boolean primaryConsents = FieldCodec.isSet(decoder.consented());
+    boolean primaryConsents = FieldCodec.isSet(decoder.primaryConsents());
     byte[] baseBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.baseLength());
     decoder.getBase(baseBytes, 0, baseBytes.length);
     View base = NestedBlocks.view(baseBytes);
@@ -153,8 +153,8 @@
   }
 
   private ReplicaFrame readRefused() {
-    RefusedDecoder decoder = new RefusedDecoder().wrapAndApplyHeader(buffer, 0, header);
-    check(RefusedDecoder.BLOCK_LENGTH, RefusedDecoder.SCHEMA_VERSION);
+    RejectedDecoder decoder = new RejectedDecoder().wrapAndApplyHeader(buffer, 0, header);
+    check(RejectedDecoder.BLOCK_LENGTH, RejectedDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
     long baseEpoch = decoder.baseEpoch();
     Ballot ballot = FieldCodec.ballot(decoder.ballot());
@@ -168,7 +168,7 @@
     InstallDecoder decoder = new InstallDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(InstallDecoder.BLOCK_LENGTH, InstallDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.term());
     byte[] stateBytes = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.stateLength());
     decoder.getState(stateBytes, 0, stateBytes.length);
     StateTransfer state = NestedBlocks.state(stateBytes);
@@ -179,7 +179,7 @@
     AppendDecoder decoder = new AppendDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(AppendDecoder.BLOCK_LENGTH, AppendDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.term());
     long sequence = decoder.sequence();
     long committedSequence = decoder.committedSequence();
     byte[] record = FieldCodec.allocateBytes(buffer, decoder.limit(), decoder.recordLength());
@@ -192,14 +192,15 @@
     SyncedDecoder decoder = new SyncedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(SyncedDecoder.BLOCK_LENGTH, SyncedDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
-    PrimaryTerm term = FieldCodec.term(decoder.tenure());
+    PrimaryTerm term = FieldCodec.term(decoder.term());
     long sequence = decoder.sequence();
     return new ReplicaFrame(from, new ReplicaMessage.Synced(term, sequence));
   }
 
   private ReplicaFrame readTakeOver() {
-    TakeOverDecoder decoder = new TakeOverDecoder().wrapAndApplyHeader(buffer, 0, header);
-    check(TakeOverDecoder.BLOCK_LENGTH, TakeOverDecoder.SCHEMA_VERSION);
+    TransferLeadershipDecoder decoder =
+        new TransferLeadershipDecoder().wrapAndApplyHeader(buffer, 0, header);
+    check(TransferLeadershipDecoder.BLOCK_LENGTH, TransferLeadershipDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
     long epoch = decoder.epoch();
     return new ReplicaFrame(from, new ReplicaMessage.TransferLeadership(epoch));
--- a/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
@@ -14,9 +14,9 @@
 import slateslip.protocol.coordination.generated.MessageHeaderEncoder;
 import slateslip.protocol.coordination.generated.PrepareEncoder;
 import slateslip.protocol.coordination.generated.PromiseEncoder;
-import slateslip.protocol.coordination.generated.RefusedEncoder;
+import slateslip.protocol.coordination.generated.RejectedEncoder;
 import slateslip.protocol.coordination.generated.SyncedEncoder;
-import slateslip.protocol.coordination.generated.TakeOverEncoder;
+import slateslip.protocol.coordination.generated.TransferLeadershipEncoder;
 
 /** Writes one message into a buffer. */
 final class ReplicaMessageEncoder {
@@ -91,7 +91,7 @@
   private int write(ReplicaMessage.Heartbeat message) {
     HeartbeatEncoder encoder = new HeartbeatEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.term());
+    FieldCodec.put(encoder.term(), message.term());
     encoder.round(message.round());
     encoder.committedSequence(message.committedSequence());
     encoder.active(FieldCodec.flag(message.active()));
@@ -104,7 +104,7 @@
     HeartbeatReplyEncoder encoder =
         new HeartbeatReplyEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.term());
+    FieldCodec.put(encoder.term(), message.term());
     encoder.round(message.round());
     FieldCodec.put(encoder.status(), message.status());
     return encoder.limit();
@@ -122,7 +122,7 @@
     PrepareEncoder encoder = new PrepareEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
     FieldCodec.put(encoder.ballot(), message.ballot());
-    encoder.consented(FieldCodec.flag(message.primaryConsents()));
+    encoder.primaryConsents(FieldCodec.flag(message.primaryConsents()));
     byte[] base = NestedBlocks.encode(message.base());
     encoder.putBase(base, 0, base.length);
     return encoder.limit();
@@ -159,7 +159,7 @@
   }
 
   private int write(ReplicaMessage.Rejected message) {
-    RefusedEncoder encoder = new RefusedEncoder().wrapAndApplyHeader(buffer, 0, header);
+    RejectedEncoder encoder = new RejectedEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
     encoder.baseEpoch(message.baseEpoch());
     FieldCodec.put(encoder.ballot(), message.ballot());
@@ -171,7 +171,7 @@
   private int write(ReplicaMessage.Install message) {
     InstallEncoder encoder = new InstallEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.term());
+    FieldCodec.put(encoder.term(), message.term());
     byte[] state = NestedBlocks.encode(message.state());
     encoder.putState(state, 0, state.length);
     return encoder.limit();
@@ -180,7 +180,7 @@
   private int write(ReplicaMessage.Append message) {
     AppendEncoder encoder = new AppendEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.term());
+    FieldCodec.put(encoder.term(), message.term());
     encoder.sequence(message.sequence());
     encoder.committedSequence(message.committedSequence());
     encoder.putRecord(message.record(), 0, message.record().length);
@@ -190,13 +190,14 @@
   private int write(ReplicaMessage.Synced message) {
     SyncedEncoder encoder = new SyncedEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
-    FieldCodec.put(encoder.tenure(), message.term());
+    FieldCodec.put(encoder.term(), message.term());
     encoder.sequence(message.sequence());
     return encoder.limit();
   }
 
   private int write(ReplicaMessage.TransferLeadership message) {
-    TakeOverEncoder encoder = new TakeOverEncoder().wrapAndApplyHeader(buffer, 0, header);
+    TransferLeadershipEncoder encoder =
+        new TransferLeadershipEncoder().wrapAndApplyHeader(buffer, 0, header);
     FieldCodec.put(encoder.sender(), from);
     encoder.epoch(message.epoch());
     return encoder.limit();
--- a/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
@@ -20,8 +20,8 @@
 import slateslip.protocol.distribution.generated.MessageHeaderDecoder;
 import slateslip.protocol.distribution.generated.PingDecoder;
 import slateslip.protocol.distribution.generated.PongDecoder;
+import slateslip.protocol.distribution.generated.QuotaUpdateDecoder;
 import slateslip.protocol.distribution.generated.SessionsDecoder;
-import slateslip.protocol.distribution.generated.SharesDecoder;
 import slateslip.protocol.distribution.generated.SubscribeDecoder;
 
 /**
@@ -51,7 +51,7 @@
       case ConfigurationSnapshotDecoder.TEMPLATE_ID -> readSnapshot(buffer);
       case ConfigurationPatchDecoder.TEMPLATE_ID -> readPatch(buffer);
       case SessionsDecoder.TEMPLATE_ID -> readSessions(buffer);
-      case SharesDecoder.TEMPLATE_ID -> readShares(buffer);
+      case QuotaUpdateDecoder.TEMPLATE_ID -> readShares(buffer);
       case HeartbeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
       case PongDecoder.TEMPLATE_ID ->
           new ControlPlaneMessage.Pong(
@@ -112,7 +112,7 @@
   private ControlPlaneMessage readSessions(DirectBuffer buffer) {
     SessionsDecoder decoder = new SessionsDecoder().wrapAndApplyHeader(buffer, 0, header);
     long revision = decoder.revision();
-    boolean fullTable = isSet(decoder.whole());
+    boolean fullTable = isSet(decoder.fullTable());
     boolean complete = isSet(decoder.complete());
     List<BackendSession> changed = new ArrayList<>();
     for (SessionsDecoder.ChangedDecoder session : decoder.changed()) {
@@ -130,7 +130,7 @@
   private static BackendSession readSession(SessionsDecoder.ChangedDecoder decoder) {
     int slots = decoder.slots();
     boolean draining = isSet(decoder.draining());
-    long remainingWarmupMillis = decoder.coldLeftMillis();
+    long remainingWarmupMillis = decoder.remainingWarmupMillis();
     long sequence = decoder.sequence();
     String id = decoder.instance();
     String service = decoder.service();
@@ -142,10 +142,10 @@
   }
 
   private ControlPlaneMessage readShares(DirectBuffer buffer) {
-    SharesDecoder decoder = new SharesDecoder().wrapAndApplyHeader(buffer, 0, header);
+    QuotaUpdateDecoder decoder = new QuotaUpdateDecoder().wrapAndApplyHeader(buffer, 0, header);
     int agents = decoder.agents();
     List<TenantShare> tenants = new ArrayList<>();
-    for (SharesDecoder.TenantsDecoder tenant : decoder.tenants()) {
+    for (QuotaUpdateDecoder.TenantsDecoder tenant : decoder.tenants()) {
       double fraction = tenant.fraction();
       tenants.add(new TenantShare(tenant.tenant(), fraction));
     }
--- a/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
@@ -16,8 +16,8 @@
 import slateslip.protocol.distribution.generated.MessageHeaderEncoder;
 import slateslip.protocol.distribution.generated.PingEncoder;
 import slateslip.protocol.distribution.generated.PongEncoder;
+import slateslip.protocol.distribution.generated.QuotaUpdateEncoder;
 import slateslip.protocol.distribution.generated.SessionsEncoder;
-import slateslip.protocol.distribution.generated.SharesEncoder;
 import slateslip.protocol.distribution.generated.SubscribeEncoder;
 
 /** Writes messages of the distribution schema. Not safe for several threads. */
@@ -136,7 +136,7 @@
         new SessionsEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .revision(revision)
-            .whole(flag(fullTable))
+            .fullTable(flag(fullTable))
             .complete(flag(complete));
     SessionsEncoder.ChangedEncoder sessions = encoder.changedCount(changed.size());
     for (BackendSession session : changed) {
@@ -153,7 +153,7 @@
     encoder
         .slots(session.slots())
         .draining(flag(session.draining()))
-        .coldLeftMillis(session.remainingWarmupMillis())
+        .remainingWarmupMillis(session.remainingWarmupMillis())
         .sequence(session.sequence())
         .instance(session.id())
         .service(session.service())
@@ -163,11 +163,11 @@
   }
 
   private int write(ControlPlaneMessage.QuotaUpdate message) {
-    SharesEncoder encoder =
-        new SharesEncoder()
+    QuotaUpdateEncoder encoder =
+        new QuotaUpdateEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .agents(message.allocation().dataPlanes());
-    SharesEncoder.TenantsEncoder group =
+    QuotaUpdateEncoder.TenantsEncoder group =
         encoder.tenantsCount(message.allocation().tenants().size());
     for (TenantShare share : message.allocation().tenants()) {
       group.next().fraction(share.fraction()).tenant(share.tenant());
--- a/src/main/java/slateslip/protocol/exchange/ConfigurationStateCodec.java
+++ b/src/main/java/slateslip/protocol/peer/ConfigurationStateCodec.java
@@ -1,18 +1,18 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.agrona.DirectBuffer;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot.CommittedChange;
+import slateslip.distribution.peer.ConfigurationStateSnapshot;
+import slateslip.distribution.peer.ConfigurationStateSnapshot.CommittedChange;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageBuffer;
 import slateslip.protocol.MessageReader;
-import slateslip.protocol.exchange.generated.DocumentDecoder;
-import slateslip.protocol.exchange.generated.ImageDecoder;
-import slateslip.protocol.exchange.generated.ImageEncoder;
-import slateslip.protocol.exchange.generated.MessageHeaderDecoder;
-import slateslip.protocol.exchange.generated.MessageHeaderEncoder;
+import slateslip.protocol.peer.generated.ConfigurationStateSnapshotDecoder;
+import slateslip.protocol.peer.generated.ConfigurationStateSnapshotEncoder;
+import slateslip.protocol.peer.generated.DocumentDecoder;
+import slateslip.protocol.peer.generated.MessageHeaderDecoder;
+import slateslip.protocol.peer.generated.MessageHeaderEncoder;
 
 /** The replicated configuration state as it is copied and kept on disk. */
 public final class ConfigurationStateCodec {
@@ -21,9 +21,11 @@
   /** Bytes of a state. */
   public static byte[] encode(ConfigurationStateSnapshot image) {
     MessageBuffer written = new MessageBuffer();
-    ImageEncoder encoder =
-        new ImageEncoder().wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder());
-    ImageEncoder.ChangesEncoder group = encoder.changesCount(image.changes().size());
+    ConfigurationStateSnapshotEncoder encoder =
+        new ConfigurationStateSnapshotEncoder()
+            .wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder());
+    ConfigurationStateSnapshotEncoder.ChangesEncoder group =
+        encoder.changesCount(image.changes().size());
     for (CommittedChange change : image.changes()) {
       group
           .next()
@@ -42,13 +44,14 @@
   }
 
   private static ConfigurationStateSnapshot read(DirectBuffer buffer, int template) {
-    if (template != ImageDecoder.TEMPLATE_ID) {
+    if (template != ConfigurationStateSnapshotDecoder.TEMPLATE_ID) {
       return null;
     }
-    ImageDecoder decoder =
-        new ImageDecoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
+    ConfigurationStateSnapshotDecoder decoder =
+        new ConfigurationStateSnapshotDecoder()
+            .wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     List<CommittedChange> changes = new ArrayList<>();
-    for (ImageDecoder.ChangesDecoder change : decoder.changes()) {
+    for (ConfigurationStateSnapshotDecoder.ChangesDecoder change : decoder.changes()) {
       changes.add(
           new CommittedChange(
               change.baseVersion(),
--- a/src/main/java/slateslip/protocol/exchange/ControlPeerCodec.java
+++ b/src/main/java/slateslip/protocol/peer/ControlPeerCodec.java
@@ -1,9 +1,9 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
-import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageReader;
-import slateslip.protocol.exchange.generated.MessageHeaderDecoder;
+import slateslip.protocol.peer.generated.MessageHeaderDecoder;
 
 /**
  * Writes and reads the messages among control agents: an SBE header and body, without the frame's
--- a/src/main/java/slateslip/protocol/exchange/ControlPeerDecoder.java
+++ b/src/main/java/slateslip/protocol/peer/ControlPeerDecoder.java
@@ -1,4 +1,4 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,27 +7,27 @@
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 import slateslip.protocol.MessageReader;
-import slateslip.protocol.exchange.generated.AllottedDecoder;
-import slateslip.protocol.exchange.generated.AnsweredDecoder;
-import slateslip.protocol.exchange.generated.BeatDecoder;
-import slateslip.protocol.exchange.generated.DeliveredDecoder;
-import slateslip.protocol.exchange.generated.DemandsDecoder;
-import slateslip.protocol.exchange.generated.DocumentDecoder;
-import slateslip.protocol.exchange.generated.Flag;
-import slateslip.protocol.exchange.generated.ForwardedDecoder;
-import slateslip.protocol.exchange.generated.GreetingDecoder;
-import slateslip.protocol.exchange.generated.MessageHeaderDecoder;
-import slateslip.protocol.exchange.generated.SessionChangesDecoder;
-import slateslip.protocol.exchange.generated.SessionRenewalsDecoder;
-import slateslip.protocol.exchange.generated.SessionsStoredDecoder;
+import slateslip.protocol.peer.generated.DeliveryReportDecoder;
+import slateslip.protocol.peer.generated.DemandReportDecoder;
+import slateslip.protocol.peer.generated.DocumentDecoder;
+import slateslip.protocol.peer.generated.Flag;
+import slateslip.protocol.peer.generated.ForwardedRequestDecoder;
+import slateslip.protocol.peer.generated.ForwardedResponseDecoder;
+import slateslip.protocol.peer.generated.HeartbeatDecoder;
+import slateslip.protocol.peer.generated.HelloDecoder;
+import slateslip.protocol.peer.generated.MessageHeaderDecoder;
+import slateslip.protocol.peer.generated.QuotaAllocationsDecoder;
+import slateslip.protocol.peer.generated.SessionChangesAcknowledgedDecoder;
+import slateslip.protocol.peer.generated.SessionChangesDecoder;
+import slateslip.protocol.peer.generated.SessionRenewalsDecoder;
 
 /** Reads messages of the exchange schema; errors as {@link MessageReader.BodyReader} says. */
 final class ControlPeerDecoder {
@@ -36,45 +36,48 @@
   /** Reads a message; null if its kind is not known. */
   ControlPeerMessage read(DirectBuffer buffer, int template) {
     return switch (template) {
-      case GreetingDecoder.TEMPLATE_ID -> readHello(buffer);
-      case BeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
+      case HelloDecoder.TEMPLATE_ID -> readHello(buffer);
+      case HeartbeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
       case SessionChangesDecoder.TEMPLATE_ID -> readChanges(buffer);
       case SessionRenewalsDecoder.TEMPLATE_ID -> readRenewals(buffer);
-      case SessionsStoredDecoder.TEMPLATE_ID ->
+      case SessionChangesAcknowledgedDecoder.TEMPLATE_ID ->
           new ControlPeerMessage.SessionChangesAcknowledged(
-              new SessionsStoredDecoder().wrapAndApplyHeader(buffer, 0, header).number());
-      case ForwardedDecoder.TEMPLATE_ID -> readForwardedRequest(buffer);
-      case AnsweredDecoder.TEMPLATE_ID -> readForwardedResponse(buffer);
-      case DeliveredDecoder.TEMPLATE_ID ->
+              new SessionChangesAcknowledgedDecoder()
+                  .wrapAndApplyHeader(buffer, 0, header)
+                  .number());
+      case ForwardedRequestDecoder.TEMPLATE_ID -> readForwardedRequest(buffer);
+      case ForwardedResponseDecoder.TEMPLATE_ID -> readForwardedResponse(buffer);
+      case DeliveryReportDecoder.TEMPLATE_ID ->
           new ControlPeerMessage.DeliveryReport(
-              new DeliveredDecoder().wrapAndApplyHeader(buffer, 0, header).slowestVersion());
-      case DemandsDecoder.TEMPLATE_ID -> readDemandReport(buffer);
-      case AllottedDecoder.TEMPLATE_ID -> readQuotaAllocations(buffer);
+              new DeliveryReportDecoder().wrapAndApplyHeader(buffer, 0, header).slowestVersion());
+      case DemandReportDecoder.TEMPLATE_ID -> readDemandReport(buffer);
+      case QuotaAllocationsDecoder.TEMPLATE_ID -> readQuotaAllocations(buffer);
       default -> null;
     };
   }
 
   private ControlPeerMessage readHello(DirectBuffer buffer) {
-    GreetingDecoder decoder = new GreetingDecoder().wrapAndApplyHeader(buffer, 0, header);
+    HelloDecoder decoder = new HelloDecoder().wrapAndApplyHeader(buffer, 0, header);
     long incarnation = decoder.incarnation();
     return new ControlPeerMessage.Hello(decoder.address(), incarnation);
   }
 
   private ControlPeerMessage readHeartbeat(DirectBuffer buffer) {
-    BeatDecoder decoder = new BeatDecoder().wrapAndApplyHeader(buffer, 0, header);
+    HeartbeatDecoder decoder = new HeartbeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
-    long echoed = decoder.echoed();
+    long echoed = decoder.acknowledgedNumber();
     boolean complete = isSet(decoder.complete());
     List<String> known = new ArrayList<>();
-    for (BeatDecoder.KnownAgentsDecoder agent : decoder.knownAgents()) {
+    for (HeartbeatDecoder.KnownAgentsDecoder agent : decoder.knownAgents()) {
       known.add(agent.address());
     }
     return new ControlPeerMessage.Heartbeat(number, echoed, complete, known);
   }
 
   private ControlPeerMessage readForwardedRequest(DirectBuffer buffer) {
-    ForwardedDecoder decoder = new ForwardedDecoder().wrapAndApplyHeader(buffer, 0, header);
-    long id = decoder.call();
+    ForwardedRequestDecoder decoder =
+        new ForwardedRequestDecoder().wrapAndApplyHeader(buffer, 0, header);
+    long id = decoder.requestId();
     long baseVersion = decoder.baseVersion();
     OperatorRequest.Method method = OperatorMethods.fromWire(decoder.method());
     byte[] body = new byte[checkedLength(buffer, decoder.limit(), decoder.contentLength())];
@@ -84,8 +87,9 @@
   }
 
   private ControlPeerMessage readForwardedResponse(DirectBuffer buffer) {
-    AnsweredDecoder decoder = new AnsweredDecoder().wrapAndApplyHeader(buffer, 0, header);
-    long id = decoder.call();
+    ForwardedResponseDecoder decoder =
+        new ForwardedResponseDecoder().wrapAndApplyHeader(buffer, 0, header);
+    long id = decoder.requestId();
     long version = decoder.configurationVersion();
     int status = decoder.status();
     byte[] body = new byte[checkedLength(buffer, decoder.limit(), decoder.contentLength())];
@@ -103,13 +107,13 @@
     SessionChangesDecoder decoder =
         new SessionChangesDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
-    boolean fullTable = isSet(decoder.whole());
+    boolean fullTable = isSet(decoder.fullTable());
     List<SessionEntry> entries = new ArrayList<>();
     for (SessionChangesDecoder.EntriesDecoder entry : decoder.entries()) {
       entries.add(readEntry(entry));
     }
     List<String> deregistered = new ArrayList<>();
-    for (SessionChangesDecoder.DepartedDecoder id : decoder.departed()) {
+    for (SessionChangesDecoder.DeregisteredDecoder id : decoder.deregistered()) {
       deregistered.add(id.instance());
     }
     return new ControlPeerMessage.SessionChanges(number, fullTable, entries, deregistered);
@@ -120,7 +124,7 @@
     long heardAge = decoder.heardAgeMillis();
     int slots = decoder.slots();
     boolean draining = isSet(decoder.draining());
-    long remainingWarmupMillis = decoder.coldLeftMillis();
+    long remainingWarmupMillis = decoder.remainingWarmupMillis();
     long sequence = decoder.sequence();
     String id = decoder.instance();
     String service = decoder.service();
@@ -145,12 +149,12 @@
   }
 
   private ControlPeerMessage readDemandReport(DirectBuffer buffer) {
-    DemandsDecoder decoder = new DemandsDecoder().wrapAndApplyHeader(buffer, 0, header);
+    DemandReportDecoder decoder = new DemandReportDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<DataPlaneDemand> demands = new ArrayList<>();
-    for (DemandsDecoder.AgentsDecoder agent : decoder.agents()) {
+    for (DemandReportDecoder.AgentsDecoder agent : decoder.agents()) {
       long incarnation = agent.incarnation();
       List<TenantDemand> tenants = new ArrayList<>();
-      for (DemandsDecoder.AgentsDecoder.TenantsDecoder tenant : agent.tenants()) {
+      for (DemandReportDecoder.AgentsDecoder.TenantsDecoder tenant : agent.tenants()) {
         long wanted = tenant.wantedUnits();
         long admitted = tenant.admittedUnits();
         tenants.add(new TenantDemand(tenant.tenant(), wanted, admitted));
@@ -161,12 +165,13 @@
   }
 
   private ControlPeerMessage readQuotaAllocations(DirectBuffer buffer) {
-    AllottedDecoder decoder = new AllottedDecoder().wrapAndApplyHeader(buffer, 0, header);
+    QuotaAllocationsDecoder decoder =
+        new QuotaAllocationsDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<DataPlaneQuota> allotted = new ArrayList<>();
-    for (AllottedDecoder.AgentsDecoder agent : decoder.agents()) {
+    for (QuotaAllocationsDecoder.AgentsDecoder agent : decoder.agents()) {
       int agents = agent.agents();
       List<TenantShare> shares = new ArrayList<>();
-      for (AllottedDecoder.AgentsDecoder.TenantsDecoder tenant : agent.tenants()) {
+      for (QuotaAllocationsDecoder.AgentsDecoder.TenantsDecoder tenant : agent.tenants()) {
         double fraction = tenant.fraction();
         shares.add(new TenantShare(tenant.tenant(), fraction));
       }
--- a/src/main/java/slateslip/protocol/exchange/ControlPeerEncoder.java
+++ b/src/main/java/slateslip/protocol/peer/ControlPeerEncoder.java
@@ -1,28 +1,28 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
 import java.util.List;
 import slateslip.distribution.BackendSession;
 import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 import slateslip.protocol.MessageBuffer;
-import slateslip.protocol.exchange.generated.AllottedEncoder;
-import slateslip.protocol.exchange.generated.AnsweredEncoder;
-import slateslip.protocol.exchange.generated.BeatEncoder;
-import slateslip.protocol.exchange.generated.DeliveredEncoder;
-import slateslip.protocol.exchange.generated.DemandsEncoder;
-import slateslip.protocol.exchange.generated.Flag;
-import slateslip.protocol.exchange.generated.ForwardedEncoder;
-import slateslip.protocol.exchange.generated.GreetingEncoder;
-import slateslip.protocol.exchange.generated.MessageHeaderEncoder;
-import slateslip.protocol.exchange.generated.SessionChangesEncoder;
-import slateslip.protocol.exchange.generated.SessionRenewalsEncoder;
-import slateslip.protocol.exchange.generated.SessionsStoredEncoder;
+import slateslip.protocol.peer.generated.DeliveryReportEncoder;
+import slateslip.protocol.peer.generated.DemandReportEncoder;
+import slateslip.protocol.peer.generated.Flag;
+import slateslip.protocol.peer.generated.ForwardedRequestEncoder;
+import slateslip.protocol.peer.generated.ForwardedResponseEncoder;
+import slateslip.protocol.peer.generated.HeartbeatEncoder;
+import slateslip.protocol.peer.generated.HelloEncoder;
+import slateslip.protocol.peer.generated.MessageHeaderEncoder;
+import slateslip.protocol.peer.generated.QuotaAllocationsEncoder;
+import slateslip.protocol.peer.generated.SessionChangesAcknowledgedEncoder;
+import slateslip.protocol.peer.generated.SessionChangesEncoder;
+import slateslip.protocol.peer.generated.SessionRenewalsEncoder;
 
 /** Writes messages of the exchange schema. Not safe for several threads. */
 final class ControlPeerEncoder {
@@ -47,7 +47,7 @@
       return write(response);
     }
     if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
-      DeliveredEncoder encoder = new DeliveredEncoder();
+      DeliveryReportEncoder encoder = new DeliveryReportEncoder();
       encoder.wrapAndApplyHeader(written.buffer(), 0, header);
       return encoder.slowestVersion(delivered.slowestVersion()).encodedLength();
     }
@@ -68,7 +68,7 @@
       return write(renewals);
     }
     if (message instanceof ControlPeerMessage.SessionChangesAcknowledged stored) {
-      SessionsStoredEncoder encoder = new SessionsStoredEncoder();
+      SessionChangesAcknowledgedEncoder encoder = new SessionChangesAcknowledgedEncoder();
       encoder.wrapAndApplyHeader(written.buffer(), 0, header);
       return encoder.number(stored.number()).encodedLength();
     }
@@ -76,7 +76,7 @@
   }
 
   private int write(ControlPeerMessage.Hello message) {
-    return new GreetingEncoder()
+    return new HelloEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
         .incarnation(message.incarnation())
         .address(message.address())
@@ -84,13 +84,14 @@
   }
 
   private int write(ControlPeerMessage.Heartbeat message) {
-    BeatEncoder encoder =
-        new BeatEncoder()
+    HeartbeatEncoder encoder =
+        new HeartbeatEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .number(message.number())
-            .echoed(message.acknowledgedNumber())
+            .acknowledgedNumber(message.acknowledgedNumber())
             .complete(flag(message.complete()));
-    BeatEncoder.KnownAgentsEncoder group = encoder.knownAgentsCount(message.knownAgents().size());
+    HeartbeatEncoder.KnownAgentsEncoder group =
+        encoder.knownAgentsCount(message.knownAgents().size());
     for (String address : message.knownAgents()) {
       group.next().address(address);
     }
@@ -99,9 +100,9 @@
 
   private int write(ControlPeerMessage.ForwardedRequest message) {
     OperatorRequest request = message.request();
-    return new ForwardedEncoder()
+    return new ForwardedRequestEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
-        .call(message.requestId())
+        .requestId(message.requestId())
         .baseVersion(request.baseVersion())
         .method(OperatorMethods.toWire(request.method()))
         .putContent(request.body(), 0, request.body().length)
@@ -110,9 +111,9 @@
 
   private int write(ControlPeerMessage.ForwardedResponse message) {
     byte[] body = message.response().body();
-    return new AnsweredEncoder()
+    return new ForwardedResponseEncoder()
         .wrapAndApplyHeader(written.buffer(), 0, header)
-        .call(message.requestId())
+        .requestId(message.requestId())
         .configurationVersion(message.response().version())
         .status(message.response().status())
         .putContent(body, 0, body.length)
@@ -124,13 +125,13 @@
         new SessionChangesEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, header)
             .number(message.number())
-            .whole(flag(message.fullTable()));
+            .fullTable(flag(message.fullTable()));
     SessionChangesEncoder.EntriesEncoder entries = encoder.entriesCount(message.entries().size());
     for (SessionEntry entry : message.entries()) {
       write(entry, entries.next());
     }
-    SessionChangesEncoder.DepartedEncoder ids =
-        encoder.departedCount(message.deregistered().size());
+    SessionChangesEncoder.DeregisteredEncoder ids =
+        encoder.deregisteredCount(message.deregistered().size());
     for (String id : message.deregistered()) {
       ids.next().instance(id);
     }
@@ -144,7 +145,7 @@
         .heardAgeMillis(entry.heardAgeMillis())
         .slots(session.slots())
         .draining(flag(session.draining()))
-        .coldLeftMillis(session.remainingWarmupMillis())
+        .remainingWarmupMillis(session.remainingWarmupMillis())
         .sequence(session.sequence())
         .instance(session.id())
         .service(session.service())
@@ -165,11 +166,12 @@
   }
 
   private int write(ControlPeerMessage.DemandReport message) {
-    DemandsEncoder encoder = new DemandsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
-    DemandsEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
+    DemandReportEncoder encoder =
+        new DemandReportEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+    DemandReportEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
     for (DataPlaneDemand demand : message.dataPlanes()) {
-      DemandsEncoder.AgentsEncoder agent = agents.next().incarnation(demand.incarnation());
-      DemandsEncoder.AgentsEncoder.TenantsEncoder tenants =
+      DemandReportEncoder.AgentsEncoder agent = agents.next().incarnation(demand.incarnation());
+      DemandReportEncoder.AgentsEncoder.TenantsEncoder tenants =
           agent.tenantsCount(demand.tenants().size());
       for (TenantDemand tenant : demand.tenants()) {
         tenants
@@ -184,11 +186,13 @@
   }
 
   private int write(ControlPeerMessage.QuotaAllocations message) {
-    AllottedEncoder encoder = new AllottedEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
-    AllottedEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
+    QuotaAllocationsEncoder encoder =
+        new QuotaAllocationsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+    QuotaAllocationsEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
     for (DataPlaneQuota allotted : message.dataPlanes()) {
-      AllottedEncoder.AgentsEncoder agent = agents.next().agents(allotted.shares().dataPlanes());
-      AllottedEncoder.AgentsEncoder.TenantsEncoder tenants =
+      QuotaAllocationsEncoder.AgentsEncoder agent =
+          agents.next().agents(allotted.shares().dataPlanes());
+      QuotaAllocationsEncoder.AgentsEncoder.TenantsEncoder tenants =
           agent.tenantsCount(allotted.shares().tenants().size());
       for (TenantShare share : allotted.shares().tenants()) {
         tenants.next().fraction(share.fraction()).tenant(share.tenant());
--- a/src/main/java/slateslip/protocol/exchange/OperatorMethods.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorMethods.java
@@ -1,21 +1,21 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.protocol.exchange.generated.CallMethod;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.protocol.peer.generated.OperatorMethod;
 
 /** The methods of operator's calls on the wire. */
 final class OperatorMethods {
   private OperatorMethods() {}
 
-  static CallMethod toWire(OperatorRequest.Method method) {
+  static OperatorMethod toWire(OperatorRequest.Method method) {
     return switch (method) {
-      case GET -> CallMethod.GET;
-      case PUT -> CallMethod.PUT;
-      case PATCH -> CallMethod.PATCH;
+      case GET -> OperatorMethod.GET;
+      case PUT -> OperatorMethod.PUT;
+      case PATCH -> OperatorMethod.PATCH;
     };
   }
 
-  static OperatorRequest.Method fromWire(CallMethod method) {
+  static OperatorRequest.Method fromWire(OperatorMethod method) {
     return switch (method) {
       case GET -> OperatorRequest.Method.GET;
       case PUT -> OperatorRequest.Method.PUT;
--- a/src/main/java/slateslip/protocol/exchange/OperatorRequestCodec.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorRequestCodec.java
@@ -1,15 +1,15 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
 import org.agrona.DirectBuffer;
-import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.peer.OperatorRequest;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageBuffer;
 import slateslip.protocol.MessageReader;
-import slateslip.protocol.exchange.generated.ChangeDecoder;
-import slateslip.protocol.exchange.generated.ChangeEncoder;
-import slateslip.protocol.exchange.generated.DocumentDecoder;
-import slateslip.protocol.exchange.generated.MessageHeaderDecoder;
-import slateslip.protocol.exchange.generated.MessageHeaderEncoder;
+import slateslip.protocol.peer.generated.ConfigurationChangeDecoder;
+import slateslip.protocol.peer.generated.ConfigurationChangeEncoder;
+import slateslip.protocol.peer.generated.DocumentDecoder;
+import slateslip.protocol.peer.generated.MessageHeaderDecoder;
+import slateslip.protocol.peer.generated.MessageHeaderEncoder;
 
 /** The record of a change: the operator's call as it was sent. */
 public final class OperatorRequestCodec {
@@ -19,7 +19,7 @@
   public static byte[] encode(OperatorRequest request) {
     MessageBuffer written = new MessageBuffer();
     int length =
-        new ChangeEncoder()
+        new ConfigurationChangeEncoder()
             .wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder())
             .baseVersion(request.baseVersion())
             .method(OperatorMethods.toWire(request.method()))
@@ -34,11 +34,11 @@
   }
 
   private static OperatorRequest read(DirectBuffer buffer, int template) {
-    if (template != ChangeDecoder.TEMPLATE_ID) {
+    if (template != ConfigurationChangeDecoder.TEMPLATE_ID) {
       return null;
     }
-    ChangeDecoder decoder =
-        new ChangeDecoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
+    ConfigurationChangeDecoder decoder =
+        new ConfigurationChangeDecoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long baseVersion = decoder.baseVersion();
     OperatorRequest.Method method = OperatorMethods.fromWire(decoder.method());
     int offset = decoder.limit() + DocumentDecoder.varDataEncodingOffset();
--- a/src/main/java/slateslip/protocol/exchange/OperatorResponseCodec.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorResponseCodec.java
@@ -1,7 +1,7 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.protocol.Decoded;
 
 /** An answer to the operator by itself, as the replicated state hands it through. */
--- a/src/scale/java/slateslip/scale/LoopTurnTimes.java
+++ b/src/scale/java/slateslip/scale/LoopTurnTimes.java
@@ -7,13 +7,13 @@
 import slateslip.controlplane.state.ConfigurationState;
 import slateslip.coordination.PreparedCommand;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 import slateslip.distribution.sessions.SessionTable;
-import slateslip.protocol.exchange.ControlPeerCodec;
-import slateslip.protocol.exchange.OperatorRequestCodec;
+import slateslip.protocol.peer.ControlPeerCodec;
+import slateslip.protocol.peer.OperatorRequestCodec;
 
 /**
  * Times what holds a control agent's event loop longest, piece by piece: changes of a configuration
--- a/src/scale/java/slateslip/scale/WireSizes.java
+++ b/src/scale/java/slateslip/scale/WireSizes.java
@@ -11,11 +11,11 @@
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.SessionRenewal;
 import slateslip.protocol.Framing;
 import slateslip.protocol.distribution.DistributionCodec;
-import slateslip.protocol.exchange.ControlPeerCodec;
+import slateslip.protocol.peer.ControlPeerCodec;
 
 /** Bytes of messages by the number of their entries; no process, no clock. */
 final class WireSizes {
--- a/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
@@ -9,11 +9,11 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import slateslip.coordination.PreparedCommand;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorRequest.Method;
-import slateslip.distribution.exchange.OperatorResponse;
-import slateslip.protocol.exchange.OperatorRequestCodec;
-import slateslip.protocol.exchange.OperatorResponseCodec;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorRequest.Method;
+import slateslip.distribution.peer.OperatorResponse;
+import slateslip.protocol.peer.OperatorRequestCodec;
+import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
  * Changes on top of the newest version, repeats of earlier ones, races, and copies of the state.
--- a/src/test/java/slateslip/distribution/exchange/ReachabilityTest.java
+++ b/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
@@ -1,4 +1,4 @@
-package slateslip.distribution.exchange;
+package slateslip.distribution.peer;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.contains;
--- a/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
@@ -10,9 +10,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.ControlPeerMessage.SessionChanges;
-import slateslip.distribution.exchange.ControlPeerMessage.SessionRenewals;
-import slateslip.distribution.exchange.SessionEntry;
+import slateslip.distribution.peer.ControlPeerMessage.SessionChanges;
+import slateslip.distribution.peer.ControlPeerMessage.SessionRenewals;
+import slateslip.distribution.peer.SessionEntry;
 import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
 
 /** Peers come to hold the same sessions, whatever is lost with a connection that breaks. */
--- a/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import slateslip.distribution.BackendSession;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 
 /** Sessions by order of calls, ends, reuse of addresses, expiry, and what readers are told. */
 class SessionTableTest {
--- a/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
@@ -17,7 +17,7 @@
 import slateslip.protocol.coordination.generated.next.HelloDecoder;
 import slateslip.protocol.coordination.generated.next.MessageHeaderDecoder;
 import slateslip.protocol.coordination.generated.next.MessageHeaderEncoder;
-import slateslip.protocol.coordination.generated.next.ViewImageEncoder;
+import slateslip.protocol.coordination.generated.next.ViewBlockEncoder;
 
 /** This version and a later one, with fields and data added, read each other. */
 final class SchemaVersionsTest {
@@ -32,10 +32,10 @@
   }
 
   private byte[] laterView() {
-    ViewImageEncoder view =
-        new ViewImageEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
+    ViewBlockEncoder view =
+        new ViewBlockEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     view.epoch(7).primary().ipv4(5).diskId(6);
-    ViewImageEncoder.MembersEncoder members = view.membersCount(2);
+    ViewBlockEncoder.MembersEncoder members = view.membersCount(2);
     members.next().sinceEpoch(3).addedNote(NOTE).node().ipv4(5).diskId(6);
     members.next().sinceEpoch(4).addedNote(NOTE).node().ipv4(8).diskId(9);
     view.witnessesCount(1).next().node().ipv4(5).diskId(6);
@@ -48,7 +48,7 @@
     HeartbeatEncoder encoder =
         new HeartbeatEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder.sender().ipv4(5).diskId(6);
-    encoder.tenure().epoch(7).incarnation(2);
+    encoder.term().epoch(7).incarnation(2);
     encoder.round(11).committedSequence(12).active(Flag.YES).addedNote(NOTE);
     encoder.putView(view, 0, view.length);
     ReplicaMessage.Heartbeat heartbeat =
--- a/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
@@ -59,7 +59,7 @@
   @Test
   void newerSessionsAreReadWithoutTheirNewField() {
     SessionsEncoder encoder = new SessionsEncoder().wrapAndApplyHeader(buffer, 0, header);
-    encoder.revision(3).whole(Flag.NO).complete(Flag.NO);
+    encoder.revision(3).fullTable(Flag.NO).complete(Flag.NO);
     SessionsEncoder.ChangedEncoder group = encoder.changedCount(2);
     write(FIRST, group.next());
     write(SECOND, group.next());
@@ -128,7 +128,10 @@
 
   private static void write(BackendSession session, SessionsEncoder.ChangedEncoder encoder) {
     encoder.slots(session.slots()).draining(session.draining() ? Flag.YES : Flag.NO);
-    encoder.coldLeftMillis(session.remainingWarmupMillis()).sequence(session.sequence()).weight(8);
+    encoder
+        .remainingWarmupMillis(session.remainingWarmupMillis())
+        .sequence(session.sequence())
+        .weight(8);
     encoder.instance(session.id()).service(session.service()).address(session.address());
     encoder.zone(session.zone()).software(session.version());
   }
--- a/src/test/java/slateslip/protocol/exchange/ControlPeerCodecTest.java
+++ b/src/test/java/slateslip/protocol/peer/ControlPeerCodecTest.java
@@ -1,4 +1,4 @@
-package slateslip.protocol.exchange;
+package slateslip.protocol.peer;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.equalTo;
@@ -17,15 +17,15 @@
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.QuotaAllocation.TenantShare;
 import slateslip.distribution.TenantDemand;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot.CommittedChange;
-import slateslip.distribution.exchange.ControlPeerMessage;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneDemand;
-import slateslip.distribution.exchange.ControlPeerMessage.DataPlaneQuota;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
-import slateslip.distribution.exchange.SessionEntry;
-import slateslip.distribution.exchange.SessionRenewal;
+import slateslip.distribution.peer.ConfigurationStateSnapshot;
+import slateslip.distribution.peer.ConfigurationStateSnapshot.CommittedChange;
+import slateslip.distribution.peer.ControlPeerMessage;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneDemand;
+import slateslip.distribution.peer.ControlPeerMessage.DataPlaneQuota;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
+import slateslip.distribution.peer.SessionEntry;
+import slateslip.distribution.peer.SessionRenewal;
 import slateslip.protocol.Decoded;
 
 /** What is written is read back; what is cut or damaged harms nothing. */
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -14,15 +14,15 @@
 import slateslip.coordination.WitnessState;
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.delivery.DeliveryProgress;
-import slateslip.distribution.exchange.ConfigurationStateSnapshot;
-import slateslip.distribution.exchange.ControlPeerMessage;
+import slateslip.distribution.peer.ConfigurationStateSnapshot;
+import slateslip.distribution.peer.ControlPeerMessage;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.MessageReader;
 import slateslip.protocol.coordination.ReplicaFrame;
 import slateslip.protocol.coordination.ReplicaMessageCodec;
 import slateslip.protocol.distribution.DistributionCodec;
-import slateslip.protocol.exchange.ConfigurationStateCodec;
-import slateslip.protocol.exchange.ControlPeerCodec;
+import slateslip.protocol.peer.ConfigurationStateCodec;
+import slateslip.protocol.peer.ControlPeerCodec;
 import slateslip.simulation.SimulatedDisk;
 
 /**
--- a/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
+++ b/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import slateslip.configuration.FleetConfiguration;
 import slateslip.configuration.Service;
-import slateslip.distribution.exchange.OperatorRequest;
+import slateslip.distribution.peer.OperatorRequest;
 
 /**
  * A change that an operator wants. Its configuration can be told from every other one: a service's
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.NavigableMap;
 import java.util.function.BooleanSupplier;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.RuleViolation;
 
 /** A run whose steps a test gives one by one; all rules are checked along the way. */
--- a/src/test/java/slateslip/simulation/agents/FleetHistory.java
+++ b/src/test/java/slateslip/simulation/agents/FleetHistory.java
@@ -9,7 +9,7 @@
 import slateslip.configuration.ConfigurationDocument;
 import slateslip.configuration.ConfigurationOutcome;
 import slateslip.configuration.FleetConfiguration;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.RuleViolation;
 
 /** What operators, backends and data planes have seen, and what must never be among it. */
--- a/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
+++ b/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
@@ -5,7 +5,7 @@
 import static org.hamcrest.Matchers.greaterThanOrEqualTo;
 
 import org.junit.jupiter.api.Test;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /** An answer reaches only the call that it is to, also over the lives of the agent in between. */
--- a/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
+++ b/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /**
--- a/src/test/java/slateslip/simulation/agents/ProbingOperator.java
+++ b/src/test/java/slateslip/simulation/agents/ProbingOperator.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
 
 /** Reads the configuration and has one change taken, at one agent after the other. */
 final class ProbingOperator {
--- a/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
+++ b/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /** Two operators under one number, and orders that are sent again after a lost answer. */
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import slateslip.distribution.exchange.OperatorRequest;
-import slateslip.distribution.exchange.OperatorResponse;
+import slateslip.distribution.peer.OperatorRequest;
+import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.EventQueue;
 
 /**
