--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane;
 
-import gatefront.net.Inspectable;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -24,6 +23,7 @@
 import slateslip.dataplane.subscription.Subscription;
 import slateslip.dataplane.subscription.SubscriptionClient;
 import slateslip.dataplane.subscription.SubscriptionOutput;
+import slateslip.loadbalancer.net.Inspectable;
 import slateslip.logging.LogContext;
 import slateslip.routing.FleetRouter;
 import slateslip.routing.RouterSettings;
--- a/src/main/java/slateslip/dataplane/backend/AnswerReader.java
+++ b/src/main/java/slateslip/dataplane/backend/AnswerReader.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane.backend;
 
-import gatefront.net.Decoders;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -18,6 +17,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import slateslip.dataplane.HeaderNames;
 import slateslip.dataplane.stream.EventSplitter;
+import slateslip.loadbalancer.net.Decoders;
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.BackendLoad;
 
--- a/src/main/java/slateslip/dataplane/backend/BackendConnection.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendConnection.java
@@ -1,13 +1,13 @@
 package slateslip.dataplane.backend;
 
-import gatefront.net.Decoders;
-import gatefront.net.Inspectable;
 import io.netty.channel.ChannelInitializer;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import java.util.concurrent.TimeUnit;
 import slateslip.dataplane.DataPlaneMetrics;
 import slateslip.dataplane.HeaderNames;
+import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.Inspectable;
 
 /** One connection to a backend; it serves one attempt at a time. */
 final class BackendConnection extends ChannelInitializer<Inspectable> {
--- a/src/main/java/slateslip/dataplane/backend/BackendPools.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPools.java
@@ -1,7 +1,5 @@
 package slateslip.dataplane.backend;
 
-import gatefront.net.Inspectable;
-import gatefront.net.KeptAge;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFactory;
 import io.netty.channel.ChannelFuture;
@@ -24,6 +22,8 @@
 import slateslip.dataplane.DataPlaneMetrics;
 import slateslip.dataplane.HeaderNames;
 import slateslip.distribution.BackendSession;
+import slateslip.loadbalancer.net.Inspectable;
+import slateslip.loadbalancer.net.KeptAge;
 
 /**
  * The connections to all backends, within the limits of the process and of each backend. On the
--- a/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane.ingress;
 
-import gatefront.net.Decoders;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -27,6 +26,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import slateslip.dataplane.HeaderNames;
+import slateslip.loadbalancer.net.Decoders;
 
 /**
  * One client connection: reads requests whole, has them answered one after the other. What is no
--- a/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane.ingress;
 
-import gatefront.net.Decoders;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -17,6 +16,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import slateslip.configuration.IngressLimits;
+import slateslip.loadbalancer.net.Decoders;
 
 /**
  * Listens for clients, and keeps their connections within time, number and memory. On the event
--- a/src/main/java/slateslip/dataplane/ingress/RequestHead.java
+++ b/src/main/java/slateslip/dataplane/ingress/RequestHead.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane.ingress;
 
-import gatefront.net.Decoders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -11,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import slateslip.dataplane.HeaderNames;
+import slateslip.loadbalancer.net.Decoders;
 import slateslip.routing.RequestFacts;
 import slateslip.routing.RequestFacts.PromptPart;
 
--- a/src/main/java/slateslip/dataplane/status/StatusServer.java
+++ b/src/main/java/slateslip/dataplane/status/StatusServer.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane.status;
 
-import gatefront.net.Decoders;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -30,6 +29,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import slateslip.loadbalancer.net.Decoders;
 
 /**
  * Answers {@code GET /ready} (200 or 503) and {@code GET /metrics} (Prometheus text). On the event
--- a/src/main/java/slateslip/dataplane/stream/EventSplitter.java
+++ b/src/main/java/slateslip/dataplane/stream/EventSplitter.java
@@ -1,10 +1,10 @@
 package slateslip.dataplane.stream;
 
-import gatefront.net.Decoders;
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.function.Consumer;
+import slateslip.loadbalancer.net.Decoders;
 
 /**
  * Cuts the bytes of a {@code text/event-stream} into whole events; keeps back what is not whole.
--- a/src/main/java/slateslip/dataplane/subscription/ControlStream.java
+++ b/src/main/java/slateslip/dataplane/subscription/ControlStream.java
@@ -1,7 +1,7 @@
 package slateslip.dataplane.subscription;
 
-import gatefront.net.Backoff;
 import slateslip.distribution.ControlPlaneMessage;
+import slateslip.loadbalancer.net.Backoff;
 
 /** What is known of one control agent and the stream to it. */
 final class ControlStream {
--- a/src/main/java/gatefront/Admission.java
+++ b/src/main/java/slateslip/loadbalancer/Admission.java
@@ -1,6 +1,6 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Outcome;
 
 /** How many requests each server may have in flight from this agent, as its answers teach. */
 final class Admission {
--- a/src/main/java/gatefront/AgentState.java
+++ b/src/main/java/slateslip/loadbalancer/AgentState.java
@@ -1,9 +1,9 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Actions;
-import gatefront.Balancer.Settings;
 import java.util.List;
 import java.util.SplittableRandom;
+import slateslip.loadbalancer.Balancer.Actions;
+import slateslip.loadbalancer.Balancer.Settings;
 
 /** What the parts of one agent's balancer share. */
 final class AgentState {
--- a/src/main/java/gatefront/AnswerTimes.java
+++ b/src/main/java/slateslip/loadbalancer/AnswerTimes.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/gatefront/ClassRanking.java
+++ b/src/main/java/slateslip/loadbalancer/ClassRanking.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 /** Which class of requests goes first where room is short. */
 final class ClassRanking {
--- a/src/main/java/gatefront/ClassState.java
+++ b/src/main/java/slateslip/loadbalancer/ClassState.java
@@ -1,9 +1,9 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Request;
-import gatefront.Balancer.RequestClass;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import slateslip.loadbalancer.Balancer.Request;
+import slateslip.loadbalancer.Balancer.RequestClass;
 
 /** What one agent knows of one class of requests. State only; others decide. */
 final class ClassState {
--- a/src/main/java/gatefront/ColdStart.java
+++ b/src/main/java/slateslip/loadbalancer/ColdStart.java
@@ -1,6 +1,6 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Obligations;
+import slateslip.loadbalancer.Balancer.Obligations;
 
 /** What a server that has just started, or seems to have, may be sent. */
 final class ColdStart {
--- a/src/main/java/gatefront/Main.java
+++ b/src/main/java/slateslip/loadbalancer/Main.java
@@ -1,8 +1,5 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.drill.Drill;
-import gatefront.drill.WireException;
-import gatefront.net.Agent;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -10,6 +7,9 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
+import slateslip.loadbalancer.net.Agent;
+import slateslip.loadbalancer.simulator.Drill;
+import slateslip.loadbalancer.simulator.WireException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -17,9 +17,9 @@
 public final class Main {
   static final String USAGE =
       """
-        usage: java -jar gatefront.jar serve|drill
+        usage: java -jar slateslip-loadbalancer.jar serve|simulate
           serve    run as an agent, as the configuration in $RELAY_CONFIG says
-          drill    decide for the simulator: frames on standard input, replies on standard output
+          simulate decide for the simulator: frames on standard input, replies on standard output
           --help   show this text""";
 
   private Main() {}
@@ -34,7 +34,7 @@
       out.println(USAGE);
       return 0;
     }
-    if (args.length != 1 || (!args[0].equals("drill") && !args[0].equals("serve"))) {
+    if (args.length != 1 || (!args[0].equals("simulate") && !args[0].equals("serve"))) {
       err.println(USAGE);
       return 2;
     }
@@ -46,7 +46,7 @@
           .run();
       return 0;
     } catch (WireException | IOException e) {
-      err.println("gatefront: " + e.getMessage());
+      err.println("slateslip-loadbalancer: " + e.getMessage());
       return 1;
     }
   }
@@ -72,7 +72,7 @@
       agent = Agent.start(file);
       started.complete(agent);
     } catch (IOException | IllegalArgumentException e) {
-      err.println("gatefront: " + e.getMessage());
+      err.println("slateslip-loadbalancer: " + e.getMessage());
       return 1;
     }
     // SIGTERM runs the hooks: the agent ends in order, and that is no failure.
--- a/src/main/java/gatefront/Open.java
+++ b/src/main/java/slateslip/loadbalancer/Open.java
@@ -1,10 +1,10 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Request;
-import gatefront.Balancer.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Request;
+import slateslip.loadbalancer.Balancer.RequestClass;
 
 /** One request that an agent has taken. State only; others decide. */
 final class Open {
--- a/src/main/java/gatefront/Quantile.java
+++ b/src/main/java/slateslip/loadbalancer/Quantile.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 /** Follows a quantile of a stream of positive values, and the lowest it has been. */
 final class Quantile {
--- a/src/main/java/gatefront/RequestClasses.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClasses.java
@@ -1,8 +1,8 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
+import slateslip.loadbalancer.Balancer.RequestClass;
 
 /** The classes of requests in force, and those removed with requests still held. */
 final class RequestClasses {
--- a/src/main/java/gatefront/RequestHistory.java
+++ b/src/main/java/slateslip/loadbalancer/RequestHistory.java
@@ -1,9 +1,9 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Open.Attempt;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Open.Attempt;
 
 /** What a request's history permits: another attempt, where, and a refusal. */
 final class RequestHistory {
--- a/src/main/java/gatefront/Rules.java
+++ b/src/main/java/slateslip/loadbalancer/Rules.java
@@ -1,12 +1,12 @@
 // The interface of this module (its types, events and actions) is in Balancer.java.
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Open.Attempt;
-import gatefront.policy.RetryAllowance;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import slateslip.loadbalancer.Open.Attempt;
+import slateslip.loadbalancer.policy.RetryAllowance;
 
 /**
  * The decisions of one agent's balancer: the life of a request and what follows from events. The
--- a/src/main/java/gatefront/ServerHealth.java
+++ b/src/main/java/slateslip/loadbalancer/ServerHealth.java
@@ -1,11 +1,11 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Outcome;
-import gatefront.policy.BackendHealth;
-import gatefront.policy.BackendHealth.State;
-import gatefront.policy.HealthParameters;
 import java.util.ArrayList;
 import java.util.List;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.policy.BackendHealth;
+import slateslip.loadbalancer.policy.BackendHealth.State;
+import slateslip.loadbalancer.policy.HealthParameters;
 
 /**
  * Which servers are available: the agent's probes, and how its requests end beside those of its
--- a/src/main/java/gatefront/ServerPick.java
+++ b/src/main/java/slateslip/loadbalancer/ServerPick.java
@@ -1,10 +1,10 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.policy.RendezvousHash;
-import gatefront.policy.TwoRandomChoices;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import slateslip.loadbalancer.policy.RendezvousHash;
+import slateslip.loadbalancer.policy.TwoRandomChoices;
 
 /**
  * Which server gets a request: of two random available ones of the own zone that with fewer of this
--- a/src/main/java/gatefront/ServerTable.java
+++ b/src/main/java/slateslip/loadbalancer/ServerTable.java
@@ -1,10 +1,5 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Actions;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Server;
-import gatefront.policy.HealthParameters;
-import gatefront.policy.RendezvousHash;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -14,6 +9,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import slateslip.loadbalancer.Balancer.Actions;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.policy.HealthParameters;
+import slateslip.loadbalancer.policy.RendezvousHash;
 
 /**
  * The servers that an agent knows: those listed now, and those gone at which requests are still
--- a/src/main/java/gatefront/SettingsParser.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsParser.java
@@ -1,13 +1,13 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.LoadField;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import slateslip.loadbalancer.Balancer.LoadField;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
 
 /** Turns path=value settings into the module's settings. Keys it does not know are skipped. */
 public final class SettingsParser {
--- a/src/main/java/gatefront/Subset.java
+++ b/src/main/java/slateslip/loadbalancer/Subset.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 /** How many servers an agent draws from. */
 final class Subset {
--- a/src/main/java/gatefront/Takeover.java
+++ b/src/main/java/slateslip/loadbalancer/Takeover.java
@@ -1,13 +1,13 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.RequestClass;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
 
 /**
  * Other settings for a balancer that runs, and where what it knows by number is found in them. The
--- a/src/main/java/gatefront/Target.java
+++ b/src/main/java/slateslip/loadbalancer/Target.java
@@ -1,8 +1,8 @@
-package gatefront;
+package slateslip.loadbalancer;
 
-import gatefront.Balancer.Server;
-import gatefront.policy.BackendHealth;
-import gatefront.policy.HealthParameters;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.policy.BackendHealth;
+import slateslip.loadbalancer.policy.HealthParameters;
 
 /** What one agent knows of one server. State only; others decide. */
 final class Target {
--- a/src/main/java/gatefront/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -1,10 +1,5 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
-import gatefront.Balancer;
-import gatefront.Rules;
-import gatefront.Takeover;
-import gatefront.net.ClientServer.Exchange;
-import gatefront.net.ClientServer.Incoming;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -27,6 +22,11 @@
 import java.util.function.Function;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.Takeover;
+import slateslip.loadbalancer.net.ClientServer.Exchange;
+import slateslip.loadbalancer.net.ClientServer.Incoming;
 
 /**
  * Hosts the decision module on real sockets: the one place where events enter it, and where its
--- a/src/main/java/gatefront/net/Backends.java
+++ b/src/main/java/slateslip/loadbalancer/net/Backends.java
@@ -1,7 +1,5 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
-import gatefront.Balancer;
-import gatefront.Balancer.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -41,6 +39,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Balancer.Outcome;
 
 /**
  * The connections to the servers: a pool, one request a connection, attempts and probes with their
--- a/src/main/java/gatefront/net/ClientServer.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientServer.java
@@ -1,8 +1,5 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
-import gatefront.Balancer;
-import gatefront.net.Backends.Outgoing;
-import gatefront.net.Backends.Served;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -44,6 +41,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.net.Backends.Outgoing;
+import slateslip.loadbalancer.net.Backends.Served;
 
 /**
  * The application's side: requests in, final answers out. Each exchange is answered once; what is
--- a/src/main/java/gatefront/net/Config.java
+++ b/src/main/java/slateslip/loadbalancer/net/Config.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -8,8 +8,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
-import gatefront.SettingsParser;
 import io.netty.util.NetUtil;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -23,6 +21,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.SettingsParser;
 
 /**
  * The configuration of one real agent, as read from its JSON file.
--- a/src/main/java/gatefront/net/ConfigFile.java
+++ b/src/main/java/slateslip/loadbalancer/net/ConfigFile.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
--- a/src/main/java/gatefront/net/Decoders.java
+++ b/src/main/java/slateslip/loadbalancer/net/Decoders.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/gatefront/net/Discovery.java
+++ b/src/main/java/slateslip/loadbalancer/net/Discovery.java
@@ -1,9 +1,6 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Server;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufInputStream;
 import io.netty.channel.Channel;
@@ -32,6 +29,9 @@
 import java.util.List;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Server;
 
 /**
  * Follows the server list: the whole list once, unless one is known already, then one watch after
--- a/src/main/java/gatefront/net/Inspectable.java
+++ b/src/main/java/slateslip/loadbalancer/net/Inspectable.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.socket.nio.NioSocketChannel;
--- a/src/main/java/gatefront/net/KeptAge.java
+++ b/src/main/java/slateslip/loadbalancer/net/KeptAge.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import java.util.concurrent.TimeUnit;
 
--- a/src/main/java/gatefront/net/LiveSettings.java
+++ b/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
@@ -1,11 +1,11 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
-import gatefront.Balancer;
-import gatefront.Takeover;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Takeover;
 
 /**
  * Which settings may follow those in force while the agent runs, and what is told of them. A
--- a/src/main/java/gatefront/net/Tally.java
+++ b/src/main/java/slateslip/loadbalancer/net/Tally.java
@@ -1,11 +1,11 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
-import gatefront.Balancer.Outcome;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import slateslip.loadbalancer.Balancer.Outcome;
 
 /**
  * Counts what the agent does and tells it on a line each few seconds, with one unserved request
--- a/src/main/java/gatefront/net/Warmup.java
+++ b/src/main/java/slateslip/loadbalancer/net/Warmup.java
@@ -1,7 +1,5 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
-import gatefront.Balancer;
-import gatefront.Rules;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -13,6 +11,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Rules;
 
 /**
  * Runs what a request runs through before the agent says that it is ready: a module of its own
--- a/src/main/java/gatefront/policy/FailureWindow.java
+++ b/src/main/java/slateslip/loadbalancer/policy/FailureWindow.java
@@ -1,4 +1,4 @@
-package gatefront.policy;
+package slateslip.loadbalancer.policy;
 
 import java.util.Arrays;
 
--- a/src/main/java/gatefront/policy/HealthParameters.java
+++ b/src/main/java/slateslip/loadbalancer/policy/HealthParameters.java
@@ -1,4 +1,4 @@
-package gatefront.policy;
+package slateslip.loadbalancer.policy;
 
 /**
  * When a backend's health changes.
--- a/src/main/java/gatefront/policy/RetryAllowance.java
+++ b/src/main/java/slateslip/loadbalancer/policy/RetryAllowance.java
@@ -1,4 +1,4 @@
-package gatefront.policy;
+package slateslip.loadbalancer.policy;
 
 /**
  * How many further attempts may be sent: each request earns a share of one, and some are saved up,
--- a/src/main/java/gatefront/policy/package-info.java
+++ b/src/main/java/slateslip/loadbalancer/policy/package-info.java
@@ -3,4 +3,4 @@
  * threads: health, the pick by two random draws, consistent choice by a key and the allowance for
  * retries. Times are in microseconds of the caller's clock, which never runs backwards.
  */
-package gatefront.policy;
+package slateslip.loadbalancer.policy;
--- a/src/main/java/gatefront/drill/Drill.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/Drill.java
@@ -1,11 +1,5 @@
-package gatefront.drill;
+package slateslip.loadbalancer.simulator;
 
-import gatefront.Balancer;
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Phase;
-import gatefront.Rules;
-import gatefront.SettingsParser;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -13,6 +7,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.SettingsParser;
 
 /** Speaks the simulator's wire for many instances. It decides nothing. */
 public final class Drill {
--- a/src/main/java/gatefront/drill/FrameReader.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/FrameReader.java
@@ -1,4 +1,4 @@
-package gatefront.drill;
+package slateslip.loadbalancer.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/gatefront/drill/FrameWriter.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
@@ -1,10 +1,10 @@
-package gatefront.drill;
+package slateslip.loadbalancer.simulator;
 
-import gatefront.Balancer;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import slateslip.loadbalancer.Balancer;
 
 /** Collects one reply in a reused buffer; the actions of the current instance become records. */
 final class FrameWriter implements Balancer.Actions {
--- a/src/main/java/gatefront/drill/WireException.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/WireException.java
@@ -1,4 +1,4 @@
-package gatefront.drill;
+package slateslip.loadbalancer.simulator;
 
 /** Input that does not follow the wire; the message says what is wrong and where. */
 public final class WireException extends RuntimeException {
--- a/src/main/java/slateslip/routing/BackendTable.java
+++ b/src/main/java/slateslip/routing/BackendTable.java
@@ -1,6 +1,5 @@
 package slateslip.routing;
 
-import gatefront.policy.BackendHealth;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,6 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import slateslip.distribution.BackendSession;
+import slateslip.loadbalancer.policy.BackendHealth;
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterInput.ProbeEnded;
 import slateslip.routing.health.BackendWatch;
--- a/src/main/java/slateslip/routing/health/BackendWatch.java
+++ b/src/main/java/slateslip/routing/health/BackendWatch.java
@@ -1,8 +1,8 @@
 package slateslip.routing.health;
 
-import gatefront.policy.BackendHealth;
-import gatefront.policy.HealthParameters;
 import java.util.Collection;
+import slateslip.loadbalancer.policy.BackendHealth;
+import slateslip.loadbalancer.policy.HealthParameters;
 
 /**
  * Health of one backend: the active and passive states of {@link BackendHealth}, when it is to be
--- a/src/main/java/slateslip/routing/placement/Backend.java
+++ b/src/main/java/slateslip/routing/placement/Backend.java
@@ -1,7 +1,7 @@
 package slateslip.routing.placement;
 
-import gatefront.policy.RendezvousHash;
 import slateslip.distribution.BackendSession;
+import slateslip.loadbalancer.policy.RendezvousHash;
 import slateslip.routing.health.BackendWatch;
 
 /** What this data plane knows of one incarnation of a backend. */
--- a/src/main/java/slateslip/routing/placement/Placement.java
+++ b/src/main/java/slateslip/routing/placement/Placement.java
@@ -1,12 +1,12 @@
 package slateslip.routing.placement;
 
-import gatefront.policy.TwoRandomChoices;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import slateslip.configuration.Service;
+import slateslip.loadbalancer.policy.TwoRandomChoices;
 import slateslip.routing.RequestFacts.PromptPart;
 
 /**
--- a/src/scale/java/gatefront/scale/Addresses.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Addresses.java
@@ -1,7 +1,7 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
-import gatefront.net.Config;
 import java.net.InetSocketAddress;
+import slateslip.loadbalancer.net.Config;
 
 /**
  * Addresses as the protocol writes them; the scale run uses none but those of the loopback
--- a/src/scale/java/gatefront/scale/AnswerQueue.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/AnswerQueue.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
--- a/src/scale/java/gatefront/scale/BackendStandIns.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/scale/java/gatefront/scale/BadExperiment.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/BadExperiment.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 /**
  * A file that describes no experiment; the message is one plain line that names the key at fault.
--- a/src/scale/java/gatefront/scale/Experiment.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Experiment.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 /** Something that is played and reported; its file has been read and found good. */
 public interface Experiment {
--- a/src/scale/java/gatefront/scale/Fingerprint.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Fingerprint.java
@@ -1,7 +1,7 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Server;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Server;
 
 /**
  * Tells whether an agent's list is discovery's, however it came to it: the sum of a number for each
--- a/src/scale/java/gatefront/scale/Fleet.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Fleet.java
@@ -1,9 +1,9 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
-import gatefront.scale.ServerEntry.Status;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import slateslip.loadbalancer.scale.ServerEntry.Status;
 
 /**
  * The servers that the experiments list: numbered, all ready since long ago and of one zone and
--- a/src/scale/java/gatefront/scale/FleetServers.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/FleetServers.java
@@ -1,13 +1,13 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Server;
-import gatefront.net.Discovery;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.net.Discovery;
 
 /**
  * The list of an experiment as it stands, and its next ordinary changes. Not safe for several
--- a/src/scale/java/gatefront/scale/HollowAgent.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowAgent.java
@@ -1,14 +1,5 @@
-package gatefront.scale;
-
-import gatefront.Balancer;
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Server;
-import gatefront.Rules;
-import gatefront.Takeover;
-import gatefront.net.Config;
-import gatefront.net.Discovery;
+package slateslip.loadbalancer.scale;
+
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
@@ -21,12 +12,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.Takeover;
+import slateslip.loadbalancer.net.Config;
+import slateslip.loadbalancer.net.Discovery;
 
 /**
  * An agent without clients and servers: it follows the list with the agent's own code on a
  * connection of its own and decides with the real module, and only what servers answer is made up.
- * Thousands share a process. It does what {@code gatefront.net.Agent} does, in the same order; all
- * of it runs on one event loop, which it shares with other hollow agents.
+ * Thousands share a process. It does what {@code slateslip.loadbalancer.net.Agent} does, in the
+ * same order; all of it runs on one event loop, which it shares with other hollow agents.
  */
 final class HollowAgent implements Balancer.Actions {
   /** Of the client's time, what a real agent keeps for the answer's way back. */
--- a/src/scale/java/gatefront/scale/HollowCommand.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowCommand.java
@@ -1,9 +1,8 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.sun.management.OperatingSystemMXBean;
-import gatefront.net.Discovery;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -16,6 +15,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import slateslip.loadbalancer.net.Discovery;
 
 /**
  * Hollow agents in a process of their own, so that what they cost is measured apart. A control line
--- a/src/scale/java/gatefront/scale/HollowCounts.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowCounts.java
@@ -1,11 +1,11 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer.ListKind;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
+import slateslip.loadbalancer.Balancer.ListKind;
 
 /**
  * What hollow agents have counted since their start. Written on one event loop; the sums are made
--- a/src/scale/java/gatefront/scale/HollowFleet.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowFleet.java
@@ -1,7 +1,6 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.net.Config;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -12,6 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
+import slateslip.loadbalancer.net.Config;
 
 /**
  * Hollow agents of one process, spread over its event loops. Its methods wait for those loops and
--- a/src/scale/java/gatefront/scale/Json.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Json.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/src/scale/java/gatefront/scale/LatencyExperiment.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/LatencyExperiment.java
@@ -1,12 +1,6 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gatefront.scale.BackendStandIns.Work;
-import gatefront.scale.ClientLoad.Kind;
-import gatefront.scale.ClientLoad.Outcome;
-import gatefront.scale.ClientLoad.Semantics;
-import gatefront.scale.ClientLoad.Stream;
-import gatefront.scale.RealAgents.RealAgent;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -23,6 +17,12 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
+import slateslip.loadbalancer.scale.BackendStandIns.Work;
+import slateslip.loadbalancer.scale.ClientLoad.Kind;
+import slateslip.loadbalancer.scale.ClientLoad.Outcome;
+import slateslip.loadbalancer.scale.ClientLoad.Semantics;
+import slateslip.loadbalancer.scale.ClientLoad.Stream;
+import slateslip.loadbalancer.scale.RealAgents.RealAgent;
 
 /**
  * The time that an agent adds to a call. Beside each agent's client run two that make the same
--- a/src/scale/java/gatefront/scale/LeastSquares.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/LeastSquares.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 /**
  * A straight line through measured points: state = at + slope x size.
--- a/src/scale/java/gatefront/scale/Main.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Main.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/src/scale/java/gatefront/scale/RealAgents.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/RealAgents.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -32,9 +32,9 @@
   private static final Pattern LISTENING = Pattern.compile("^listening on (.*)$");
 
   /** What the line needs and the build leaves, the one later than the other. */
-  private static final String JAR = "target/gatefront.jar";
+  private static final String JAR = "target/slateslip-loadbalancer.jar";
 
-  private static final String ARCHIVE = "target/gatefront.jsa";
+  private static final String ARCHIVE = "target/slateslip-loadbalancer.jsa";
   private static final int LOG_LINES = 40;
   private static final long READY_SECONDS = 60;
   private static final int POLL_MS = 50;
--- a/src/scale/java/gatefront/scale/RealSide.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/RealSide.java
@@ -1,12 +1,6 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.scale.BackendStandIns.Backend;
-import gatefront.scale.BackendStandIns.Mode;
-import gatefront.scale.BackendStandIns.Work;
-import gatefront.scale.ClientLoad.Outcome;
-import gatefront.scale.RealAgents.RealAgent;
-import gatefront.scale.RealAgents.Told;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -26,6 +20,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import slateslip.loadbalancer.scale.BackendStandIns.Backend;
+import slateslip.loadbalancer.scale.BackendStandIns.Mode;
+import slateslip.loadbalancer.scale.BackendStandIns.Work;
+import slateslip.loadbalancer.scale.ClientLoad.Outcome;
+import slateslip.loadbalancer.scale.RealAgents.RealAgent;
+import slateslip.loadbalancer.scale.RealAgents.Told;
 
 /**
  * The real agents of an experiment with what they need and hollow ones do not: clients, and
--- a/src/scale/java/gatefront/scale/Report.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Report.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import java.io.PrintStream;
 import java.util.ArrayList;
--- a/src/scale/java/gatefront/scale/RunCommand.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/RunCommand.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/scale/java/gatefront/scale/ServerEntry.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/ServerEntry.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/scale/java/gatefront/scale/ServerLog.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/ServerLog.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/scale/java/gatefront/scale/SlopesExperiment.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/SlopesExperiment.java
@@ -1,7 +1,6 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gatefront.scale.ServerEntry.Status;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -27,6 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.DoubleStream;
+import slateslip.loadbalancer.scale.ServerEntry.Status;
 
 /**
  * What control costs a real agent against the number of servers listed: one agent, its own
--- a/src/scale/java/gatefront/scale/Spread.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Spread.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import java.util.HashMap;
 import java.util.List;
--- a/src/scale/java/gatefront/scale/WatchersExperiment.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/WatchersExperiment.java
@@ -1,6 +1,5 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
-import gatefront.scale.ServerEntry.Status;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -15,6 +14,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
+import slateslip.loadbalancer.scale.ServerEntry.Status;
 
 /**
  * What the stand-in for discovery spends, a process of its own, against the number of its watchers:
--- a/src/scale/java/slateslip/scale/ControlCluster.java
+++ b/src/scale/java/slateslip/scale/ControlCluster.java
@@ -1,7 +1,5 @@
 package slateslip.scale;
 
-import gatefront.scale.Children;
-import gatefront.scale.ProcessFigures;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -10,6 +8,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import slateslip.cli.CommandLine;
+import slateslip.loadbalancer.scale.Children;
+import slateslip.loadbalancer.scale.ProcessFigures;
 
 /**
  * Real control plane processes on loopback addresses of their own, each with a disk and a settings
--- a/src/scale/java/slateslip/scale/DistributionRun.java
+++ b/src/scale/java/slateslip/scale/DistributionRun.java
@@ -1,6 +1,5 @@
 package slateslip.scale;
 
-import gatefront.scale.ProcessFigures;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -11,6 +10,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
+import slateslip.loadbalancer.scale.ProcessFigures;
 
 /**
  * One size: real control agents, hollow data planes and backends, versions one after the other, an
--- a/src/scale/java/slateslip/scale/WireSizes.java
+++ b/src/scale/java/slateslip/scale/WireSizes.java
@@ -1,6 +1,5 @@
 package slateslip.scale;
 
-import gatefront.scale.Slope;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
@@ -13,6 +12,7 @@
 import slateslip.distribution.TenantDemand;
 import slateslip.distribution.peer.ControlPeerMessage;
 import slateslip.distribution.peer.SessionRenewal;
+import slateslip.loadbalancer.scale.Slope;
 import slateslip.protocol.Framing;
 import slateslip.protocol.distribution.DistributionCodec;
 import slateslip.protocol.peer.ControlPeerCodec;
--- a/src/test/java/slateslip/architecture/ArchitectureTest.java
+++ b/src/test/java/slateslip/architecture/ArchitectureTest.java
@@ -25,7 +25,6 @@
 /** The arrows between packages that docs/DESIGN.md draws, and what decisions keep away from. */
 final class ArchitectureTest {
   private static final String ROOT = "slateslip.";
-  private static final String AGENT = "gatefront";
 
   /** For each package of the fleet, the other packages that it may use. */
   private static final Map<String, Set<String>> MAY_USE =
@@ -33,11 +32,12 @@
           Map.entry("configuration", Set.of()),
           Map.entry("settings", Set.of()),
           Map.entry("logging", Set.of()),
+          Map.entry("loadbalancer", Set.of()),
           Map.entry("coordination", Set.of()),
           Map.entry("storage", Set.of()),
           Map.entry("distribution", Set.of("configuration")),
           Map.entry("protocol", Set.of("configuration", "coordination", "distribution")),
-          Map.entry("routing", Set.of("configuration", "distribution", AGENT)),
+          Map.entry("routing", Set.of("configuration", "distribution", "loadbalancer")),
           Map.entry("experiment", Set.of("configuration", "distribution", "routing", "simulation")),
           Map.entry("standin", Set.of("routing", "simulation")),
           Map.entry("cli", Set.of("configuration", "settings", "logging")),
@@ -51,7 +51,7 @@
                   "protocol",
                   "routing",
                   "cli",
-                  AGENT)),
+                  "loadbalancer")),
           Map.entry(
               "controlplane",
               Set.of(
@@ -76,7 +76,7 @@
                   "routing",
                   "dataplane",
                   "controlplane",
-                  AGENT)));
+                  "loadbalancer")));
 
   /** Packages of state machines: inputs -> outputs. */
   private static final List<String> DECISIONS =
@@ -160,7 +160,7 @@
             "io.netty..",
             "io.javalin..",
             "okhttp3..",
-            "gatefront.net..")
+            "slateslip.loadbalancer.net..")
         .orShould()
         .dependOnClassesThat()
         .belongToAnyOf(Thread.class, java.util.Timer.class, java.time.Clock.class)
@@ -193,16 +193,11 @@
   }
 
   private static boolean isOfTheProject(JavaClass type) {
-    String name = type.getPackageName();
-    return name.startsWith(ROOT) || name.equals(AGENT) || name.startsWith(AGENT + ".");
+    return type.getPackageName().startsWith(ROOT);
   }
 
   private static String packageOf(JavaClass type) {
-    String name = type.getPackageName();
-    if (!name.startsWith(ROOT)) {
-      return AGENT;
-    }
-    String below = name.substring(ROOT.length());
+    String below = type.getPackageName().substring(ROOT.length());
     int end = below.indexOf('.');
     return end < 0 ? below : below.substring(0, end);
   }
--- a/src/test/java/slateslip/dataplane/BackendsTest.java
+++ b/src/test/java/slateslip/dataplane/BackendsTest.java
@@ -11,7 +11,6 @@
 import static slateslip.routing.RouterInput.AttemptOutcome.Kind.SUCCESS;
 import static slateslip.routing.RouterInput.AttemptOutcome.Kind.TIMEOUT;
 
-import gatefront.net.Peer;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -21,6 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.dataplane.backend.ProbeResult;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.BackendLoad;
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -8,7 +8,6 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 import static org.hamcrest.Matchers.nullValue;
 
-import gatefront.net.Peer;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.List;
@@ -19,6 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.configuration.IngressLimits;
 import slateslip.dataplane.DataPlaneFixture.Answer;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.routing.RouterInput;
 
 /** Clients of every manner: what goes on to a backend, and what is turned away. */
--- a/src/test/java/slateslip/dataplane/CrossingsTest.java
+++ b/src/test/java/slateslip/dataplane/CrossingsTest.java
@@ -4,7 +4,6 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-import gatefront.net.Peer;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.List;
@@ -16,6 +15,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import slateslip.dataplane.DataPlaneFixture.Answer;
+import slateslip.loadbalancer.net.Peer;
 
 /**
  * A request that may not be repeated meets one behaviour of a backend, and what goes on elsewhere
--- a/src/test/java/slateslip/dataplane/DataPlaneFixture.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneFixture.java
@@ -1,7 +1,5 @@
 package slateslip.dataplane;
 
-import gatefront.net.Inspectable;
-import gatefront.net.Peer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -24,6 +22,8 @@
 import slateslip.dataplane.forwarding.Forwarder;
 import slateslip.dataplane.ingress.ClientIngress;
 import slateslip.distribution.BackendSession;
+import slateslip.loadbalancer.net.Inspectable;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.routing.RequestRouter;
 
 /** The path of requests on loopback ports, between scripted clients and scripted backends. */
--- a/src/test/java/slateslip/dataplane/DataPlaneTest.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneTest.java
@@ -5,7 +5,6 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.nullValue;
 
-import gatefront.net.Peer;
 import java.io.IOException;
 import java.io.StringReader;
 import java.net.InetSocketAddress;
@@ -21,6 +20,7 @@
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.QuotaAllocation;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
--- a/src/test/java/slateslip/dataplane/EarlyAnswersTest.java
+++ b/src/test/java/slateslip/dataplane/EarlyAnswersTest.java
@@ -7,7 +7,6 @@
 import static slateslip.routing.RouterInput.AttemptOutcome.Kind.NOT_EXECUTED;
 import static slateslip.routing.RouterInput.AttemptOutcome.Kind.SUCCESS;
 
-import gatefront.net.Peer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -19,6 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import slateslip.dataplane.DataPlaneFixture.Answer;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
 /** Backends that answer a request that may not be repeated before they have read its body. */
--- a/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
+++ b/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
@@ -1,6 +1,5 @@
 package slateslip.dataplane;
 
-import gatefront.net.Peer;
 import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -12,6 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.DataPlaneMessage;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.DistributionCodec;
 
--- a/src/test/java/slateslip/dataplane/StreamsTest.java
+++ b/src/test/java/slateslip/dataplane/StreamsTest.java
@@ -6,7 +6,6 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.hamcrest.Matchers.nullValue;
 
-import gatefront.net.Peer;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -16,6 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import slateslip.dataplane.DataPlaneFixture.Answer;
+import slateslip.loadbalancer.net.Peer;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
--- a/src/test/java/gatefront/AskingTest.java
+++ b/src/test/java/slateslip/loadbalancer/AskingTest.java
@@ -1,17 +1,17 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
 
 /** When discovery is asked where it must be: in time, and not by all at once. */
 class AskingTest {
--- a/src/test/java/gatefront/CheckedBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/CheckedBalancerTest.java
@@ -1,16 +1,16 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Request;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Request;
 
 /**
  * Wrong use: an exception from the checked balancer; from the module alone the disregard that
--- a/src/test/java/gatefront/ColdFleetTest.java
+++ b/src/test/java/slateslip/loadbalancer/ColdFleetTest.java
@@ -1,19 +1,19 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
 
 /**
  * The rule on cold servers for the sum of all agents, on one clock. A cold server's budget in a
--- a/src/test/java/gatefront/Hand.java
+++ b/src/test/java/slateslip/loadbalancer/Hand.java
@@ -1,22 +1,22 @@
-package gatefront;
-
-import gatefront.Balancer.Goal;
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Obligations;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Prices;
-import gatefront.Balancer.Request;
-import gatefront.Balancer.RequestClass;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
-import gatefront.Balancer.Settings;
-import gatefront.Balancer.Tenant;
+package slateslip.loadbalancer;
+
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import slateslip.loadbalancer.Balancer.Goal;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Obligations;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Prices;
+import slateslip.loadbalancer.Balancer.Request;
+import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.Balancer.Settings;
+import slateslip.loadbalancer.Balancer.Tenant;
 
 /** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
 class Hand implements Balancer.Actions {
--- a/src/test/java/gatefront/LinesTest.java
+++ b/src/test/java/slateslip/loadbalancer/LinesTest.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,7 +15,7 @@
 
   @Test
   void theModuleIsShortEnough() throws IOException {
-    List<String> lines = Files.readAllLines(SOURCES.resolve("gatefront/Rules.java"));
+    List<String> lines = Files.readAllLines(SOURCES.resolve("slateslip/loadbalancer/Rules.java"));
     long written = lines.stream().filter(l -> !l.isBlank()).count();
     assertTrue(written < 1200, written + " lines");
     assertTrue(lines.get(0).contains("Balancer.java"), "the first line names the interface file");
--- a/src/test/java/gatefront/MainTest.java
+++ b/src/test/java/slateslip/loadbalancer/MainTest.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -27,9 +27,9 @@
     assertEquals(1, Main.serve(null, new PrintStream(err)));
     assertEquals(1, Main.serve("no/such/file", new PrintStream(err)));
     assertEquals(
-        "gatefront: RELAY_CONFIG is not set"
+        "slateslip-loadbalancer: RELAY_CONFIG is not set"
             + System.lineSeparator()
-            + "gatefront: cannot read no/such/file: no/such/file",
+            + "slateslip-loadbalancer: cannot read no/such/file: no/such/file",
         err.toString(UTF_8).strip());
   }
 
--- a/src/test/java/gatefront/MechanismTest.java
+++ b/src/test/java/slateslip/loadbalancer/MechanismTest.java
@@ -1,15 +1,10 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -21,6 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
 
 /** The mechanism: probes, window, reactivation, pick, spill, fallback; and its departures. */
 class MechanismTest {
--- a/src/test/java/gatefront/OnCallTest.java
+++ b/src/test/java/slateslip/loadbalancer/OnCallTest.java
@@ -1,11 +1,8 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Phase;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -14,6 +11,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Phase;
 
 /**
  * The README's part for those on call shows the lines that the module really prints, all of them
--- a/src/test/java/gatefront/PolicyFilesTest.java
+++ b/src/test/java/slateslip/loadbalancer/PolicyFilesTest.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -41,7 +41,9 @@
   @Test
   void theModuleItselfIsNamedAndNoneTwice() throws IOException {
     List<Path> named = named();
-    assertTrue(named.contains(Path.of("src/main/java/gatefront/Rules.java")), named.toString());
+    assertTrue(
+        named.contains(Path.of("src/main/java/slateslip/loadbalancer/Rules.java")),
+        named.toString());
     assertFalse(named.stream().distinct().count() < named.size(), "twice in " + named);
   }
 }
--- a/src/test/java/gatefront/QuantileTest.java
+++ b/src/test/java/slateslip/loadbalancer/QuantileTest.java
@@ -1,4 +1,4 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/gatefront/RandomRunTest.java
+++ b/src/test/java/slateslip/loadbalancer/RandomRunTest.java
@@ -1,18 +1,9 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.RequestClass;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
-import gatefront.Balancer.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,6 +11,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.Balancer.Tenant;
 
 /**
  * Legal events in a random order over varied settings, with a checker of its own for the rules on
--- a/src/test/java/gatefront/RulesTest.java
+++ b/src/test/java/slateslip/loadbalancer/RulesTest.java
@@ -1,21 +1,21 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
 
 /** The four rules, with their awkward cases. */
 class RulesTest {
--- a/src/test/java/gatefront/SettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsTest.java
@@ -1,21 +1,21 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Prices;
-import gatefront.Balancer.Request;
-import gatefront.Balancer.RequestClass;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
-import gatefront.Balancer.Settings;
-import gatefront.Balancer.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Prices;
+import slateslip.loadbalancer.Balancer.Request;
+import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.Balancer.Settings;
+import slateslip.loadbalancer.Balancer.Tenant;
 
 /** Settings at the ends of their ranges: sane behaviour and kept rules. */
 class SettingsTest {
--- a/src/test/java/gatefront/TakeoverTest.java
+++ b/src/test/java/slateslip/loadbalancer/TakeoverTest.java
@@ -1,21 +1,10 @@
-package gatefront;
+package slateslip.loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Obligations;
-import gatefront.Balancer.Outcome;
-import gatefront.Balancer.Permits;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Request;
-import gatefront.Balancer.RequestClass;
-import gatefront.Balancer.Scope;
-import gatefront.Balancer.Semantics;
-import gatefront.Balancer.Server;
-import gatefront.Balancer.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -27,6 +16,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Obligations;
+import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.Balancer.Permits;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Request;
+import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.Balancer.Scope;
+import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.Balancer.Settings;
 
 /**
  * Other settings while the module runs: what stays, what changes, and what an open request may
--- a/src/test/java/gatefront/example/Embedding.java
+++ b/src/test/java/slateslip/loadbalancer/example/Embedding.java
@@ -1,9 +1,9 @@
-package gatefront.example;
+package slateslip.loadbalancer.example;
 
-import gatefront.Balancer;
-import gatefront.CheckedBalancer;
 import java.util.ArrayList;
 import java.util.List;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.CheckedBalancer;
 
 /**
  * The README's example. What stands between the two marks is printed there, and a test holds them
--- a/src/test/java/gatefront/example/EmbeddingTest.java
+++ b/src/test/java/slateslip/loadbalancer/example/EmbeddingTest.java
@@ -1,4 +1,4 @@
-package gatefront.example;
+package slateslip.loadbalancer.example;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,7 +22,8 @@
 
   @Test
   void theReadmePrintsTheExampleAsItIsCompiledHere() throws IOException {
-    String source = Files.readString(Path.of("src/test/java/gatefront/example/Embedding.java"));
+    String source =
+        Files.readString(Path.of("src/test/java/slateslip/loadbalancer/example/Embedding.java"));
     String block =
         source
             .substring(source.indexOf(BEGIN) + BEGIN.length(), source.indexOf("  // README ends"))
--- a/src/test/java/gatefront/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
 import java.io.EOFException;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -29,6 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import slateslip.loadbalancer.Balancer;
 
 /** The agent over loopback sockets, against scripted peers. */
 class AgentTest {
--- a/src/test/java/gatefront/net/AskedDiscoveryTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AskedDiscoveryTest.java
@@ -1,12 +1,10 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
-import gatefront.Rules;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -18,6 +16,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Rules;
 
 /**
  * A discovery that has to be asked, and what fails of its calls, over loopback sockets. The
--- a/src/test/java/gatefront/net/DescriptorsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
@@ -1,11 +1,9 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
-import gatefront.Balancer.Outcome;
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -28,6 +26,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Balancer.Outcome;
 
 /**
  * What holds while descriptors are scarce: discovery and servers are reached, and clients served.
--- a/src/test/java/gatefront/net/KeptAgeTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/KeptAgeTest.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/gatefront/net/LateConnectionsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
@@ -1,4 +1,4 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,7 +6,6 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer.Outcome;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -26,6 +25,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.Outcome;
 
 /** Connections to servers that come up late or never, as the test lets them. */
 class LateConnectionsTest {
--- a/src/test/java/gatefront/net/LeavingTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LeavingTest.java
@@ -1,10 +1,9 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -20,6 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import slateslip.loadbalancer.Balancer;
 
 /**
  * A client that leaves while its request waits: nobody is to work for it, whatever it waits for.
--- a/src/test/java/gatefront/net/ReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
@@ -1,11 +1,10 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -21,6 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import slateslip.loadbalancer.Balancer;
 
 /** A new configuration under way, over loopback sockets. */
 class ReloadTest {
@@ -232,7 +232,7 @@
       signal(process, "TERM");
       assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
       String loaded = Files.readString(dir.resolve("log"));
-      assertTrue(loaded.contains(" gatefront.net.Discovery$Answers "));
+      assertTrue(loaded.contains(" slateslip.loadbalancer.net.Discovery$Answers "));
       assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
       try (InputStream code = Config.class.getResourceAsStream("Config.class")) {
         String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -256,7 +256,7 @@
                 option,
                 "-cp",
                 System.getProperty("java.class.path"),
-                "gatefront.Main",
+                "slateslip.loadbalancer.Main",
                 "serve"));
     ProcessBuilder program =
         new ProcessBuilder(command)
--- a/src/test/java/gatefront/net/Stage.java
+++ b/src/test/java/slateslip/loadbalancer/net/Stage.java
@@ -1,10 +1,8 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gatefront.Balancer;
-import gatefront.Rules;
 import java.io.Closeable;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -24,6 +22,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.Rules;
 
 /** An agent on a loopback port with a scripted discovery and scripted servers. */
 final class Stage implements Closeable {
--- a/src/test/java/gatefront/net/TallyTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/TallyTest.java
@@ -1,12 +1,12 @@
-package gatefront.net;
+package slateslip.loadbalancer.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.Outcome;
 
 /** What the agent counts for those on call. */
 class TallyTest {
--- a/src/test/java/gatefront/policy/BackendHealthTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/BackendHealthTest.java
@@ -1,12 +1,12 @@
-package gatefront.policy;
+package slateslip.loadbalancer.policy;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import gatefront.policy.BackendHealth.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.policy.BackendHealth.State;
 
 class BackendHealthTest {
   private static final long SECOND = 1_000_000;
--- a/src/test/java/gatefront/policy/RetryAllowanceTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/RetryAllowanceTest.java
@@ -1,4 +1,4 @@
-package gatefront.policy;
+package slateslip.loadbalancer.policy;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
--- a/src/test/java/gatefront/scale/ClientLoadTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
@@ -1,13 +1,8 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.scale.BackendStandIns.Mode;
-import gatefront.scale.BackendStandIns.Work;
-import gatefront.scale.ClientLoad.Kind;
-import gatefront.scale.ClientLoad.Outcome;
-import gatefront.scale.ClientLoad.Semantics;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -20,6 +15,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.scale.BackendStandIns.Mode;
+import slateslip.loadbalancer.scale.BackendStandIns.Work;
+import slateslip.loadbalancer.scale.ClientLoad.Kind;
+import slateslip.loadbalancer.scale.ClientLoad.Outcome;
+import slateslip.loadbalancer.scale.ClientLoad.Semantics;
 
 class ClientLoadTest {
   private static final List<Kind> KINDS =
--- a/src/test/java/gatefront/scale/DiscoveryStandInTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
@@ -1,11 +1,10 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gatefront.scale.ServerEntry.Status;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -26,6 +25,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.scale.ServerEntry.Status;
 
 class DiscoveryStandInTest {
   private final EventLoopGroup group =
--- a/src/test/java/gatefront/scale/ExperimentFileTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/ExperimentFileTest.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/gatefront/scale/HollowAgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
@@ -1,14 +1,9 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.Balancer.ListKind;
-import gatefront.Balancer.Phase;
-import gatefront.Balancer.Server;
-import gatefront.net.Config;
-import gatefront.net.Discovery.Endpoint;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,6 +12,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.net.Config;
+import slateslip.loadbalancer.net.Discovery.Endpoint;
 
 /** One hollow agent on a clock that only the test moves. */
 class HollowAgentTest {
--- a/src/test/java/gatefront/scale/LikenessExperimentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/LikenessExperimentTest.java
@@ -1,4 +1,4 @@
-package gatefront.scale;
+package slateslip.loadbalancer.scale;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/gatefront/drill/DrillTest.java
+++ b/src/test/java/slateslip/loadbalancer/simulator/DrillTest.java
@@ -1,15 +1,15 @@
-package gatefront.drill;
+package slateslip.loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gatefront.drill.Frames.Reply;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import slateslip.loadbalancer.simulator.Frames.Reply;
 
 /** The adapter: frames in, replies out, and plain words for what is malformed. */
 class DrillTest {
--- a/src/test/java/slateslip/routing/health/BackendWatchTest.java
+++ b/src/test/java/slateslip/routing/health/BackendWatchTest.java
@@ -3,9 +3,9 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 
-import gatefront.policy.BackendHealth;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import slateslip.loadbalancer.policy.BackendHealth;
 
 class BackendWatchTest {
   private static final long MILLI = 1_000;
