--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -23,7 +23,7 @@
 import slateslip.dataplane.subscription.Subscription;
 import slateslip.dataplane.subscription.SubscriptionClient;
 import slateslip.dataplane.subscription.SubscriptionOutput;
-import slateslip.loadbalancer.net.Inspectable;
+import slateslip.loadbalancer.net.InspectableSocketChannel;
 import slateslip.logging.LogContext;
 import slateslip.routing.FleetRouter;
 import slateslip.routing.RouterSettings;
@@ -63,7 +63,7 @@
     SplittableRandom random = new SplittableRandom();
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
-    pools = new BackendPools(loop, connectionsMost(), metrics, Inspectable::new);
+    pools = new BackendPools(loop, connectionsMost(), metrics, InspectableSocketChannel::new);
     FleetRouter router = new FleetRouter(routerSettings(settings, random.nextLong()));
     forwarder =
         new Forwarder(loop, router, DataPlane::nowMicros, pools, metrics, random.nextLong());
--- a/src/main/java/slateslip/dataplane/backend/AnswerReader.java
+++ b/src/main/java/slateslip/dataplane/backend/AnswerReader.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import slateslip.dataplane.HeaderNames;
 import slateslip.dataplane.stream.EventSplitter;
-import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.BackendLoad;
 
@@ -35,7 +35,7 @@
   private static final String EVENT_STREAM = "text/event-stream";
 
   private final BackendConnection connection;
-  private final Decoders.Responses decoder;
+  private final StrictHttpDecoders.Responses decoder;
   private HttpResponse head;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private EventSplitter splitter;
@@ -45,7 +45,7 @@
 
   private int surplusCount;
 
-  AnswerReader(BackendConnection connection, Decoders.Responses decoder) {
+  AnswerReader(BackendConnection connection, StrictHttpDecoders.Responses decoder) {
     this.connection = connection;
     this.decoder = decoder;
   }
@@ -97,8 +97,8 @@
       return ++surplusCount <= SURPLUS_MOST;
     }
     attempt.answerBegan();
-    long length = Decoders.framing(headers);
-    if (length == Decoders.UNCLEAR || length > BODY_BYTES_MOST) {
+    long length = StrictHttpDecoders.framing(headers);
+    if (length == StrictHttpDecoders.UNCLEAR || length > BODY_BYTES_MOST) {
       connection.badAnswer();
       return false;
     }
@@ -148,7 +148,8 @@
       surplus = false;
       return true;
     }
-    boolean endToldByClose = Decoders.framing(head.headers()) == Decoders.NO_LENGTH;
+    boolean endToldByClose =
+        StrictHttpDecoders.framing(head.headers()) == StrictHttpDecoders.NO_LENGTH;
     if (splitter != null && (splitter.hasPartialEvent() || endToldByClose)) {
       connection.badAnswer();
       return false;
@@ -176,7 +177,7 @@
 
   private boolean isReusable() {
     return surplusCount == 0
-        && Decoders.framing(head.headers()) != Decoders.NO_LENGTH
+        && StrictHttpDecoders.framing(head.headers()) != StrictHttpDecoders.NO_LENGTH
         && HttpUtil.isKeepAlive(head)
         && !decoder.leftover();
   }
@@ -204,7 +205,7 @@
     HeaderNames.removeHopByHop(headers);
     headers.remove(HeaderNames.BACKEND_LOAD);
     byte[] copy = ByteBufUtil.getBytes(bytes);
-    long framing = Decoders.framing(head.headers());
+    long framing = StrictHttpDecoders.framing(head.headers());
     long length = copy.length == 0 && framing > 0 ? framing : copy.length;
     return new BackendAnswer(head.status(), headers, copy, length);
   }
@@ -218,9 +219,9 @@
     if (parts.length != 3) {
       return null;
     }
-    long running = Decoders.digits(parts[0].trim(), -1);
-    long waiting = Decoders.digits(parts[1].trim(), -1);
-    long slots = Decoders.digits(parts[2].trim(), -1);
+    long running = StrictHttpDecoders.digits(parts[0].trim(), -1);
+    long waiting = StrictHttpDecoders.digits(parts[1].trim(), -1);
+    long slots = StrictHttpDecoders.digits(parts[2].trim(), -1);
     boolean readable = running >= 0 && waiting >= 0 && slots >= 0;
     return readable ? new BackendLoad((int) running, (int) waiting, (int) slots) : null;
   }
--- a/src/main/java/slateslip/dataplane/backend/BackendConnection.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendConnection.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.TimeUnit;
 import slateslip.dataplane.DataPlaneMetrics;
 import slateslip.dataplane.HeaderNames;
-import slateslip.loadbalancer.net.Decoders;
-import slateslip.loadbalancer.net.Inspectable;
+import slateslip.loadbalancer.net.InspectableSocketChannel;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /** One connection to a backend; it serves one attempt at a time. */
-final class BackendConnection extends ChannelInitializer<Inspectable> {
+final class BackendConnection extends ChannelInitializer<InspectableSocketChannel> {
   /** Bytes of a status line, and of an answer's headers. */
   private static final int HEAD_BYTES_MOST = 16 * 1024;
 
@@ -23,8 +23,8 @@
   private static final String TIMEOUT_PARAMETER = "timeout=";
 
   final BackendPool pool;
-  Inspectable channel;
-  Decoders.Responses decoder;
+  InspectableSocketChannel channel;
+  StrictHttpDecoders.Responses decoder;
 
   /** The attempt that uses it; null if none. */
   BackendAttempt attempt;
@@ -40,9 +40,9 @@
   }
 
   @Override
-  protected void initChannel(Inspectable opened) {
+  protected void initChannel(InspectableSocketChannel opened) {
     channel = opened;
-    decoder = new Decoders.Responses(HEAD_BYTES_MOST, HEAD_BYTES_MOST);
+    decoder = new StrictHttpDecoders.Responses(HEAD_BYTES_MOST, HEAD_BYTES_MOST);
     opened.pipeline().addLast(decoder, new HttpRequestEncoder(), new AnswerReader(this, decoder));
   }
 
@@ -78,7 +78,7 @@
     for (String parameter : keepAlive.split(",", -1)) {
       String text = parameter.trim();
       if (text.startsWith(TIMEOUT_PARAMETER)) {
-        long seconds = Decoders.digits(text.substring(TIMEOUT_PARAMETER.length()), 0);
+        long seconds = StrictHttpDecoders.digits(text.substring(TIMEOUT_PARAMETER.length()), 0);
         long nanos = TimeUnit.SECONDS.toNanos(Math.min(seconds, 3_600));
         keepNanos = Math.max(UNSTATED_KEEP_NANOS, nanos - KEEP_MARGIN_NANOS);
       }
--- a/src/main/java/slateslip/dataplane/backend/BackendPools.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPools.java
@@ -22,8 +22,8 @@
 import slateslip.dataplane.DataPlaneMetrics;
 import slateslip.dataplane.HeaderNames;
 import slateslip.distribution.BackendSession;
-import slateslip.loadbalancer.net.Inspectable;
-import slateslip.loadbalancer.net.KeptAge;
+import slateslip.loadbalancer.net.IdleConnectionTimeout;
+import slateslip.loadbalancer.net.InspectableSocketChannel;
 
 /**
  * The connections to all backends, within the limits of the process and of each backend. On the
@@ -52,7 +52,8 @@
   private final Bootstrap bootstrap;
   private final int connectionsMost;
   private final DataPlaneMetrics metrics;
-  private final KeptAge keptAge = new KeptAge(KEEP_MOST_NANOS, System.nanoTime());
+  private final IdleConnectionTimeout keptAge =
+      new IdleConnectionTimeout(KEEP_MOST_NANOS, System.nanoTime());
   private final Map<String, BackendPool> pools = new HashMap<>();
   private RoutingTable table;
   private int agents = 1;
@@ -63,7 +64,7 @@
       EventLoop loop,
       int connectionsMost,
       DataPlaneMetrics metrics,
-      ChannelFactory<Inspectable> sockets) {
+      ChannelFactory<InspectableSocketChannel> sockets) {
     this.loop = loop;
     this.connectionsMost = connectionsMost;
     this.metrics = metrics;
@@ -158,7 +159,7 @@
     return loop;
   }
 
-  KeptAge keptAge() {
+  IdleConnectionTimeout keptAge() {
     return keptAge;
   }
 
@@ -177,7 +178,7 @@
             .handler(connection)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
             .connect(pool.address);
-    if (Inspectable.noSocket(connecting)) {
+    if (InspectableSocketChannel.noSocket(connecting)) {
       return null;
     }
     metrics.dialled++;
--- a/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
@@ -26,7 +26,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 import slateslip.dataplane.HeaderNames;
-import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
  * One client connection: reads requests whole, has them answered one after the other. What is no
@@ -60,7 +60,7 @@
 
   private final ClientIngress ingress;
   private final SocketChannel channel;
-  private final Decoders.Requests decoder;
+  private final StrictHttpDecoders.Requests decoder;
   private final Deque<Asked> ahead = new ArrayDeque<>();
   private ClientExchange current;
   private HttpRequest head;
@@ -71,7 +71,8 @@
   private Phase phase = Phase.RESTING;
   private long phaseSince = System.nanoTime();
 
-  ClientConnection(ClientIngress ingress, SocketChannel channel, Decoders.Requests decoder) {
+  ClientConnection(
+      ClientIngress ingress, SocketChannel channel, StrictHttpDecoders.Requests decoder) {
     this.ingress = ingress;
     this.channel = channel;
     this.decoder = decoder;
@@ -173,14 +174,14 @@
 
   private void beginRequest(HttpRequest request) {
     head = request;
-    long length = Decoders.framing(request.headers());
+    long length = StrictHttpDecoders.framing(request.headers());
     HttpResponseStatus refusal =
         RequestHead.refusal(request, length, ingress.limits().maxBodyBytes());
     if (refusal != null) {
       refuse(refusal);
       return;
     }
-    if (length > 0 || length == Decoders.CHUNKED) {
+    if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
       enterUnlessAnswering(Phase.READING_BODY);
       body = Unpooled.buffer(length > 0 ? (int) length : 1024);
       sayContinue(request);
--- a/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import slateslip.configuration.IngressLimits;
-import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
  * Listens for clients, and keeps their connections within time, number and memory. On the event
@@ -74,7 +74,7 @@
 
   private void open(SocketChannel channel) {
     int headerBytes = limits.maxHeaderBytes();
-    Decoders.Requests decoder = new Decoders.Requests(headerBytes, headerBytes);
+    StrictHttpDecoders.Requests decoder = new StrictHttpDecoders.Requests(headerBytes, headerBytes);
     ClientConnection connection = new ClientConnection(this, channel, decoder);
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
   }
--- a/src/main/java/slateslip/dataplane/ingress/RequestHead.java
+++ b/src/main/java/slateslip/dataplane/ingress/RequestHead.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import slateslip.dataplane.HeaderNames;
-import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 import slateslip.routing.RequestFacts;
 import slateslip.routing.RequestFacts.PromptPart;
 
@@ -37,14 +37,14 @@
   /**
    * Why this request is not taken.
    *
-   * @param length as {@link Decoders#framing} tells it
+   * @param length as {@link StrictHttpDecoders#framing} tells it
    * @return null if it is well-formed and its body is not too long
    */
   static HttpResponseStatus refusal(HttpRequest head, long length, long maxBodyBytes) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
       return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
     }
-    if (length == Decoders.UNCLEAR || head.method().equals(HttpMethod.CONNECT)) {
+    if (length == StrictHttpDecoders.UNCLEAR || head.method().equals(HttpMethod.CONNECT)) {
       return HttpResponseStatus.BAD_REQUEST;
     }
     if (length > maxBodyBytes) {
@@ -98,11 +98,11 @@
         headers.get(HttpHeaderNames.HOST),
         query < 0 ? head.uri() : head.uri().substring(0, query),
         headers.get(HeaderNames.CREDENTIAL),
-        Decoders.digits(headers.get(HeaderNames.DEADLINE_MS), 0),
-        comma < 0 ? -1 : Decoders.digits(usage.substring(0, comma).trim(), -1),
-        comma < 0 ? -1 : Decoders.digits(usage.substring(comma + 1).trim(), -1),
+        StrictHttpDecoders.digits(headers.get(HeaderNames.DEADLINE_MS), 0),
+        comma < 0 ? -1 : StrictHttpDecoders.digits(usage.substring(0, comma).trim(), -1),
+        comma < 0 ? -1 : StrictHttpDecoders.digits(usage.substring(comma + 1).trim(), -1),
         promptParts(headers.get(HeaderNames.PROMPT_PREFIX)),
-        Decoders.digits(headers.get(HeaderNames.LAST_EVENT_ID), -1),
+        StrictHttpDecoders.digits(headers.get(HeaderNames.LAST_EVENT_ID), -1),
         headers.get(HeaderNames.MODEL, ""),
         bodyBytes);
   }
@@ -114,7 +114,8 @@
     List<PromptPart> parts = new ArrayList<>();
     for (String part : text.split(",", PROMPT_PARTS_MOST)) {
       int colon = part.indexOf(':');
-      long tokens = colon < 0 ? -1 : Decoders.digits(part.substring(colon + 1).trim(), -1);
+      long tokens =
+          colon < 0 ? -1 : StrictHttpDecoders.digits(part.substring(colon + 1).trim(), -1);
       if (tokens < 0 || tokens > Integer.MAX_VALUE) {
         return List.of();
       }
--- a/src/main/java/slateslip/dataplane/status/StatusServer.java
+++ b/src/main/java/slateslip/dataplane/status/StatusServer.java
@@ -29,7 +29,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
  * Answers {@code GET /ready} (200 or 503) and {@code GET /metrics} (Prometheus text). On the event
@@ -63,7 +63,7 @@
                         .pipeline()
                         .addLast(
                             new ReadTimeoutHandler(SILENCE_SECONDS),
-                            new Decoders.Requests(LINE_BYTES_MOST, HEAD_BYTES_MOST),
+                            new StrictHttpDecoders.Requests(LINE_BYTES_MOST, HEAD_BYTES_MOST),
                             new HttpResponseEncoder(),
                             new Answers());
                   }
--- a/src/main/java/slateslip/dataplane/stream/EventSplitter.java
+++ b/src/main/java/slateslip/dataplane/stream/EventSplitter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.function.Consumer;
-import slateslip.loadbalancer.net.Decoders;
+import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
  * Cuts the bytes of a {@code text/event-stream} into whole events; keeps back what is not whole.
@@ -89,7 +89,7 @@
       return;
     }
     String value = new String(pending, valueStart, end - valueStart, StandardCharsets.US_ASCII);
-    id = Decoders.digits(value.trim(), StreamEvent.NO_ID);
+    id = StrictHttpDecoders.digits(value.trim(), StreamEvent.NO_ID);
   }
 
   private boolean isIdLine() {
--- a/src/main/java/slateslip/loadbalancer/Admission.java
+++ b/src/main/java/slateslip/loadbalancer/Admission.java
@@ -1,6 +1,6 @@
 package slateslip.loadbalancer;
 
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /** How many requests each server may have in flight from this agent, as its answers teach. */
 final class Admission {
@@ -53,17 +53,21 @@
    * the least.
    */
   private static final double LIMIT_DOWN =
-      LIMIT_UP * AnswerTimes.QUANTILE / (1 - AnswerTimes.QUANTILE);
+      LIMIT_UP * LatencyTracker.QUANTILE / (1 - LatencyTracker.QUANTILE);
 
   /** How much slower than the class a server may be by nature before its answers count as slow. */
   private static final double NATURE_MAX = 2;
 
-  private final AgentState agent;
-  private final AnswerTimes answerTimes;
-  private final ColdStart cold;
-  private final ServerHealth health;
+  private final LoadBalancerContext agent;
+  private final LatencyTracker answerTimes;
+  private final SlowStart cold;
+  private final EndpointHealthChecker health;
 
-  Admission(AgentState agent, AnswerTimes answerTimes, ColdStart cold, ServerHealth health) {
+  Admission(
+      LoadBalancerContext agent,
+      LatencyTracker answerTimes,
+      SlowStart cold,
+      EndpointHealthChecker health) {
     this.agent = agent;
     this.answerTimes = answerTimes;
     this.cold = cold;
@@ -73,19 +77,19 @@
   /** Gives listed servers that have none a first limit; so many agents have one in their subset. */
   void startLimits(int subset) {
     double part = Math.min(1, (double) subset / Math.max(1, agent.listed.size()));
-    for (Target target : agent.listed) {
+    for (Endpoint target : agent.listed) {
       target.limit =
           target.limit == 0 ? LIMIT_START / (agent.settings.agents() * part) : target.limit;
     }
   }
 
-  boolean hasRoom(Target target, long now) {
+  boolean hasRoom(Endpoint target, long now) {
     return target.inFlight < Math.max(1, (int) target.limit)
         && now >= target.restUntil
         && (!target.cold(now) || cold.coldBudget(target, now) >= 1);
   }
 
-  void learn(Open req, Target target, Outcome outcome, long spent, long now) {
+  void learn(PendingRequest req, Endpoint target, Outcome outcome, long spent, long now) {
     if (outcome == Outcome.CANCELLED || outcome == Outcome.NEVER_SENT) {
       return; // says nothing about the server
     }
@@ -98,7 +102,8 @@
       cold.recovered(target, now);
       answerTimes.learnTime(req, target, spent, now);
       req.state.served++;
-      target.answerRate = AnswerTimes.rate(target, now) + 1.0 * SECOND / AnswerTimes.RATE_PERIOD;
+      target.answerRate =
+          LatencyTracker.rate(target, now) + 1.0 * SECOND / LatencyTracker.RATE_PERIOD;
     } else if (outcome == Outcome.CONNECT_FAILED && target.failuresInRow > 0) {
       cold.broke(target, now); // one alone may be a full table of connections
     }
@@ -146,8 +151,8 @@
    * the few answers of one class for so long that it takes a jam for their usual time; all classes
    * together are known before.
    */
-  private boolean slow(Open req, Target target, long spent) {
-    Quantile times = answerTimes.of(req.state);
+  private boolean slow(PendingRequest req, Endpoint target, long spent) {
+    QuantileEstimator times = answerTimes.of(req.state);
     double nature =
         target.pace.known() ? Math.max(1, Math.min(NATURE_MAX, target.pace.lowest())) : 1;
     double most = SLOW_SHARE * (req.endAt - req.cameAt);
--- a/src/main/java/slateslip/loadbalancer/ClassRanking.java
+++ b/src/main/java/slateslip/loadbalancer/ClassPriorities.java
@@ -1,17 +1,17 @@
 package slateslip.loadbalancer;
 
 /** Which class of requests goes first where room is short. */
-final class ClassRanking {
+final class ClassPriorities {
   private static final long SECOND = 1_000_000;
 
   /** How far back the counts of requests come and served look, for ranking the classes. */
   private static final long RANK_PERIOD = 2 * SECOND;
 
-  private final AgentState agent;
+  private final LoadBalancerContext agent;
   private final RequestClasses classes;
   private long rankedAt;
 
-  ClassRanking(AgentState agent, RequestClasses classes, long now) {
+  ClassPriorities(LoadBalancerContext agent, RequestClasses classes, long now) {
     this.agent = agent;
     this.classes = classes;
     this.rankedAt = now;
@@ -23,8 +23,8 @@
     rankedAt = now;
     classes.order().removeIf(state -> state.held.isEmpty() && !classes.current().contains(state));
     double all = 0;
-    ClassState worst = classes.order().get(0);
-    for (ClassState state : classes.order()) {
+    RequestClassState worst = classes.order().get(0);
+    for (RequestClassState state : classes.order()) {
       state.came *= fade;
       state.served *= fade;
       all += state.came * state.type.worth() * unit(state);
@@ -32,7 +32,7 @@
         worst = state;
       }
     }
-    for (ClassState state : classes.order()) {
+    for (RequestClassState state : classes.order()) {
       double each = state.type.worth() * unit(state) / Math.max(all, Double.MIN_NORMAL);
       state.value = (agent.settings.goal().whole() + agent.settings.goal().worstWindow()) * each;
       if (state == worst) {
@@ -44,7 +44,7 @@
   }
 
   /** What one request of a class weighs: its work where worth is counted by work. */
-  private double unit(ClassState state) {
+  private double unit(RequestClassState state) {
     return agent.settings.worthByWork() ? state.typical : 1;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/Rules.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -1,21 +1,21 @@
-// The interface of this module (its types, events and actions) is in Balancer.java.
+// The interface of this module (its types, events and actions) is in LoadBalancer.java.
 package slateslip.loadbalancer;
 
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.loadbalancer.Open.Attempt;
-import slateslip.loadbalancer.policy.RetryAllowance;
+import slateslip.loadbalancer.PendingRequest.Attempt;
+import slateslip.loadbalancer.policy.RetryTokenBucket;
 
 /**
  * The decisions of one agent's balancer: the life of a request and what follows from events. The
- * parts decide the rest: {@link RequestHistory} what a request's history permits, {@link
- * ServerPick} where it goes, {@link Admission} how much a server gets, {@link ServerHealth} which
- * are available, {@link ColdStart} what one that has just started gets, {@link ClassRanking} which
- * class goes first.
+ * parts decide the rest: {@link RetryEligibility} what a request's history permits, {@link
+ * EndpointSelector} where it goes, {@link Admission} how much a server gets, {@link
+ * EndpointHealthChecker} which are available, {@link SlowStart} what one that has just started
+ * gets, {@link ClassPriorities} which class goes first.
  */
-public final class Rules implements Balancer {
+public final class DefaultLoadBalancer implements LoadBalancer {
   private static final long SECOND = 1_000_000;
 
   /** Further attempts earned by each request: retries can never multiply an overload. */
@@ -48,20 +48,20 @@
   private static final long TIMER_SWEEP = -2;
   private static final long TIMER_ASK = -3;
 
-  private final AgentState agent;
+  private final LoadBalancerContext agent;
   private final RequestClasses classes;
-  private final AnswerTimes times = new AnswerTimes();
-  private final WarmRates warmRates;
-  private final ColdStart cold;
-  private final Subset subset;
-  private final ServerHealth health;
+  private final LatencyTracker times = new LatencyTracker();
+  private final WarmServiceRates warmRates;
+  private final SlowStart cold;
+  private final SubsetSizer subset;
+  private final EndpointHealthChecker health;
   private final Admission admission;
-  private final ServerPick pick;
-  private final ClassRanking ranking;
-  private final RetryAllowance retries = new RetryAllowance(RETRY_EARNED, RETRY_BANK);
-  private final WaitingReport waitingReport = new WaitingReport();
-  private final Map<Long, Open> open = new HashMap<>();
-  private final Map<Long, Open> byToken = new HashMap<>();
+  private final EndpointSelector pick;
+  private final ClassPriorities ranking;
+  private final RetryTokenBucket retries = new RetryTokenBucket(RETRY_EARNED, RETRY_BANK);
+  private final QueueReport waitingReport = new QueueReport();
+  private final Map<Long, PendingRequest> open = new HashMap<>();
+  private final Map<Long, PendingRequest> byToken = new HashMap<>();
   private long nextToken;
   private boolean sweeping;
 
@@ -69,16 +69,16 @@
   private long askDelay = ASK_TWICE / 2;
 
   /** A new instance that knows nothing but its settings; seed for its random choices. */
-  public Rules(Settings settings, long seed, long now, Actions actions) {
-    this.agent = new AgentState(settings, seed, actions);
+  public DefaultLoadBalancer(Settings settings, long seed, long now, Actions actions) {
+    this.agent = new LoadBalancerContext(settings, seed, actions);
     this.classes = new RequestClasses(agent);
-    this.warmRates = new WarmRates(agent);
-    this.cold = new ColdStart(agent, warmRates);
-    this.subset = new Subset(agent);
-    this.health = new ServerHealth(agent, cold, subset);
+    this.warmRates = new WarmServiceRates(agent);
+    this.cold = new SlowStart(agent, warmRates);
+    this.subset = new SubsetSizer(agent);
+    this.health = new EndpointHealthChecker(agent, cold, subset);
     this.admission = new Admission(agent, times, cold, health);
-    this.pick = new ServerPick(agent, health, admission, times, cold, subset);
-    this.ranking = new ClassRanking(agent, classes, now);
+    this.pick = new EndpointSelector(agent, health, admission, times, cold, subset);
+    this.ranking = new ClassPriorities(agent, classes, now);
     if (settings.askDiscovery()) {
       // Danger: agents started together call together, and discovery turns most of them away.
       long spread = settings.obligations().askWithin() / ASK_SPREAD;
@@ -88,7 +88,7 @@
 
   @Override
   public void request(long now, Request request) {
-    ClassState state = classes.current().get(request.requestClass());
+    RequestClassState state = classes.current().get(request.requestClass());
     RequestClass type = state.type;
     long aim = type.aim() + (long) (type.aimStretch() * request.cost());
     long spent = state.spentBefore(request, now, agent.settings.tick());
@@ -98,7 +98,7 @@
     long left = late && !request.repeated() ? aim : aim - spent;
     long last = request.deadline() - agent.settings.tick();
     long endAt = type.lateShare() > 0 ? last : Math.min(last, now + left - agent.settings.tick());
-    Open req = new Open(request, state, nextToken++, now, endAt);
+    PendingRequest req = new PendingRequest(request, state, nextToken++, now, endAt);
     open.put(request.id(), req);
     byToken.put(req.token, req);
     agent.actions.timer(req.token, Math.max(0, endAt - now));
@@ -113,11 +113,11 @@
   }
 
   /** Sends a request if its history permits and a server has room. */
-  private boolean dispatch(Open req, long now) {
+  private boolean dispatch(PendingRequest req, long now) {
     if (req.attempts.size() >= agent.settings.permits().maxAttempts() || now >= req.endAt) {
       return false;
     }
-    Target target = pick.pick(req, now);
+    Endpoint target = pick.pick(req, now);
     if (target == null) {
       return false;
     }
@@ -129,7 +129,7 @@
     return true;
   }
 
-  private void dispatchOrHold(Open req, long now) {
+  private void dispatchOrHold(PendingRequest req, long now) {
     if (!dispatch(req, now)) {
       req.held = true;
       req.state.held.addLast(req);
@@ -149,10 +149,10 @@
    * a long queue each is sent when it is just too late, and the servers work for nobody.
    */
   private void release(long now) {
-    for (ClassState state : classes.order()) {
-      Deque<Open> queue = state.held;
+    for (RequestClassState state : classes.order()) {
+      Deque<PendingRequest> queue = state.held;
       while (!queue.isEmpty() && (!queue.peekFirst().held || hopeless(queue.peekFirst(), now))) {
-        Open oldest = queue.pollFirst();
+        PendingRequest oldest = queue.pollFirst();
         if (oldest.held) {
           finish(oldest, now);
         }
@@ -162,7 +162,7 @@
       }
       // Danger: the oldest would cross zones with too little time left; take the newest that may.
       for (var newest = queue.descendingIterator(); newest.hasNext(); ) {
-        Open req = newest.next();
+        PendingRequest req = newest.next();
         if (req.held && now - req.cameAt >= pick.patience(req) && !dispatch(req, now)) {
           break;
         }
@@ -174,13 +174,13 @@
     long held = open.values().stream().filter(each -> each.held).count();
     if (held > 0 && waitingReport.due(now)) {
       agent.actions.log(
-          WaitingReport.line(
+          QueueReport.line(
               now, held, agent.listed, agent.settings.zone(), each -> health.available(each, now)));
     }
   }
 
   /** Whether an answer would come too late to be worth the work. */
-  private boolean hopeless(Open req, long now) {
+  private boolean hopeless(PendingRequest req, long now) {
     return now + (long) req.state.times.value() > req.endAt;
   }
 
@@ -194,7 +194,7 @@
       long spent,
       boolean closed,
       double[] load) {
-    Open req = open.get(request);
+    PendingRequest req = open.get(request);
     if (req == null
         || attempt >= req.attempts.size()
         || req.attempts.get(attempt).outcome != null) {
@@ -218,7 +218,7 @@
   }
 
   /** After a failed attempt: another one where permitted and affordable, or the final answer. */
-  private void again(Open req, long now) {
+  private void again(PendingRequest req, long now) {
     if (!hopeless(req, now) && mayGoAgain(req, now) && retries.permits()) {
       retries.spend();
       dispatchOrHold(req, now);
@@ -227,21 +227,21 @@
     }
   }
 
-  private boolean mayGoAgain(Open req, long now) {
+  private boolean mayGoAgain(PendingRequest req, long now) {
     return req.attempts.size() < agent.settings.permits().maxAttempts()
-        && RequestHistory.maySend(req, agent.settings.permits(), now);
+        && RetryEligibility.maySend(req, agent.settings.permits(), now);
   }
 
   /** The final answer for a request that will not be served: a refusal where permitted. */
-  private void finish(Open req, long now) {
+  private void finish(PendingRequest req, long now) {
     if (req.closed) {
       return;
     }
     cancelAll(req);
     if (!req.request.repeated()) {
-      req.state.unservedWait += AnswerTimes.BLEND * (now - req.cameAt - req.state.unservedWait);
+      req.state.unservedWait += LatencyTracker.BLEND * (now - req.cameAt - req.state.unservedWait);
     }
-    if (RequestHistory.mayRefuse(req)) {
+    if (RetryEligibility.mayRefuse(req)) {
       agent.actions.refuse(req.request.id(), comeBack(req, now));
     } else {
       agent.actions.fail(req.request.id());
@@ -254,10 +254,11 @@
    * now, and not before one answer's time; nobody is told to wait longer than a client would for
    * all tries. Danger: a time that is only long keeps clients away from servers that have room.
    */
-  private long comeBack(Open req, long now) {
+  private long comeBack(PendingRequest req, long now) {
     long permitted = agent.settings.permits().maxRetryAfter();
     long most = permitted > 0 ? permitted : req.type.giveUp();
-    double perSecond = agent.listed.stream().mapToDouble(each -> AnswerTimes.rate(each, now)).sum();
+    double perSecond =
+        agent.listed.stream().mapToDouble(each -> LatencyTracker.rate(each, now)).sum();
     long ahead = 1 + classes.order().stream().mapToLong(each -> each.held.size()).sum();
     double wait = perSecond == 0 ? most : ahead / perSecond * SECOND;
     return (long)
@@ -266,7 +267,7 @@
             Math.max((double) agent.settings.tick(), Math.max(wait, req.state.typical)));
   }
 
-  private void cancelAll(Open req) {
+  private void cancelAll(PendingRequest req) {
     for (int i = 0; i < req.attempts.size() && agent.settings.permits().cancel(); i++) {
       if (req.attempts.get(i).outcome == null) {
         agent.actions.cancel(req.request.id(), i);
@@ -274,7 +275,7 @@
     }
   }
 
-  private void close(Open req) {
+  private void close(PendingRequest req) {
     req.closed = true;
     req.held = false;
     byToken.remove(req.token);
@@ -285,7 +286,7 @@
 
   @Override
   public void clientLeft(long now, long request) {
-    Open req = open.get(request);
+    PendingRequest req = open.get(request);
     if (req != null && !req.closed) {
       cancelAll(req);
       req.state.held.remove(req); // it would count among those that wait until its turn came
@@ -295,7 +296,7 @@
 
   @Override
   public void streamStarted(long now, long request, int attempt, long server, long spent) {
-    Open req = open.get(request);
+    PendingRequest req = open.get(request);
     if (req != null) {
       req.streaming = true;
     }
@@ -314,7 +315,7 @@
     } else if (token == TIMER_ASK) {
       agent.actions.watchServers();
     } else {
-      Open req = byToken.get(token);
+      PendingRequest req = byToken.get(token);
       if (req == null || req.streaming) {
         return; // answered long ago, or with the client now
       }
@@ -330,11 +331,12 @@
   public void message(long now, int agent, byte[] message) {} // no message has earned its price yet
 
   @Override
-  public void settings(long now, Takeover next) {
-    for (Open req : open.values()) {
+  public void settings(long now, SettingsReload next) {
+    for (PendingRequest req : open.values()) {
       int at = classes.current().indexOf(req.state);
-      int to = at < 0 ? Takeover.REMOVED : next.classes().get(at);
-      req.type = Takeover.strictest(req.type, to < 0 ? null : next.settings().classes().get(to));
+      int to = at < 0 ? SettingsReload.REMOVED : next.classes().get(at);
+      req.type =
+          SettingsReload.strictest(req.type, to < 0 ? null : next.settings().classes().get(to));
     }
     if (next.settings().askDiscovery() && !agent.settings.askDiscovery()) {
       agent.actions.watchServers();
@@ -350,7 +352,7 @@
     health.settingsChanged();
     // Danger: one that may not go again would stand before others in its queue until its time is
     // up.
-    for (ClassState state : classes.order()) {
+    for (RequestClassState state : classes.order()) {
       List.copyOf(state.held).stream()
           .filter(req -> req.held && !mayGoAgain(req, now))
           .forEach(req -> finish(req, now));
@@ -385,13 +387,13 @@
       agent.servers.retain(entries);
     }
     for (Server entry : entries) {
-      Target started = agent.servers.apply(entry);
+      Endpoint started = agent.servers.apply(entry);
       if (started != null) {
         cold.restart(now, started);
       }
     }
     agent.servers.order(agent.settings.agent());
-    admission.startLimits(subset.subset(Subset.LEAST));
+    admission.startLimits(subset.subset(SubsetSizer.LEAST));
     health.probeUnlessProbing(now);
     release(now);
   }
--- a/src/main/java/slateslip/loadbalancer/Target.java
+++ b/src/main/java/slateslip/loadbalancer/Endpoint.java
@@ -1,11 +1,11 @@
 package slateslip.loadbalancer;
 
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Server;
 import slateslip.loadbalancer.policy.BackendHealth;
 import slateslip.loadbalancer.policy.HealthParameters;
 
 /** What one agent knows of one server. State only; others decide. */
-final class Target {
+final class Endpoint {
   final long id;
 
   /** Its line of the server list. */
@@ -34,7 +34,7 @@
   long stretchAt;
 
   /** A quantile of its answer times, each as a multiple of its class's lowest. */
-  final Quantile pace = new Quantile(AnswerTimes.QUANTILE);
+  final QuantileEstimator pace = new QuantileEstimator(LatencyTracker.QUANTILE);
 
   /** When it last answered. */
   long answeredAt;
@@ -66,7 +66,7 @@
 
   long answerRateAt;
 
-  Target(long id, HealthParameters parameters) {
+  Endpoint(long id, HealthParameters parameters) {
     this.id = id;
     this.health = new BackendHealth(parameters);
   }
--- a/src/main/java/slateslip/loadbalancer/ServerHealth.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 import slateslip.loadbalancer.policy.BackendHealth;
 import slateslip.loadbalancer.policy.BackendHealth.State;
 import slateslip.loadbalancer.policy.HealthParameters;
@@ -11,7 +11,7 @@
  * Which servers are available: the agent's probes, and how its requests end beside those of its
  * peers.
  */
-final class ServerHealth {
+final class EndpointHealthChecker {
   private static final long SECOND = 1_000_000;
 
   /**
@@ -49,13 +49,13 @@
       new HealthParameters(
           PROBE_THRESHOLD, WINDOW, WINDOW_MINIMUM, FAILURE_LIMIT, SURE, REACTIVATION);
 
-  private final AgentState agent;
-  private final ColdStart cold;
-  private final Subset subset;
+  private final LoadBalancerContext agent;
+  private final SlowStart cold;
+  private final SubsetSizer subset;
   private int probeTurn;
   private boolean probing;
 
-  ServerHealth(AgentState agent, ColdStart cold, Subset subset) {
+  EndpointHealthChecker(LoadBalancerContext agent, SlowStart cold, SubsetSizer subset) {
     this.agent = agent;
     this.cold = cold;
     this.subset = subset;
@@ -63,7 +63,7 @@
   }
 
   /** Whether a server is available now; its passive state is reset where that is due. */
-  boolean available(Target target, long now) {
+  boolean available(Endpoint target, long now) {
     if (target.health.reactivateIfDue(now)) {
       target.limit = 1;
       agent.servers.log(target, "passive Unknown: reactivated");
@@ -75,12 +75,12 @@
    * Makes the passive state Unhealthy when too much fails here, and more than elsewhere in its
    * zone.
    */
-  void judge(Target target, long now) {
+  void judge(Endpoint target, long now) {
     if (!target.health.failsTooOften()) {
       return;
     }
     List<BackendHealth> peers = new ArrayList<>();
-    for (Target peer : agent.listed) {
+    for (Endpoint peer : agent.listed) {
       if (peer != target && peer.listed.zone() == target.listed.zone()) {
         peers.add(peer.health);
       }
@@ -97,10 +97,10 @@
   }
 
   /** Those it draws from, and what stands before them that is not available and may recover. */
-  private List<Target> watched(long now) {
-    List<Target> watched = new ArrayList<>();
-    int left = subset.spread(Subset.LEAST, now);
-    for (Target target : agent.listed) {
+  private List<Endpoint> watched(long now) {
+    List<Endpoint> watched = new ArrayList<>();
+    int left = subset.spread(SubsetSizer.LEAST, now);
+    for (Endpoint target : agent.listed) {
       if (left == 0) {
         break;
       }
@@ -122,11 +122,12 @@
     if (!probing) {
       return;
     }
-    List<Target> watched = watched(now);
+    List<Endpoint> watched = watched(now);
     double sharers = (double) agent.settings.agents() * watched.size() / agent.listed.size();
     double mean = PROBE_INTERVAL * Math.max(1, sharers) / watched.size();
-    agent.actions.timer(Rules.TIMER_PROBE, 1 + (long) (mean * (from + agent.random.nextDouble())));
-    Target target = watched.get(probeTurn++ % watched.size());
+    agent.actions.timer(
+        DefaultLoadBalancer.TIMER_PROBE, 1 + (long) (mean * (from + agent.random.nextDouble())));
+    Endpoint target = watched.get(probeTurn++ % watched.size());
     if (from > 0 && !target.probeOut) {
       target.probeOut = true;
       agent.actions.probe(target.id);
@@ -139,7 +140,7 @@
    * @return whether that says anything about the server
    */
   boolean probed(long now, long server, Outcome outcome) {
-    Target target = agent.servers.find(server);
+    Endpoint target = agent.servers.find(server);
     if (target == null) {
       return false;
     }
@@ -184,7 +185,7 @@
    * Unhealthy.
    */
   void settingsChanged() {
-    for (Target target : agent.listed) {
+    for (Endpoint target : agent.listed) {
       if (!agent.settings.permits().probes() && target.health.active() == State.UNHEALTHY) {
         target.health.resetActive();
       }
--- a/src/main/java/slateslip/loadbalancer/ServerPick.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointSelector.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import slateslip.loadbalancer.policy.PowerOfTwoChoices;
 import slateslip.loadbalancer.policy.RendezvousHash;
-import slateslip.loadbalancer.policy.TwoRandomChoices;
 
 /**
  * Which server gets a request: of two random available ones of the own zone that with fewer of this
  * agent's requests in flight; then other zones; then all.
  */
-final class ServerPick {
+final class EndpointSelector {
   /**
    * How fast the share of keys that cross zones at once follows what is seen: some hundred
    * requests.
@@ -18,26 +18,26 @@
   private static final double SPILL_STEP = 0.01;
 
   /** Of two with as many requests in flight the one that was drawn first. */
-  private static final Comparator<Target> FIRST = (unusedFirst, unusedSecond) -> 0;
+  private static final Comparator<Endpoint> FIRST = (unusedFirst, unusedSecond) -> 0;
 
-  private final AgentState agent;
-  private final ServerHealth health;
+  private final LoadBalancerContext agent;
+  private final EndpointHealthChecker health;
   private final Admission admission;
-  private final AnswerTimes times;
-  private final ColdStart cold;
-  private final Subset subset;
-  private final List<Target> scratch = new ArrayList<>();
+  private final LatencyTracker times;
+  private final SlowStart cold;
+  private final SubsetSizer subset;
+  private final List<Endpoint> scratch = new ArrayList<>();
 
   /** The share of keys that cross zones at once. */
   private double spill;
 
-  ServerPick(
-      AgentState agent,
-      ServerHealth health,
+  EndpointSelector(
+      LoadBalancerContext agent,
+      EndpointHealthChecker health,
       Admission admission,
-      AnswerTimes times,
-      ColdStart cold,
-      Subset subset) {
+      LatencyTracker times,
+      SlowStart cold,
+      SubsetSizer subset) {
     this.agent = agent;
     this.health = health;
     this.admission = admission;
@@ -46,8 +46,8 @@
     this.subset = subset;
   }
 
-  Target pick(Open req, long now) {
-    if (!RequestHistory.maySend(req, agent.settings.permits(), now)) {
+  Endpoint pick(PendingRequest req, long now) {
+    if (!RetryEligibility.maySend(req, agent.settings.permits(), now)) {
       return null;
     }
     // Guards against a request held to its last moment though no server is left that it has not
@@ -60,9 +60,9 @@
                         !each.ready
                             || !health.available(each, now)
                             || req.sentTo(each)
-                            || !RequestHistory.inGroups(req, each));
+                            || !RetryEligibility.inGroups(req, each));
     boolean roams = keyed(req) && RendezvousHash.position(~req.request.key()) < spill;
-    Target best = roams ? draw(req, now, true, 0) : null;
+    Endpoint best = roams ? draw(req, now, true, 0) : null;
     if (best == null) {
       best = draw(req, now, true, 1);
       spill -= best == null ? 0 : SPILL_STEP * agent.settings.prices().crossing() * spill;
@@ -97,7 +97,7 @@
   }
 
   /** Whether servers are quicker with this request's key where they met it lately. */
-  private boolean keyed(Open req) {
+  private boolean keyed(PendingRequest req) {
     return agent.settings.warmKeys() && req.request.key() != 0;
   }
 
@@ -105,18 +105,18 @@
    * Crossing zones costs its price: while servers are available here, that part of the time is
    * waited.
    */
-  long patience(Open req) {
+  long patience(PendingRequest req) {
     return (long) ((req.endAt - req.cameAt) * Math.min(1, agent.settings.prices().crossing()));
   }
 
   /** The two-draw pick among servers with room; where: 1 own zone, 0 other zones, -1 all. */
-  private Target draw(Open req, long now, boolean healthy, int where) {
+  private Endpoint draw(PendingRequest req, long now, boolean healthy, int where) {
     scratch.clear();
     double room = 0;
     int out = 0;
-    int least = where == 1 ? Subset.LEAST : Subset.FAR;
+    int least = where == 1 ? SubsetSizer.LEAST : SubsetSizer.FAR;
     int left = keyed(req) ? agent.listed.size() : subset.spread(least, now);
-    for (Target target : agent.listed) {
+    for (Endpoint target : agent.listed) {
       if (left == 0) {
         break; // Danger: with a thousand agent.listed, looking at each costs more than all else
       }
@@ -127,7 +127,7 @@
         room += target.limit - target.inFlight;
         out += target.inFlight;
         if (!req.tried(target)
-            && RequestHistory.inGroups(req, target)
+            && RetryEligibility.inGroups(req, target)
             && admission.hasRoom(target, now)
             && cold.warmEnough(req, target, now)) {
           scratch.add(target);
@@ -143,15 +143,15 @@
     }
     if (keyed(req) && scratch.size() > 1) {
       // All agents draw the same two by the key's hash.
-      Target first = highest(req.request.key(), null);
-      Target second = highest(req.request.key(), first);
-      return TwoRandomChoices.less(first, second, Target::inFlight, FIRST);
+      Endpoint first = highest(req.request.key(), null);
+      Endpoint second = highest(req.request.key(), first);
+      return PowerOfTwoChoices.less(first, second, Endpoint::inFlight, FIRST);
     }
-    Comparator<Target> ties =
+    Comparator<Endpoint> ties =
         agent.settings.warmKeys()
             ? FIRST
             : Comparator.comparingDouble(each -> times.stretch(each, now));
-    return TwoRandomChoices.pick(scratch, Target::inFlight, ties, agent.random);
+    return PowerOfTwoChoices.pick(scratch, Endpoint::inFlight, ties, agent.random);
   }
 
   /**
@@ -163,7 +163,7 @@
     scratch.removeIf(target -> target.inFlight > most);
   }
 
-  private Target highest(long key, Target except) {
+  private Endpoint highest(long key, Endpoint except) {
     return RendezvousHash.highest(scratch, key, target -> target.id, except);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/ServerTable.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointTable.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import slateslip.loadbalancer.Balancer.Actions;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Actions;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Server;
 import slateslip.loadbalancer.policy.HealthParameters;
 import slateslip.loadbalancer.policy.RendezvousHash;
 
@@ -19,24 +19,24 @@
  * The servers that an agent knows: those listed now, and those gone at which requests are still
  * out.
  */
-final class ServerTable {
+final class EndpointTable {
   private final HealthParameters health;
   private final Actions actions;
-  private final Map<Long, Target> targets = new HashMap<>();
-  private final List<Target> listed = new ArrayList<>();
+  private final Map<Long, Endpoint> targets = new HashMap<>();
+  private final List<Endpoint> listed = new ArrayList<>();
 
-  ServerTable(HealthParameters health, Actions actions) {
+  EndpointTable(HealthParameters health, Actions actions) {
     this.health = health;
     this.actions = actions;
   }
 
   /** The servers now listed, in the order of this agent's own hash. */
-  List<Target> listed() {
+  List<Endpoint> listed() {
     return listed;
   }
 
   /** A server that is listed or at which requests are still out; null for any other. */
-  Target find(long id) {
+  Endpoint find(long id) {
     return targets.get(id);
   }
 
@@ -51,15 +51,15 @@
    *
    * @return the server if this line says that it has started anew, else null
    */
-  Target apply(Server entry) {
+  Endpoint apply(Server entry) {
     if (entry.phase() == Phase.GONE) {
-      Target gone = targets.get(entry.id());
+      Endpoint gone = targets.get(entry.id());
       if (gone != null) {
         remove(gone);
       }
       return null;
     }
-    Target target = targets.computeIfAbsent(entry.id(), id -> new Target(id, health));
+    Endpoint target = targets.computeIfAbsent(entry.id(), id -> new Endpoint(id, health));
     Server before = target.listed;
     if (before == null || target.gone) {
       listed.add(target);
@@ -83,7 +83,7 @@
     listed.sort(Comparator.comparingLong(each -> RendezvousHash.weight(each.id, agent)));
   }
 
-  private void remove(Target target) {
+  private void remove(Endpoint target) {
     if (listed.remove(target)) {
       log(target, "gone from the list");
     }
@@ -95,7 +95,7 @@
   /**
    * Danger: servers come and go for ever. What is known of one goes with it once nothing is out.
    */
-  void forget(Target target) {
+  void forget(Endpoint target) {
     if (target.gone && target.inFlight == 0) {
       targets.remove(target.id);
     }
@@ -104,14 +104,14 @@
   /**
    * Zones and kinds go by their new positions, also of servers that only an attempt still knows.
    */
-  void move(Takeover next, Collection<Open> open) {
-    Set<Target> known = new HashSet<>(targets.values());
+  void move(SettingsReload next, Collection<PendingRequest> open) {
+    Set<Endpoint> known = new HashSet<>(targets.values());
     open.forEach(req -> req.attempts.forEach(attempt -> known.add(attempt.target)));
     known.forEach(target -> target.listed = next.moved(target.listed));
   }
 
   /** Tells on-call staff of a server, unless it is gone and nobody is to look after it. */
-  void log(Target target, String what) {
+  void log(Endpoint target, String what) {
     if (!target.gone) {
       actions.log("server " + target.id + " " + what);
     }
--- a/src/main/java/slateslip/loadbalancer/AnswerTimes.java
+++ b/src/main/java/slateslip/loadbalancer/LatencyTracker.java
@@ -7,7 +7,7 @@
  * What answers take, and how many come, by class, server and kind of server. It measures; others
  * decide.
  */
-final class AnswerTimes {
+final class LatencyTracker {
   private static final long SECOND = 1_000_000;
 
   /**
@@ -32,13 +32,13 @@
   private static final double STRETCH_MAX = 5;
 
   /** A quantile of all answer times, which stands in for a class that has been seen too seldom. */
-  private final Quantile allTimes = new Quantile(QUANTILE);
+  private final QuantileEstimator allTimes = new QuantileEstimator(QUANTILE);
 
-  /** By kind of server, what {@link Target#stretch} is for one. */
+  /** By kind of server, what {@link ListedEndpoint#stretch} is for one. */
   private final Map<Integer, Double> kindStretch = new HashMap<>();
 
   /** The answer times of a class, or of all where it has been seen too seldom. */
-  Quantile of(ClassState state) {
+  QuantileEstimator of(RequestClassState state) {
     return state.times.known() ? state.times : allTimes;
   }
 
@@ -46,8 +46,8 @@
    * An answer's time, against the class's and in part the request's own cost, for a hint may be
    * rough.
    */
-  void learnTime(Open req, Target target, long spent, long now) {
-    ClassState state = req.state;
+  void learnTime(PendingRequest req, Endpoint target, long spent, long now) {
+    RequestClassState state = req.state;
     double heavy = state.meanCost == 0 ? 1 : 0.5 + 0.5 * req.request.cost() / state.meanCost;
     double ratio = state.typical == 0 ? 1 : Math.min(STRETCH_MAX, spent / (state.typical * heavy));
     double before = stretch(target, now);
@@ -65,21 +65,21 @@
   }
 
   /** A server's answer times against the usual: its own lately, else those of its kind. */
-  double stretch(Target target, long now) {
+  double stretch(Endpoint target, long now) {
     double usual = kindStretch.getOrDefault(target.listed.kind(), 1.0);
     return usual
         + (target.stretch - usual) * Math.exp(-(double) (now - target.stretchAt) / RATE_PERIOD);
   }
 
   /** Answers a second from this server, as a mean that fades. */
-  static double rate(Target target, long now) {
+  static double rate(Endpoint target, long now) {
     target.answerRate *= Math.exp(-(double) (now - target.answerRateAt) / RATE_PERIOD);
     target.answerRateAt = now;
     return target.answerRate;
   }
 
   /** Kinds go by their new positions. */
-  void moveKinds(Takeover next) {
+  void moveKinds(SettingsReload next) {
     Map<Integer, Double> stretches = Map.copyOf(kindStretch);
     kindStretch.keySet().removeIf(kind -> kind >= 0);
     stretches.forEach(
--- a/src/main/java/slateslip/loadbalancer/Balancer.java
+++ b/src/main/java/slateslip/loadbalancer/LoadBalancer.java
@@ -8,7 +8,7 @@
  * before the call returns. All times are microseconds on one clock that never runs backwards.
  * Instances share nothing.
  */
-public interface Balancer {
+public interface LoadBalancer {
 
   /** How often the effect of a request may happen. */
   enum Semantics {
@@ -161,7 +161,7 @@
    */
   record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
 
-  /** What an instance is told at its start, and again with {@link Balancer#settings}. */
+  /** What an instance is told at its start, and again with {@link LoadBalancer#settings}. */
   record Settings(
       int agent,
       int agents,
@@ -251,7 +251,7 @@
     void tell(int agent, byte[] message);
 
     /**
-     * Asks for {@link Balancer#timer}.
+     * Asks for {@link LoadBalancer#timer}.
      *
      * @param token comes back with it
      * @param delay from now
@@ -288,7 +288,7 @@
    * @param now the time
    * @param next settings of the same agent in the same zone
    */
-  void settings(long now, Takeover next);
+  void settings(long now, SettingsReload next);
 
   /**
    * The list of servers has changed, or could not be had.
--- a/src/main/java/slateslip/loadbalancer/AgentState.java
+++ b/src/main/java/slateslip/loadbalancer/LoadBalancerContext.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import slateslip.loadbalancer.Balancer.Actions;
-import slateslip.loadbalancer.Balancer.Settings;
+import slateslip.loadbalancer.LoadBalancer.Actions;
+import slateslip.loadbalancer.LoadBalancer.Settings;
 
 /** What the parts of one agent's balancer share. */
-final class AgentState {
+final class LoadBalancerContext {
   /** In force now. */
   Settings settings;
 
@@ -15,16 +15,16 @@
   /** One source of chance for all, so that the same events give the same actions. */
   final SplittableRandom random;
 
-  final ServerTable servers;
+  final EndpointTable servers;
 
-  /** {@link ServerTable#listed}. */
-  final List<Target> listed;
+  /** {@link EndpointTable#listed}. */
+  final List<Endpoint> listed;
 
-  AgentState(Settings settings, long seed, Actions actions) {
+  LoadBalancerContext(Settings settings, long seed, Actions actions) {
     this.settings = settings;
     this.actions = actions;
     this.random = new SplittableRandom(seed);
-    this.servers = new ServerTable(ServerHealth.PARAMETERS, actions);
+    this.servers = new EndpointTable(EndpointHealthChecker.PARAMETERS, actions);
     this.listed = servers.listed();
   }
 }
--- a/src/main/java/slateslip/loadbalancer/Main.java
+++ b/src/main/java/slateslip/loadbalancer/Main.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import slateslip.loadbalancer.net.Agent;
-import slateslip.loadbalancer.simulator.Drill;
+import slateslip.loadbalancer.simulator.SimulatorAdapter;
 import slateslip.loadbalancer.simulator.WireException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
@@ -42,7 +42,8 @@
       return serve(System.getenv("RELAY_CONFIG"), err);
     }
     try {
-      new Drill(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out))
+      new SimulatorAdapter(
+              new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out))
           .run();
       return 0;
     } catch (WireException | IOException e) {
--- a/src/main/java/slateslip/loadbalancer/Open.java
+++ b/src/main/java/slateslip/loadbalancer/PendingRequest.java
@@ -2,14 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Request;
-import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Request;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
 
 /** One request that an agent has taken. State only; others decide. */
-final class Open {
+final class PendingRequest {
   final Request request;
-  final ClassState state;
+  final RequestClassState state;
 
   /** Its class as it was taken, and no laxer on repeats than any settings since. */
   RequestClass type;
@@ -30,7 +30,7 @@
   /** Whether it has been to every server that it may go to. */
   boolean mayReturn;
 
-  Open(Request request, ClassState state, long token, long cameAt, long endAt) {
+  PendingRequest(Request request, RequestClassState state, long token, long cameAt, long endAt) {
     this.request = request;
     this.state = state;
     this.type = state.type;
@@ -41,11 +41,11 @@
 
   /** One attempt; its outcome is null while it is out. */
   static final class Attempt {
-    final Target target;
+    final Endpoint target;
     final long sentAt;
     Outcome outcome;
 
-    Attempt(Target target, long sentAt) {
+    Attempt(Endpoint target, long sentAt) {
       this.target = target;
       this.sentAt = sentAt;
     }
@@ -64,7 +64,7 @@
     return out;
   }
 
-  boolean sentTo(Target target) {
+  boolean sentTo(Endpoint target) {
     return attempts.stream().anyMatch(attempt -> attempt.target == target);
   }
 
@@ -72,7 +72,7 @@
    * Whether it is not to go there again: where it may return, one that was not reached is open to
    * it.
    */
-  boolean tried(Target target) {
+  boolean tried(Endpoint target) {
     for (Attempt attempt : attempts) {
       if (attempt.target == target && (!mayReturn || attempt.outcome != Outcome.CONNECT_FAILED)) {
         return true;
--- a/src/main/java/slateslip/loadbalancer/Quantile.java
+++ b/src/main/java/slateslip/loadbalancer/QuantileEstimator.java
@@ -1,7 +1,7 @@
 package slateslip.loadbalancer;
 
 /** Follows a quantile of a stream of positive values, and the lowest it has been. */
-final class Quantile {
+final class QuantileEstimator {
   /** Values before the quantile means anything. */
   private static final int ENOUGH = 50;
 
@@ -26,7 +26,7 @@
 
   private int count;
 
-  Quantile(double share) {
+  QuantileEstimator(double share) {
     this.share = share;
   }
 
--- a/src/main/java/slateslip/loadbalancer/WaitingReport.java
+++ b/src/main/java/slateslip/loadbalancer/QueueReport.java
@@ -4,7 +4,7 @@
 import java.util.function.Predicate;
 
 /** Tells on-call staff, now and then, what stands between the requests held and the servers. */
-final class WaitingReport {
+final class QueueReport {
   /** How often it is told why requests wait, in microseconds. */
   private static final long PERIOD = 5_000_000;
 
@@ -26,21 +26,28 @@
    * @param available whether a server may get requests by its health
    */
   static String line(
-      long now, long held, Collection<Target> listed, int ownZone, Predicate<Target> available) {
+      long now,
+      long held,
+      Collection<Endpoint> listed,
+      int ownZone,
+      Predicate<Endpoint> available) {
     String own = room(now, listed, each -> each.listed.zone() == ownZone, available);
     String others = room(now, listed, each -> each.listed.zone() != ownZone, available);
     return "waiting: " + held + "; own zone " + own + "; others " + others;
   }
 
   private static String room(
-      long now, Collection<Target> listed, Predicate<Target> where, Predicate<Target> available) {
+      long now,
+      Collection<Endpoint> listed,
+      Predicate<Endpoint> where,
+      Predicate<Endpoint> available) {
     int ready = 0;
     int unhealthy = 0;
     int cold = 0;
     int resting = 0;
     int used = 0;
     double limits = 0;
-    for (Target target : listed) {
+    for (Endpoint target : listed) {
       if (target.ready && where.test(target)) {
         ready++;
         unhealthy += available.test(target) ? 0 : 1;
--- a/src/main/java/slateslip/loadbalancer/ClassState.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClassState.java
@@ -2,22 +2,22 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import slateslip.loadbalancer.Balancer.Request;
-import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Request;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
 
 /** What one agent knows of one class of requests. State only; others decide. */
-final class ClassState {
+final class RequestClassState {
   /** Ticks by which the time that first tries bring may differ. */
   private static final int SAME_TICKS = 4;
 
   /** Votes for that time at the most; half of them make it sure. */
   private static final int VOTES_MAX = 20;
 
-  /** As the settings in force have it; requests that are open go by {@link Open#type}. */
+  /** As the settings in force have it; requests that are open go by {@link PendingRequest#type}. */
   RequestClass type;
 
   /** Its requests that wait in this agent for want of room. */
-  final Deque<Open> held = new ArrayDeque<>();
+  final Deque<PendingRequest> held = new ArrayDeque<>();
 
   /** Requests come and requests served, as counts that fade. */
   double came;
@@ -33,7 +33,7 @@
   double meanCost;
 
   /** A quantile of its answer times. */
-  final Quantile times;
+  final QuantileEstimator times;
 
   /** How long a request unserved here had waited: what a client's repeat has behind it. */
   double unservedWait;
@@ -46,14 +46,14 @@
   /** What a unit of its work adds to the goal, as last measured. */
   double value;
 
-  ClassState(RequestClass type, double quantile) {
+  RequestClassState(RequestClass type, double quantile) {
     this.type = type;
-    this.times = new Quantile(quantile);
+    this.times = new QuantileEstimator(quantile);
   }
 
   /** Counts one of its requests that has come. */
   void came(Request request) {
-    meanCost += (meanCost == 0 ? 1 : AnswerTimes.BLEND / 2) * (request.cost() - meanCost);
+    meanCost += (meanCost == 0 ? 1 : LatencyTracker.BLEND / 2) * (request.cost() - meanCost);
     came++;
   }
 
--- a/src/main/java/slateslip/loadbalancer/RequestClasses.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClasses.java
@@ -2,30 +2,30 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import slateslip.loadbalancer.Balancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
 
 /** The classes of requests in force, and those removed with requests still held. */
 final class RequestClasses {
-  private final AgentState agent;
-  private final List<ClassState> classes = new ArrayList<>();
-  private final List<ClassState> order;
+  private final LoadBalancerContext agent;
+  private final List<RequestClassState> classes = new ArrayList<>();
+  private final List<RequestClassState> order;
 
-  RequestClasses(AgentState agent) {
+  RequestClasses(LoadBalancerContext agent) {
     this.agent = agent;
     agent
         .settings
         .classes()
-        .forEach(type -> classes.add(new ClassState(type, AnswerTimes.QUANTILE)));
+        .forEach(type -> classes.add(new RequestClassState(type, LatencyTracker.QUANTILE)));
     this.order = new ArrayList<>(classes);
   }
 
   /** Those in force, by their positions in the settings. */
-  List<ClassState> current() {
+  List<RequestClassState> current() {
     return classes;
   }
 
   /** All, the most valuable first. */
-  List<ClassState> order() {
+  List<RequestClassState> order() {
     return order;
   }
 
@@ -38,8 +38,8 @@
    * What is known of a class goes with its name; one that is removed ends with its last request
    * held.
    */
-  void take(Takeover next) {
-    ClassState[] after = new ClassState[agent.settings.classes().size()];
+  void take(SettingsReload next) {
+    RequestClassState[] after = new RequestClassState[agent.settings.classes().size()];
     for (int i = 0; i < classes.size(); i++) {
       int to = next.classes().get(i);
       if (to >= 0) {
@@ -50,7 +50,8 @@
     classes.clear();
     for (int i = 0; i < after.length; i++) {
       RequestClass type = agent.settings.classes().get(i);
-      classes.add(after[i] == null ? new ClassState(type, AnswerTimes.QUANTILE) : after[i]);
+      classes.add(
+          after[i] == null ? new RequestClassState(type, LatencyTracker.QUANTILE) : after[i]);
     }
     order.removeIf(state -> state.held.isEmpty() || classes.contains(state));
     order.addAll(0, classes);
--- a/src/main/java/slateslip/loadbalancer/RequestHistory.java
+++ b/src/main/java/slateslip/loadbalancer/RetryEligibility.java
@@ -1,25 +1,25 @@
 package slateslip.loadbalancer;
 
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Open.Attempt;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.PendingRequest.Attempt;
 
 /** What a request's history permits: another attempt, where, and a refusal. */
-final class RequestHistory {
+final class RetryEligibility {
   /**
    * The part of a keyed request's window in which it may be resent: a late arrival would run again.
    */
   private static final double WINDOW_SURE = 0.75;
 
-  private RequestHistory() {}
+  private RetryEligibility() {}
 
   /**
    * Whether another attempt may be sent, given those before. Danger: an effect twice. Unsafe
    * requests go again only once every attempt provably never ran; keyed ones only inside the window
    * of each that may have run. {@link #inGroups} says where to.
    */
-  static boolean maySend(Open req, Permits permits, long now) {
+  static boolean maySend(PendingRequest req, Permits permits, long now) {
     Semantics semantics = req.type.semantics();
     boolean sending = req.out() > 0 && !(permits.duplicates() && semantics == Semantics.SAFE);
     if (req.closed || req.streaming || sending) {
@@ -36,7 +36,7 @@
   }
 
   /** Whether a server is in the group of every earlier attempt that may have run. */
-  static boolean inGroups(Open req, Target target) {
+  static boolean inGroups(PendingRequest req, Endpoint target) {
     Scope scope = req.type.scope();
     if (req.type.semantics() != Semantics.KEYED || scope == Scope.ALL) {
       return true;
@@ -51,7 +51,7 @@
   }
 
   /** A refusal says that trying again is harmless: danger of an effect twice if it is not. */
-  static boolean mayRefuse(Open req) {
+  static boolean mayRefuse(PendingRequest req) {
     Semantics semantics = req.type.semantics();
     return semantics == Semantics.SAFE
         || req.attempts.stream().noneMatch(Attempt::mayHaveRun)
--- a/src/main/java/slateslip/loadbalancer/SettingsParser.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsParser.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.loadbalancer.Balancer.LoadField;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.LoadField;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
 
 /** Turns path=value settings into the module's settings. Keys it does not know are skipped. */
 public final class SettingsParser {
@@ -39,7 +39,7 @@
    * @return the settings
    * @throws IllegalArgumentException if a value is missing or unusable; the message names it
    */
-  public static Balancer.Settings parse(String text) {
+  public static LoadBalancer.Settings parse(String text) {
     Map<String, String> pairs = new HashMap<>();
     for (String line : text.split("\n", -1)) {
       int equals = line.indexOf('=');
@@ -57,13 +57,13 @@
    * @return the settings
    * @throws IllegalArgumentException if a value is missing or unusable; the message names it
    */
-  public static Balancer.Settings parse(Map<String, String> pairs) {
+  public static LoadBalancer.Settings parse(Map<String, String> pairs) {
     return new SettingsParser(pairs).settings();
   }
 
-  private Balancer.Settings settings() {
+  private LoadBalancer.Settings settings() {
     var permits =
-        new Balancer.Permits(
+        new LoadBalancer.Permits(
             (int) atLeast(1, "caps.max-attempts"),
             flag("caps.may-duplicate"),
             flag("caps.cancel"),
@@ -71,7 +71,7 @@
             flag("caps.peers"),
             flag("caps.retry-after") ? whole("caps.max-retry-after-us") : 0);
     var obligations =
-        new Balancer.Obligations(
+        new LoadBalancer.Obligations(
             whole("obligations.answer-slack-us"),
             whole("obligations.stop-sending-within-us"),
             number("obligations.cold-from"),
@@ -80,14 +80,14 @@
             atLeast(1, "obligations.overload-for-us"),
             has("obligations.ask-within-us") ? whole("obligations.ask-within-us") : 0);
     var prices =
-        new Balancer.Prices(
+        new LoadBalancer.Prices(
             number("deductions.cross-zone", 0),
             number("deductions.probe", 0),
             number("deductions.waste", 0),
             number("deductions.late-fail", 0),
             number("deductions.peer", 0));
     var goal =
-        new Balancer.Goal(
+        new LoadBalancer.Goal(
             number("objective-mix.whole", 1), number("objective-mix.worst-window", 0),
             number("objective-mix.worst-class", 0), number("objective-mix.worst-tenant", 0));
     List<LoadField> fields = new ArrayList<>();
@@ -96,7 +96,7 @@
         fields.add(LOAD_FIELDS.get(name)); // null: a value without a name here
       }
     }
-    return new Balancer.Settings(
+    return new LoadBalancer.Settings(
         (int) atLeast(0, "me"),
         (int) atLeast(1, "group-size"),
         (int) atLeast(0, "locality"),
@@ -124,13 +124,13 @@
     return zones;
   }
 
-  private List<Balancer.RequestClass> classes() {
-    List<Balancer.RequestClass> classes = new ArrayList<>();
+  private List<LoadBalancer.RequestClass> classes() {
+    List<LoadBalancer.RequestClass> classes = new ArrayList<>();
     long count = atLeast(0, "classes.count");
     for (int i = 0; i < count; i++) {
       String at = "classes." + i + ".";
       classes.add(
-          new Balancer.RequestClass(
+          new LoadBalancer.RequestClass(
               atLeast(1, at + "aim-us"),
               number(at + "aim-stretch", 0),
               atLeast(1, at + "give-up-us"),
@@ -153,12 +153,13 @@
     return has(key) ? Math.max(0, whole(key) - dial) : 0;
   }
 
-  private List<Balancer.Tenant> tenants() {
-    List<Balancer.Tenant> tenants = new ArrayList<>();
+  private List<LoadBalancer.Tenant> tenants() {
+    List<LoadBalancer.Tenant> tenants = new ArrayList<>();
     long count = has("realms.count") ? whole("realms.count") : 0;
     for (int i = 0; i < count; i++) {
       String at = "realms." + i + ".";
-      tenants.add(new Balancer.Tenant(number(at + "quota-per-s", 0), number(at + "fraction", 0)));
+      tenants.add(
+          new LoadBalancer.Tenant(number(at + "quota-per-s", 0), number(at + "fraction", 0)));
     }
     return List.copyOf(tenants);
   }
--- a/src/main/java/slateslip/loadbalancer/Takeover.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsReload.java
@@ -4,10 +4,10 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import slateslip.loadbalancer.Balancer.RequestClass;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
  * Other settings for a balancer that runs, and where what it knows by number is found in them. The
@@ -20,8 +20,11 @@
  * @param zones the same of the zones
  * @param kinds the same of the kinds of machine
  */
-public record Takeover(
-    Balancer.Settings settings, List<Integer> classes, List<Integer> zones, List<Integer> kinds) {
+public record SettingsReload(
+    LoadBalancer.Settings settings,
+    List<Integer> classes,
+    List<Integer> zones,
+    List<Integer> kinds) {
   /** The position of what the new settings have no more. */
   public static final int REMOVED = -1;
 
@@ -31,7 +34,7 @@
    * @throws IllegalArgumentException if there is no class, or a position is used twice or does not
    *     exist
    */
-  public Takeover {
+  public SettingsReload {
     classes = List.copyOf(classes);
     zones = List.copyOf(zones);
     kinds = List.copyOf(kinds);
--- a/src/main/java/slateslip/loadbalancer/ColdStart.java
+++ b/src/main/java/slateslip/loadbalancer/SlowStart.java
@@ -1,9 +1,9 @@
 package slateslip.loadbalancer;
 
-import slateslip.loadbalancer.Balancer.Obligations;
+import slateslip.loadbalancer.LoadBalancer.Obligations;
 
 /** What a server that has just started, or seems to have, may be sent. */
-final class ColdStart {
+final class SlowStart {
   private static final long SECOND = 1_000_000;
 
   /**
@@ -18,10 +18,10 @@
   /** How much of the time that topples a server its burst may fill: half, the list may be late. */
   private static final double COLD_BURST = 0.5;
 
-  private final AgentState agent;
-  private final WarmRates warmRates;
+  private final LoadBalancerContext agent;
+  private final WarmServiceRates warmRates;
 
-  ColdStart(AgentState agent, WarmRates warmRates) {
+  SlowStart(LoadBalancerContext agent, WarmServiceRates warmRates) {
     this.agent = agent;
     this.warmRates = warmRates;
   }
@@ -31,7 +31,7 @@
    * connections. Danger: a network that breaks connections would make one server in three cold at
    * any time.
    */
-  void broke(Target target, long now) {
+  void broke(Endpoint target, long now) {
     target.brokenAt = target.broken ? target.brokenAt : now;
     target.broken = true;
   }
@@ -42,7 +42,7 @@
    * and the requests of all are turned away; a process does not come back within the time of one
    * more try.
    */
-  void recovered(Target target, long now) {
+  void recovered(Endpoint target, long now) {
     if (target.broken) {
       target.broken = false;
       if (!target.cold(now) && now - target.brokenAt >= BREAK_LEAST) {
@@ -51,7 +51,7 @@
     }
   }
 
-  void restart(long now, Target target) {
+  void restart(long now, Endpoint target) {
     target.health.reset();
     target.broken = false;
     target.limit = 0;
@@ -62,7 +62,7 @@
     }
   }
 
-  private void chill(Target target, long now, long since, long until, String why) {
+  private void chill(Endpoint target, long now, long since, long until, String why) {
     target.coldSince = since;
     target.coldUntil = until;
     target.coldGranted =
@@ -73,7 +73,7 @@
   }
 
   /** The part of its capacity that a cold server has at the least. */
-  private double warmth(Target target, long now) {
+  private double warmth(Endpoint target, long now) {
     Obligations rule = agent.settings.obligations();
     double share = Math.max(0, (double) (now - target.coldSince) / rule.coldTime());
     double from = rule.coldFrom();
@@ -81,7 +81,7 @@
   }
 
   /** Danger: a server that has just started may need longer for one request than anybody waits. */
-  boolean warmEnough(Open req, Target target, long now) {
+  boolean warmEnough(PendingRequest req, Endpoint target, long now) {
     return !target.cold(now) || req.state.typical / warmth(target, now) < req.endAt - now;
   }
 
@@ -93,7 +93,7 @@
    * more than what the rule leaves beside the requests of one window, and half of what it puts down
    * to chance.
    */
-  double coldBudget(Target target, long now) {
+  double coldBudget(Endpoint target, long now) {
     Obligations rule = agent.settings.obligations();
     double perSecond = warmRates.of(target.listed.zone(), now) * warmth(target, now);
     double perWindow = perSecond * rule.overloadTime() / SECOND;
@@ -109,7 +109,7 @@
 
   /** Warm-ups that the list told of last as long as other settings say. */
   void settingsChanged(long now) {
-    for (Target target : agent.listed) {
+    for (Endpoint target : agent.listed) {
       if (target.cold(now) && target.coldSince == target.listed.startedAt()) { // as the list has it
         // What it may be sent stays: a change of settings earns it nothing.
         target.coldUntil =
--- a/src/main/java/slateslip/loadbalancer/Subset.java
+++ b/src/main/java/slateslip/loadbalancer/SubsetSizer.java
@@ -1,7 +1,7 @@
 package slateslip.loadbalancer;
 
 /** How many servers an agent draws from. */
-final class Subset {
+final class SubsetSizer {
   /**
    * Servers of the own zone that a light agent draws from: two to compare, and as many may fail.
    */
@@ -16,14 +16,14 @@
   /** Servers in the subset for each one that this agent's requests would keep busy. */
   private static final double SPREAD = 4;
 
-  private final AgentState agent;
+  private final LoadBalancerContext agent;
 
   /** The unhurried time of the requests that came, as a sum that fades. */
   private double busy;
 
   private long busyAt;
 
-  Subset(AgentState agent) {
+  SubsetSizer(LoadBalancerContext agent) {
     this.agent = agent;
   }
 
@@ -39,9 +39,9 @@
    * does not count: it grows in a jam, and the jam with it.
    */
   int spread(int least, long now) {
-    busy *= Math.exp(-(double) (now - busyAt) / AnswerTimes.RATE_PERIOD);
+    busy *= Math.exp(-(double) (now - busyAt) / LatencyTracker.RATE_PERIOD);
     busyAt = now;
-    return Math.max(subset(least), (int) (SPREAD * busy / AnswerTimes.RATE_PERIOD));
+    return Math.max(subset(least), (int) (SPREAD * busy / LatencyTracker.RATE_PERIOD));
   }
 
   /** From how many an idle agent draws, at the least this many. */
--- a/src/main/java/slateslip/loadbalancer/CheckedBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/ValidatingLoadBalancer.java
@@ -10,7 +10,7 @@
  * wrong, and the balancer behind it is not told. For the time in which a host is written; {@link
  * Rules} itself disregards what it can.
  */
-public final class CheckedBalancer implements Balancer {
+public final class ValidatingLoadBalancer implements LoadBalancer {
   /** What is out for one request: the sends seen and which of them have ended. */
   private static final class Seen {
     int sends;
@@ -86,28 +86,28 @@
   }
 
   private Settings settings;
-  private final Balancer balancer;
+  private final LoadBalancer balancer;
   private final Map<Long, Seen> requests = new HashMap<>();
   private long latest;
   private boolean inside;
 
   /**
-   * A checked {@link Rules}.
+   * A checked {@link DefaultLoadBalancer}.
    *
    * @param settings what it is told at its start
    * @param seed for its random choices
    * @param now the time
    * @param actions the host
    */
-  public CheckedBalancer(Settings settings, long seed, long now, Actions actions) {
+  public ValidatingLoadBalancer(Settings settings, long seed, long now, Actions actions) {
     this.settings = Objects.requireNonNull(settings, "settings");
     this.latest = now;
     Actions counted = new Counted(Objects.requireNonNull(actions, "actions"));
-    this.balancer = new Rules(settings, seed, now, counted);
+    this.balancer = new DefaultLoadBalancer(settings, seed, now, counted);
   }
 
   @Override
-  public void settings(long now, Takeover next) {
+  public void settings(long now, SettingsReload next) {
     Objects.requireNonNull(next, "next");
     Settings after = next.settings();
     same("classes", settings.classes().size(), next.classes().size());
--- a/src/main/java/slateslip/loadbalancer/WarmRates.java
+++ b/src/main/java/slateslip/loadbalancer/WarmServiceRates.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 
 /** What a warm server of each zone answers. It measures; others decide. */
-final class WarmRates {
+final class WarmServiceRates {
   /** What all agents together take a warm server to answer a second while nothing is known. */
   private static final double COLD_RATE_BLIND = 5;
 
-  private final AgentState agent;
+  private final LoadBalancerContext agent;
   private double[] rates;
   private long[] reckonedAt;
 
-  WarmRates(AgentState agent) {
+  WarmServiceRates(LoadBalancerContext agent) {
     this.agent = agent;
     this.rates = blind();
     this.reckonedAt = new long[rates.length];
@@ -33,9 +33,9 @@
       reckonedAt[zone] = now;
       double sum = 0;
       int n = 0;
-      for (Target target : agent.listed) {
+      for (Endpoint target : agent.listed) {
         boolean warm = target.listed.zone() == zone && target.ready && !target.cold(now);
-        sum += warm ? AnswerTimes.rate(target, now) : 0;
+        sum += warm ? LatencyTracker.rate(target, now) : 0;
         n += warm ? 1 : 0;
       }
       rates[zone] = sum == 0 ? rates[zone] : sum / n; // without a warm one the last known holds
@@ -56,7 +56,7 @@
   }
 
   /** Zones go by their new positions. */
-  void moveZones(Takeover next) {
+  void moveZones(SettingsReload next) {
     double[] moved = blind();
     for (int zone = 0; zone < rates.length; zone++) {
       if (next.zones().get(zone) >= 0) {
--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -22,17 +22,17 @@
 import java.util.function.Function;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Rules;
-import slateslip.loadbalancer.Takeover;
+import slateslip.loadbalancer.DefaultLoadBalancer;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.SettingsReload;
 import slateslip.loadbalancer.net.ClientServer.Exchange;
-import slateslip.loadbalancer.net.ClientServer.Incoming;
+import slateslip.loadbalancer.net.ClientServer.IncomingRequest;
 
 /**
  * Hosts the decision module on real sockets: the one place where events enter it, and where its
  * actions become bytes. One event loop thread owns the sockets, the timers and the module.
  */
-public final class Agent implements Balancer.Actions {
+public final class Agent implements LoadBalancer.Actions {
   /** Of the client's time, what the answer's way back and a late wake-up may take. */
   private static final long MARGIN_MICROS = 10_000;
 
@@ -73,14 +73,14 @@
 
   private static final Pattern SERVER = Pattern.compile("^server (-?\\d+)");
 
-  private Config config;
+  private AgentConfig config;
   private final EventLoopGroup group;
   private final EventLoop loop;
-  private Balancer balancer;
-  private final Backends backends;
+  private LoadBalancer balancer;
+  private final BackendConnections backends;
   private final Discovery discovery;
   private final ClientServer clients;
-  private final Tally tally = new Tally();
+  private final RequestStatistics tally = new RequestStatistics();
   private final Map<Long, Pending> open = new HashMap<>();
   private final Map<Exchange, Pending> byExchange = new HashMap<>();
 
@@ -88,10 +88,10 @@
   private final Map<String, Pending> byName = new HashMap<>();
 
   /** The lines of the servers listed. */
-  private final Map<Long, Discovery.Endpoint> servers = new HashMap<>();
+  private final Map<Long, Discovery.ListedEndpoint> servers = new HashMap<>();
 
   private final LiveSettings live = new LiveSettings();
-  private final ConfigFile file;
+  private final ConfigFileWatcher file;
 
   /**
    * The list of the configuration: what is held until discovery answers; null once the module has
@@ -123,16 +123,16 @@
     final long id;
 
     /** As the settings in force had it when the module was told. */
-    Incoming request;
+    IncomingRequest request;
 
     final Exchange exchange;
     final long cameAt;
-    final List<Backends.Attempt> attempts = new ArrayList<>(1);
+    final List<BackendConnections.Attempt> attempts = new ArrayList<>(1);
     int out;
     boolean answered;
     Future<?> guard;
 
-    Pending(long id, Incoming request, Exchange exchange, long cameAt) {
+    Pending(long id, IncomingRequest request, Exchange exchange, long cameAt) {
       this.id = id;
       this.cameAt = cameAt;
       this.request = request;
@@ -140,19 +140,21 @@
     }
   }
 
-  private Agent(Path path, Config config, Function<Agent, Balancer> module) throws IOException {
+  private Agent(Path path, AgentConfig config, Function<Agent, LoadBalancer> module)
+      throws IOException {
     this.config = config;
-    this.file = new ConfigFile(path, config.live() != null, this::found);
+    this.file = new ConfigFileWatcher(path, config.live() != null, this::found);
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
-    backends = new Backends(loop, config, connectionsMost(config), tally);
+    backends = new BackendConnections(loop, config, connectionsMost(config), tally);
     discovery =
         new Discovery(
             loop,
             config,
             new Discovery.Listener() {
               @Override
-              public void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
+              public void list(
+                  LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
                 listed = true;
                 Agent.this.list(kind, endpoints);
               }
@@ -163,7 +165,8 @@
                 if (Agent.this.config.settings().askDiscovery()) {
                   event(
                       () ->
-                          Agent.this.balancer.servers(now(), Balancer.ListKind.FAILED, List.of()));
+                          Agent.this.balancer.servers(
+                              now(), LoadBalancer.ListKind.FAILED, List.of()));
                 }
               }
             });
@@ -178,7 +181,7 @@
     var listener =
         new ClientServer.Listener() {
           @Override
-          public void request(Incoming request, Exchange exchange) {
+          public void request(IncomingRequest request, Exchange exchange) {
             Agent.this.request(request, exchange);
           }
 
@@ -198,7 +201,7 @@
   }
 
   /** Connections on either side. */
-  private static int connectionsMost(Config config) {
+  private static int connectionsMost(AgentConfig config) {
     return (config.sockets() - SOCKETS_RESERVED) / 2;
   }
 
@@ -212,24 +215,26 @@
    * @throws IOException if the address cannot be listened on
    */
   public static Agent start(Path config) throws IOException {
-    return start(config, Config.read(config));
+    return start(config, AgentConfig.read(config));
   }
 
-  static Agent start(Config config) throws IOException {
+  static Agent start(AgentConfig config) throws IOException {
     return start((Path) null, config);
   }
 
-  private static Agent start(Path file, Config config) throws IOException {
+  private static Agent start(Path file, AgentConfig config) throws IOException {
     return start(
-        file, config, agent -> new Rules(config.settings(), config.seed(), agent.now(), agent));
+        file,
+        config,
+        agent -> new DefaultLoadBalancer(config.settings(), config.seed(), agent.now(), agent));
   }
 
   /** With another module than the usual one. */
-  static Agent start(Config config, Function<Agent, Balancer> module) throws IOException {
+  static Agent start(AgentConfig config, Function<Agent, LoadBalancer> module) throws IOException {
     return start(null, config, module);
   }
 
-  private static Agent start(Path file, Config config, Function<Agent, Balancer> module)
+  private static Agent start(Path file, AgentConfig config, Function<Agent, LoadBalancer> module)
       throws IOException {
     Agent agent = new Agent(file, config, module);
     agent.beginSoon();
@@ -239,7 +244,7 @@
   }
 
   /** One that has not begun: it listens, and has no list yet. */
-  static Agent made(Config config, Function<Agent, Balancer> module) throws IOException {
+  static Agent made(AgentConfig config, Function<Agent, LoadBalancer> module) throws IOException {
     return new Agent(null, config, module);
   }
 
@@ -247,7 +252,7 @@
     loop.execute(this::begin);
   }
 
-  private static Discovery.Listing known(Config config) {
+  private static Discovery.Listing known(AgentConfig config) {
     try {
       return Discovery.decode(config.known(), config);
     } catch (IllegalArgumentException e) {
@@ -260,13 +265,13 @@
     apply(
         config
             .withoutKnown()); // before the module makes its own of it: both at once may be too much
-    List<Discovery.Endpoint> held = known.endpoints();
+    List<Discovery.ListedEndpoint> held = known.endpoints();
     known = null;
-    list(Balancer.ListKind.CACHED, held);
+    list(LoadBalancer.ListKind.CACHED, held);
     watchWanted |= !config.settings().askDiscovery();
     watchOnceBegun();
     loop.schedule(() -> listed = true, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
-    Warmup.run(
+    CodeWarmup.run(
         loop,
         config,
         backends,
@@ -274,7 +279,10 @@
         answered -> {
           tally.take(0, 0); // its own requests are nobody's
           loop.scheduleAtFixedRate(
-              this::tell, Tally.PERIOD_SECONDS, Tally.PERIOD_SECONDS, TimeUnit.SECONDS);
+              this::tell,
+              RequestStatistics.PERIOD_SECONDS,
+              RequestStatistics.PERIOD_SECONDS,
+              TimeUnit.SECONDS);
           warm = true;
           warmedBy = answered;
           if (config.live() != null) {
@@ -306,7 +314,7 @@
   }
 
   /** The file has been read, on the thread that did so. */
-  private void found(ConfigFile.Found found) {
+  private void found(ConfigFileWatcher.ReadResult found) {
     try {
       loop.execute(() -> takeOver(found));
     } catch (RejectedExecutionException e) {
@@ -320,7 +328,7 @@
    * Discovery moves whatever the settings beside it are worth: an agent that loses discovery loses
    * its list, which is worse than late settings. These are taken whole or not at all.
    */
-  private void takeOver(ConfigFile.Found found) {
+  private void takeOver(ConfigFileWatcher.ReadResult found) {
     if (found.discovery() != null) {
       discovery.moveTo(found.discovery());
     }
@@ -342,11 +350,11 @@
   /**
    * Everything here and the module go by the new settings from the same moment, between two events.
    */
-  private void takeSettings(ConfigFile.Found found) {
+  private void takeSettings(ConfigFileWatcher.ReadResult found) {
     long from = System.nanoTime();
-    Config before = config;
-    Config next = found.config();
-    Takeover takeover;
+    AgentConfig before = config;
+    AgentConfig next = found.config();
+    SettingsReload takeover;
     try {
       if (stopping.get()) {
         throw new IllegalArgumentException("the agent ends");
@@ -369,7 +377,8 @@
     if (takeover.movesServers()) {
       servers.replaceAll(
           (id, each) ->
-              new Discovery.Endpoint(takeover.moved(each.server()), each.name(), each.address()));
+              new Discovery.ListedEndpoint(
+                  takeover.moved(each.server()), each.name(), each.address()));
     }
     if (!next.settings().askDiscovery()) {
       discovery.watch(); // the module does not ask for it any more
@@ -378,7 +387,7 @@
     live.took(before, found, (System.nanoTime() - from) / 1000);
   }
 
-  private void apply(Config next) {
+  private void apply(AgentConfig next) {
     config = next;
     backends.apply(next, connectionsMost(next));
     clients.apply(next, connectionsMost(next));
@@ -401,7 +410,7 @@
         () -> {
           long longest =
               config.settings().classes().stream()
-                      .mapToLong(Balancer.RequestClass::giveUp)
+                      .mapToLong(LoadBalancer.RequestClass::giveUp)
                       .max()
                       .orElse(0)
                   / 1000;
@@ -525,25 +534,27 @@
     }
   }
 
-  private void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
-    Set<Long> gone = new HashSet<>(kind == Balancer.ListKind.DELTA ? Set.of() : servers.keySet());
-    for (Discovery.Endpoint endpoint : endpoints) {
+  private void list(LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
+    Set<Long> gone =
+        new HashSet<>(kind == LoadBalancer.ListKind.DELTA ? Set.of() : servers.keySet());
+    for (Discovery.ListedEndpoint endpoint : endpoints) {
       long id = endpoint.server().id();
       gone.remove(id);
       servers.put(id, endpoint);
       backends.listed(endpoint);
     }
     gone.forEach(backends::gone);
-    List<Balancer.Server> entries = endpoints.stream().map(Discovery.Endpoint::server).toList();
+    List<LoadBalancer.Server> entries =
+        endpoints.stream().map(Discovery.ListedEndpoint::server).toList();
     event(() -> balancer.servers(now(), kind, entries));
     endpoints.stream()
-        .map(Discovery.Endpoint::server)
-        .filter(each -> each.phase() == Balancer.Phase.GONE)
+        .map(Discovery.ListedEndpoint::server)
+        .filter(each -> each.phase() == LoadBalancer.Phase.GONE)
         .forEach(each -> gone.add(each.id()));
     servers.keySet().removeAll(gone);
   }
 
-  private void request(Incoming incoming, Exchange exchange) {
+  private void request(IncomingRequest incoming, Exchange exchange) {
     // Guards against an effect twice, and against one request getting the other's answer: the
     // second is
     // not passed on, whoever sent it, and the first goes on unharmed.
@@ -566,7 +577,7 @@
     event(
         pending,
         () -> {
-          Incoming current = clients.current(incoming);
+          IncomingRequest current = clients.current(incoming);
           if (current == null) {
             answer(pending, HttpResponseStatus.BAD_REQUEST, 0);
             return;
@@ -574,7 +585,7 @@
           pending.request = current;
           balancer.request(
               now(),
-              new Balancer.Request(
+              new LoadBalancer.Request(
                   id,
                   current.requestClass(),
                   current.tenant(),
@@ -589,7 +600,7 @@
   private void clientLeft(Exchange exchange) {
     Pending pending = byExchange.get(exchange);
     if (pending != null && !pending.answered) {
-      answered(pending, Tally.Answer.LEFT);
+      answered(pending, RequestStatistics.Disposition.LEFT);
       event(() -> balancer.clientLeft(now(), pending.id));
       abandon(pending);
     }
@@ -597,24 +608,28 @@
 
   /** Ends the attempts that outlive their client, where the module has left them. */
   private void abandon(Pending pending) {
-    pending.attempts.forEach(Backends.Attempt::cancel);
+    pending.attempts.forEach(BackendConnections.Attempt::cancel);
   }
 
   private void outcome(
-      Pending pending, int attempt, long server, long sentAt, Backends.Result result) {
+      Pending pending,
+      int attempt,
+      long server,
+      long sentAt,
+      BackendConnections.AttemptResult result) {
     pending.out--;
     tally.ended(result.outcome());
     boolean first = !pending.answered;
     if (result.served() != null && first) {
       pending.exchange.answer(HttpResponseStatus.OK, result.served(), 0);
-      answered(pending, Tally.Answer.SERVED);
+      answered(pending, RequestStatistics.Disposition.SERVED);
     }
     // Guards against asking every server what one has found to be no good, and against blaming it.
     boolean bad = result.bad() != null;
     if (bad) {
       answer(pending, result.bad(), 0);
     }
-    Balancer.Outcome outcome = bad ? Balancer.Outcome.CANCELLED : result.outcome();
+    LoadBalancer.Outcome outcome = bad ? LoadBalancer.Outcome.CANCELLED : result.outcome();
     forget(pending);
     event(
         pending,
@@ -634,18 +649,22 @@
     if (!pending.answered) {
       pending.exchange.answer(status, null, retryAfter);
       boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-      answered(pending, refused ? Tally.Answer.REFUSED : Tally.Answer.FAILED);
+      answered(
+          pending,
+          refused ? RequestStatistics.Disposition.REFUSED : RequestStatistics.Disposition.FAILED);
     }
   }
 
-  private void answered(Pending pending, Tally.Answer how) {
+  private void answered(Pending pending, RequestStatistics.Disposition how) {
     pending.answered = true;
     tally.answered(how, pending.attempts.size());
-    if (how != Tally.Answer.SERVED && how != Tally.Answer.LEFT && tally.wantsUnserved()) {
+    if (how != RequestStatistics.Disposition.SERVED
+        && how != RequestStatistics.Disposition.LEFT
+        && tally.wantsUnserved()) {
       tally.unserved(
           pending.request.id(),
           pending.request.type(),
-          Tally.word(how),
+          RequestStatistics.word(how),
           now() - pending.cameAt,
           pending.request.timeoutMs(),
           pending.attempts.stream().map(each -> name(each.server()) + " " + each.told()).toList());
@@ -771,7 +790,7 @@
   }
 
   private String name(long server) {
-    Discovery.Endpoint listed = servers.get(server);
+    Discovery.ListedEndpoint listed = servers.get(server);
     return listed == null ? null : listed.name();
   }
 
--- a/src/main/java/slateslip/loadbalancer/net/Config.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
@@ -21,7 +21,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.LoadBalancer;
 import slateslip.loadbalancer.SettingsParser;
 
 /**
@@ -43,13 +43,13 @@
  * @param idleCloseMicros a server closes a connection that has been idle for this long
  * @param live the version of the settings, or null where those of the start stay
  */
-public record Config(
+public record AgentConfig(
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
     int sockets,
     JsonNode known,
-    Balancer.Settings settings,
+    LoadBalancer.Settings settings,
     List<String> classes,
     List<String> tenants,
     List<String> zones,
@@ -85,7 +85,7 @@
           .build();
 
   /** Reads the file; an unusable one is an exception whose message is one plain line. */
-  public static Config read(Path file) {
+  public static AgentConfig read(Path file) {
     JsonNode root;
     try {
       root = json(new ByteArrayInputStream(Files.readAllBytes(file)));
@@ -95,11 +95,11 @@
     return of(root);
   }
 
-  public static Config of(JsonNode root) {
+  public static AgentConfig of(JsonNode root) {
     JsonNode settings = need(root, "settings");
     Map<String, String> pairs = new HashMap<>();
     flatten("", settings, pairs);
-    return new Config(
+    return new AgentConfig(
         address(text(root, "listen")),
         address(text(root, "discovery")),
         seed(text(root, "seed")),
@@ -159,7 +159,7 @@
   /**
    * Whether the two say the same but for what matters at the start alone, and where discovery is.
    */
-  boolean sameSettings(Config other) {
+  boolean sameSettings(AgentConfig other) {
     return settled().equals(other.settled());
   }
 
@@ -167,8 +167,8 @@
    * The same without the known list, which is needed once. Guards against a tree of it that is kept
    * for as long as the agent runs: for a large fleet it would take a great part of the heap.
    */
-  Config withoutKnown() {
-    return new Config(
+  AgentConfig withoutKnown() {
+    return new AgentConfig(
         listen,
         discovery,
         seed,
@@ -186,8 +186,8 @@
         live);
   }
 
-  private Config settled() {
-    return new Config(
+  private AgentConfig settled() {
+    return new AgentConfig(
         listen,
         null,
         0,
--- a/src/main/java/slateslip/loadbalancer/net/Backends.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
@@ -39,26 +39,27 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
  * The connections to the servers: a pool, one request a connection, attempts and probes with their
  * outcomes. All of it runs on the agent's event loop, and every result is queued there, not handed
  * over in a call.
  */
-final class Backends {
+final class BackendConnections {
   /** What is sent: method, target and body go on as they came. */
-  record Outgoing(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {}
+  record OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {}
 
   /** A served answer: the body and what tells how to read it. */
-  record Served(byte[] body, String contentType, String contentEncoding) {}
+  record ServedResponse(byte[] body, String contentType, String contentEncoding) {}
 
   /**
    * How an attempt or probe ended; what was served, or the status that blames the request, else
    * null.
    */
-  record Result(Outcome outcome, double[] load, Served served, HttpResponseStatus bad) {}
+  record AttemptResult(
+      Outcome outcome, double[] load, ServedResponse served, HttpResponseStatus bad) {}
 
   static final String REQUEST_TIMEOUT = "Request-Timeout-Ms";
   static final int BODY_MAX = 64 << 10;
@@ -114,10 +115,10 @@
           "eps");
 
   private final EventLoop loop;
-  private Config config;
-  private final Tally tally;
+  private AgentConfig config;
+  private final RequestStatistics tally;
   private final Bootstrap bootstrap;
-  private final KeptAge keptAge;
+  private final IdleConnectionTimeout keptAge;
   private int connectionsMost;
 
   /** How long a connection may take, ms. */
@@ -152,38 +153,39 @@
     }
   }
 
-  Backends(EventLoop loop, Config config, int connectionsMost, Tally tally) {
-    this(loop, config, connectionsMost, tally, Inspectable::new);
+  BackendConnections(
+      EventLoop loop, AgentConfig config, int connectionsMost, RequestStatistics tally) {
+    this(loop, config, connectionsMost, tally, InspectableSocketChannel::new);
   }
 
   /** With sockets that come from elsewhere than the usual ones. */
-  Backends(
+  BackendConnections(
       EventLoop loop,
-      Config config,
+      AgentConfig config,
       int connectionsMost,
-      Tally tally,
-      ChannelFactory<Inspectable> sockets) {
+      RequestStatistics tally,
+      ChannelFactory<InspectableSocketChannel> sockets) {
     this.loop = loop;
     this.tally = tally;
     this.config = config;
     this.connectionsMost = connectionsMost;
     this.connectMost = connectMs(config);
-    this.keptAge = new KeptAge(idleNanos(config), System.nanoTime());
+    this.keptAge = new IdleConnectionTimeout(idleNanos(config), System.nanoTime());
     this.bootstrap =
         new Bootstrap().group(loop).channelFactory(sockets).option(ChannelOption.TCP_NODELAY, true);
     loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
   }
 
-  private static long idleNanos(Config config) {
+  private static long idleNanos(AgentConfig config) {
     return (long) (1000 * IDLE_PART * config.idleCloseMicros());
   }
 
-  private static int connectMs(Config config) {
+  private static int connectMs(AgentConfig config) {
     return (int) (config.connectTimeoutMicros() / 1000);
   }
 
   /** Goes by another configuration from now on; what is out goes on as it began. */
-  void apply(Config next, int connections) {
+  void apply(AgentConfig next, int connections) {
     config = next;
     connectionsMost = connections;
     keptAge.limitTo(idleNanos(next));
@@ -191,10 +193,10 @@
   }
 
   /** Applies a line of the server list. */
-  void listed(Discovery.Endpoint endpoint) {
+  void listed(Discovery.ListedEndpoint endpoint) {
     long id = endpoint.server().id();
     Pool pool = pools.get(id);
-    if (endpoint.server().phase() != Balancer.Phase.READY) {
+    if (endpoint.server().phase() != LoadBalancer.Phase.READY) {
       gone(id);
     } else if (pool == null || !pool.address.equals(endpoint.address())) {
       gone(id); // Guards against using what leads to the address that it had before.
@@ -286,16 +288,17 @@
   }
 
   /** Sends a request; a time-out of 0 is none. The result comes later, exactly once. */
-  Attempt send(long server, Outgoing request, long timeoutMicros, Consumer<Result> then) {
+  Attempt send(
+      long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> then) {
     Attempt attempt = new Attempt(server, request, timeoutMicros, then);
     attempt.start();
     return attempt;
   }
 
   /** Asks a server for its health. */
-  void probe(long server, Consumer<Result> then) {
-    Outgoing request =
-        new Outgoing(
+  void probe(long server, Consumer<AttemptResult> then) {
+    OutgoingRequest request =
+        new OutgoingRequest(
             HttpMethod.GET,
             config.loadByProbe() ? "/load" : "/healthz",
             new DefaultHttpHeaders(),
@@ -307,8 +310,8 @@
   final class Attempt {
     private final long server;
     private final long startedAt = System.nanoTime();
-    private final Outgoing request;
-    private final Consumer<Result> then;
+    private final OutgoingRequest request;
+    private final Consumer<AttemptResult> then;
     private final long endAt;
     private final boolean limited;
     private final Future<?> timer;
@@ -331,7 +334,8 @@
 
     private long endedAt;
 
-    private Attempt(long server, Outgoing request, long timeoutMicros, Consumer<Result> then) {
+    private Attempt(
+        long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> then) {
       this.server = server;
       this.request = request;
       this.then = then;
@@ -351,7 +355,7 @@
     String told() {
       long nanos = (ended ? endedAt : System.nanoTime()) - startedAt;
       String dialled = dials == 0 ? "" : dials == 1 ? " dialled" : " dialled twice";
-      return (outcome == null ? "out" : Tally.word(outcome))
+      return (outcome == null ? "out" : RequestStatistics.word(outcome))
           + dialled
           + (written ? "" : " unwritten")
           + " after "
@@ -406,7 +410,7 @@
               .handler(fresh)
               .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, mostMs)
               .connect(pool.address);
-      if (Inspectable.noSocket(connecting)) {
+      if (InspectableSocketChannel.noSocket(connecting)) {
         endIfNoneComesUp(Outcome.NEVER_SENT);
         return;
       }
@@ -486,10 +490,10 @@
     }
 
     private void end(Outcome outcome) {
-      end(new Result(outcome, NO_LOAD, null, null), false);
+      end(new AttemptResult(outcome, NO_LOAD, null, null), false);
     }
 
-    private void end(Result result, boolean reusable) {
+    private void end(AttemptResult result, boolean reusable) {
       if (ended) {
         return;
       }
@@ -517,23 +521,23 @@
           connection.channel.close(); // what may still come on it belongs to nobody
         }
       }
-      Config under = config;
+      AgentConfig under = config;
       loop.execute(() -> then.accept(reported(result, under)));
     }
   }
 
   /** Without the report of load if that was read under another configuration's fields. */
   @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
-  private Result reported(Result result, Config under) {
+  private AttemptResult reported(AttemptResult result, AgentConfig under) {
     return under == config
         ? result
-        : new Result(result.outcome(), NO_LOAD, result.served(), result.bad());
+        : new AttemptResult(result.outcome(), NO_LOAD, result.served(), result.bad());
   }
 
   /** One connection to a server. */
-  private final class Connection extends ChannelInitializer<Inspectable> {
+  private final class Connection extends ChannelInitializer<InspectableSocketChannel> {
     private final Pool pool;
-    private Inspectable channel;
+    private InspectableSocketChannel channel;
 
     /** The attempt that uses it, or null. */
     private Attempt attempt;
@@ -549,9 +553,9 @@
     }
 
     @Override
-    protected void initChannel(Inspectable ch) {
+    protected void initChannel(InspectableSocketChannel ch) {
       channel = ch;
-      Decoders.Responses decoder = new Decoders.Responses();
+      StrictHttpDecoders.Responses decoder = new StrictHttpDecoders.Responses();
       ch.pipeline().addLast(decoder, new HttpRequestEncoder(), new Answers(this, decoder));
     }
   }
@@ -559,7 +563,7 @@
   /** Turns what arrives on a connection into the outcome of its attempt. */
   private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
     private final Connection connection;
-    private final Decoders.Responses decoder;
+    private final StrictHttpDecoders.Responses decoder;
 
     /**
      * The answer that is coming in, or null; one with a status of 1xx goes ahead of the one
@@ -569,7 +573,7 @@
 
     private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
 
-    Answers(Connection connection, Decoders.Responses decoder) {
+    Answers(Connection connection, StrictHttpDecoders.Responses decoder) {
       this.connection = connection;
       this.decoder = decoder;
     }
@@ -603,7 +607,10 @@
         return "early"; // before the request has left whole it cannot be an answer to it
       }
       if (part instanceof HttpResponse first && !begin(first)) {
-        return "status " + first.status().code() + " with " + Decoders.framing(first.headers());
+        return "status "
+            + first.status().code()
+            + " with "
+            + StrictHttpDecoders.framing(first.headers());
       }
       return part instanceof HttpContent content && !add(content) ? "too long" : null;
     }
@@ -612,13 +619,13 @@
     private boolean begin(HttpResponse first) {
       head = first;
       int status = first.status().code();
-      long length = Decoders.framing(first.headers());
+      long length = StrictHttpDecoders.framing(first.headers());
       if (status < 200) {
         return status != 101; // nobody asked for another protocol
       }
       // One that is too long is not waited for.
-      return length == Decoders.CHUNKED
-          || length == Decoders.NO_LENGTH
+      return length == StrictHttpDecoders.CHUNKED
+          || length == StrictHttpDecoders.NO_LENGTH
           || (length >= 0 && length <= BODY_MAX);
     }
 
@@ -638,10 +645,10 @@
       boolean turnedAway =
           (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
       Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
-      Served served =
+      ServedResponse served =
           status != 200
               ? null
-              : new Served(
+              : new ServedResponse(
                   bytes,
                   headers.get(HttpHeaderNames.CONTENT_TYPE),
                   headers.get(HttpHeaderNames.CONTENT_ENCODING));
@@ -650,9 +657,9 @@
                   && !MAY_SUCCEED_LATER.contains(status)
               ? whole.status()
               : null;
-      boolean ends = Decoders.framing(headers) != Decoders.NO_LENGTH;
+      boolean ends = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
       attempt.end(
-          new Result(outcome, load(attempt, headers, bytes), served, bad),
+          new AttemptResult(outcome, load(attempt, headers, bytes), served, bad),
           ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
     }
 
--- a/src/main/java/slateslip/loadbalancer/net/ClientServer.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientServer.java
@@ -41,9 +41,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.net.Backends.Outgoing;
-import slateslip.loadbalancer.net.Backends.Served;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.net.BackendConnections.OutgoingRequest;
+import slateslip.loadbalancer.net.BackendConnections.ServedResponse;
 
 /**
  * The application's side: requests in, final answers out. Each exchange is answered once; what is
@@ -55,7 +55,7 @@
   /** What the agent hears. */
   interface Listener {
     /** A well-formed request has come; it is owed one answer through its exchange. */
-    void request(Incoming request, Exchange exchange);
+    void request(IncomingRequest request, Exchange exchange);
 
     /** The client has closed its connection with this exchange unanswered. */
     void clientLeft(Exchange exchange);
@@ -65,8 +65,8 @@
    * A client's request, its names resolved to the indexes of a configuration's settings. Key and
    * hint are 0 if not given.
    */
-  record Incoming(
-      Config under,
+  record IncomingRequest(
+      AgentConfig under,
       String id,
       int requestClass,
       int tenant,
@@ -74,9 +74,9 @@
       long hint,
       long timeoutMs,
       boolean repeated,
-      Outgoing forward) {
-    Incoming with(byte[] body) {
-      return new Incoming(
+      OutgoingRequest forward) {
+    IncomingRequest with(byte[] body) {
+      return new IncomingRequest(
           under,
           id,
           requestClass,
@@ -85,7 +85,7 @@
           hint,
           timeoutMs,
           repeated,
-          new Outgoing(forward.method(), forward.uri(), forward.headers(), body));
+          new OutgoingRequest(forward.method(), forward.uri(), forward.headers(), body));
     }
 
     /** The name of its class. */
@@ -98,7 +98,8 @@
    * What a connection has asked: a request, the agent's health (neither), or what earned it an
    * error.
    */
-  private record Asked(Incoming request, HttpResponseStatus error, boolean keepAlive) {}
+  private record ParsedRequest(
+      IncomingRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
   /** What goes from hop to hop only, or is set anew. */
   private static final List<CharSequence> NOT_FORWARDED =
@@ -121,7 +122,7 @@
           "Request-Class",
           "Tenant",
           "Affinity-Key",
-          Backends.REQUEST_TIMEOUT,
+          BackendConnections.REQUEST_TIMEOUT,
           "Client-Retry",
           "Work-Hint",
           "Request-Info",
@@ -180,7 +181,7 @@
   /** The part of the heap that bodies of requests may take. */
   private static final int BODIES_PART = 6;
 
-  private Config config;
+  private AgentConfig config;
   private final Listener listener;
   private final BooleanSupplier ready;
   private final LongSupplier nanoClock;
@@ -214,7 +215,7 @@
   /** Listens; fails with an exception if it cannot. Called from outside the loop. */
   ClientServer(
       EventLoop loop,
-      Config config,
+      AgentConfig config,
       int connectionsMost,
       BooleanSupplier ready,
       Listener listener,
@@ -242,7 +243,7 @@
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel ch) {
-                    Decoders.Requests decoder = new Decoders.Requests();
+                    StrictHttpDecoders.Requests decoder = new StrictHttpDecoders.Requests();
                     ch.pipeline()
                         .addLast(decoder, new HttpResponseEncoder(), new Connection(ch, decoder));
                   }
@@ -262,7 +263,7 @@
   }
 
   /** Goes by another configuration from now on. */
-  void apply(Config next, int most) {
+  void apply(AgentConfig next, int most) {
     config = next;
     connectionsMost = most;
     makeRoom();
@@ -276,12 +277,12 @@
    * @return null if it is no request any more, as with a class that has been removed
    */
   @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
-  Incoming current(Incoming request) {
+  IncomingRequest current(IncomingRequest request) {
     if (request.under() == config) {
       return request;
     }
-    Outgoing forward = request.forward();
-    Incoming again =
+    OutgoingRequest forward = request.forward();
+    IncomingRequest again =
         parse(
             new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1, forward.method(), forward.uri(), forward.headers()));
@@ -397,7 +398,7 @@
     }
 
     /** Gives the final answer; a second one, or one to a client that has left, is dropped. */
-    void answer(HttpResponseStatus status, Served served, long retryAfterMicros) {
+    void answer(HttpResponseStatus status, ServedResponse served, long retryAfterMicros) {
       answer(status, served, retryAfterMicros, null);
     }
 
@@ -408,12 +409,12 @@
       } else {
         String version = String.valueOf(config.live().version());
         byte[] line = ("settings: version " + version + "\n").getBytes(StandardCharsets.US_ASCII);
-        answer(status, new Served(line, "text/plain", null), 0, version);
+        answer(status, new ServedResponse(line, "text/plain", null), 0, version);
       }
     }
 
     private void answer(
-        HttpResponseStatus status, Served served, long retryAfterMicros, String version) {
+        HttpResponseStatus status, ServedResponse served, long retryAfterMicros, String version) {
       if (answered || connection.current != this) {
         return;
       }
@@ -449,8 +450,8 @@
   /** One connection of the application's. */
   private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
     private final SocketChannel channel;
-    private final Decoders.Requests decoder;
-    private final Deque<Asked> ahead = new ArrayDeque<>();
+    private final StrictHttpDecoders.Requests decoder;
+    private final Deque<ParsedRequest> ahead = new ArrayDeque<>();
 
     /** The exchange that is owed an answer, or null. */
     private Exchange current;
@@ -463,7 +464,7 @@
     /**
      * The request whose body is coming in, null for one about health; what has come of the body.
      */
-    private Incoming incoming;
+    private IncomingRequest incoming;
 
     private boolean keepAlive;
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
@@ -479,7 +480,7 @@
     /** It is about to be looked at whether something is to be taken. */
     private boolean due;
 
-    Connection(SocketChannel channel, Decoders.Requests decoder) {
+    Connection(SocketChannel channel, StrictHttpDecoders.Requests decoder) {
       this.channel = channel;
       this.decoder = decoder;
     }
@@ -540,9 +541,9 @@
         add(content.content());
       }
       if (part instanceof LastHttpContent && !deaf) {
-        Incoming whole = incoming == null ? null : incoming.with(ByteBufUtil.getBytes(body));
+        IncomingRequest whole = incoming == null ? null : incoming.with(ByteBufUtil.getBytes(body));
         body = Unpooled.EMPTY_BUFFER;
-        ask(new Asked(whole, null, keepAlive));
+        ask(new ParsedRequest(whole, null, keepAlive));
       }
     }
 
@@ -568,7 +569,7 @@
     private void begin(HttpRequest head) {
       keepAlive = HttpUtil.isKeepAlive(head);
       incoming = null;
-      long length = Decoders.framing(head.headers());
+      long length = StrictHttpDecoders.framing(head.headers());
       HttpResponseStatus error = badFraming(head, length);
       if (error == null && !health(head)) {
         incoming = parse(head);
@@ -578,8 +579,10 @@
         wrong(error);
         return;
       }
-      if (length > 0 || length == Decoders.CHUNKED) {
-        body = Unpooled.buffer(length > 0 ? (int) Math.min(length, 1024) : 256, Backends.BODY_MAX);
+      if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
+        body =
+            Unpooled.buffer(
+                length > 0 ? (int) Math.min(length, 1024) : 256, BackendConnections.BODY_MAX);
         if (HttpUtil.is100ContinueExpected(head) && current == null && ahead.isEmpty()) {
           channel.writeAndFlush(
               new DefaultFullHttpResponse(
@@ -590,7 +593,7 @@
 
     private void add(ByteBuf bytes) {
       int n = bytes.readableBytes();
-      if (body.readableBytes() + n > Backends.BODY_MAX) {
+      if (body.readableBytes() + n > BackendConnections.BODY_MAX) {
         wrong(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
       } else if (bodies + n > Runtime.getRuntime().maxMemory() / BODIES_PART) {
         wrong(HttpResponseStatus.SERVICE_UNAVAILABLE); // Guards against running out of memory.
@@ -610,10 +613,10 @@
       deaf = true;
       body = Unpooled.EMPTY_BUFFER;
       channel.config().setAutoRead(current != null || !ahead.isEmpty()); // to see a close behind it
-      ask(new Asked(null, error, false));
+      ask(new ParsedRequest(null, error, false));
     }
 
-    private void ask(Asked asked) {
+    private void ask(ParsedRequest asked) {
       ahead.add(asked);
       readAhead++;
       if (current == null) {
@@ -661,9 +664,9 @@
       limitReading();
     }
 
-    private void take(Asked asked) {
+    private void take(ParsedRequest asked) {
       move(null);
-      Incoming request = asked.request;
+      IncomingRequest request = asked.request;
       Exchange exchange =
           new Exchange(this, asked.keepAlive, request == null ? 0 : request.forward.body().length);
       current = exchange;
@@ -738,21 +741,21 @@
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
       return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
     }
-    if (length == Decoders.UNCLEAR) {
+    if (length == StrictHttpDecoders.UNCLEAR) {
       return HttpResponseStatus.BAD_REQUEST;
     }
-    if (length > Backends.BODY_MAX) {
+    if (length > BackendConnections.BODY_MAX) {
       return HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
     }
     String expected = head.headers().get(HttpHeaderNames.EXPECT);
     if (expected != null && !expected.equalsIgnoreCase("100-continue")) {
       return HttpResponseStatus.EXPECTATION_FAILED;
     }
-    boolean bodiless = length == 0 || length == Decoders.NO_LENGTH;
+    boolean bodiless = length == 0 || length == StrictHttpDecoders.NO_LENGTH;
     if (head.method().equals(HttpMethod.GET)) {
       return bodiless ? null : HttpResponseStatus.BAD_REQUEST;
     }
-    return length == Decoders.NO_LENGTH ? HttpResponseStatus.LENGTH_REQUIRED : null;
+    return length == StrictHttpDecoders.NO_LENGTH ? HttpResponseStatus.LENGTH_REQUIRED : null;
   }
 
   /**
@@ -760,7 +763,7 @@
    * passing on what a server would turn away, or would close a connection for on which more is
    * waiting.
    */
-  Incoming parse(HttpRequest request) {
+  IncomingRequest parse(HttpRequest request) {
     HttpHeaders headers = request.headers();
     if (!visible(request.uri(), '!')
         || !request.uri().startsWith("/")
@@ -774,8 +777,8 @@
     }
     String named = headers.get("Request-Class", "");
     int requestClass = config.classes().indexOf(named);
-    long timeout = Decoders.digits(headers.get(Backends.REQUEST_TIMEOUT), 0);
-    long hint = Decoders.digits(headers.get("Work-Hint", "0"), -1);
+    long timeout = StrictHttpDecoders.digits(headers.get(BackendConnections.REQUEST_TIMEOUT), 0);
+    long hint = StrictHttpDecoders.digits(headers.get("Work-Hint", "0"), -1);
     String id = headers.get("Request-Id", "");
     int tenant = config.tenants().indexOf(headers.get("Tenant", ""));
     if (requestClass < 0
@@ -788,11 +791,11 @@
         || (tenant < 0 && !config.tenants().isEmpty())) {
       return null;
     }
-    Balancer.Semantics semantics = config.settings().classes().get(requestClass).semantics();
-    HttpMethod method = semantics == Balancer.Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST;
+    LoadBalancer.Semantics semantics = config.settings().classes().get(requestClass).semantics();
+    HttpMethod method = semantics == LoadBalancer.Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST;
     String repeat = headers.get("Idempotency-Key");
     // Guards against an effect twice: without its key no server would drop a repeat.
-    boolean keyed = semantics == Balancer.Semantics.KEYED;
+    boolean keyed = semantics == LoadBalancer.Semantics.KEYED;
     if (!request.method().equals(method)
         || (keyed ? repeat == null || !token(repeat) : repeat != null)) {
       return null;
@@ -807,7 +810,7 @@
     }
     NOT_FORWARDED.forEach(forwarded::remove);
     String key = headers.get("Affinity-Key", "");
-    return new Incoming(
+    return new IncomingRequest(
         config,
         id,
         requestClass,
@@ -816,7 +819,8 @@
         hint,
         timeout,
         "1".equals(headers.get("Client-Retry")),
-        new Outgoing(request.method(), request.uri(), forwarded, Backends.NO_BODY));
+        new OutgoingRequest(
+            request.method(), request.uri(), forwarded, BackendConnections.NO_BODY));
   }
 
   /** Whether a text is of visible characters alone, and from this one on. */
--- a/src/main/java/slateslip/loadbalancer/net/Warmup.java
+++ b/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.DefaultLoadBalancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /**
  * Runs what a request runs through before the agent says that it is ready: a module of its own
@@ -20,7 +20,7 @@
  * serving the first seconds with code neither loaded nor compiled, which on a part of a core takes
  * longer than clients wait.
  */
-final class Warmup implements Balancer.Actions {
+final class CodeWarmup implements LoadBalancer.Actions {
   /**
    * Enough for the compiler to take up what each request passes: the run's line has it do so after
    * a fifth of the usual calls. Danger: with fewer the agent is ready sooner and loses its first
@@ -46,55 +46,66 @@
   private static final long SELF = 0;
 
   private final EventLoop loop;
-  private final Config config;
-  private final Backends backends;
+  private final AgentConfig config;
+  private final BackendConnections backends;
   private final ClientServer clients;
   private final IntConsumer then;
-  private final Balancer module;
-  private final Backends.Outgoing outgoing;
-  private final Backends.Outgoing ends;
+  private final LoadBalancer module;
+  private final BackendConnections.OutgoingRequest outgoing;
+  private final BackendConnections.OutgoingRequest ends;
   private int begun;
   private int out;
   private int answered;
   private boolean over;
 
-  private Warmup(
-      EventLoop loop, Config config, Backends backends, ClientServer clients, IntConsumer then) {
+  private CodeWarmup(
+      EventLoop loop,
+      AgentConfig config,
+      BackendConnections backends,
+      ClientServer clients,
+      IntConsumer then) {
     this.loop = loop;
     this.config = config;
     this.backends = backends;
     this.clients = clients;
     this.then = then;
-    this.module = new Rules(config.settings(), config.seed(), micros(), this);
+    this.module = new DefaultLoadBalancer(config.settings(), config.seed(), micros(), this);
     this.outgoing =
-        new Backends.Outgoing(
-            HttpMethod.GET, "/healthz", example().headers().remove("Request-Id"), Backends.NO_BODY);
+        new BackendConnections.OutgoingRequest(
+            HttpMethod.GET,
+            "/healthz",
+            example().headers().remove("Request-Id"),
+            BackendConnections.NO_BODY);
     this.ends =
-        new Backends.Outgoing(
+        new BackendConnections.OutgoingRequest(
             HttpMethod.GET,
             "/healthz",
             outgoing.headers().copy().set("Connection", "close"),
-            Backends.NO_BODY);
+            BackendConnections.NO_BODY);
   }
 
   /** Warms up on the loop and tells there, when that is over, how many requests were answered. */
   static void run(
-      EventLoop loop, Config config, Backends backends, ClientServer clients, IntConsumer then) {
-    new Warmup(loop, config, backends, clients, then).start();
+      EventLoop loop,
+      AgentConfig config,
+      BackendConnections backends,
+      ClientServer clients,
+      IntConsumer then) {
+    new CodeWarmup(loop, config, backends, clients, then).start();
   }
 
   private void start() {
     loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-    List<Balancer.Server> servers = new ArrayList<>();
+    List<LoadBalancer.Server> servers = new ArrayList<>();
     for (int i = 1;
         i <= SERVERS;
         i++) { // to the module they are many; all lead to the agent itself
       int zone = i % config.settings().zones();
-      servers.add(new Balancer.Server(i, zone, 0, 0, Balancer.Phase.READY, 1, 0));
+      servers.add(new LoadBalancer.Server(i, zone, 0, 0, LoadBalancer.Phase.READY, 1, 0));
     }
     InetSocketAddress own = (InetSocketAddress) clients.channel().localAddress();
     backends.self(SELF, own);
-    module.servers(micros(), Balancer.ListKind.FULL, servers);
+    module.servers(micros(), LoadBalancer.ListKind.FULL, servers);
     next();
   }
 
@@ -106,7 +117,7 @@
       long now = micros();
       module.request(
           now,
-          new Balancer.Request(
+          new LoadBalancer.Request(
               begun,
               begun % config.classes().size(),
               0,
@@ -136,7 +147,7 @@
 
   /** A request of the first class, as clients send it. */
   private HttpRequest example() {
-    boolean safe = config.settings().classes().get(0).semantics() == Balancer.Semantics.SAFE;
+    boolean safe = config.settings().classes().get(0).semantics() == LoadBalancer.Semantics.SAFE;
     HttpRequest request =
         new DefaultHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -148,7 +159,7 @@
         .set("Request-Id", "warm")
         .set("Request-Class", config.classes().get(0))
         .set("Work-Hint", "1000")
-        .set(Backends.REQUEST_TIMEOUT, "1000");
+        .set(BackendConnections.REQUEST_TIMEOUT, "1000");
     if (!config.tenants().isEmpty()) {
       headers.set("Tenant", config.tenants().get(0));
     }
@@ -168,10 +179,12 @@
         timeout,
         result -> {
           answered +=
-              result.outcome() == Balancer.Outcome.ERROR ? 1 : 0; // it says that it is not ready
+              result.outcome() == LoadBalancer.Outcome.ERROR
+                  ? 1
+                  : 0; // it says that it is not ready
           long now = micros();
           module.outcome(
-              now, request, 0, server, Balancer.Outcome.OK, now - sentAt, true, result.load());
+              now, request, 0, server, LoadBalancer.Outcome.OK, now - sentAt, true, result.load());
           done();
         });
   }
--- a/src/main/java/slateslip/loadbalancer/net/ConfigFile.java
+++ b/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
@@ -17,7 +17,7 @@
  * more read after it), and against an agent that is left behind by a lost signal or by a file seen
  * half-written.
  */
-public final class ConfigFile {
+public final class ConfigFileWatcher {
   /**
    * What one read has found.
    *
@@ -28,9 +28,9 @@
    * @param asked whether somebody asked for this read; else the file had changed
    * @param micros how long the reading took
    */
-  public record Found(
+  public record ReadResult(
       InetSocketAddress discovery,
-      Config config,
+      AgentConfig config,
       long version,
       String unusable,
       boolean asked,
@@ -66,7 +66,7 @@
   private static final long UNUSABLE_MS = 1_000;
 
   private final boolean live;
-  private final Consumer<Found> then;
+  private final Consumer<ReadResult> then;
   private Path file;
   private boolean reading;
   private boolean wanted;
@@ -89,7 +89,7 @@
    * @param live whether settings have versions; otherwise only a whole usable file tells anything
    * @param then hears of each read, one at a time, on the thread that has read
    */
-  public ConfigFile(Path file, boolean live, Consumer<Found> then) {
+  public ConfigFileWatcher(Path file, boolean live, Consumer<ReadResult> then) {
     this.file = file;
     this.live = live;
     this.then = then;
@@ -143,7 +143,7 @@
     }
     Stamp stamp = Stamp.of(from); // before the read: what changes during it is seen afterwards
     boolean settled = stamp != null && stamp.settled();
-    Found found = found(from, byOrder);
+    ReadResult found = found(from, byOrder);
     synchronized (this) {
       seen = settled ? stamp : null;
       unusable = found.unusable != null;
@@ -153,26 +153,27 @@
     return true;
   }
 
-  private Found found(Path from, boolean byOrder) {
+  private ReadResult found(Path from, boolean byOrder) {
     long start = System.nanoTime();
     InetSocketAddress discovery = null;
-    Config config = null;
+    AgentConfig config = null;
     long version = -1;
     String why = null;
     try {
       if (live) {
-        JsonNode root = Config.readAgain(from);
-        discovery = Config.discovery(root);
-        version = Config.version(root);
-        config = Config.of(root);
+        JsonNode root = AgentConfig.readAgain(from);
+        discovery = AgentConfig.discovery(root);
+        version = AgentConfig.version(root);
+        config = AgentConfig.of(root);
       } else {
-        config = Config.read(from);
+        config = AgentConfig.read(from);
         discovery = config.discovery();
       }
     } catch (IllegalArgumentException e) {
       why = e.getMessage();
     }
-    return new Found(discovery, config, version, why, byOrder, (System.nanoTime() - start) / 1000);
+    return new ReadResult(
+        discovery, config, version, why, byOrder, (System.nanoTime() - start) / 1000);
   }
 
   /** From now on looks whether the file has changed; 0 for no more. */
--- a/src/main/java/slateslip/loadbalancer/net/Discovery.java
+++ b/src/main/java/slateslip/loadbalancer/net/Discovery.java
@@ -29,9 +29,9 @@
 import java.util.List;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
  * Follows the server list: the whole list once, unless one is known already, then one watch after
@@ -41,7 +41,7 @@
   /** What the agent hears. */
   public interface Listener {
     /** A list has come. */
-    void list(ListKind kind, List<Endpoint> endpoints);
+    void list(ListKind kind, List<ListedEndpoint> endpoints);
 
     /** A call has failed; the next is made after the back-off, or when asked for. */
     void failed(String why);
@@ -51,10 +51,10 @@
    * A server as discovery lists it: its line for the module, its name, and where this agent reaches
    * it.
    */
-  public record Endpoint(Server server, String name, InetSocketAddress address) {}
+  public record ListedEndpoint(Server server, String name, InetSocketAddress address) {}
 
   /** A decoded answer. */
-  public record Listing(long index, boolean snapshot, List<Endpoint> endpoints) {}
+  public record Listing(long index, boolean snapshot, List<ListedEndpoint> endpoints) {}
 
   /**
    * How long a watch waits for news. A change that a silent one misses counts as told 6 s after it:
@@ -81,7 +81,7 @@
   private static final int LIST_BYTES_MAX = 4 << 20;
 
   private final EventLoop loop;
-  private Config config;
+  private AgentConfig config;
   private final Listener listener;
   private final Bootstrap bootstrap;
   private InetSocketAddress address;
@@ -102,13 +102,16 @@
   private Future<?> timeout;
   private final Backoff backoff;
 
-  public Discovery(EventLoop loop, Config config, Listener listener) {
+  public Discovery(EventLoop loop, AgentConfig config, Listener listener) {
     this(loop, config, listener, NioSocketChannel::new);
   }
 
   /** With sockets that come from elsewhere than the usual ones. */
   Discovery(
-      EventLoop loop, Config config, Listener listener, ChannelFactory<NioSocketChannel> sockets) {
+      EventLoop loop,
+      AgentConfig config,
+      Listener listener,
+      ChannelFactory<NioSocketChannel> sockets) {
     this.loop = loop;
     this.config = config;
     this.address = config.discovery();
@@ -126,7 +129,7 @@
                   protected void initChannel(Channel ch) {
                     ch.pipeline()
                         .addLast(
-                            new Decoders.Responses(),
+                            new StrictHttpDecoders.Responses(),
                             new HttpRequestEncoder(),
                             new HttpObjectAggregator(LIST_BYTES_MAX),
                             new Answers());
@@ -146,7 +149,7 @@
   /**
    * Reads lists by another configuration from now on; {@link #moveTo} says where they come from.
    */
-  public void apply(Config next) {
+  public void apply(AgentConfig next) {
     config = next;
   }
 
@@ -217,7 +220,7 @@
       return;
     }
     ChannelFuture connecting = bootstrap.connect(address);
-    if (Inspectable.noSocket(connecting)) {
+    if (InspectableSocketChannel.noSocket(connecting)) {
       channel = null;
       failed(mine, "no socket");
       return;
@@ -289,7 +292,7 @@
     }
     Listing listing;
     try (InputStream body = new ByteBufInputStream(response.content())) {
-      listing = decode(Config.json(body), config);
+      listing = decode(AgentConfig.json(body), config);
     } catch (IOException | IllegalArgumentException e) {
       // Guards against a list that cannot be read: the old one stays, and the whole is asked for,
       // since
@@ -322,13 +325,13 @@
   }
 
   /** Decodes a list; an entry that makes no sense makes the whole unusable. */
-  public static Listing decode(JsonNode root, Config config) {
+  public static Listing decode(JsonNode root, AgentConfig config) {
     if (root == null
         || !root.path("endpoints").isArray()
         || !root.path("index").canConvertToLong()) {
       throw new IllegalArgumentException("no list of servers");
     }
-    List<Endpoint> endpoints = new ArrayList<>();
+    List<ListedEndpoint> endpoints = new ArrayList<>();
     for (JsonNode entry : root.get("endpoints")) {
       String name = entry.path("name").asText();
       int zone = config.zones().indexOf(entry.path("zone").asText());
@@ -343,7 +346,7 @@
             default -> throw new IllegalArgumentException("status of a server: " + entry);
           };
       endpoints.add(
-          new Endpoint(
+          new ListedEndpoint(
               new Server(
                   id(name),
                   zone,
@@ -353,7 +356,7 @@
                   entry.path("weight").asDouble(1),
                   1000 * entry.path("since_ms").asLong()),
               name,
-              Config.address(entry.path("address").asText())));
+              AgentConfig.address(entry.path("address").asText())));
     }
     return new Listing(root.get("index").asLong(), root.path("snapshot").asBoolean(), endpoints);
   }
--- a/src/main/java/slateslip/loadbalancer/net/KeptAge.java
+++ b/src/main/java/slateslip/loadbalancer/net/IdleConnectionTimeout.java
@@ -8,7 +8,7 @@
  * until a request is written, and then it may have run. What has been learnt fades, for the network
  * may change.
  */
-public final class KeptAge {
+public final class IdleConnectionTimeout {
   /** The youngest class of ages ends here, each further one at twice the age of the one before. */
   private static final long YOUNGEST_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
@@ -33,7 +33,7 @@
   private long limitNanos;
 
   /** With the age that is never exceeded. */
-  public KeptAge(long mostNanos, long now) {
+  public IdleConnectionTimeout(long mostNanos, long now) {
     this.mostNanos = mostNanos;
     this.limitNanos = mostNanos;
     this.fadedAt = now;
--- a/src/main/java/slateslip/loadbalancer/net/Inspectable.java
+++ b/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
@@ -6,9 +6,9 @@
 import java.nio.ByteBuffer;
 
 /** A socket that can be asked whether its peer has been silent. */
-public class Inspectable extends NioSocketChannel {
+public class InspectableSocketChannel extends NioSocketChannel {
   /** One that is not connected yet. */
-  public Inspectable() {}
+  public InspectableSocketChannel() {}
 
   /**
    * Whether it is open with nothing unread. Guards against what has arrived since the loop last
--- a/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
+++ b/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Takeover;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.SettingsReload;
 
 /**
  * Which settings may follow those in force while the agent runs, and what is told of them. A
@@ -21,9 +21,9 @@
   private String last;
 
   /** Whether what was read is to be taken over; if it is refused, that is told. */
-  boolean wants(Config inForce, ConfigFile.Found found) {
+  boolean wants(AgentConfig inForce, ConfigFileWatcher.ReadResult found) {
     long version = inForce.live().version();
-    Config next = found.config();
+    AgentConfig next = found.config();
     if (next == null) {
       refuse(inForce, found, found.unusable().replaceFirst("^(config|settings): ", ""));
     } else if (next.live() == null) {
@@ -43,7 +43,7 @@
   }
 
   /** Tells that what was read is not taken over, and why: the key at fault first. */
-  void refuse(Config inForce, ConfigFile.Found found, String why) {
+  void refuse(AgentConfig inForce, ConfigFileWatcher.ReadResult found, String why) {
     String version = found.version() < 0 ? "" : "version " + found.version() + " ";
     String line =
         "settings: " + version + "refused: " + why + "; " + inForce.live().version() + " stays";
@@ -55,9 +55,9 @@
   }
 
   /** Tells that what was read is in force. */
-  void took(Config before, ConfigFile.Found found, long micros) {
+  void took(AgentConfig before, ConfigFileWatcher.ReadResult found, long micros) {
     taken++;
-    Config now = found.config();
+    AgentConfig now = found.config();
     String read = found.micros() / 1000 + "." + found.micros() / 100 % 10;
     Agent.say(
         inForce(now)
@@ -72,15 +72,15 @@
   }
 
   /** The line of the start. */
-  static String started(Config config) {
+  static String started(AgentConfig config) {
     return inForce(config) + " from the start" + sizes(config);
   }
 
-  private static String inForce(Config config) {
+  private static String inForce(AgentConfig config) {
     return "settings: version " + config.live().version() + " in force";
   }
 
-  private static String sizes(Config config) {
+  private static String sizes(AgentConfig config) {
     return " (classes "
         + config.classes().size()
         + ", tenants "
@@ -93,7 +93,7 @@
   }
 
   /** What the tally tells of the settings. */
-  String told(Config config) {
+  String told(AgentConfig config) {
     return "settings "
         + config.live().version()
         + " (taken "
@@ -113,7 +113,8 @@
    * @throws IllegalArgumentException if they are unusable, or cannot follow under way; the message
    *     is one plain line that begins with the key
    */
-  public static Takeover takeover(Config before, Config next, Predicate<String> inUse) {
+  public static SettingsReload takeover(
+      AgentConfig before, AgentConfig next, Predicate<String> inUse) {
     named("classes", next.classes(), next.settings().classes().size());
     named("realms", next.tenants(), next.settings().tenants().size());
     named("zones", next.zones(), next.settings().zones());
@@ -129,14 +130,14 @@
           next.zones().contains(zone) || !inUse.test(zone),
           "zones lacks " + zone + ", which has servers");
     }
-    return new Takeover(
+    return new SettingsReload(
         next.settings(),
-        Takeover.positions(before.classes(), next.classes()),
-        Takeover.positions(before.zones(), next.zones()),
-        Takeover.positions(before.kinds(), next.kinds()));
+        SettingsReload.positions(before.classes(), next.classes()),
+        SettingsReload.positions(before.zones(), next.zones()),
+        SettingsReload.positions(before.kinds(), next.kinds()));
   }
 
-  private static String ownZone(Config config) {
+  private static String ownZone(AgentConfig config) {
     return config.zones().get(config.settings().zone());
   }
 
@@ -156,10 +157,10 @@
    * What the reading leaves open: at the start it would be noticed at once, under way only by its
    * harm.
    */
-  private static void inRange(Balancer.Settings settings) {
+  private static void inRange(LoadBalancer.Settings settings) {
     check(settings.agent() < settings.agents(), "me is not less than group-size");
     for (int i = 0; i < settings.classes().size(); i++) {
-      Balancer.RequestClass type = settings.classes().get(i);
+      LoadBalancer.RequestClass type = settings.classes().get(i);
       String at = "classes." + i + ".";
       atLeastZero(at + "worth", type.worth());
       atLeastZero(at + "aim-stretch", type.aimStretch());
--- a/src/main/java/slateslip/loadbalancer/net/Tally.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
  * Counts what the agent does and tells it on a line each few seconds, with one unserved request
@@ -13,7 +13,7 @@
  * and after how many attempts. Bounded: two lines a period however many requests come, and none
  * while nothing happens.
  */
-final class Tally {
+final class RequestStatistics {
   /** How often it is told. */
   static final long PERIOD_SECONDS = 5;
 
@@ -21,14 +21,14 @@
   private static final int REASONS_MOST = 4;
 
   /** How a request ended for its client. */
-  enum Answer {
+  enum Disposition {
     SERVED,
     REFUSED,
     FAILED,
     LEFT
   }
 
-  private final Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
+  private final Map<Disposition, Integer> answers = new EnumMap<>(Disposition.class);
   private final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
   private int unsent;
   private int givenUp;
@@ -56,9 +56,9 @@
   }
 
   /** A request has its final answer, after so many attempts. */
-  void answered(Answer answer, int attempts) {
+  void answered(Disposition answer, int attempts) {
     answers.merge(answer, 1, Integer::sum);
-    unsent += attempts == 0 && answer != Answer.LEFT ? 1 : 0;
+    unsent += attempts == 0 && answer != Disposition.LEFT ? 1 : 0;
   }
 
   /** The module has left a request without an answer until its last moment. */
@@ -135,7 +135,7 @@
   List<String> take(int open, int toServers) {
     int total = 0;
     StringBuilder line = new StringBuilder("tally:");
-    for (Answer answer : Answer.values()) {
+    for (Disposition answer : Disposition.values()) {
       int count = answers.getOrDefault(answer, 0);
       line.append(' ').append(word(answer)).append(' ').append(count);
       total += count;
--- a/src/main/java/slateslip/loadbalancer/net/Decoders.java
+++ b/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
@@ -18,7 +18,7 @@
  * unreadable message here, since two readers that mend differently see different messages in the
  * same bytes.
  */
-public final class Decoders {
+public final class StrictHttpDecoders {
   private static final int LINE_MAX = 4096;
   private static final int HEAD_MAX = 8192;
 
@@ -31,7 +31,7 @@
   /** The headers contradict each other, or say nothing that can be read. */
   public static final long UNCLEAR = -3;
 
-  private Decoders() {}
+  private StrictHttpDecoders() {}
 
   private static HttpDecoderConfig strict(int lineMost, int headMost) {
     return new HttpDecoderConfig()
--- a/src/main/java/slateslip/loadbalancer/policy/TwoRandomChoices.java
+++ b/src/main/java/slateslip/loadbalancer/policy/PowerOfTwoChoices.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /** The pick by two random draws: of two candidates the one with fewer requests in flight. */
-public final class TwoRandomChoices {
-  private TwoRandomChoices() {}
+public final class PowerOfTwoChoices {
+  private PowerOfTwoChoices() {}
 
   /**
    * Picks one candidate; with two or more, two different ones are drawn.
--- a/src/main/java/slateslip/loadbalancer/policy/RetryAllowance.java
+++ b/src/main/java/slateslip/loadbalancer/policy/RetryTokenBucket.java
@@ -4,7 +4,7 @@
  * How many further attempts may be sent: each request earns a share of one, and some are saved up,
  * so that retries never multiply an overload.
  */
-public final class RetryAllowance {
+public final class RetryTokenBucket {
   private final double earned;
   private final double most;
   private double saved;
@@ -15,7 +15,7 @@
    * @param earned further attempts earned by each request
    * @param most what may be saved up of them
    */
-  public RetryAllowance(double earned, double most) {
+  public RetryTokenBucket(double earned, double most) {
     this.earned = earned;
     this.most = most;
     this.saved = most;
--- a/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
@@ -4,10 +4,10 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /** Collects one reply in a reused buffer; the actions of the current instance become records. */
-final class FrameWriter implements Balancer.Actions {
+final class FrameWriter implements LoadBalancer.Actions {
   private static final int HEADER = 8;
   private static final int MAX_TEXT = 0xffff;
   private static final long MAX_U32 = 0xffffffffL;
--- a/src/main/java/slateslip/loadbalancer/simulator/Drill.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/SimulatorAdapter.java
@@ -7,15 +7,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.DefaultLoadBalancer;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Phase;
 import slateslip.loadbalancer.SettingsParser;
 
 /** Speaks the simulator's wire for many instances. It decides nothing. */
-public final class Drill {
+public final class SimulatorAdapter {
   private static final double[] NO_LOAD = new double[0];
   private static final int LISTS = 16;
   private static final int SERVER_BYTES = 22;
@@ -23,11 +23,11 @@
   private final FrameReader in;
   private final OutputStream outStream;
   private final FrameWriter out = new FrameWriter();
-  private final Map<Integer, Balancer> instances = new HashMap<>();
-  private final List<List<Balancer.Server>> lists = new ArrayList<>();
+  private final Map<Integer, LoadBalancer> instances = new HashMap<>();
+  private final List<List<LoadBalancer.Server>> lists = new ArrayList<>();
 
   /** Reads frames from one stream and writes replies to the other. */
-  public Drill(InputStream in, OutputStream out) {
+  public SimulatorAdapter(InputStream in, OutputStream out) {
     this.in = new FrameReader(in);
     this.outStream = out;
     for (int i = 0; i < LISTS; i++) {
@@ -55,11 +55,11 @@
     out.instance(id);
     if (code == 24) {
       long seed = in.i64();
-      Balancer.Settings settings = settings(in.text(in.u32()));
-      decide(() -> instances.put(id, new Rules(settings, seed, now, out)));
+      LoadBalancer.Settings settings = settings(in.text(in.u32()));
+      decide(() -> instances.put(id, new DefaultLoadBalancer(settings, seed, now, out)));
       return;
     }
-    Balancer instance = instances.get(id);
+    LoadBalancer instance = instances.get(id);
     if (instance == null) {
       throw new WireException(in.where() + ": instance " + id + " was never started");
     }
@@ -70,7 +70,7 @@
     decide(() -> event(code, instance, now));
   }
 
-  private static Balancer.Settings settings(String text) {
+  private static LoadBalancer.Settings settings(String text) {
     try {
       return SettingsParser.parse(text);
     } catch (IllegalArgumentException e) {
@@ -90,7 +90,7 @@
     }
   }
 
-  private void event(int code, Balancer instance, long now) {
+  private void event(int code, LoadBalancer instance, long now) {
     switch (code) {
       case 16 -> {
         long spent = in.u32();
@@ -113,7 +113,7 @@
         boolean costKnown = (attributes & 1) != 0;
         instance.request(
             now,
-            new Balancer.Request(
+            new LoadBalancer.Request(
                 id,
                 requestClass,
                 tenant,
@@ -145,7 +145,7 @@
       throw new WireException(in.where() + ": list number " + number + " is over " + (LISTS - 1));
     }
     int count = in.count(in.u32(), SERVER_BYTES);
-    List<Balancer.Server> entries = new ArrayList<>(count);
+    List<LoadBalancer.Server> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       long server = in.u32();
       int zone = in.u16();
@@ -153,12 +153,12 @@
       int cell = in.u16();
       Phase phase = phase(in.u8());
       double weight = in.f32();
-      entries.add(new Balancer.Server(server, zone, cell, kind, phase, weight, in.i64()));
+      entries.add(new LoadBalancer.Server(server, zone, cell, kind, phase, weight, in.i64()));
     }
     lists.set(number, List.copyOf(entries));
   }
 
-  private void announce(Balancer instance, long now) {
+  private void announce(LoadBalancer instance, long now) {
     int number = in.u8();
     ListKind kind =
         switch (in.u8()) {
@@ -173,7 +173,7 @@
       instance.servers(now, kind, List.of());
       return;
     }
-    List<Balancer.Server> entries = number < LISTS ? lists.get(number) : null;
+    List<LoadBalancer.Server> entries = number < LISTS ? lists.get(number) : null;
     if (entries == null) {
       throw new WireException(in.where() + ": list " + number + " was never defined");
     }
--- a/src/main/java/slateslip/routing/placement/Placement.java
+++ b/src/main/java/slateslip/routing/placement/Placement.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import slateslip.configuration.Service;
-import slateslip.loadbalancer.policy.TwoRandomChoices;
+import slateslip.loadbalancer.policy.PowerOfTwoChoices;
 import slateslip.routing.RequestFacts.PromptPart;
 
 /**
@@ -126,7 +126,7 @@
         filter(candidates, backend -> near(backend) && hasRoom(backend, nowMicros));
     List<Backend> roomy =
         near.isEmpty() ? filter(candidates, backend -> hasRoom(backend, nowMicros)) : near;
-    return TwoRandomChoices.pick(
+    return PowerOfTwoChoices.pick(
         roomy.isEmpty() ? candidates : roomy,
         Backend::inFlight,
         Comparator.comparingDouble(backend -> backend.load(nowMicros)),
--- a/src/scale/java/slateslip/loadbalancer/scale/Addresses.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Addresses.java
@@ -1,7 +1,7 @@
 package slateslip.loadbalancer.scale;
 
 import java.net.InetSocketAddress;
-import slateslip.loadbalancer.net.Config;
+import slateslip.loadbalancer.net.AgentConfig;
 
 /**
  * Addresses as the protocol writes them; the scale run uses none but those of the loopback
@@ -12,7 +12,7 @@
 
   /** Reads one; IllegalArgumentException if it is no literal loopback address with a port. */
   static InetSocketAddress of(String text) {
-    InetSocketAddress address = Config.address(text);
+    InetSocketAddress address = AgentConfig.address(text);
     if (!address.getAddress().isLoopbackAddress()) {
       throw new IllegalArgumentException("not a loopback address: " + text);
     }
--- a/src/scale/java/slateslip/loadbalancer/scale/Fingerprint.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Fingerprint.java
@@ -1,7 +1,7 @@
 package slateslip.loadbalancer.scale;
 
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
  * Tells whether an agent's list is discovery's, however it came to it: the sum of a number for each
--- a/src/scale/java/slateslip/loadbalancer/scale/FleetServers.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/FleetServers.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Server;
 import slateslip.loadbalancer.net.Discovery;
 
 /**
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowAgent.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowAgent.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Server;
-import slateslip.loadbalancer.Rules;
-import slateslip.loadbalancer.Takeover;
-import slateslip.loadbalancer.net.Config;
+import slateslip.loadbalancer.DefaultLoadBalancer;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Server;
+import slateslip.loadbalancer.SettingsReload;
+import slateslip.loadbalancer.net.AgentConfig;
 import slateslip.loadbalancer.net.Discovery;
 
 /**
@@ -28,7 +28,7 @@
  * Thousands share a process. It does what {@code slateslip.loadbalancer.net.Agent} does, in the
  * same order; all of it runs on one event loop, which it shares with other hollow agents.
  */
-final class HollowAgent implements Balancer.Actions {
+final class HollowAgent implements LoadBalancer.Actions {
   /** Of the client's time, what a real agent keeps for the answer's way back. */
   private static final long MARGIN_MICROS = 10_000;
 
@@ -43,7 +43,7 @@
   private final EventLoop loop;
 
   /** What is in force, and its version. */
-  private Config config;
+  private AgentConfig config;
 
   private long settingsVersion;
   private final ServerTruth truth;
@@ -67,7 +67,7 @@
   private final Map<Long, Long> leftAt = new HashMap<>();
 
   private final Discovery discovery;
-  private final Balancer balancer;
+  private final LoadBalancer balancer;
   private long nextId = 1;
   private boolean deciding;
   private boolean closed;
@@ -128,7 +128,7 @@
    */
   HollowAgent(
       EventLoop loop,
-      Config config,
+      AgentConfig config,
       ServerTruth truth,
       HollowLoad load,
       LongSupplier micros,
@@ -147,7 +147,7 @@
             config,
             new Discovery.Listener() {
               @Override
-              public void list(ListKind kind, List<Discovery.Endpoint> endpoints) {
+              public void list(ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
                 HollowAgent.this.list(kind, endpoints);
               }
 
@@ -161,10 +161,10 @@
             });
     // After discovery: the module may ask for the list at once, on the loop, and would find none to
     // ask.
-    this.balancer = new Rules(config.settings(), config.seed(), now(), this);
+    this.balancer = new DefaultLoadBalancer(config.settings(), config.seed(), now(), this);
   }
 
-  private Balancer balancer() {
+  private LoadBalancer balancer() {
     return balancer;
   }
 
@@ -185,18 +185,18 @@
    *
    * @return whether they are in force now
    */
-  boolean settings(long version, Config next) {
+  boolean settings(long version, AgentConfig next) {
     if (version <= settingsVersion) {
       return false;
     }
-    Config before = config;
+    AgentConfig before = config;
     balancer.settings(
         now(),
-        new Takeover(
+        new SettingsReload(
             next.settings(),
-            Takeover.positions(before.classes(), next.classes()),
-            Takeover.positions(before.zones(), next.zones()),
-            Takeover.positions(before.kinds(), next.kinds())));
+            SettingsReload.positions(before.classes(), next.classes()),
+            SettingsReload.positions(before.zones(), next.zones()),
+            SettingsReload.positions(before.kinds(), next.kinds())));
     config = next;
     settingsVersion = version;
     return true;
@@ -244,11 +244,11 @@
   }
 
   /** Applies a list as a real agent does. */
-  void list(ListKind kind, List<Discovery.Endpoint> endpoints) {
+  void list(ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
     counts.lists.merge(kind, 1L, Long::sum);
     boolean had = !listed.isEmpty();
     Set<Long> gone = new HashSet<>(kind == ListKind.DELTA ? Set.of() : listed.keySet());
-    List<Server> entries = endpoints.stream().map(Discovery.Endpoint::server).toList();
+    List<Server> entries = endpoints.stream().map(Discovery.ListedEndpoint::server).toList();
     for (Server entry : entries) {
       gone.remove(entry.id());
       if (entry.phase() == Phase.GONE) {
@@ -291,8 +291,8 @@
     long left = config.settings().classes().get(requestClass).giveUp();
     pending.guard =
         loop.schedule(() -> lose(pending), left + LOST_AFTER_MICROS, TimeUnit.MICROSECONDS);
-    Balancer.Request request =
-        new Balancer.Request(
+    LoadBalancer.Request request =
+        new LoadBalancer.Request(
             pending.id, requestClass, 0, 0, 0, now() + left - MARGIN_MICROS, false, false);
     event(() -> balancer.request(now(), request));
   }
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowCounts.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowCounts.java
@@ -5,7 +5,7 @@
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
-import slateslip.loadbalancer.Balancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
 
 /**
  * What hollow agents have counted since their start. Written on one event loop; the sums are made
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowFleet.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowFleet.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
-import slateslip.loadbalancer.net.Config;
+import slateslip.loadbalancer.net.AgentConfig;
 
 /**
  * Hollow agents of one process, spread over its event loops. Its methods wait for those loops and
@@ -41,12 +41,12 @@
       long spreadMs,
       long seed) {
     /** The configuration of one of them, as the file of a real agent would have it. */
-    Config config(int agent) {
+    AgentConfig config(int agent) {
       return config(agent, config);
     }
 
     /** The same with other common settings. */
-    Config config(int agent, ObjectNode config) {
+    AgentConfig config(int agent, ObjectNode config) {
       ObjectNode own = Json.MAPPER.createObjectNode();
       own.setAll(config);
       own.put("name", "h" + agent).put("seed", Long.toHexString(seedOf(agent)));
@@ -54,7 +54,7 @@
       settings.setAll((ObjectNode) config.get("settings"));
       settings.put("group-size", of);
       FleetConfig.own(settings, agent, mode);
-      return Config.of(own);
+      return AgentConfig.of(own);
     }
 
     private long seedOf(int agent) {
--- a/src/test/java/slateslip/dataplane/BackendsTest.java
+++ b/src/test/java/slateslip/dataplane/BackendsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.dataplane.DataPlaneFixture.Answer;
 import slateslip.dataplane.backend.ProbeResult;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.BackendLoad;
@@ -40,7 +40,7 @@
     stage.close();
   }
 
-  private Peer good() throws IOException {
+  private ScriptedPeer good() throws IOException {
     return stage.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
   }
 
@@ -68,7 +68,7 @@
   void neverServesWhatIsNoWholeStampedAnswer(String bytes) throws IOException {
     stage.backend(
         (message, socket) -> {
-          Peer.write(socket, bytes);
+          ScriptedPeer.write(socket, bytes);
           socket.close();
         });
     good();
@@ -79,8 +79,8 @@
   @Test
   void doesNotRepeatWhatMayHaveRun() throws IOException {
     stage.router.repeatable = false;
-    stage.backend((message, socket) -> Peer.reset(socket));
-    Peer second = good();
+    stage.backend((message, socket) -> ScriptedPeer.reset(socket));
+    ScriptedPeer second = good();
     assertThat(stage.call("a1").status(), is(502));
     awaitEnds(BROKEN);
     assertThat(second.requests.size(), is(0));
@@ -100,10 +100,11 @@
     stage.router.repeatable = false;
     stage.backend(
         (message, socket) ->
-            Peer.answer(socket, 503, DataPlaneFixture.idOf(message) + "X-Not-Executed: 1\r\n", ""));
+            ScriptedPeer.answer(
+                socket, 503, DataPlaneFixture.idOf(message) + "X-Not-Executed: 1\r\n", ""));
     stage.backend(
         (message, socket) ->
-            Peer.answer(
+            ScriptedPeer.answer(
                 socket, 421, DataPlaneFixture.idOf(message) + "X-Instance-Id: i-9\r\n", ""));
     good();
     assertThat(stage.call("a1").body(), is("good"));
@@ -114,7 +115,7 @@
   void relaysAFailureUnchanged() throws IOException {
     stage.backend(
         (message, socket) ->
-            Peer.answer(
+            ScriptedPeer.answer(
                 socket, 500, DataPlaneFixture.stamped(message) + "X-Why: w\r\n", "broken inside"));
     Answer answer = stage.call("a1");
     assertThat(answer.status(), is(500));
@@ -126,10 +127,11 @@
   @Test
   void passesOverAnAnswerToAnEarlierRequest() throws IOException {
     stage.router.repeatable = false;
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) -> {
-              Peer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
+              ScriptedPeer.answer(
+                  socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
               DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=5\r\n", "mine");
             });
     assertThat(stage.call("a1").body(), is("mine"));
@@ -141,7 +143,7 @@
 
   @Test
   void reusesAConnectionThatIsKept() throws IOException {
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) ->
                 DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
@@ -153,7 +155,7 @@
 
   @Test
   void doesNotReuseAConnectionThatItsBackendEnds() throws IOException {
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) ->
                 DataPlaneFixture.serve(
@@ -165,10 +167,10 @@
 
   @Test
   void doesNotReuseAConnectionWithBytesBehindItsAnswer() throws IOException {
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) ->
-                Peer.write(
+                ScriptedPeer.write(
                     socket,
                     "HTTP/1.1 200 OK\r\n"
                         + DataPlaneFixture.stamped(message)
@@ -181,7 +183,7 @@
   @Test
   void doesNotUseAConnectionThatHasBeenClosed() throws IOException {
     stage.router.repeatable = false;
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) -> {
               DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x");
@@ -197,7 +199,7 @@
   void givesUpOnASilentBackendInTime() throws IOException {
     stage.router.firstEventTimeoutMicros =
         1_000_000; // well above what a connection takes to come up
-    Peer silent = stage.backend((message, socket) -> {});
+    ScriptedPeer silent = stage.backend((message, socket) -> {});
     assertThat(stage.call("a1").status(), is(502));
     awaitEnds(TIMEOUT);
     DataPlaneFixture.await(() -> silent.ended.size() == 1);
@@ -206,7 +208,7 @@
   @Test
   void sendsNothingNewToABackendThatDrains() throws IOException {
     stage.router.repeatable = false;
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) ->
                 DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
@@ -232,10 +234,14 @@
 
   @Test
   void readsWhatAProbeFinds() throws Exception {
-    stage.backend((message, socket) -> Peer.answer(socket, 200, "X-Instance-Id: b-1\r\n", ""));
-    stage.backend((message, socket) -> Peer.answer(socket, 503, "X-Instance-Id: b-2\r\n", ""));
-    stage.backend((message, socket) -> Peer.answer(socket, 503, "X-Not-Executed: 1\r\n", ""));
-    stage.backend((message, socket) -> Peer.answer(socket, 200, "X-Instance-Id: b-9\r\n", ""));
+    stage.backend(
+        (message, socket) -> ScriptedPeer.answer(socket, 200, "X-Instance-Id: b-1\r\n", ""));
+    stage.backend(
+        (message, socket) -> ScriptedPeer.answer(socket, 503, "X-Instance-Id: b-2\r\n", ""));
+    stage.backend(
+        (message, socket) -> ScriptedPeer.answer(socket, 503, "X-Not-Executed: 1\r\n", ""));
+    stage.backend(
+        (message, socket) -> ScriptedPeer.answer(socket, 200, "X-Instance-Id: b-9\r\n", ""));
     stage.deadBackend();
     List<ProbeOutcome> outcomes = new java.util.concurrent.CopyOnWriteArrayList<>();
     for (int i = 1; i <= 5; i++) {
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.configuration.IngressLimits;
 import slateslip.dataplane.DataPlaneFixture.Answer;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput;
 
 /** Clients of every manner: what goes on to a backend, and what is turned away. */
@@ -37,7 +37,7 @@
     stage.close();
   }
 
-  private Peer echo() throws IOException {
+  private ScriptedPeer echo() throws IOException {
     return stage.backend(
         (message, socket) ->
             DataPlaneFixture.serve(message, socket, "X-Other: 1\r\n", message.text()));
@@ -45,13 +45,13 @@
 
   private Answer send(String bytes) throws IOException {
     Socket socket = stage.dial();
-    Peer.write(socket, bytes);
+    ScriptedPeer.write(socket, bytes);
     return Answer.read(socket.getInputStream());
   }
 
   @Test
   void passesMethodTargetBodyAndHeadersOn() throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     stage.router.tenant = "t-1";
     stage.router.priority = 3;
     Answer answer =
@@ -63,7 +63,7 @@
     assertThat(answer.header("X-Response-Stamp"), is("s1"));
     assertThat(answer.header("X-Attempt-Id"), is("a1"));
     assertThat(answer.header("X-Other"), is("1"));
-    Peer.Message got = backend.requests.get(0);
+    ScriptedPeer.Message got = backend.requests.get(0);
     assertThat(got.first(), is("POST /a/b?q=1 HTTP/1.1"));
     assertThat(got.header("Host"), is("h.example"));
     assertThat(got.header("X-Custom"), is("c"));
@@ -78,12 +78,12 @@
 
   @Test
   void dropsWhatOnlyTheDataPlaneMaySay() throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     String forged =
         "X-Tenant: other\r\nX-Target-Instance: b-9\r\nPriority: 0\r\nKeep-Alive: timeout=9\r\n"
             + "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n";
     assertThat(send(DataPlaneFixture.request("a1", forged, "")).status(), is(200));
-    Peer.Message got = backend.requests.get(0);
+    ScriptedPeer.Message got = backend.requests.get(0);
     assertThat(got.header("X-Tenant"), is(nullValue()));
     assertThat(got.header("X-Target-Instance"), is("b-1"));
     assertThat(got.header("Priority"), is(nullValue()));
@@ -94,7 +94,7 @@
 
   @Test
   void keepsWhatConnectionMayNotTakeAway() throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     String headers = "Connection: X-Attempt-Id, Host\r\n";
     assertThat(send(DataPlaneFixture.request("a1", headers, "")).status(), is(200));
     assertThat(backend.requests.get(0).header("X-Attempt-Id"), is("a1"));
@@ -103,7 +103,7 @@
 
   @Test
   void passesAChunkedBodyOnWithItsLength() throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     Answer answer =
         send(HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     assertThat(answer.body(), is("abcde"));
@@ -113,7 +113,7 @@
 
   @Test
   void drawsAnIdForARequestWithoutOneAndTakesItAwayAgain() throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     Answer answer = send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     assertThat(answer.status(), is(200));
     assertThat(answer.header("X-Attempt-Id"), is(nullValue()));
@@ -124,7 +124,7 @@
   void answersPipelinedRequestsInTheirOrder() throws IOException {
     echo();
     Socket socket = stage.dial();
-    Peer.write(
+    ScriptedPeer.write(
         socket,
         DataPlaneFixture.request("a1", "", "one")
             + DataPlaneFixture.request("a2", "", "two")
@@ -138,9 +138,9 @@
   void keepsAConnectionAndEndsOneThatAsksForIt() throws IOException {
     echo();
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "", "one"));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", "one"));
     assertThat(Answer.read(socket.getInputStream()).header("Connection"), is(nullValue()));
-    Peer.write(socket, DataPlaneFixture.request("a2", "Connection: close\r\n", "two"));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a2", "Connection: close\r\n", "two"));
     assertThat(Answer.read(socket.getInputStream()).header("Connection"), is("close"));
     assertThat(socket.getInputStream().read(), is(-1));
   }
@@ -162,9 +162,9 @@
         "POST /a HTTP/1.1\r\nHost: h\r\nno colon\r\n\r\n",
       })
   void turnsAwayWhatCanBeReadInTwoWays(String bytes) throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     Socket socket = stage.dial();
-    Peer.write(socket, bytes);
+    ScriptedPeer.write(socket, bytes);
     assertThat(Answer.read(socket.getInputStream()).status(), is(400));
     assertThat(socket.getInputStream().read(), is(-1));
     assertThat(backend.requests, is(empty()));
@@ -174,14 +174,14 @@
   void answersWhatCameBeforeGarbageFirst() throws IOException {
     echo();
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "", "one") + "garbage\r\n\r\n");
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", "one") + "garbage\r\n\r\n");
     assertThat(Answer.read(socket.getInputStream()).body(), is("one"));
     assertThat(Answer.read(socket.getInputStream()).status(), is(400));
   }
 
   @Test
   void holdsToTheLimitsOfTheConfiguration() throws IOException {
-    Peer backend = echo();
+    ScriptedPeer backend = echo();
     stage.limits(new IngressLimits(512, 10, 3_000, 15_000));
     String longHeader = "X-Long: " + "x".repeat(600) + "\r\n";
     assertThat(send(HEAD + longHeader + "Content-Length: 0\r\n\r\n").status(), is(431));
@@ -207,9 +207,9 @@
 
   @Test
   void cancelsTheAttemptOfAClientThatHasGone() throws IOException {
-    Peer backend = stage.backend((message, socket) -> {});
+    ScriptedPeer backend = stage.backend((message, socket) -> {});
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", ""));
     DataPlaneFixture.await(() -> backend.requests.size() == 1);
     socket.close();
     DataPlaneFixture.await(() -> backend.ended.size() == 1);
@@ -223,17 +223,17 @@
   void answersHeadWithoutABody() throws IOException {
     stage.backend(
         (message, socket) ->
-            Peer.write(
+            ScriptedPeer.write(
                 socket,
                 "HTTP/1.1 200 OK\r\n"
                     + DataPlaneFixture.stamped(message)
                     + "Content-Length: 7\r\n\r\n"));
     Socket socket = stage.dial();
-    Peer.write(socket, "HEAD /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n");
+    ScriptedPeer.write(socket, "HEAD /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n\r\n");
     List<String> head = Answer.readHead(socket.getInputStream());
     assertThat(head.get(0), equalTo("HTTP/1.1 200 OK"));
     assertThat(head.stream().anyMatch("content-length: 7"::equalsIgnoreCase), is(true));
-    Peer.write(socket, "HEAD /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\n\r\n");
+    ScriptedPeer.write(socket, "HEAD /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\n\r\n");
     assertThat(Answer.readHead(socket.getInputStream()).get(0), equalTo("HTTP/1.1 200 OK"));
   }
 }
--- a/src/test/java/slateslip/dataplane/CrossingsTest.java
+++ b/src/test/java/slateslip/dataplane/CrossingsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import slateslip.dataplane.DataPlaneFixture.Answer;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 
 /**
  * A request that may not be repeated meets one behaviour of a backend, and what goes on elsewhere
@@ -97,17 +97,17 @@
         });
   }
 
-  private static void behave(Behaviour behaviour, Peer.Message message, Socket socket)
+  private static void behave(Behaviour behaviour, ScriptedPeer.Message message, Socket socket)
       throws IOException {
     String id = message.header("X-Attempt-Id");
     String keep = "Keep-Alive: timeout=60\r\n";
     switch (behaviour) {
       case ANSWERS -> DataPlaneFixture.serve(message, socket, keep, id);
-      case FAILS -> Peer.answer(socket, 500, DataPlaneFixture.stamped(message) + keep, id);
-      case RESETS -> Peer.reset(socket);
+      case FAILS -> ScriptedPeer.answer(socket, 500, DataPlaneFixture.stamped(message) + keep, id);
+      case RESETS -> ScriptedPeer.reset(socket);
       case STAYS_SILENT -> {}
       case BREAKS_OFF -> {
-        Peer.write(
+        ScriptedPeer.write(
             socket,
             "HTTP/1.1 200 OK\r\n"
                 + DataPlaneFixture.stamped(message)
@@ -116,11 +116,11 @@
         socket.close();
       }
       case ANSWERS_ANOTHER_FIRST -> {
-        Peer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
+        ScriptedPeer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
         DataPlaneFixture.serve(message, socket, keep, id);
       }
       case ANSWERS_TOO_MUCH ->
-          Peer.write(
+          ScriptedPeer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
                   + DataPlaneFixture.stamped(message)
@@ -131,12 +131,12 @@
                   + id
                   + "HTTP/1.1 200 OK\r\nX-Attempt-Id: later-1\r\nContent-Length: 0\r\n\r\n");
       case ANSWERS_ONLY_ANOTHER ->
-          Peer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
+          ScriptedPeer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
       case IS_FULL ->
-          Peer.answer(
+          ScriptedPeer.answer(
               socket, 503, DataPlaneFixture.idOf(message) + keep + "X-Not-Executed: 1\r\n", "");
       case IS_ANOTHER ->
-          Peer.answer(
+          ScriptedPeer.answer(
               socket, 421, DataPlaneFixture.idOf(message) + keep + "X-Instance-Id: i-9\r\n", "");
     }
   }
--- a/src/test/java/slateslip/dataplane/DataPlaneFixture.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneFixture.java
@@ -22,8 +22,8 @@
 import slateslip.dataplane.forwarding.Forwarder;
 import slateslip.dataplane.ingress.ClientIngress;
 import slateslip.distribution.BackendSession;
-import slateslip.loadbalancer.net.Inspectable;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.InspectableSocketChannel;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RequestRouter;
 
 /** The path of requests on loopback ports, between scripted clients and scripted backends. */
@@ -36,10 +36,11 @@
   final DataPlaneMetrics metrics = new DataPlaneMetrics();
   final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   final EventLoop loop = group.next();
-  final BackendPools pools = new BackendPools(loop, CONNECTIONS, metrics, Inspectable::new);
+  final BackendPools pools =
+      new BackendPools(loop, CONNECTIONS, metrics, InspectableSocketChannel::new);
   final Forwarder forwarder;
   final ClientIngress ingress;
-  final List<Peer> backends = new ArrayList<>();
+  final List<ScriptedPeer> backends = new ArrayList<>();
   private final List<BackendSession> sessions = new ArrayList<>();
   private final List<Socket> clients = new ArrayList<>();
 
@@ -56,8 +57,8 @@
   }
 
   /** Adds a backend, {@code b-1} and so on. */
-  Peer backend(Peer.Script script) throws IOException {
-    Peer peer = new Peer(script);
+  ScriptedPeer backend(ScriptedPeer.Script script) throws IOException {
+    ScriptedPeer peer = new ScriptedPeer(script);
     backends.add(peer);
     listed(peer.address());
     return peer;
@@ -65,7 +66,7 @@
 
   /** Lists a backend at an address where nobody listens. */
   void deadBackend() throws IOException {
-    Peer peer = new Peer((message, socket) -> {});
+    ScriptedPeer peer = new ScriptedPeer((message, socket) -> {});
     peer.close();
     listed(peer.address());
   }
@@ -123,27 +124,27 @@
   /** Sends a plain request on a new connection and reads the whole answer. */
   Answer call(String id) throws IOException {
     Socket socket = dial();
-    Peer.write(socket, request(id, "", "body"));
+    ScriptedPeer.write(socket, request(id, "", "body"));
     return Answer.read(socket.getInputStream());
   }
 
   /** A backend's success with the id of the request. */
-  static void serve(Peer.Message message, Socket socket, String headers, String body)
+  static void serve(ScriptedPeer.Message message, Socket socket, String headers, String body)
       throws IOException {
-    Peer.answer(socket, 200, stamped(message) + headers, body);
+    ScriptedPeer.answer(socket, 200, stamped(message) + headers, body);
   }
 
-  static String stamped(Peer.Message message) {
+  static String stamped(ScriptedPeer.Message message) {
     return idOf(message) + STAMP;
   }
 
-  static String idOf(Peer.Message message) {
+  static String idOf(ScriptedPeer.Message message) {
     return "X-Attempt-Id: " + message.header("X-Attempt-Id") + "\r\n";
   }
 
   /** The head of a backend's stream. */
-  static void beginStream(Peer.Message message, Socket socket) throws IOException {
-    Peer.write(
+  static void beginStream(ScriptedPeer.Message message, Socket socket) throws IOException {
+    ScriptedPeer.write(
         socket,
         "HTTP/1.1 200 OK\r\n"
             + stamped(message)
@@ -151,11 +152,11 @@
   }
 
   static void chunk(Socket socket, String text) throws IOException {
-    Peer.write(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    ScriptedPeer.write(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
   static void lastChunk(Socket socket) throws IOException {
-    Peer.write(socket, "0\r\n\r\n");
+    ScriptedPeer.write(socket, "0\r\n\r\n");
   }
 
   static String event(int id) {
@@ -177,7 +178,7 @@
     for (Socket client : clients) {
       client.close();
     }
-    for (Peer backend : backends) {
+    for (ScriptedPeer backend : backends) {
       backend.close();
     }
     group
--- a/src/test/java/slateslip/dataplane/DataPlaneTest.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneTest.java
@@ -20,7 +20,7 @@
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.QuotaAllocation;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
@@ -35,13 +35,15 @@
           + "\"header_timeout_ms\":3000,\"idle_timeout_ms\":15000}}";
 
   private final List<Socket> sockets = new ArrayList<>();
-  private Peer backend;
+  private ScriptedPeer backend;
   private ScriptedControlAgent control;
   private DataPlane dataPlane;
 
   @BeforeEach
   void start() throws IOException {
-    backend = new Peer((message, socket) -> DataPlaneFixture.serve(message, socket, "", "served"));
+    backend =
+        new ScriptedPeer(
+            (message, socket) -> DataPlaneFixture.serve(message, socket, "", "served"));
     BackendSession session =
         new BackendSession("b-1", "svc", backend.address(), "z", "v1", 4, false, 0, 1);
     control =
@@ -90,7 +92,7 @@
 
   private Answer get(String path) {
     try (Socket socket = dial(dataPlane.statusAddress())) {
-      Peer.write(socket, "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+      ScriptedPeer.write(socket, "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
       return Answer.read(socket.getInputStream());
     } catch (IOException failed) {
       throw new AssertionError(failed);
@@ -98,7 +100,7 @@
   }
 
   private Answer call(Socket socket, String id) throws IOException {
-    Peer.write(socket, DataPlaneFixture.request(id, "", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request(id, "", ""));
     return Answer.read(socket.getInputStream());
   }
 
@@ -118,7 +120,7 @@
   void servesOnWhileItLeavesAndEndsWhenNothingIsOpen() throws IOException {
     Socket kept = dial(dataPlane.address());
     assertThat(call(kept, "a1").status(), is(200));
-    Peer.daemon(dataPlane::stop);
+    ScriptedPeer.daemon(dataPlane::stop);
     DataPlaneFixture.await(() -> get("/ready").status() == 503);
     Answer last = call(kept, "a2");
     assertThat(last.body(), is("served"));
@@ -129,7 +131,7 @@
 
   @Test
   void breaksOffAtTheEndWhatABackendDoesNotFinish() throws IOException {
-    Peer silent = new Peer((message, socket) -> {});
+    ScriptedPeer silent = new ScriptedPeer((message, socket) -> {});
     BackendSession session =
         new BackendSession("b-2", "svc", silent.address(), "z", "v1", 4, false, 0, 1);
     try (ScriptedControlAgent other =
@@ -144,7 +146,7 @@
       control = first;
       DataPlaneFixture.await(() -> other.heard.contains(new DataPlaneMessage.Acknowledge(5, 1)));
       Socket client = dial(leaving.address());
-      Peer.write(client, DataPlaneFixture.request("a1", "", ""));
+      ScriptedPeer.write(client, DataPlaneFixture.request("a1", "", ""));
       DataPlaneFixture.await(() -> silent.requests.size() == 1);
       leaving.stop();
       assertThat(client.getInputStream().read(), is(-1));
--- a/src/test/java/slateslip/dataplane/EarlyAnswersTest.java
+++ b/src/test/java/slateslip/dataplane/EarlyAnswersTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import slateslip.dataplane.DataPlaneFixture.Answer;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
 /** Backends that answer a request that may not be repeated before they have read its body. */
@@ -56,7 +56,7 @@
   }
 
   private void backendThatReadsHeads(HeadScript script) {
-    Peer.daemon(
+    ScriptedPeer.daemon(
         () -> {
           while (true) {
             Socket socket = server.accept();
@@ -75,13 +75,14 @@
         .orElseThrow();
   }
 
-  private Peer good() throws IOException {
+  private ScriptedPeer good() throws IOException {
     return stage.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
   }
 
   private Answer callWithLongBody(String id) throws IOException {
     Socket client = stage.dial();
-    Peer.daemon(() -> Peer.write(client, DataPlaneFixture.request(id, "", "x".repeat(BODY_BYTES))));
+    ScriptedPeer.daemon(
+        () -> ScriptedPeer.write(client, DataPlaneFixture.request(id, "", "x".repeat(BODY_BYTES))));
     return Answer.read(client.getInputStream());
   }
 
@@ -94,7 +95,8 @@
   void anEarlyRejectionSaysThatItHasNotRun() throws IOException {
     backendThatReadsHeads(
         (id, socket) ->
-            Peer.answer(socket, 503, "X-Attempt-Id: " + id + "\r\nX-Not-Executed: 1\r\n", ""));
+            ScriptedPeer.answer(
+                socket, 503, "X-Attempt-Id: " + id + "\r\nX-Not-Executed: 1\r\n", ""));
     good();
     assertThat(callWithLongBody("a1").body(), is("good"));
     awaitEnds(NOT_EXECUTED, SUCCESS);
@@ -104,9 +106,9 @@
   void anEarlyFailureIsPassedOnAndNotRepeated() throws IOException {
     backendThatReadsHeads(
         (id, socket) ->
-            Peer.answer(
+            ScriptedPeer.answer(
                 socket, 500, "X-Attempt-Id: " + id + "\r\nX-Response-Stamp: s\r\n", "failed"));
-    Peer other = good();
+    ScriptedPeer other = good();
     assertThat(callWithLongBody("a1").status(), is(500));
     awaitEnds(ERROR_ANSWER);
     assertThat(other.requests.size(), is(0));
@@ -116,14 +118,14 @@
   void anEarlyAnswerThatBreaksOffIsNotRepeated() throws IOException {
     backendThatReadsHeads(
         (id, socket) -> {
-          Peer.write(
+          ScriptedPeer.write(
               socket,
               "HTTP/1.1 200 OK\r\nX-Attempt-Id: "
                   + id
                   + "\r\nX-Response-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
           socket.shutdownOutput();
         });
-    Peer other = good();
+    ScriptedPeer other = good();
     assertThat(callWithLongBody("a1").status(), is(502));
     awaitEnds(BROKEN);
     assertThat(other.requests.size(), is(0));
@@ -133,7 +135,7 @@
   void aConnectionWhoseBodyIsNotOutIsNotUsedAgain() throws IOException {
     backendThatReadsHeads(
         (id, socket) ->
-            Peer.answer(
+            ScriptedPeer.answer(
                 socket,
                 200,
                 "X-Attempt-Id: " + id + "\r\nX-Response-Stamp: s\r\nKeep-Alive: timeout=60\r\n",
--- a/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
+++ b/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.DataPlaneMessage;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.DistributionCodec;
 
@@ -30,12 +30,12 @@
   ScriptedControlAgent(List<ControlPlaneMessage> whenActive) throws IOException {
     this.whenActive = whenActive;
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    Peer.daemon(
+    ScriptedPeer.daemon(
         () -> {
           while (true) {
             Socket socket = listener.accept();
             sockets.add(socket);
-            Peer.daemon(() -> read(socket));
+            ScriptedPeer.daemon(() -> read(socket));
           }
         });
   }
--- a/src/test/java/slateslip/dataplane/StreamsTest.java
+++ b/src/test/java/slateslip/dataplane/StreamsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import slateslip.dataplane.DataPlaneFixture.Answer;
-import slateslip.loadbalancer.net.Peer;
+import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
@@ -53,7 +53,7 @@
           DataPlaneFixture.lastChunk(socket);
         });
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", ""));
     InputStream in = socket.getInputStream();
     parts.add(DataPlaneFixture.event(1) + "id: 2\nda");
     Answer.readHead(in);
@@ -62,7 +62,7 @@
     assertThat(Answer.readChunk(in), is(DataPlaneFixture.event(2)));
     parts.add("");
     assertThat(Answer.readChunk(in), is(""));
-    Peer.write(socket, DataPlaneFixture.request("a2", "", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a2", "", ""));
     parts.add(DataPlaneFixture.event(1));
     Answer.readHead(in); // the connection goes on
   }
@@ -73,9 +73,9 @@
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
           DataPlaneFixture.chunk(socket, events(1, 3) + "id: 4\ndata: pie");
-          Peer.reset(socket);
+          ScriptedPeer.reset(socket);
         });
-    Peer second =
+    ScriptedPeer second =
         stage.backend(
             (message, socket) -> {
               DataPlaneFixture.beginStream(message, socket);
@@ -83,10 +83,10 @@
               DataPlaneFixture.lastChunk(socket);
             });
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "Last-Event-Id: 0\r\n", "prompt"));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "Last-Event-Id: 0\r\n", "prompt"));
     Answer answer = Answer.read(socket.getInputStream());
     assertThat(answer.body().replaceAll("(?s).*?id: ", "id: "), answer.complete(), is(true));
-    Peer.Message resumed = second.requests.get(0);
+    ScriptedPeer.Message resumed = second.requests.get(0);
     String passed = answer.body();
     assertThat(passed, is(events(1, 5)));
     assertThat(resumed.header("Last-Event-Id"), is("3"));
@@ -97,7 +97,7 @@
   @Test
   void leavesABackendThatFallsSilentInTheMiddle() throws IOException {
     stage.router.silenceTimeoutMicros = 100_000;
-    Peer dark =
+    ScriptedPeer dark =
         stage.backend(
             (message, socket) -> {
               DataPlaneFixture.beginStream(message, socket);
@@ -107,7 +107,8 @@
         (message, socket) -> {
           String rest = events(3, 4); // in one write, so that no pause falls between its parts
           DataPlaneFixture.beginStream(message, socket);
-          Peer.write(socket, Integer.toHexString(rest.length()) + "\r\n" + rest + "\r\n0\r\n\r\n");
+          ScriptedPeer.write(
+              socket, Integer.toHexString(rest.length()) + "\r\n" + rest + "\r\n0\r\n\r\n");
         });
     Answer answer = stage.call("a1");
     assertThat(answer.body(), is(events(1, 4)));
@@ -122,7 +123,7 @@
           DataPlaneFixture.beginStream(message, socket);
           socket.close();
         });
-    Peer second =
+    ScriptedPeer second =
         stage.backend(
             (message, socket) -> {
               DataPlaneFixture.beginStream(message, socket);
@@ -130,7 +131,7 @@
               DataPlaneFixture.lastChunk(socket);
             });
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "Last-Event-Id: 12\r\n", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "Last-Event-Id: 12\r\n", ""));
     assertThat(Answer.read(socket.getInputStream()).body(), is(events(13, 14)));
     assertThat(second.requests.get(0).header("Last-Event-Id"), is("12"));
   }
@@ -168,7 +169,7 @@
     stage.router.repeatable = false;
     stage.backend(
         (message, socket) -> {
-          Peer.write(
+          ScriptedPeer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
                   + DataPlaneFixture.stamped(message)
@@ -185,7 +186,7 @@
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
           DataPlaneFixture.chunk(socket, events(1, 2));
-          Peer.reset(socket);
+          ScriptedPeer.reset(socket);
         });
     stage.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "no stream"));
     Answer answer = stage.call("a1");
@@ -197,7 +198,7 @@
   void tellsTheLoadOfAStreamsHeadWhenItStarts() throws IOException {
     stage.backend(
         (message, socket) -> {
-          Peer.write(
+          ScriptedPeer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
                   + DataPlaneFixture.stamped(message)
@@ -224,10 +225,11 @@
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
           DataPlaneFixture.chunk(socket, events(1, 2));
-          Peer.reset(socket);
+          ScriptedPeer.reset(socket);
         });
     stage.backend(
-        (message, socket) -> Peer.answer(socket, 500, DataPlaneFixture.stamped(message), "no"));
+        (message, socket) ->
+            ScriptedPeer.answer(socket, 500, DataPlaneFixture.stamped(message), "no"));
     assertThat(stage.call("a1").complete(), is(false));
   }
 
@@ -246,14 +248,14 @@
 
   @Test
   void cancelsAStreamWhoseClientHasGone() throws IOException {
-    Peer backend =
+    ScriptedPeer backend =
         stage.backend(
             (message, socket) -> {
               DataPlaneFixture.beginStream(message, socket);
               DataPlaneFixture.chunk(socket, events(1, 1));
             });
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", ""));
     Answer.readHead(socket.getInputStream());
     socket.close();
     DataPlaneFixture.await(() -> backend.ended.size() == 1);
@@ -274,7 +276,7 @@
           DataPlaneFixture.lastChunk(socket);
         });
     Socket socket = stage.dial();
-    Peer.write(socket, DataPlaneFixture.request("a1", "", ""));
+    ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", ""));
     InputStream in = socket.getInputStream();
     Answer.readHead(in);
     DataPlaneFixture.await(() -> stage.bufferedForClients() > 0);
