--- a/src/test/java/slateslip/loadbalancer/RulesTest.java
+++ b/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
@@ -9,28 +9,28 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
 
 /** The four rules, with their awkward cases. */
-class RulesTest {
-  private static final long SECOND = Hand.SECOND;
+class DefaultLoadBalancerTest {
+  private static final long SECOND = FakeHost.SECOND;
 
-  private static Hand two(Semantics semantics, Scope scope) {
-    return new Hand(Hand.settings(semantics, scope))
-        .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1));
+  private static FakeHost two(Semantics semantics, Scope scope) {
+    return new FakeHost(FakeHost.settings(semantics, scope))
+        .full(FakeHost.server(1, 0), FakeHost.server(2, 0), FakeHost.server(3, 1));
   }
 
   // ---- one final answer, in time ----
 
   @Test
   void anAttemptThatNeverEndsStillGetsOneFinalAnswerBeforeTheDeadline() {
-    Hand hand = two(Semantics.SAFE, Scope.ALL);
+    FakeHost hand = two(Semantics.SAFE, Scope.ALL);
     long id = hand.request();
     hand.pass(2 * SECOND);
     assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
@@ -41,16 +41,16 @@
 
   @Test
   void theDeadlineIsTheRequestsOwn() {
-    Hand hand = two(Semantics.UNSAFE, Scope.ALL);
+    FakeHost hand = two(Semantics.UNSAFE, Scope.ALL);
     hand.balancer.request(
-        hand.now, new Balancer.Request(99, 0, 0, 0, 0, hand.now + 200_000, false, false));
+        hand.now, new LoadBalancer.Request(99, 0, 0, 0, 0, hand.now + 200_000, false, false));
     hand.pass(215_000);
     assertEquals(1, hand.of("fail", 99).size());
   }
 
   @Test
   void withoutAnyServerARequestIsRefusedInTime() {
-    Hand hand = new Hand(Hand.settings(Semantics.UNSAFE, Scope.ALL)).full();
+    FakeHost hand = new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL)).full();
     long id = hand.request();
     hand.pass(SECOND + 10_000);
     assertEquals(1, hand.of("refuse", id).size());
@@ -59,7 +59,7 @@
 
   @Test
   void outcomesTimersAndDeparturesOfClosedRequestsArePassedOver() {
-    Hand hand = two(Semantics.SAFE, Scope.ALL);
+    FakeHost hand = two(Semantics.SAFE, Scope.ALL);
     long id = hand.request();
     hand.end(id, 0, Outcome.OK, 1000);
     int before = hand.acts.size();
@@ -77,11 +77,11 @@
   void aRequestWhoseClientLeftNoLongerCountsAmongThoseThatWait() {
     long[] told = new long[2];
     for (int leaving = 0; leaving < 2; leaving++) {
-      Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+      FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
       for (int i = 0; i < 100; i++) {
         hand.serve(25_000);
       }
-      hand.full(Hand.server(1, 0, Phase.DRAINING, 0));
+      hand.full(FakeHost.server(1, 0, Phase.DRAINING, 0));
       long first = hand.request();
       long[] between = new long[20 * leaving];
       Arrays.setAll(between, i -> hand.request());
@@ -95,7 +95,7 @@
 
   @Test
   void nothingIsSentForARequestWhoseClientLeft() {
-    Hand hand = two(Semantics.SAFE, Scope.ALL);
+    FakeHost hand = two(Semantics.SAFE, Scope.ALL);
     long id = hand.request();
     hand.balancer.clientLeft(hand.now, id);
     hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
@@ -107,11 +107,13 @@
   @Test
   void aStartedStreamHasNoDeadline() {
     var streamed =
-        new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-    Hand hand =
-        new Hand(
-                Hand.settings(List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
-            .full(Hand.server(1, 0));
+        new LoadBalancer.RequestClass(
+            SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
+                    List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
+            .full(FakeHost.server(1, 0));
     long id = hand.request();
     hand.balancer.streamStarted(hand.now, id, 0, 1, 100);
     hand.pass(10 * SECOND);
@@ -126,7 +128,7 @@
       if (outcome == Outcome.OK || outcome == Outcome.NEVER_SENT) {
         continue;
       }
-      Hand hand = two(Semantics.UNSAFE, Scope.ALL);
+      FakeHost hand = two(Semantics.UNSAFE, Scope.ALL);
       long id = hand.request();
       hand.end(id, 0, outcome, 1000);
       boolean proven = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
@@ -147,13 +149,13 @@
    */
   @Test
   void aRequestThatReachedNoServerGoesToOneOfThemAgain() {
-    Hand hand =
-        new Hand(Hand.settings(Semantics.UNSAFE, Scope.ALL))
-            .full(Hand.server(1, 0), Hand.server(2, 1));
+    FakeHost hand =
+        new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL))
+            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     long id = hand.request();
     hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
     hand.pass(SECOND / 4); // to the other zone after its price
-    assertEquals(2, hand.sends(id).stream().map(Hand.Act::server).distinct().count());
+    assertEquals(2, hand.sends(id).stream().map(FakeHost.Act::server).distinct().count());
     hand.end(id, 1, Outcome.CONNECT_FAILED, 1000);
     hand.pass(SECOND / 4);
     assertEquals(3, hand.sends(id).size());
@@ -165,9 +167,9 @@
   /** Guards against more work for servers that all have too much. */
   @Test
   void aRequestThatAllTurnedAwayAsFullDoesNotGoThereAgain() {
-    Hand hand =
-        new Hand(Hand.settings(Semantics.UNSAFE, Scope.ALL))
-            .full(Hand.server(1, 0), Hand.server(2, 1));
+    FakeHost hand =
+        new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL))
+            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     long id = hand.request();
     hand.end(id, 0, Outcome.FULL, 1000);
     hand.pass(SECOND / 4);
@@ -179,7 +181,8 @@
   /** Guards against the same server being tried over and over while another has only no room. */
   @Test
   void aServerItHasNotBeenToIsWaitedForBeforeOneNotReached() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = hand.request();
     long here = hand.target(id);
     List<Long> filling = new ArrayList<>();
@@ -205,9 +208,13 @@
   @Test
   void keyedByZoneGoesAgainOnlyInsideTheZone() {
     for (long seed = 0; seed < 20; seed++) {
-      Hand hand =
-          new Hand(Hand.settings(Semantics.KEYED, Scope.ZONE), seed)
-              .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 1), Hand.server(4, 1));
+      FakeHost hand =
+          new FakeHost(FakeHost.settings(Semantics.KEYED, Scope.ZONE), seed)
+              .full(
+                  FakeHost.server(1, 0),
+                  FakeHost.server(2, 0),
+                  FakeHost.server(3, 1),
+                  FakeHost.server(4, 1));
       long id = hand.request();
       hand.end(id, 0, Outcome.RESET, 1000);
       hand.pass(10_000);
@@ -223,11 +230,11 @@
 
   @Test
   void keyedByCellStaysInTheCellEvenWhenTheZoneHasMore() {
-    Hand hand =
-        new Hand(Hand.settings(Semantics.KEYED, Scope.CELL))
+    FakeHost hand =
+        new FakeHost(FakeHost.settings(Semantics.KEYED, Scope.CELL))
             .full(
-                new Balancer.Server(1, 0, 10, 0, Phase.READY, 1, 0),
-                new Balancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
+                new LoadBalancer.Server(1, 0, 10, 0, Phase.READY, 1, 0),
+                new LoadBalancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
     long id = hand.request();
     hand.end(id, 0, Outcome.ERROR, 1000);
     hand.pass(2 * SECOND);
@@ -238,11 +245,12 @@
   @Test
   void keyedIsNotSentAfterTheWindow() {
     var late =
-        new Balancer.RequestClass(
+        new LoadBalancer.RequestClass(
             3 * SECOND, 0, 4 * SECOND, Semantics.KEYED, Scope.ALL, SECOND, 1, 0, false);
-    Hand hand =
-        new Hand(Hand.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
-            .full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
+            .full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = hand.request();
     hand.pass(900_000);
     hand.end(id, 0, Outcome.RESET, 900_000);
@@ -253,7 +261,7 @@
 
   @Test
   void neverTwoAttemptsOutWhereTheHostForbidsIt() {
-    Hand hand = two(Semantics.SAFE, Scope.ALL);
+    FakeHost hand = two(Semantics.SAFE, Scope.ALL);
     long id = hand.request();
     hand.pass(900_000);
     assertEquals(1, hand.sends(id).size());
@@ -261,14 +269,18 @@
 
   @Test
   void theAttemptsCapHolds() {
-    Hand hand =
-        new Hand(
-                Hand.settings(
-                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
+                    List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                     new Permits(2, false, true, true, false, 0),
                     1,
                     1))
-            .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+            .full(
+                FakeHost.server(1, 0),
+                FakeHost.server(2, 0),
+                FakeHost.server(3, 0),
+                FakeHost.server(4, 0));
     long id = hand.request();
     hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
     hand.end(id, 1, Outcome.CONNECT_FAILED, 1000);
@@ -282,8 +294,8 @@
   @Test
   void nothingGoesToADrainingOrGoneServerNotEvenWhenItIsTheOnlyOne() {
     for (Phase phase : List.of(Phase.DRAINING, Phase.GONE)) {
-      Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-      hand.list(ListKind.DELTA, Hand.server(1, 0, phase, 0));
+      FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+      hand.list(ListKind.DELTA, FakeHost.server(1, 0, phase, 0));
       long id = hand.request();
       hand.pass(2 * SECOND);
       assertTrue(hand.sends(id).isEmpty());
@@ -292,33 +304,34 @@
 
   @Test
   void aServerMissingFromAFullListIsGoneAndOneReadyAgainIsUsed() {
-    Hand hand = two(Semantics.SAFE, Scope.ALL);
-    hand.full(Hand.server(2, 0));
+    FakeHost hand = two(Semantics.SAFE, Scope.ALL);
+    hand.full(FakeHost.server(2, 0));
     for (int i = 0; i < 6; i++) {
       long id = hand.request();
       assertEquals(2, hand.target(id));
       hand.end(id, 0, Outcome.OK, 1000);
     }
-    hand.full(Hand.server(2, 0, Phase.DRAINING, 0), Hand.server(1, 0));
+    hand.full(FakeHost.server(2, 0, Phase.DRAINING, 0), FakeHost.server(1, 0));
     assertEquals(1, hand.target(hand.request()));
-    hand.list(ListKind.DELTA, Hand.server(2, 0), Hand.server(1, 0, Phase.GONE, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(2, 0), FakeHost.server(1, 0, Phase.GONE, 0));
     assertEquals(2, hand.target(hand.request()));
   }
 
   // ---- cold servers ----
 
-  private static int sentTo(Hand hand, long server, long id0) {
+  private static int sentTo(FakeHost hand, long server, long id0) {
     return (int)
         hand.all("send").stream().filter(a -> a.server() == server && a.id() >= id0).count();
   }
 
   @Test
   void aColdServerGetsItsSurePartOfAWarmServersRateAndNoBurst() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 200; i++) {
       hand.serve(25_000);
     }
-    hand.list(ListKind.DELTA, Hand.server(3, 0, Phase.READY, hand.now));
+    hand.list(ListKind.DELTA, FakeHost.server(3, 0, Phase.READY, hand.now));
     long from = hand.request();
     hand.end(from, 0, Outcome.OK, 1000);
     for (int i = 0; i < 40; i++) {
@@ -332,11 +345,12 @@
 
   @Test
   void aColdServerIsNotFloodedWhenItIsAloneButIsNotStarvedEither() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 200; i++) {
       hand.serve(25_000);
     }
-    hand.full(Hand.server(3, 0, Phase.READY, hand.now));
+    hand.full(FakeHost.server(3, 0, Phase.READY, hand.now));
     for (int i = 0; i < 100; i++) {
       hand.request();
       hand.pass(10_000);
@@ -347,7 +361,7 @@
 
   @Test
   void aServerThatAnswersAgainAfterABreakIsTreatedAsColdWhateverTheListSays() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     hand.serve(25_000);
     long one = hand.request();
     long other = hand.request();
@@ -364,7 +378,7 @@
    */
   @Test
   void brokenConnectionsAloneAreNoRestartHoweverLongTheServerRested() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     hand.serve(25_000);
     long one = hand.request();
     long other = hand.request();
@@ -382,7 +396,7 @@
    */
   @Test
   void aServerThatAnswersAtOnceAfterABreakIsNotCold() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 10; i++) {
       hand.serve(20_000);
     }
@@ -406,16 +420,16 @@
     for (int agents : new int[] {40, 400}) {
       Server[] list = new Server[20];
       for (int i = 0; i < list.length; i++) {
-        list[i] = Hand.server(i + 1, 0);
+        list[i] = FakeHost.server(i + 1, 0);
       }
       int cold = 0;
       int all = 0;
       // All agents together send 200 requests a second, 10 to a server: each one in agents / 200 s.
       for (int seed = 0; seed < agents; seed++) {
-        Hand hand =
-            new Hand(
-                    Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        FakeHost hand =
+            new FakeHost(
+                    FakeHost.settings(
+                        List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, false, false, 0),
                         1,
                         agents),
@@ -424,9 +438,9 @@
         SplittableRandom random = new SplittableRandom(seed);
         long from = 0;
         long began = hand.now;
-        while (hand.now < began + 14 * Hand.SECOND) {
-          if (from == 0 && hand.now >= began + 12 * Hand.SECOND) {
-            hand.list(ListKind.DELTA, Hand.server(1, 0, Phase.READY, hand.now));
+        while (hand.now < began + 14 * FakeHost.SECOND) {
+          if (from == 0 && hand.now >= began + 12 * FakeHost.SECOND) {
+            hand.list(ListKind.DELTA, FakeHost.server(1, 0, Phase.READY, hand.now));
             from = hand.serve(20_000);
             continue;
           }
@@ -447,16 +461,21 @@
 
   @Test
   void entriesForUnknownOrAlreadyGoneServersAndRepeatsChangeNothing() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
-    hand.list(ListKind.DELTA, Hand.server(9, 0, Phase.GONE, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(9, 0, Phase.GONE, 0));
     hand.list(
-        ListKind.DELTA, Hand.server(9, 0, Phase.GONE, 0), Hand.server(1, 0), Hand.server(1, 0));
+        ListKind.DELTA,
+        FakeHost.server(9, 0, Phase.GONE, 0),
+        FakeHost.server(1, 0),
+        FakeHost.server(1, 0));
     hand.balancer.probed(hand.now, 77, Outcome.OK, 1000, new double[0]);
     for (int i = 0; i < 20; i++) {
       assertEquals(1, hand.target(hand.serve(20_000)));
     }
     hand.list(
-        ListKind.DELTA, Hand.server(8, 0, Phase.DRAINING, 0), Hand.server(1, 0, Phase.DRAINING, 0));
+        ListKind.DELTA,
+        FakeHost.server(8, 0, Phase.DRAINING, 0),
+        FakeHost.server(1, 0, Phase.DRAINING, 0));
     assertEquals(-1, hand.target(hand.request()));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/AskingTest.java
+++ b/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
 
 /** When discovery is asked where it must be: in time, and not by all at once. */
-class AskingTest {
-  private static final long SECOND = Hand.SECOND;
+class DiscoveryPollingTest {
+  private static final long SECOND = FakeHost.SECOND;
 
   /**
    * What the protocol leaves from a change, or the return of discovery, until it counts as told.
@@ -23,16 +23,17 @@
   private static final long TOLD = 6 * SECOND;
 
   /**
-   * By the settings of {@link Hand}, 10 s: a quarter of the time within which an agent has to ask.
+   * By the settings of {@link FakeHost}, 10 s: a quarter of the time within which an agent has to
+   * ask.
    */
   private static final long SPREAD = 10 * SECOND / 4;
 
   private static final int AGENTS = 20;
 
-  private static Hand agent(long seed) {
-    return new Hand(
-        Hand.settings(
-            List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+  private static FakeHost agent(long seed) {
+    return new FakeHost(
+        FakeHost.settings(
+            List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
             new Permits(3, false, true, true, false, 0),
             1,
             AGENTS,
@@ -42,17 +43,17 @@
         seed);
   }
 
-  private static int calls(Hand hand) {
+  private static int calls(FakeHost hand) {
     return hand.all("watch").size();
   }
 
   /** Moves the clock on until the next call, and returns how long that took. */
-  private static long untilCall(Hand hand) {
+  private static long untilCall(FakeHost hand) {
     int before = calls(hand);
     long from = hand.now;
     while (calls(hand) == before) {
       assertTrue(hand.now - from < TOLD, "no call for 6 s");
-      hand.pass(Hand.TICK);
+      hand.pass(FakeHost.TICK);
     }
     return hand.now - from;
   }
@@ -61,13 +62,13 @@
   void theFirstCallsOfAgentsThatStartTogetherAreSpread() {
     List<Long> firsts = new ArrayList<>();
     for (long seed = 1; seed <= 100; seed++) {
-      Hand hand = agent(seed);
+      FakeHost hand = agent(seed);
       assertEquals(0, calls(hand));
       firsts.add(untilCall(hand));
       hand.pass(TOLD);
       assertEquals(1, calls(hand), "one call is enough where it is answered");
     }
-    assertTrue(firsts.stream().allMatch(each -> each <= SPREAD + Hand.TICK), firsts.toString());
+    assertTrue(firsts.stream().allMatch(each -> each <= SPREAD + FakeHost.TICK), firsts.toString());
     for (long from = 0; from < SPREAD; from += SPREAD / 5) {
       long part = from;
       long n = firsts.stream().filter(each -> each >= part && each < part + SPREAD / 5).count();
@@ -82,28 +83,28 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void anyTwoWaitsInARowAreOverInTimeForAChangeToBeKnown(long seed) {
-    Hand hand = agent(seed);
+    FakeHost hand = agent(seed);
     untilCall(hand);
     long before = 0;
     for (int i = 0; i < 200; i++) {
       hand.list(ListKind.FAILED);
       long wait = untilCall(hand);
       assertTrue(wait >= SECOND / 2, "a discovery in trouble is not flooded");
-      assertTrue(before + wait <= TOLD - SECOND + 2 * Hand.TICK, before + " and " + wait);
+      assertTrue(before + wait <= TOLD - SECOND + 2 * FakeHost.TICK, before + " and " + wait);
       before = wait;
     }
   }
 
   @Test
   void afterAnAnswerTheWaitsBeginAnew() {
-    Hand hand = agent(1);
+    FakeHost hand = agent(1);
     untilCall(hand);
     for (int i = 0; i < 200; i++) {
       hand.list(ListKind.FAILED);
       untilCall(hand);
-      hand.full(Hand.server(1, 0));
+      hand.full(FakeHost.server(1, 0));
       hand.list(ListKind.FAILED);
-      assertTrue(untilCall(hand) <= 5 * SECOND / 2 + Hand.TICK);
+      assertTrue(untilCall(hand) <= 5 * SECOND / 2 + FakeHost.TICK);
     }
   }
 
@@ -120,18 +121,18 @@
      * @param downFor how long it cannot be reached at first
      */
     static Fleet play(long service, long downFor) {
-      List<Hand> hands = new ArrayList<>();
+      List<FakeHost> hands = new ArrayList<>();
       for (int i = 0; i < AGENTS; i++) {
         hands.add(agent(100 + i));
       }
       List<Long> answered = new ArrayList<>();
       int turnedAway = 0;
       long freeAt = 0;
-      for (long at = 0; answered.size() < AGENTS; at += Hand.TICK) {
+      for (long at = 0; answered.size() < AGENTS; at += FakeHost.TICK) {
         assertTrue(at < downFor + 10 * TOLD, "not all are answered");
-        for (Hand hand : hands) {
+        for (FakeHost hand : hands) {
           int before = calls(hand);
-          hand.pass(Hand.TICK);
+          hand.pass(FakeHost.TICK);
           if (calls(hand) == before) {
             continue;
           }
--- a/src/test/java/slateslip/loadbalancer/Hand.java
+++ b/src/test/java/slateslip/loadbalancer/FakeHost.java
@@ -3,23 +3,23 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import slateslip.loadbalancer.Balancer.Goal;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Obligations;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Prices;
-import slateslip.loadbalancer.Balancer.Request;
-import slateslip.loadbalancer.Balancer.RequestClass;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
-import slateslip.loadbalancer.Balancer.Settings;
-import slateslip.loadbalancer.Balancer.Tenant;
+import slateslip.loadbalancer.LoadBalancer.Goal;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Obligations;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Prices;
+import slateslip.loadbalancer.LoadBalancer.Request;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Settings;
+import slateslip.loadbalancer.LoadBalancer.Tenant;
 
 /** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
-class Hand implements Balancer.Actions {
+class FakeHost implements LoadBalancer.Actions {
   static final long SECOND = 1_000_000;
   static final long TICK = 5_000;
 
@@ -31,16 +31,16 @@
   final List<Act> acts = new ArrayList<>();
   final List<String> lines = new ArrayList<>();
   private final List<Timer> timers = new ArrayList<>();
-  final Balancer balancer;
+  final LoadBalancer balancer;
   long now = 100 * SECOND;
   private long nextId = 1;
 
-  Hand(Settings settings) {
+  FakeHost(Settings settings) {
     this(settings, 7);
   }
 
-  Hand(Settings settings, long seed) {
-    balancer = new Rules(settings, seed, now, this);
+  FakeHost(Settings settings, long seed) {
+    balancer = new DefaultLoadBalancer(settings, seed, now, this);
   }
 
   // ---- settings ----
@@ -100,12 +100,12 @@
 
   // ---- events ----
 
-  Hand list(ListKind kind, Server... servers) {
+  FakeHost list(ListKind kind, Server... servers) {
     balancer.servers(now, kind, Arrays.asList(servers));
     return this;
   }
 
-  Hand full(Server... servers) {
+  FakeHost full(Server... servers) {
     return list(ListKind.FULL, servers);
   }
 
--- a/src/test/java/slateslip/loadbalancer/OnCallTest.java
+++ b/src/test/java/slateslip/loadbalancer/LogLinesTest.java
@@ -11,20 +11,21 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Phase;
 
 /**
  * The README's part for those on call shows the lines that the module really prints, all of them
  * and no others.
  */
-class OnCallTest {
-  private static final long SECOND = Hand.SECOND;
+class LogLinesTest {
+  private static final long SECOND = FakeHost.SECOND;
 
   /** Every change of state there is, brought about once. */
   private static Set<String> printed() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 2; i++) {
       hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
     }
@@ -42,10 +43,10 @@
       }
       hand.pass(SECOND / 4);
     }
-    hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.DRAINING, 0));
-    hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.READY, 0));
-    hand.list(ListKind.DELTA, Hand.server(2, 0, Phase.GONE, 0));
-    hand.list(ListKind.DELTA, Hand.server(3, 0, Phase.READY, hand.now));
+    hand.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.DRAINING, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.READY, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.GONE, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(3, 0, Phase.READY, hand.now));
     Set<String> lines = new TreeSet<>();
     for (String line : hand.lines) {
       if (line.startsWith("waiting: ")) {
--- a/src/test/java/slateslip/loadbalancer/MechanismTest.java
+++ b/src/test/java/slateslip/loadbalancer/MechanismTest.java
@@ -16,23 +16,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
 
 /** The mechanism: probes, window, reactivation, pick, spill, fallback; and its departures. */
 class MechanismTest {
-  private static final long SECOND = Hand.SECOND;
+  private static final long SECOND = FakeHost.SECOND;
   private static final double[] NO_LOAD = new double[0];
 
-  private static Hand four() {
-    return new Hand(Hand.safe())
-        .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 1));
+  private static FakeHost four() {
+    return new FakeHost(FakeHost.safe())
+        .full(
+            FakeHost.server(1, 0),
+            FakeHost.server(2, 0),
+            FakeHost.server(3, 0),
+            FakeHost.server(4, 1));
   }
 
-  private static void failProbes(Hand hand, long server, int times) {
+  private static void failProbes(FakeHost hand, long server, int times) {
     for (int i = 0; i < times; i++) {
       hand.balancer.probed(hand.now, server, Outcome.TIMEOUT, SECOND, NO_LOAD);
     }
@@ -41,31 +45,31 @@
   @Test
   void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
     // A single agent, so that the whole interval is its own.
-    Hand hand =
-        new Hand(
-                Hand.settings(
-                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
+                    List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                     new Permits(4, false, true, true, false, 0),
                     2,
                     1))
             .full(
-                Hand.server(1, 0),
-                Hand.server(2, 0),
-                Hand.server(3, 0),
-                Hand.server(4, 0),
-                Hand.server(5, 1));
+                FakeHost.server(1, 0),
+                FakeHost.server(2, 0),
+                FakeHost.server(3, 0),
+                FakeHost.server(4, 0),
+                FakeHost.server(5, 1));
     for (int i = 0; i < 1000; i++) {
-      hand.pass(Hand.TICK);
-      for (Hand.Act probe : List.copyOf(hand.all("probe"))) {
+      hand.pass(FakeHost.TICK);
+      for (FakeHost.Act probe : List.copyOf(hand.all("probe"))) {
         if (probe.value() == hand.now) {
           hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
         }
       }
     }
-    List<Hand.Act> probes = hand.all("probe");
-    assertEquals(4, probes.stream().map(Hand.Act::server).distinct().count());
+    List<FakeHost.Act> probes = hand.all("probe");
+    assertEquals(4, probes.stream().map(FakeHost.Act::server).distinct().count());
     assertTrue(probes.size() >= 16 && probes.size() <= 24, "probes in 5 s: " + probes.size());
-    assertEquals(probes.size(), probes.stream().map(Hand.Act::value).distinct().count());
+    assertEquals(probes.size(), probes.stream().map(FakeHost.Act::value).distinct().count());
   }
 
   /**
@@ -76,19 +80,23 @@
     for (int agents : new int[] {5, 50, 500}) {
       int probes = 0;
       for (int seed = 0; seed < agents; seed++) {
-        Hand hand =
-            new Hand(
-                    Hand.settings(
-                        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        FakeHost hand =
+            new FakeHost(
+                    FakeHost.settings(
+                        List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                         new Permits(4, false, true, true, false, 0),
                         1,
                         agents),
                     seed)
-                .full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+                .full(
+                    FakeHost.server(1, 0),
+                    FakeHost.server(2, 0),
+                    FakeHost.server(3, 0),
+                    FakeHost.server(4, 0));
         for (int i = 0; i < 1000; i++) {
           int before = hand.all("probe").size();
-          hand.pass(2 * Hand.TICK);
-          for (Hand.Act probe : hand.all("probe").subList(before, hand.all("probe").size())) {
+          hand.pass(2 * FakeHost.TICK);
+          for (FakeHost.Act probe : hand.all("probe").subList(before, hand.all("probe").size())) {
             hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
           }
         }
@@ -101,21 +109,21 @@
 
   @Test
   void noProbesWhereTheHostPermitsNone() {
-    Hand hand =
-        new Hand(
-                Hand.settings(
-                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
+                    List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                     new Permits(3, false, true, false, false, 0),
                     1,
                     1))
-            .full(Hand.server(1, 0));
+            .full(FakeHost.server(1, 0));
     hand.pass(5 * SECOND);
     assertTrue(hand.all("probe").isEmpty());
   }
 
   @Test
   void failedProbesInARowMakeUnhealthyAndOneSuccessHealthy() {
-    Hand hand = four();
+    FakeHost hand = four();
     failProbes(hand, 1, 1);
     assertFalse(hand.logged("active Unhealthy"));
     hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
@@ -132,7 +140,7 @@
 
   @Test
   void aLateProbeOfAServerThatAnswersRealRequestsDoesNotCount() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 4; i++) {
       hand.serve(10_000);
       failProbes(hand, 1, 1);
@@ -141,7 +149,7 @@
   }
 
   /** Serves requests; those that go to server 1 end with the given outcome, the first so many. */
-  private static void failOnServerOne(Hand hand, int failures, Outcome outcome) {
+  private static void failOnServerOne(FakeHost hand, int failures, Outcome outcome) {
     int failed = 0;
     for (int i = 0; i < 400 && failed < failures; i++) {
       long id = hand.request();
@@ -158,7 +166,7 @@
 
   @Test
   void failuresOverTheLimitMakeThePassiveStateUnhealthyUntilReactivation() {
-    Hand hand = four();
+    FakeHost hand = four();
     failOnServerOne(hand, 4, Outcome.TIMEOUT);
     assertFalse(hand.logged("passive Unhealthy"), "below the minimum count");
     failOnServerOne(hand, 1, Outcome.TIMEOUT);
@@ -179,7 +187,7 @@
 
   @Test
   void aShareBelowTheLimitDoesNotCount() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 40; i++) {
       long id = hand.request();
       hand.end(id, 0, i % 4 == 3 ? Outcome.TIMEOUT : Outcome.OK, 10_000);
@@ -190,7 +198,7 @@
 
   @Test
   void whatFailsEverywhereAlikeRemovesNobody() {
-    Hand hand = four();
+    FakeHost hand = four();
     for (int i = 0; i < 100; i++) {
       long id = hand.request();
       if (hand.target(id) > 0) {
@@ -205,14 +213,15 @@
 
   @Test
   void ofTwoTheOneWithFewerInFlightIsTaken() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long first = hand.target(hand.request());
     assertNotEquals(first, hand.target(hand.request()));
   }
 
   @Test
   void theOwnZoneIsTakenWhileItHasRoomAndOthersOnceTheWaitIsWorthTheCrossing() {
-    Hand hand = four();
+    FakeHost hand = four();
     List<Long> ids = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       ids.add(hand.request());
@@ -227,7 +236,7 @@
 
   @Test
   void otherZonesAreTakenAtOnceWhenNoneIsAvailableHere() {
-    Hand hand = four();
+    FakeHost hand = four();
     for (long server = 1; server <= 3; server++) {
       failProbes(hand, server, 2);
     }
@@ -236,7 +245,7 @@
 
   @Test
   void allAreEligibleWhenNoneIsAvailableAnywhere() {
-    Hand hand = four();
+    FakeHost hand = four();
     for (long server = 1; server <= 4; server++) {
       failProbes(hand, server, 2);
     }
@@ -245,7 +254,8 @@
 
   @Test
   void aServerThatFailsAtOnceRestsAndDoesNotDrawEverything() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 20; i++) {
       hand.serve(50_000);
     }
@@ -270,7 +280,7 @@
       value = Outcome.class,
       names = {"RESET", "FULL", "CONNECT_FAILED", "ERROR"})
   void aSingleFailureBetweenAnswersIsNoReasonToRestAndASecondInARowIs(Outcome outcome) {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 20; i++) {
       hand.serve(50_000);
     }
@@ -283,13 +293,13 @@
 
   @Test
   void aServerThatTimesOutAndAnswersNothingElseRestsButOneHeavyRequestAmongOthersDoesNotMatter() {
-    Hand silent = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost silent = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     long lost = silent.request();
     silent.pass(SECOND / 2);
     silent.end(lost, 0, Outcome.TIMEOUT, SECOND / 2);
     assertEquals(0, silent.sends(silent.request()).size());
 
-    Hand busy = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost busy = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     long heavy = busy.request();
     busy.pass(SECOND / 4);
     busy.serve(SECOND / 8);
@@ -301,14 +311,16 @@
   @Test
   void theMoreValuableOfTwoHeldClassesGoesFirst() {
     var cheap =
-        new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
+        new LoadBalancer.RequestClass(
+            SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
     var dear =
-        new Balancer.RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
-    Hand hand =
-        new Hand(
-                Hand.settings(
+        new LoadBalancer.RequestClass(
+            SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
                     List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
-            .full(Hand.server(1, 0));
+            .full(FakeHost.server(1, 0));
     List<Long> first = new ArrayList<>();
     while (first.isEmpty() || hand.target(first.get(first.size() - 1)) == 1) {
       first.add(hand.request(0, 0));
@@ -324,7 +336,7 @@
 
   @Test
   void aMarkedRepeatWhoseTimeIsAlreadySpentIsRefusedAtOnceAndNotWorkedFor() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 60; i++) {
       hand.serve(300_000);
     }
@@ -333,14 +345,14 @@
     }
     hand.pass(SECOND);
     hand.balancer.request(
-        hand.now, new Balancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
+        hand.now, new LoadBalancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
     assertEquals(1, hand.of("refuse", 9999).size());
     assertTrue(hand.sends(9999).isEmpty());
   }
 
   @Test
   void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
-    Hand hand = four();
+    FakeHost hand = four();
     for (int i = 0; i < 40; i++) {
       hand.request();
     }
@@ -361,11 +373,13 @@
 
   @Test
   void aColdServerGetsNothingThatItCannotBeExpectedToAnswerInTime() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 40; i++) {
       hand.serve(400_000);
     }
-    hand.list(Balancer.ListKind.FULL, Hand.server(3, 0, Balancer.Phase.READY, hand.now));
+    hand.list(
+        LoadBalancer.ListKind.FULL, FakeHost.server(3, 0, LoadBalancer.Phase.READY, hand.now));
     long early =
         hand.request(); // a fifth of its capacity: two seconds for a request wanted within one
     assertEquals(-1, hand.target(early));
@@ -375,7 +389,7 @@
 
   @Test
   void aSuspectedRestartIsDroppedUnlessTheListConfirmsIt() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 20; i++) {
       hand.serve(50_000);
     }
@@ -392,14 +406,14 @@
 
   @Test
   void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
-    Hand hand =
-        new Hand(
-                Hand.settings(
-                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
+                    List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                     new Permits(3, false, true, true, false, 0),
                     1,
                     13))
-            .full(Hand.server(1, 0));
+            .full(FakeHost.server(1, 0));
     for (int i = 0; i < 10; i++) {
       hand.serve(900_000); // slow
       hand.pass(2 * SECOND);
@@ -421,8 +435,8 @@
    * First tries bring 3 of the 4 s for all tries; returns a hand with one busy server and requests
    * held.
    */
-  private static Hand afterManyFirstTries(boolean busy) {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+  private static FakeHost afterManyFirstTries(boolean busy) {
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 60; i++) {
       hand.serve(100_000);
     }
@@ -432,10 +446,10 @@
     return hand;
   }
 
-  private static Hand.Act bring(Hand hand, long left) {
+  private static FakeHost.Act bring(FakeHost hand, long left) {
     int before = hand.acts.size();
     hand.balancer.request(
-        hand.now, new Balancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
+        hand.now, new LoadBalancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
     return hand.acts.subList(before, hand.acts.size()).stream()
         .filter(a -> a.id() == 777 && !a.what().equals("timer"))
         .findFirst()
@@ -461,11 +475,12 @@
 
   @Test
   void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
-    Hand hand = afterManyFirstTries(false);
+    FakeHost hand = afterManyFirstTries(false);
     for (int i = 0; i < 3; i++) {
       hand.balancer.request(
           hand.now,
-          new Balancer.Request(900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
+          new LoadBalancer.Request(
+              900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
       hand.end(900 + i, 0, Outcome.OK, 1000);
     }
     for (int i = 0; i < 30; i++) {
@@ -477,18 +492,22 @@
   @Test
   void keysStayWithTheirTwoServersAtEveryAgent() {
     var settings =
-        Hand.settings(
-            List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+        FakeHost.settings(
+            List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
             new Permits(3, false, true, true, false, 0),
             1,
             2,
             false,
             true,
             List.of());
-    Hand one = new Hand(settings, 1);
-    Hand other = new Hand(settings, 2);
-    for (Hand hand : List.of(one, other)) {
-      hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+    FakeHost one = new FakeHost(settings, 1);
+    FakeHost other = new FakeHost(settings, 2);
+    for (FakeHost hand : List.of(one, other)) {
+      hand.full(
+          FakeHost.server(1, 0),
+          FakeHost.server(2, 0),
+          FakeHost.server(3, 0),
+          FakeHost.server(4, 0));
     }
     for (long key = 1; key < 30; key++) {
       long a = one.request(0, key);
@@ -499,9 +518,9 @@
     }
   }
 
-  private static Balancer.Settings keyed(int zones) {
-    return Hand.settings(
-        List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+  private static LoadBalancer.Settings keyed(int zones) {
+    return FakeHost.settings(
+        List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
         new Permits(3, false, true, true, false, 0),
         zones,
         2,
@@ -512,8 +531,9 @@
 
   @Test
   void aMuchAskedKeySpreadsBeforeItsServersAreFull() {
-    Hand hand = new Hand(keyed(1), 1);
-    hand.full(Hand.server(1, 0), Hand.server(2, 0), Hand.server(3, 0), Hand.server(4, 0));
+    FakeHost hand = new FakeHost(keyed(1), 1);
+    hand.full(
+        FakeHost.server(1, 0), FakeHost.server(2, 0), FakeHost.server(3, 0), FakeHost.server(4, 0));
     Map<Long, Integer> sent = new HashMap<>();
     for (int i = 0; i < 12; i++) {
       sent.merge(hand.target(hand.request(0, 42)), 1, Integer::sum);
@@ -524,8 +544,8 @@
 
   @Test
   void ofAKeysTwoServersTheLessBusyIsTakenAndTheFirstWhenEven() {
-    Hand hand = new Hand(keyed(1), 1);
-    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand = new FakeHost(keyed(1), 1);
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     List<Long> sent = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       sent.add(hand.target(hand.request(0, 42)));
@@ -536,8 +556,8 @@
 
   @Test
   void whenRequestsMustWaitOutThePriceTheSameKeysCrossAtOnce() {
-    Hand hand = new Hand(keyed(2), 1);
-    hand.full(Hand.server(1, 0), Hand.server(2, 1));
+    FakeHost hand = new FakeHost(keyed(2), 1);
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     Set<Long> early = crossers(hand);
     assertEquals(Set.of(), early);
     for (int round = 0; round < 20; round++) {
@@ -551,7 +571,7 @@
         sent.forEach(r -> hand.end(r, 0, Outcome.OK, SECOND / 4));
         out.removeAll(sent);
         out.removeIf(r -> !hand.of("refuse", r).isEmpty());
-        hand.pass(Hand.TICK);
+        hand.pass(FakeHost.TICK);
       }
       hand.pass(2 * SECOND);
     }
@@ -561,7 +581,7 @@
   }
 
   /** Which of a hundred keys, asked for one at a time, are sent to zone 1 at once. */
-  private static Set<Long> crossers(Hand hand) {
+  private static Set<Long> crossers(FakeHost hand) {
     Set<Long> crossed = new TreeSet<>();
     for (long key = 1; key <= 100; key++) {
       long id = hand.request(0, key);
@@ -575,11 +595,12 @@
 
   @Test
   void aServerThatLeftAndComesBackWithARequestOutIsListedOnceAndLeavesWhole() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     long out = hand.request();
-    hand.full(Hand.server(2, 0));
-    hand.full(Hand.server(1, 0), Hand.server(2, 0)).full(Hand.server(1, 0), Hand.server(2, 0));
-    hand.full(Hand.server(2, 0));
+    hand.full(FakeHost.server(2, 0));
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0))
+        .full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    hand.full(FakeHost.server(2, 0));
     hand.end(out, 0, Outcome.OK, 1000);
     for (int i = 0; i < 5; i++) {
       assertEquals(2, hand.target(hand.serve(1000)));
@@ -587,34 +608,34 @@
     assertEquals(2, hand.lines.stream().filter(each -> each.contains("server 1 gone")).count());
   }
 
-  private static Hand oneOfMany(int agents, int servers) {
+  private static FakeHost oneOfMany(int agents, int servers) {
     Server[] list = new Server[servers];
     for (int i = 0; i < servers; i++) {
-      list[i] = Hand.server(i + 1, 0);
+      list[i] = FakeHost.server(i + 1, 0);
     }
-    return new Hand(
-            Hand.settings(
-                List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    return new FakeHost(
+            FakeHost.settings(
+                List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                 new Permits(4, false, true, false, false, 0),
                 1,
                 agents))
         .full(list);
   }
 
-  private static long used(Hand hand) {
-    return hand.all("send").stream().map(Hand.Act::server).distinct().count();
+  private static long used(FakeHost hand) {
+    return hand.all("send").stream().map(FakeHost.Act::server).distinct().count();
   }
 
   /** Failed before: a light agent among hundreds opened a connection to every server there was. */
   @Test
   void aLightAgentAmongManyKeepsToAFewServersAndAHeavyOneUsesMore() {
-    Hand light = oneOfMany(400, 40);
+    FakeHost light = oneOfMany(400, 40);
     for (int i = 0; i < 60; i++) {
       light.serve(50_000);
       light.pass(SECOND);
     }
     assertTrue(used(light) >= 2 && used(light) <= 4, "used " + used(light));
-    Hand heavy = oneOfMany(400, 40);
+    FakeHost heavy = oneOfMany(400, 40);
     for (int i = 0; i < 400; i++) {
       List<Long> ids = new ArrayList<>();
       for (int k = 0; k < 8; k++) {
@@ -628,7 +649,7 @@
       }
     }
     assertTrue(used(heavy) >= 12, "used " + used(heavy));
-    Hand few = oneOfMany(4, 40);
+    FakeHost few = oneOfMany(4, 40);
     for (int i = 0; i < 400; i++) {
       few.serve(50_000);
     }
@@ -641,7 +662,7 @@
    */
   @Test
   void aJamDoesNotWidenTheSubset() {
-    Hand hand = oneOfMany(400, 40);
+    FakeHost hand = oneOfMany(400, 40);
     for (int i = 0; i < 20; i++) {
       hand.serve(50_000);
       hand.pass(SECOND / 2);
@@ -658,11 +679,11 @@
 
   @Test
   void aSubsetGivesWayWhenItsMembersFail() {
-    Hand hand = oneOfMany(400, 40);
+    FakeHost hand = oneOfMany(400, 40);
     for (int i = 0; i < 20; i++) {
       hand.serve(50_000);
     }
-    List<Long> first = hand.all("send").stream().map(Hand.Act::server).distinct().toList();
+    List<Long> first = hand.all("send").stream().map(FakeHost.Act::server).distinct().toList();
     for (long server : first) {
       hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
       hand.pass(SECOND);
@@ -674,14 +695,14 @@
 
   @Test
   void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
-    Hand hand =
-        new Hand(
-                Hand.settings(
-                    List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
+                    List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                     new Permits(4, false, true, false, false, 0),
                     1,
                     4))
-            .full(Hand.server(1, 0), Hand.server(2, 0));
+            .full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     int toFast = 0;
     for (int i = 0; i < 100; i++) {
       long id = hand.request();
@@ -699,12 +720,12 @@
    */
   @Test
   void manyAgentsStartWithFewRequestsOutInAll() {
-    Hand hand = oneOfMany(400, 40);
+    FakeHost hand = oneOfMany(400, 40);
     for (int i = 0; i < 10; i++) {
       hand.request();
     }
     assertEquals(1, hand.all("send").size());
-    Hand few = oneOfMany(2, 3);
+    FakeHost few = oneOfMany(2, 3);
     for (int i = 0; i < 10; i++) {
       few.request();
     }
@@ -716,7 +737,7 @@
   void anAnswerPastTheAimPausesAServerForALightAgentForLonger() {
     long[] sentAgainAfter = new long[2];
     for (int late = 0; late < 2; late++) {
-      Hand hand = oneOfMany(100, 1);
+      FakeHost hand = oneOfMany(100, 1);
       for (int i = 0; i < 5; i++) {
         hand.serve(50_000);
         hand.pass(SECOND);
@@ -743,7 +764,7 @@
    * turn.
    */
   private static int roomAfter(long... spent) {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     int answers = 0;
     for (int round = 0; round < 60; round++) {
       List<Long> ids = new ArrayList<>();
@@ -792,15 +813,15 @@
    */
   @Test
   void beforeAnyClassIsKnownAnswersSlowerThanTheFirstOfAllClassesCloseAServer() {
-    var type = Hand.type(Semantics.SAFE, Scope.ALL);
-    Hand hand =
-        new Hand(
-                Hand.settings(
+    var type = FakeHost.type(Semantics.SAFE, Scope.ALL);
+    FakeHost hand =
+        new FakeHost(
+                FakeHost.settings(
                     List.of(type, type, type, type),
                     new Permits(3, false, true, true, false, 0),
                     1,
                     2))
-            .full(Hand.server(1, 0));
+            .full(FakeHost.server(1, 0));
     for (int i = 0; i < 120; i++) {
       long id = hand.request(i % 4, 0);
       long spent =
@@ -824,7 +845,7 @@
   /** Failed before: every refused client was told the longest wait that it might be told. */
   @Test
   void aRefusedClientIsToldToComeBackWhenThereWillBeRoom() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 100; i++) {
       hand.serve(50_000);
     }
@@ -832,7 +853,7 @@
       hand.request();
     }
     hand.pass(SECOND);
-    List<Long> told = hand.all("refuse").stream().map(Hand.Act::value).toList();
+    List<Long> told = hand.all("refuse").stream().map(FakeHost.Act::value).toList();
     assertTrue(told.size() >= 20, "refused " + told.size());
     for (long wait : told) {
       assertTrue(wait >= 50_000 && wait <= SECOND, "told " + wait);
@@ -845,7 +866,7 @@
    */
   @Test
   void timeOutsWhileTheServerAnswersOthersLeaveItItsRoom() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int round = 0; round < 60; round++) {
       List<Long> ids = new ArrayList<>();
       for (int i = 0; i < 7; i++) {
--- a/src/test/java/slateslip/loadbalancer/PolicyFilesTest.java
+++ b/src/test/java/slateslip/loadbalancer/PolicyFilesTest.java
@@ -42,7 +42,7 @@
   void theModuleItselfIsNamedAndNoneTwice() throws IOException {
     List<Path> named = named();
     assertTrue(
-        named.contains(Path.of("src/main/java/slateslip/loadbalancer/Rules.java")),
+        named.contains(Path.of("src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java")),
         named.toString());
     assertFalse(named.stream().distinct().count() < named.size(), "twice in " + named);
   }
--- a/src/test/java/slateslip/loadbalancer/QuantileTest.java
+++ b/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class QuantileTest {
+class QuantileEstimatorTest {
   @Test
   void aFirstValueFarBelowTheOthersLeavesNoTraceInTheLowest() {
-    Quantile quantile = new Quantile(0.8);
+    QuantileEstimator quantile = new QuantileEstimator(0.8);
     quantile.add(0.01);
     for (int i = 0; i < 200; i++) {
       quantile.add(10);
@@ -21,7 +21,7 @@
   @Test
   void theQuantileOfEvenValuesIsFoundAndFollowed() {
     SplittableRandom random = new SplittableRandom(5);
-    Quantile quantile = new Quantile(0.8);
+    QuantileEstimator quantile = new QuantileEstimator(0.8);
     for (int i = 0; i < 3000; i++) {
       quantile.add(random.nextDouble());
     }
@@ -35,7 +35,7 @@
 
   @Test
   void nothingIsKnownOfAFewValues() {
-    Quantile quantile = new Quantile(0.8);
+    QuantileEstimator quantile = new QuantileEstimator(0.8);
     for (int i = 0; i < 49; i++) {
       quantile.add(1);
     }
--- a/src/test/java/slateslip/loadbalancer/RandomRunTest.java
+++ b/src/test/java/slateslip/loadbalancer/RandomRunTest.java
@@ -11,15 +11,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.RequestClass;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
-import slateslip.loadbalancer.Balancer.Tenant;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Tenant;
 
 /**
  * Legal events in a random order over varied settings, with a checker of its own for the rules on
@@ -29,7 +29,7 @@
 class RandomRunTest {
   private static final List<Phase> PHASES = List.of(Phase.values());
   private static final List<Outcome> OUTCOMES = List.of(Outcome.values());
-  private static final long SECOND = Hand.SECOND;
+  private static final long SECOND = FakeHost.SECOND;
 
   /** What the checker knows of a request. */
   private static final class Known {
@@ -53,14 +53,14 @@
 
   private final Map<Long, Known> requests = new HashMap<>();
   private final Map<Long, Server> listed = new HashMap<>();
-  private Hand hand;
+  private FakeHost hand;
   private Permits permits;
   private int seen;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void theRulesHoldAndTheSameEventsGiveTheSameActions(long seed) {
-    List<Hand.Act> first = play(seed);
+    List<FakeHost.Act> first = play(seed);
     long sent = first.stream().filter(a -> a.what().equals("send")).count();
     assertTrue(sent > 100, "too little was sent: " + sent);
     requests.clear();
@@ -69,7 +69,7 @@
     assertEquals(first, play(seed));
   }
 
-  private List<Hand.Act> play(long seed) {
+  private List<FakeHost.Act> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<RequestClass> classes = new ArrayList<>();
     for (Semantics semantics : Semantics.values()) {
@@ -97,8 +97,8 @@
             random.nextBoolean() ? SECOND : 0);
     int zones = 1 + random.nextInt(5);
     hand =
-        new Hand(
-            Hand.settings(
+        new FakeHost(
+            FakeHost.settings(
                 classes,
                 permits,
                 zones,
@@ -110,11 +110,11 @@
     for (int step = 0; step < 4000; step++) {
       step(random, classes, zones);
       check();
-      hand.pass(Hand.TICK);
+      hand.pass(FakeHost.TICK);
       check();
     }
     for (long end = hand.now + 7 * SECOND; hand.now < end; ) {
-      hand.pass(Hand.TICK);
+      hand.pass(FakeHost.TICK);
       check();
     }
     for (Map.Entry<Long, Known> e : requests.entrySet()) {
@@ -169,7 +169,7 @@
       requests.put(id, new Known(classes.get(c), deadline));
       hand.balancer.request(
           hand.now,
-          new Balancer.Request(
+          new LoadBalancer.Request(
               id,
               c,
               random.nextInt(2),
@@ -210,7 +210,7 @@
   /** Looks at the actions not seen yet. */
   private void check() {
     for (; seen < hand.acts.size(); seen++) {
-      Hand.Act act = hand.acts.get(seen);
+      FakeHost.Act act = hand.acts.get(seen);
       Known known = requests.get(act.id());
       switch (act.what()) {
         case "send" -> checkSend(act, known);
@@ -235,7 +235,7 @@
     }
   }
 
-  private void checkSend(Hand.Act act, Known known) {
+  private void checkSend(FakeHost.Act act, Known known) {
     assertEquals(0, known.answers, "nothing is sent after the answer");
     assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
     assertEquals(Phase.READY, listed.get(act.server()).phase());
--- a/src/test/java/slateslip/loadbalancer/TakeoverTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
@@ -16,26 +16,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Obligations;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Request;
-import slateslip.loadbalancer.Balancer.RequestClass;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
-import slateslip.loadbalancer.Balancer.Settings;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Obligations;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Request;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Settings;
 
 /**
  * Other settings while the module runs: what stays, what changes, and what an open request may
  * still do.
  */
-class TakeoverTest {
+class SettingsReloadTest {
   private static final List<Semantics> SEMANTICS = List.of(Semantics.values());
   private static final List<Scope> SCOPES = List.of(Scope.values());
-  private static final long SECOND = Hand.SECOND;
+  private static final long SECOND = FakeHost.SECOND;
   private static final Permits PERMITS = new Permits(4, false, true, true, false, SECOND);
 
   private static RequestClass type(Semantics semantics, Scope scope, long window) {
@@ -51,7 +51,7 @@
   }
 
   private static Settings settings(int zone, int zones, Permits permits, RequestClass... classes) {
-    Settings s = Hand.settings(List.of(classes), permits, zones, 2);
+    Settings s = FakeHost.settings(List.of(classes), permits, zones, 2);
     return new Settings(
         s.agent(),
         s.agents(),
@@ -76,8 +76,8 @@
     return IntStream.range(0, n).boxed().toList();
   }
 
-  private static void take(Hand hand, Settings next, List<Integer> classes) {
-    hand.balancer.settings(hand.now, new Takeover(next, classes, same(2), same(1)));
+  private static void take(FakeHost hand, Settings next, List<Integer> classes) {
+    hand.balancer.settings(hand.now, new SettingsReload(next, classes, same(2), same(1)));
   }
 
   /**
@@ -97,11 +97,11 @@
   })
   void anOpenRequestIsSentAgainOnlyWhereTheOldAndTheNewClassPermitIt(
       String taken, String then, Outcome outcome, int tenths, boolean again) {
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
-    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = hand.request(1, 0);
     if (then == null) {
-      take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0, Takeover.REMOVED));
+      take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0, SettingsReload.REMOVED));
     } else { // its place is taken by another
       take(hand, settings(0, 2, PERMITS, type(then), type("SAFE")), List.of(1, 0));
     }
@@ -126,8 +126,8 @@
   /** Guards against its standing before others in the queue until its time is up. */
   @Test
   void aRequestHeldThatMayNotGoAgainAnyMoreIsAnsweredAtOnce() {
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(FakeHost.server(1, 0));
     long id = hand.request();
     hand.end(id, 0, Outcome.RESET, 1000);
     assertEquals(0, hand.of("fail", id).size(), "held: there is no other server");
@@ -137,14 +137,14 @@
 
   @Test
   void deadlinesGivenStayAndRequestsOfARemovedClassThatAreHeldAreServed() {
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
     long held = hand.request(1, 0);
     long late = hand.request(1, 0);
     RequestClass hasty = new RequestClass(1000, 0, 1000, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
-    take(hand, settings(0, 2, PERMITS, hasty), List.of(0, Takeover.REMOVED));
+    take(hand, settings(0, 2, PERMITS, hasty), List.of(0, SettingsReload.REMOVED));
     hand.pass(SECOND);
     assertEquals(0, hand.of("refuse", held).size());
-    hand.full(Hand.server(1, 0));
+    hand.full(FakeHost.server(1, 0));
     assertEquals(2, hand.sends(held).size() + hand.sends(late).size());
     hand.end(held, 0, Outcome.OK, 1000);
     hand.pass(2 * SECOND);
@@ -158,8 +158,8 @@
   @Test
   void whatIsLearntOfAClassStaysWithItWhenItsPlaceChanges() {
     for (boolean swapped : new boolean[] {false, true}) {
-      Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
-      hand.full(Hand.server(1, 0));
+      FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
+      hand.full(FakeHost.server(1, 0));
       for (int i = 0; i < 60; i++) {
         hand.serve(SECOND); // of class 0
       }
@@ -174,7 +174,7 @@
         hand.balancer.request(
             hand.now, new Request(id, c, 0, 0, 0, hand.now + SECOND + SECOND / 2, false, false));
         hand.pass(SECOND * 7 / 10);
-        hand.full(Hand.server(2 + c, 0));
+        hand.full(FakeHost.server(2 + c, 0));
         sent[c] = hand.sends(id).size();
       }
       assertEquals(swapped ? List.of(1L, 0L) : List.of(0L, 1L), List.of(sent[0], sent[1]));
@@ -188,8 +188,8 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void zonesThatChangePlacesKeepTheirServers(boolean forgotten) {
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
-    hand.full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
+    hand.full(FakeHost.server(1, 0));
     long id = hand.request();
     hand.end(id, 0, Outcome.RESET, 1000);
     if (forgotten) {
@@ -197,22 +197,22 @@
     }
     hand.balancer.settings(
         hand.now,
-        new Takeover(
+        new SettingsReload(
             settings(1, 2, PERMITS, type("KEYED-ZONE-4")), List.of(0), List.of(1, 0), List.of(0)));
-    hand.list(ListKind.DELTA, Hand.server(2, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(2, 0));
     hand.pass(SECOND);
     assertEquals(1, hand.sends(id).size(), "server 2 is in the other zone");
-    hand.list(ListKind.DELTA, Hand.server(3, 1));
+    hand.list(ListKind.DELTA, FakeHost.server(3, 1));
     assertEquals(3, hand.target(id));
-    hand.list(ListKind.DELTA, Hand.server(3, 1, Phase.GONE, 0));
+    hand.list(ListKind.DELTA, FakeHost.server(3, 1, Phase.GONE, 0));
     assertEquals(
         forgotten ? 2 : 1, hand.target(hand.request()), "the own zone is where server 1 is");
   }
 
   @Test
   void aChangeEarnsAColdServerNothing() {
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(Hand.server(1, 0, Phase.READY, hand.now));
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(FakeHost.server(1, 0, Phase.READY, hand.now));
     hand.pass(3 * SECOND);
     int sent = sentOf(30, hand);
     assertTrue(sent > 0 && sent <= 2, "it is cold: " + sent);
@@ -246,14 +246,15 @@
             List.of(),
             List.of());
     for (Settings next : List.of(s, slow)) {
-      Hand hand = new Hand(s).full(Hand.server(1, 0, Phase.READY, Hand.SECOND * 100));
+      FakeHost hand =
+          new FakeHost(s).full(FakeHost.server(1, 0, Phase.READY, FakeHost.SECOND * 100));
       take(hand, next, List.of(0));
       hand.pass(22 * SECOND);
       assertEquals(next.equals(s), sentOf(30, hand) > 3, "warm after 20 s or 60 s");
     }
   }
 
-  private static int sentOf(int requests, Hand hand) {
+  private static int sentOf(int requests, FakeHost hand) {
     int before = hand.all("send").size();
     for (int i = 0; i < requests; i++) {
       hand.request();
@@ -265,8 +266,8 @@
   @Test
   void probesThatAreNotPermittedAnyMoreLeaveNoServerShutAndBeginWhereTheyAre() {
     Permits none = new Permits(4, false, true, false, false, SECOND);
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(Hand.server(1, 0), Hand.server(2, 1));
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     for (int i = 0; i < 3; i++) {
       hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, 1000, new double[0]);
     }
@@ -284,8 +285,8 @@
 
   @Test
   void fewerAttemptsHoldForRequestsThatAreOpen() {
-    Hand hand = new Hand(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = hand.request();
     take(
         hand,
@@ -299,8 +300,8 @@
   @Test
   void settingsThatDoNotFitAreNamed() {
     Settings one = settings(0, 2, PERMITS, type("SAFE"));
-    Hand hand = new Hand(one);
-    Balancer checked = new CheckedBalancer(one, 1, hand.now, hand);
+    FakeHost hand = new FakeHost(one);
+    LoadBalancer checked = new ValidatingLoadBalancer(one, 1, hand.now, hand);
     for (String[] wrong :
         new String[][] {
           {"0,0", "0,1", "classes: position 0"}, {"1", "0,1", "classes: position 1"},
@@ -314,16 +315,16 @@
                   () ->
                       checked.settings(
                           hand.now,
-                          new Takeover(one, numbers(wrong[0]), numbers(wrong[1]), List.of())))
+                          new SettingsReload(one, numbers(wrong[0]), numbers(wrong[1]), List.of())))
               .getMessage());
     }
     assertThrows(
         IllegalArgumentException.class,
-        () -> new Takeover(settings(0, 2, PERMITS), List.of(), same(2), List.of()));
+        () -> new SettingsReload(settings(0, 2, PERMITS), List.of(), same(2), List.of()));
     assertThrows(NullPointerException.class, () -> checked.settings(hand.now, null));
     checked.settings(
         hand.now,
-        new Takeover(
+        new SettingsReload(
             settings(0, 2, PERMITS, type("SAFE"), type("SAFE")), List.of(1), same(2), List.of()));
     checked.request(hand.now, new Request(5, 1, 0, 0, 0, hand.now + SECOND, false, false));
     assertThrows(
@@ -389,15 +390,15 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void theRulesHoldWhateverFollowsAndTheSameEventsGiveTheSameActions(long seed) {
-    List<Hand.Act> first = play(seed);
+    List<FakeHost.Act> first = play(seed);
     long sent = first.stream().filter(act -> act.what().equals("send")).count();
     assertTrue(sent > 100, "too little was sent: " + sent);
-    assertEquals(first, new TakeoverTest().play(seed));
+    assertEquals(first, new SettingsReloadTest().play(seed));
   }
 
-  private List<Hand.Act> play(long seed) {
+  private List<FakeHost.Act> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Hand hand = new Hand(drawn(random), seed);
+    FakeHost hand = new FakeHost(drawn(random), seed);
     for (int step = 0; step < 3000; step++) {
       int what = step < 8 ? 0 : random.nextInt(20);
       if (what == 0) {
@@ -433,10 +434,10 @@
                 });
         hand.balancer.settings(
             hand.now,
-            new Takeover(
+            new SettingsReload(
                 next,
-                Takeover.positions(before, classes),
-                Takeover.positions(zonesBefore, zones),
+                SettingsReload.positions(before, classes),
+                SettingsReload.positions(zonesBefore, zones),
                 List.of(0)));
       } else if (what < 12) {
         int c = random.nextInt(classes.size());
@@ -451,11 +452,11 @@
         }
       }
       check(hand);
-      hand.pass(Hand.TICK);
+      hand.pass(FakeHost.TICK);
       check(hand);
     }
-    for (int i = 0; i < 5 * SECOND / Hand.TICK; i++) {
-      hand.pass(Hand.TICK);
+    for (int i = 0; i < 5 * SECOND / FakeHost.TICK; i++) {
+      hand.pass(FakeHost.TICK);
       check(hand);
     }
     requests.forEach(
@@ -465,7 +466,7 @@
     return List.copyOf(hand.acts);
   }
 
-  private void end(Hand hand, SplittableRandom random, long id) {
+  private void end(FakeHost hand, SplittableRandom random, long id) {
     Known known = requests.get(id);
     for (int a = 0; known != null && a < known.outcomes.size(); a++) {
       if (known.outcomes.get(a) == null && random.nextInt(3) == 0) {
@@ -488,9 +489,9 @@
     }
   }
 
-  private void check(Hand hand) {
+  private void check(FakeHost hand) {
     for (; seen < hand.acts.size(); seen++) {
-      Hand.Act act = hand.acts.get(seen);
+      FakeHost.Act act = hand.acts.get(seen);
       Known known = requests.get(act.id());
       if (act.what().equals("refuse") || act.what().equals("fail")) {
         assertEquals(0, known.answers);
@@ -529,7 +530,8 @@
   }
 
   /** Whether a class that the request has been under permits a repeat of what may have run. */
-  private boolean permits(Hand hand, Known known, int attempt, RequestClass type, Hand.Act act) {
+  private boolean permits(
+      FakeHost hand, Known known, int attempt, RequestClass type, FakeHost.Act act) {
     long old = known.servers.get(attempt);
     boolean group =
         type == null
--- a/src/test/java/slateslip/loadbalancer/SettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsTest.java
@@ -6,20 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Prices;
-import slateslip.loadbalancer.Balancer.Request;
-import slateslip.loadbalancer.Balancer.RequestClass;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
-import slateslip.loadbalancer.Balancer.Settings;
-import slateslip.loadbalancer.Balancer.Tenant;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Prices;
+import slateslip.loadbalancer.LoadBalancer.Request;
+import slateslip.loadbalancer.LoadBalancer.RequestClass;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
+import slateslip.loadbalancer.LoadBalancer.Settings;
+import slateslip.loadbalancer.LoadBalancer.Tenant;
 
 /** Settings at the ends of their ranges: sane behaviour and kept rules. */
 class SettingsTest {
-  private static final long SECOND = Hand.SECOND;
+  private static final long SECOND = FakeHost.SECOND;
   private static final Permits ALL = new Permits(4, false, true, true, false, SECOND);
 
   private static Settings with(Settings s, Prices prices, List<Tenant> tenants) {
@@ -43,23 +43,23 @@
         s.loadFields());
   }
 
-  private static Hand hand(RequestClass type, Permits permits, int zones) {
-    return new Hand(Hand.settings(List.of(type), permits, zones, 2));
+  private static FakeHost hand(RequestClass type, Permits permits, int zones) {
+    return new FakeHost(FakeHost.settings(List.of(type), permits, zones, 2));
   }
 
   @Test
   void anEmptyListForAWhileHoldsRequestsAndServesThemOnceServersCome() {
-    Hand hand = new Hand(Hand.safe()).full();
+    FakeHost hand = new FakeHost(FakeHost.safe()).full();
     long id = hand.request();
     hand.pass(SECOND / 10);
     assertEquals(0, hand.sends(id).size());
-    hand.full(Hand.server(1, 0));
+    hand.full(FakeHost.server(1, 0));
     assertEquals(1, hand.sends(id).size());
   }
 
   @Test
   void withoutAnyServerEachRequestIsRefusedOnceAndInTime() {
-    Hand hand = new Hand(Hand.safe()).full();
+    FakeHost hand = new FakeHost(FakeHost.safe()).full();
     long id = hand.request();
     hand.pass(2 * SECOND);
     assertEquals(1, hand.of("refuse", id).size());
@@ -68,7 +68,7 @@
 
   @Test
   void aSingleServerIsUsedThoughItsProbesFail() {
-    Hand hand = new Hand(Hand.safe()).full(Hand.server(1, 0));
+    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 3; i++) {
       hand.balancer.probed(hand.now, 1, Outcome.CONNECT_FAILED, 1000, new double[0]);
     }
@@ -78,9 +78,9 @@
 
   @Test
   void zeroPricesCrossZonesAsSoonAsTheOwnOneIsFull() {
-    Hand hand =
-        new Hand(with(Hand.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
-            .full(Hand.server(1, 0), Hand.server(2, 1));
+    FakeHost hand =
+        new FakeHost(with(FakeHost.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
+            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     List<Long> targets = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       targets.add(hand.target(hand.request()));
@@ -91,9 +91,9 @@
 
   @Test
   void aPriceOverOneNeverCrossesWhileTheOwnZoneIsAvailable() {
-    Hand hand =
-        new Hand(with(Hand.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
-            .full(Hand.server(1, 0), Hand.server(2, 1));
+    FakeHost hand =
+        new FakeHost(with(FakeHost.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
+            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     for (int i = 0; i < 20; i++) {
       hand.request();
     }
@@ -103,10 +103,10 @@
 
   @Test
   void withFiveZonesTheOwnOneIsTakenFirstAndAnyOtherWhenItIsGone() {
-    Hand hand = hand(Hand.type(Semantics.SAFE, Scope.ALL), ALL, 5);
+    FakeHost hand = hand(FakeHost.type(Semantics.SAFE, Scope.ALL), ALL, 5);
     List<Server> servers = new ArrayList<>();
     for (int zone = 0; zone < 5; zone++) {
-      servers.add(Hand.server(10 + zone, zone));
+      servers.add(FakeHost.server(10 + zone, zone));
     }
     hand.full(servers.toArray(Server[]::new));
     assertEquals(10, hand.target(hand.request()));
@@ -116,10 +116,12 @@
 
   @Test
   void withoutCancelARequestOutOfTimeIsAnsweredOnceAndItsAttemptLeftAlone() {
-    Hand hand =
+    FakeHost hand =
         hand(
-            Hand.type(Semantics.SAFE, Scope.ALL), new Permits(1, false, false, false, false, 0), 1);
-    hand.full(Hand.server(1, 0));
+            FakeHost.type(Semantics.SAFE, Scope.ALL),
+            new Permits(1, false, false, false, false, 0),
+            1);
+    hand.full(FakeHost.server(1, 0));
     long id = hand.request();
     hand.pass(5 * SECOND);
     assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
@@ -131,9 +133,12 @@
 
   @Test
   void oneAttemptPermittedIsOneAttemptMade() {
-    Hand hand =
-        hand(Hand.type(Semantics.SAFE, Scope.ALL), new Permits(1, false, true, true, false, 0), 1);
-    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand =
+        hand(
+            FakeHost.type(Semantics.SAFE, Scope.ALL),
+            new Permits(1, false, true, true, false, 0),
+            1);
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = hand.request();
     hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
     assertEquals(1, hand.sends(id).size());
@@ -144,8 +149,8 @@
   void aStreamedAnswerThatHasBegunIsLeftToEndAndIsNotAnsweredAgain() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-    Hand hand = hand(streamed, ALL, 1);
-    hand.full(Hand.server(1, 0), Hand.server(2, 0));
+    FakeHost hand = hand(streamed, ALL, 1);
+    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = hand.request();
     assertEquals(0, hand.sends(id).get(0).value(), "no time-out");
     hand.balancer.streamStarted(hand.now, id, 0, hand.target(id), 1000);
@@ -161,8 +166,8 @@
   void aStreamThatNeverBeginsIsEndedInTime() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-    Hand hand = hand(streamed, ALL, 1);
-    hand.full(Hand.server(1, 0));
+    FakeHost hand = hand(streamed, ALL, 1);
+    hand.full(FakeHost.server(1, 0));
     long id = hand.request();
     hand.pass(4 * SECOND);
     assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
@@ -171,19 +176,19 @@
 
   @Test
   void aRequestKeyedByCellThatMayHaveRunStaysInItsCell() {
-    Hand hand = hand(Hand.type(Semantics.KEYED, Scope.CELL), ALL, 1);
+    FakeHost hand = hand(FakeHost.type(Semantics.KEYED, Scope.CELL), ALL, 1);
     hand.full(
-        new Server(1, 0, 5, 0, Balancer.Phase.READY, 1, 0),
-        new Server(2, 0, 6, 0, Balancer.Phase.READY, 1, 0),
-        new Server(3, 0, 6, 0, Balancer.Phase.READY, 1, 0));
+        new Server(1, 0, 5, 0, LoadBalancer.Phase.READY, 1, 0),
+        new Server(2, 0, 6, 0, LoadBalancer.Phase.READY, 1, 0),
+        new Server(3, 0, 6, 0, LoadBalancer.Phase.READY, 1, 0));
     int resent = 0;
     for (int i = 0; i < 12; i++) {
       long id = hand.request(0, 9);
       long first = hand.target(id);
-      hand.pass(Hand.TICK);
-      hand.end(id, 0, Outcome.RESET, Hand.TICK);
+      hand.pass(FakeHost.TICK);
+      hand.end(id, 0, Outcome.RESET, FakeHost.TICK);
       hand.pass(SECOND);
-      for (Hand.Act send : hand.sends(id)) {
+      for (FakeHost.Act send : hand.sends(id)) {
         assertEquals(first == 1, send.server() == 1);
       }
       if (hand.sends(id).size() > 1) {
@@ -202,7 +207,9 @@
       tenants.add(new Tenant(1, 0.02));
     }
     for (List<Tenant> some : List.of(tenants, List.<Tenant>of())) {
-      Hand hand = new Hand(with(Hand.safe(), Hand.safe().prices(), some)).full(Hand.server(1, 0));
+      FakeHost hand =
+          new FakeHost(with(FakeHost.safe(), FakeHost.safe().prices(), some))
+              .full(FakeHost.server(1, 0));
       hand.balancer.request(
           hand.now,
           new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, hand.now + SECOND, false, false));
--- a/src/test/java/slateslip/loadbalancer/ColdFleetTest.java
+++ b/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
@@ -7,22 +7,22 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Permits;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Scope;
-import slateslip.loadbalancer.Balancer.Semantics;
-import slateslip.loadbalancer.Balancer.Server;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Permits;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Scope;
+import slateslip.loadbalancer.LoadBalancer.Semantics;
+import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
  * The rule on cold servers for the sum of all agents, on one clock. A cold server's budget in a
  * window of the settings' length is N = fall-multiple x its capacity at the window's start x that
  * length; beyond N only 2 x root of N + 2 requests are put down to chance.
  */
-class ColdFleetTest {
-  private static final long SECOND = Hand.SECOND;
-  private static final long STEP = 4 * Hand.TICK;
+class SlowStartFleetTest {
+  private static final long SECOND = FakeHost.SECOND;
+  private static final long STEP = 4 * FakeHost.TICK;
   private static final int WARM = 4;
   private static final long COLD = 99;
 
@@ -31,12 +31,12 @@
    */
   private static final double CAPACITY = 5;
 
-  private static final Balancer.Obligations OBLIGATIONS = Hand.safe().obligations();
+  private static final LoadBalancer.Obligations OBLIGATIONS = FakeHost.safe().obligations();
 
   /** A request out: when it will be answered. */
-  private record Out(Hand hand, long id, long until) {}
+  private record Out(FakeHost hand, long id, long until) {}
 
-  private final List<Hand> hands = new ArrayList<>();
+  private final List<FakeHost> hands = new ArrayList<>();
   private final List<Out> outs = new ArrayList<>();
   private final List<Long> sentToCold = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(5);
@@ -51,13 +51,13 @@
   private void start(int agents) {
     Server[] list = new Server[WARM];
     for (int i = 0; i < WARM; i++) {
-      list[i] = Hand.server(i + 1, 0);
+      list[i] = FakeHost.server(i + 1, 0);
     }
     for (int i = 0; i < agents; i++) {
       hands.add(
-          new Hand(
-                  Hand.settings(
-                      List.of(Hand.type(Semantics.SAFE, Scope.ALL)),
+          new FakeHost(
+                  FakeHost.settings(
+                      List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
                       new Permits(4, false, true, false, false, 0),
                       1,
                       agents,
@@ -72,10 +72,10 @@
 
   private void join() {
     coldSince = now;
-    hands.forEach(each -> each.list(ListKind.DELTA, Hand.server(COLD, 0, Phase.READY, now)));
+    hands.forEach(each -> each.list(ListKind.DELTA, FakeHost.server(COLD, 0, Phase.READY, now)));
   }
 
-  private void request(Hand hand, long work) {
+  private void request(FakeHost hand, long work) {
     long id =
         hand.request(0, 1 + random.nextLong(1000)); // by their keys requests go to servers of all
     if (hand.target(id) == COLD) {
@@ -90,7 +90,7 @@
   /** All agents go on for so long, each request in the hands of a server for its work. */
   private void pass(long micros, double perSecond, long work) {
     for (long end = now + micros; now < end; ) {
-      for (Hand hand : hands) {
+      for (FakeHost hand : hands) {
         if (random.nextDouble() < perSecond / hands.size() * STEP / SECOND) {
           request(hand, work);
         }
--- a/src/test/java/slateslip/loadbalancer/LinesTest.java
+++ b/src/test/java/slateslip/loadbalancer/SourceLinesTest.java
@@ -10,15 +10,17 @@
 import org.junit.jupiter.api.Test;
 
 /** The operators read the module aloud: its length and its lines are bounded. */
-class LinesTest {
+class SourceLinesTest {
   private static final Path SOURCES = Path.of("src/main/java");
 
   @Test
   void theModuleIsShortEnough() throws IOException {
-    List<String> lines = Files.readAllLines(SOURCES.resolve("slateslip/loadbalancer/Rules.java"));
+    List<String> lines =
+        Files.readAllLines(SOURCES.resolve("slateslip/loadbalancer/DefaultLoadBalancer.java"));
     long written = lines.stream().filter(l -> !l.isBlank()).count();
     assertTrue(written < 1200, written + " lines");
-    assertTrue(lines.get(0).contains("Balancer.java"), "the first line names the interface file");
+    assertTrue(
+        lines.get(0).contains("LoadBalancer.java"), "the first line names the interface file");
   }
 
   @Test
@@ -41,7 +43,10 @@
   void foldersOfGeneratedCodeHoldGeneratedCodeAlone() throws IOException {
     try (Stream<Path> files = Files.walk(SOURCES)) {
       for (Path file :
-          files.filter(f -> f.toString().endsWith(".java")).filter(LinesTest::generated).toList()) {
+          files
+              .filter(f -> f.toString().endsWith(".java"))
+              .filter(SourceLinesTest::generated)
+              .toList()) {
         assertTrue(Files.readString(file).startsWith("/* Generated SBE"), file.toString());
       }
     }
--- a/src/test/java/slateslip/loadbalancer/CheckedBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
@@ -8,25 +8,27 @@
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Outcome;
-import slateslip.loadbalancer.Balancer.Request;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Request;
 
 /**
  * Wrong use: an exception from the checked balancer; from the module alone the disregard that
  * README states.
  */
-class CheckedBalancerTest {
+class ValidatingLoadBalancerTest {
   private static final double[] NO_LOAD = new double[0];
-  private final Hand hand = new Hand(Hand.safe());
-  private final Balancer checked = new CheckedBalancer(Hand.safe(), 1, hand.now, hand);
+  private final FakeHost hand = new FakeHost(FakeHost.safe());
+  private final LoadBalancer checked =
+      new ValidatingLoadBalancer(FakeHost.safe(), 1, hand.now, hand);
 
   private Request request(long id, int requestClass) {
-    return new Request(id, requestClass, 0, 0, 0, hand.now + Hand.SECOND, false, false);
+    return new Request(id, requestClass, 0, 0, 0, hand.now + FakeHost.SECOND, false, false);
   }
 
-  private void listTwo(Balancer balancer) {
-    balancer.servers(hand.now, ListKind.FULL, List.of(Hand.server(1, 0), Hand.server(2, 0)));
+  private void listTwo(LoadBalancer balancer) {
+    balancer.servers(
+        hand.now, ListKind.FULL, List.of(FakeHost.server(1, 0), FakeHost.server(2, 0)));
   }
 
   private static String message(
@@ -48,10 +50,12 @@
   void nullsAreNamed() {
     assertEquals(
         "settings",
-        message(NullPointerException.class, () -> new CheckedBalancer(null, 1, 0, hand)));
+        message(NullPointerException.class, () -> new ValidatingLoadBalancer(null, 1, 0, hand)));
     assertEquals(
         "actions",
-        message(NullPointerException.class, () -> new CheckedBalancer(Hand.safe(), 1, 0, null)));
+        message(
+            NullPointerException.class,
+            () -> new ValidatingLoadBalancer(FakeHost.safe(), 1, 0, null)));
     assertEquals(
         "request", message(NullPointerException.class, () -> checked.request(hand.now, null)));
     assertEquals(
@@ -115,15 +119,15 @@
 
   @Test
   void anActionThatCallsBackIsNamed() {
-    Balancer[] self = new Balancer[1];
-    Hand rash =
-        new Hand(Hand.safe()) {
+    LoadBalancer[] self = new LoadBalancer[1];
+    FakeHost rash =
+        new FakeHost(FakeHost.safe()) {
           @Override
           public void send(long request, long server, long timeout) {
             self[0].timer(now, 1);
           }
         };
-    self[0] = new CheckedBalancer(Hand.safe(), 1, rash.now, rash);
+    self[0] = new ValidatingLoadBalancer(FakeHost.safe(), 1, rash.now, rash);
     listTwo(self[0]);
     assertEquals(
         "an action has called back into the balancer",
@@ -136,7 +140,7 @@
     long id = hand.request();
     long server = hand.target(id);
     hand.end(id, 0, Outcome.OK, 100);
-    List<Hand.Act> before = List.copyOf(hand.acts);
+    List<FakeHost.Act> before = List.copyOf(hand.acts);
     hand.balancer.outcome(hand.now, id, 0, server, Outcome.TIMEOUT, 100, false, NO_LOAD);
     hand.balancer.outcome(hand.now, 777, 0, server, Outcome.OK, 100, true, NO_LOAD);
     hand.balancer.clientLeft(hand.now, 777);
@@ -151,11 +155,11 @@
   void theModuleAloneBearsAClockThatStepsBack() {
     listTwo(hand.balancer);
     hand.serve(1000);
-    hand.now -= 30 * Hand.SECOND;
+    hand.now -= 30 * FakeHost.SECOND;
     for (int i = 0; i < 20; i++) {
       hand.serve(1000);
     }
-    hand.pass(60 * Hand.SECOND);
+    hand.pass(60 * FakeHost.SECOND);
     hand.serve(1000);
     assertEquals(22, hand.all("send").size());
     assertTrue(Arrays.asList("refuse", "fail").stream().allMatch(w -> hand.all(w).isEmpty()));
--- a/src/test/java/slateslip/loadbalancer/example/Embedding.java
+++ b/src/test/java/slateslip/loadbalancer/example/Embedding.java
@@ -2,30 +2,30 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.CheckedBalancer;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.ValidatingLoadBalancer;
 
 /**
  * The README's example. What stands between the two marks is printed there, and a test holds them
  * equal.
  */
-final class Embedding implements Balancer.Actions {
+final class Embedding implements LoadBalancer.Actions {
   final List<String> did = new ArrayList<>();
 
   // README begins
-  static Balancer.Settings settings() {
+  static LoadBalancer.Settings settings() {
     var lookup =
-        new Balancer.RequestClass(
+        new LoadBalancer.RequestClass(
             300_000,
             0,
             2_000_000, // wanted within 0.3 s, given up after 2 s
-            Balancer.Semantics.SAFE,
-            Balancer.Scope.ALL,
+            LoadBalancer.Semantics.SAFE,
+            LoadBalancer.Scope.ALL,
             0, // may run any number of times
             1,
             0,
             false); // worth 1; nothing if late; not streamed
-    return new Balancer.Settings(
+    return new LoadBalancer.Settings(
         0,
         3,
         0,
@@ -36,27 +36,27 @@
         false,
         false,
         1,
-        new Balancer.Permits(3, false, true, true, false, 0),
-        new Balancer.Obligations(20_000, 500_000, 0.2, 20_000_000, 3, 1_000_000, 10_000_000),
-        new Balancer.Prices(0.05, 0.01, 0.05, 0.05, 0),
-        new Balancer.Goal(1, 0, 0, 0),
+        new LoadBalancer.Permits(3, false, true, true, false, 0),
+        new LoadBalancer.Obligations(20_000, 500_000, 0.2, 20_000_000, 3, 1_000_000, 10_000_000),
+        new LoadBalancer.Prices(0.05, 0.01, 0.05, 0.05, 0),
+        new LoadBalancer.Goal(1, 0, 0, 0),
         List.of(lookup),
         List.of(),
         List.of());
   }
 
-  static void run(Balancer.Actions host) {
+  static void run(LoadBalancer.Actions host) {
     long now = 0; // microseconds of the host's own clock
-    Balancer balancer = new CheckedBalancer(settings(), 42, now, host);
+    LoadBalancer balancer = new ValidatingLoadBalancer(settings(), 42, now, host);
     balancer.servers(
         now,
-        Balancer.ListKind.FULL,
+        LoadBalancer.ListKind.FULL,
         List.of(
-            new Balancer.Server(7, 0, 0, 0, Balancer.Phase.READY, 1, 0),
-            new Balancer.Server(8, 1, 0, 0, Balancer.Phase.READY, 1, 0)));
-    balancer.request(now, new Balancer.Request(1, 0, 0, 0, 0, now + 1_000_000, false, false));
+            new LoadBalancer.Server(7, 0, 0, 0, LoadBalancer.Phase.READY, 1, 0),
+            new LoadBalancer.Server(8, 1, 0, 0, LoadBalancer.Phase.READY, 1, 0)));
+    balancer.request(now, new LoadBalancer.Request(1, 0, 0, 0, 0, now + 1_000_000, false, false));
     now += 40_000; // the host has called send(1, 7, ...) over its network
-    balancer.outcome(now, 1, 0, 7, Balancer.Outcome.OK, 40_000, true, new double[0]);
+    balancer.outcome(now, 1, 0, 7, LoadBalancer.Outcome.OK, 40_000, true, new double[0]);
   }
 
   @Override
--- a/src/test/java/slateslip/loadbalancer/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -28,25 +28,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /** The agent over loopback sockets, against scripted peers. */
 class AgentTest {
-  private static final Peer.Script SERVES =
-      (message, socket) -> Peer.answer(socket, 200, "", "served");
-  private static final Peer.Script SILENT = (message, socket) -> {};
-  private static final Peer.Script RESETS = (message, socket) -> Peer.reset(socket);
-  private static final Peer.Script CUTS_OFF =
+  private static final ScriptedPeer.Script SERVES =
+      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+  private static final ScriptedPeer.Script SILENT = (message, socket) -> {};
+  private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
+  private static final ScriptedPeer.Script CUTS_OFF =
       (message, socket) -> {
-        Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+        ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         socket.close();
       };
 
-  private Stage stage;
+  private LoopbackCluster stage;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
   }
 
   @AfterEach
@@ -58,7 +58,7 @@
    * A server that does the one thing with its first request and serves the others; two of them
    * alike.
    */
-  private void twoServersThatFirst(Peer.Script script) throws IOException {
+  private void twoServersThatFirst(ScriptedPeer.Script script) throws IOException {
     AtomicBoolean first = new AtomicBoolean(true);
     for (int i = 0; i < 2; i++) {
       stage.server(
@@ -72,14 +72,16 @@
   @Test
   void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() throws IOException {
     String body = "b\u0000\u00ff".repeat(20_000);
-    Peer server =
-        stage.server((message, socket) -> Peer.answer(socket, 200, "Content-Type: x/y\r\n", body));
+    ScriptedPeer server =
+        stage.server(
+            (message, socket) -> ScriptedPeer.answer(socket, 200, "Content-Type: x/y\r\n", body));
     stage.start();
-    Peer.Message answer = Stage.exchange(stage.dial(), stage.request("pay", 5000, body));
+    ScriptedPeer.Message answer =
+        LoopbackCluster.exchange(stage.dial(), stage.request("pay", 5000, body));
     assertEquals(200, answer.status());
     assertEquals(body, answer.text());
     assertEquals("x/y", answer.header("Content-Type"));
-    Peer.Message sent = server.requests.get(0);
+    ScriptedPeer.Message sent = server.requests.get(0);
     assertEquals("POST /pay?q=1 HTTP/1.1", sent.first());
     assertEquals(body, sent.text());
     assertEquals("id1", sent.header("Request-Id"));
@@ -91,7 +93,7 @@
   @Test
   void splitAndChunkedMessagesAndBodiesOf64KiBPass() throws Exception {
     String chunk = "c".repeat(32 << 10);
-    Peer server =
+    ScriptedPeer server =
         stage.server(
             (message, socket) -> {
               for (String part :
@@ -104,7 +106,7 @@
                       chunk,
                       "\r\n0\r\n",
                       "\r\n")) {
-                Peer.write(socket, part);
+                ScriptedPeer.write(socket, part);
                 Thread.sleep(2);
               }
             });
@@ -119,20 +121,21 @@
             "Transfer-Encoding: chunked\r\n\r\n8000\r\n" + chunk + "\r\n8000\r\n",
             chunk + "\r\n0",
             "\r\n\r\n")) {
-      Peer.write(client, part);
+      ScriptedPeer.write(client, part);
       Thread.sleep(2);
     }
-    assertEquals(chunk + chunk, Peer.read(client.getInputStream()).text());
+    assertEquals(chunk + chunk, ScriptedPeer.read(client.getInputStream()).text());
     assertEquals(chunk + chunk, server.requests.get(0).text());
   }
 
   @Test
   void connectionsAreKeptOnBothSides() throws Exception {
-    Peer server = stage.server(SERVES);
+    ScriptedPeer server = stage.server(SERVES);
     stage.start();
     Socket client = stage.dial();
     for (int i = 0; i < 5; i++) {
-      assertEquals(200, Stage.exchange(client, stage.request("lookup", 8000, "")).status());
+      assertEquals(
+          200, LoopbackCluster.exchange(client, stage.request("lookup", 8000, "")).status());
       Thread.sleep(100); // a connection rests a moment before it is used again
     }
     assertEquals(5, server.requests.size());
@@ -141,16 +144,17 @@
 
   @Test
   void requestsSentInAdvanceAreAnsweredInTheirOrder() throws IOException {
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", message.header("Request-Id")));
+    stage.server(
+        (message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
     stage.start();
     Socket client = stage.dial();
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 12; i++) {
       all.append(stage.request("lookup", 8000, ""));
     }
-    Peer.write(client, all.toString());
+    ScriptedPeer.write(client, all.toString());
     for (int i = 1; i <= 12; i++) {
-      assertEquals("id" + i, Peer.read(client.getInputStream()).text());
+      assertEquals("id" + i, ScriptedPeer.read(client.getInputStream()).text());
     }
   }
 
@@ -169,7 +173,8 @@
   @ParameterizedTest
   @ValueSource(strings = {"lookup", "pay", "order"})
   void whatWasTurnedAwayUnseenIsSentAgain(String type) throws IOException {
-    twoServersThatFirst((message, socket) -> Peer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+    twoServersThatFirst(
+        (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
     assertEquals(200, stage.call(type).status());
     assertEquals(2, stage.arrived());
   }
@@ -177,7 +182,7 @@
   /** Guards against an effect twice: only Not-Started proves that a 503 has not run. */
   @Test
   void aBare503MayHaveRun() throws IOException {
-    twoServersThatFirst((message, socket) -> Peer.answer(socket, 503, "", ""));
+    twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
     assertEquals(502, stage.call("order").status());
     assertEquals(1, stage.arrived());
   }
@@ -224,7 +229,8 @@
     stage.server(SERVES);
     stage.start();
     for (int i = 0; i < 20; i++) {
-      Peer.Message answer = Stage.exchange(stage.dial(), stage.request("order", 10, "body"));
+      ScriptedPeer.Message answer =
+          LoopbackCluster.exchange(stage.dial(), stage.request("order", 10, "body"));
       assertEquals(503, answer.status());
     }
     assertEquals(0, stage.arrived());
@@ -234,7 +240,7 @@
   @Test
   void anAnswerCutOffIsNotServed() throws IOException {
     twoServersThatFirst(CUTS_OFF);
-    Peer.Message answer = stage.call("lookup");
+    ScriptedPeer.Message answer = stage.call("lookup");
     assertEquals(200, answer.status());
     assertEquals("served", answer.text());
   }
@@ -244,7 +250,8 @@
   void anAnswerCutOffOrSpoiltInsideItsChunksIsNotServed(String chunks) throws IOException {
     twoServersThatFirst(
         (message, socket) -> {
-          Peer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
+          ScriptedPeer.write(
+              socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
           socket.close();
         });
     assertEquals(502, stage.call("order").status());
@@ -258,9 +265,9 @@
       stage.server(
           (message, socket) -> {
             switch (turn.getAndIncrement()) {
-              case 0 -> Peer.write(socket, "I am not HTTP\r\n\r\n");
-              case 1 -> Peer.answer(socket, 200, "", "x".repeat(100_000));
-              default -> Peer.answer(socket, 200, "", "served");
+              case 0 -> ScriptedPeer.write(socket, "I am not HTTP\r\n\r\n");
+              case 1 -> ScriptedPeer.answer(socket, 200, "", "x".repeat(100_000));
+              default -> ScriptedPeer.answer(socket, 200, "", "served");
             }
           });
     }
@@ -283,7 +290,7 @@
   @Test
   void aRequestWithNowhereToGoIsRefusedWithAdvice() throws IOException {
     stage.start();
-    Peer.Message answer = stage.call("order");
+    ScriptedPeer.Message answer = stage.call("order");
     assertEquals(503, answer.status());
     assertEquals("1.0", answer.header("Retry-After"));
   }
@@ -291,10 +298,11 @@
   @Test
   void aSilentServerIsGivenUpInTimeAndItsConnectionClosed() throws IOException {
     stage.settings("caps", caps -> caps.put("probes", false));
-    Peer server = stage.server(SILENT);
+    ScriptedPeer server = stage.server(SILENT);
     stage.start();
-    assertEquals(502, Stage.exchange(stage.dial(), stage.request("order", 1000, "body")).status());
-    Stage.await(() -> server.ended.size() == server.sockets.size());
+    assertEquals(
+        502, LoopbackCluster.exchange(stage.dial(), stage.request("order", 1000, "body")).status());
+    LoopbackCluster.await(() -> server.ended.size() == server.sockets.size());
     assertEquals(1, server.requests.size());
   }
 
@@ -302,7 +310,7 @@
   @Test
   void theAttemptOfAClientThatLeavesIsGivenUp() throws Exception {
     stage.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
-    Peer server = stage.server(SILENT);
+    ScriptedPeer server = stage.server(SILENT);
     CompletableFuture<Object> outcome = new CompletableFuture<>();
     stage.start(
         stage.overheard(
@@ -312,22 +320,22 @@
               }
             }));
     Socket client = stage.dial();
-    Peer.write(client, stage.request("lookup", 8000, ""));
-    Stage.await(() -> server.requests.size() == 1);
+    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    LoopbackCluster.await(() -> server.requests.size() == 1);
     client.close();
     assertEquals(
-        Balancer.Outcome.CANCELLED, outcome.get(20, TimeUnit.SECONDS), "and not its time-out");
-    Stage.await(() -> server.ended.size() == 1);
+        LoadBalancer.Outcome.CANCELLED, outcome.get(20, TimeUnit.SECONDS), "and not its time-out");
+    LoopbackCluster.await(() -> server.ended.size() == 1);
   }
 
   /** Guards against writing to a connection that the server is about to close as idle. */
   @Test
   void connectionsAreClosedBeforeTheServerWouldCloseThem() throws IOException {
     stage.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
-    Peer server = stage.server(SERVES);
+    ScriptedPeer server = stage.server(SERVES);
     stage.start();
     assertEquals(200, stage.call("lookup").status());
-    Stage.await(() -> server.ended.size() == 1);
+    LoopbackCluster.await(() -> server.ended.size() == 1);
     assertEquals(200, stage.call("lookup").status());
   }
 
@@ -339,7 +347,7 @@
   @Test
   void aConnectionThatEndedUnseenIsNotUsed() throws Exception {
     stage.settings("caps", caps -> caps.put("probes", false));
-    Peer server = stage.server(SERVES);
+    ScriptedPeer server = stage.server(SERVES);
     AtomicBoolean second = new AtomicBoolean();
     stage.start(
         stage.overheard(
@@ -366,17 +374,17 @@
 
   @Test
   void changesAreAppliedAndADrainedServerGetsNothingNew() throws Exception {
-    Peer first = stage.server(SERVES);
-    Peer second = new Peer(SERVES);
+    ScriptedPeer first = stage.server(SERVES);
+    ScriptedPeer second = new ScriptedPeer(SERVES);
     stage.servers.add(second);
     stage.start();
     assertEquals(200, stage.call("lookup").status());
     stage.news.add(
-        Stage.delta(
+        LoopbackCluster.delta(
             1,
-            Stage.endpoint(2, second.address(), "Ready"),
-            Stage.endpoint(1, first.address(), "Terminating")));
-    Stage.await(
+            LoopbackCluster.endpoint(2, second.address(), "Ready"),
+            LoopbackCluster.endpoint(1, first.address(), "Terminating")));
+    LoopbackCluster.await(
         () ->
             stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
     int before = first.requests.size();
@@ -398,7 +406,7 @@
       String address = "127.0.0.1:" + full.getLocalPort();
       ((ObjectNode) stage.config.get("known"))
           .putArray("endpoints")
-          .add(Stage.endpoint(1, address, "Ready"));
+          .add(LoopbackCluster.endpoint(1, address, "Ready"));
       CountDownLatch came = new CountDownLatch(1);
       stage.start(
           stage.overheard(
@@ -407,18 +415,18 @@
                   came.countDown();
                 }
               }));
-      List<Socket> filling = Stage.fill(full);
+      List<Socket> filling = LoopbackCluster.fill(full);
       Socket client = stage.dial();
-      Peer.write(client, stage.request("order", 8000, "body"));
-      assertTrue(came.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      ScriptedPeer.write(client, stage.request("order", 8000, "body"));
+      assertTrue(came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       assertEquals(200, health()); // what it answers after the request: the dial has begun
-      stage.news.add(Stage.delta(1, Stage.endpoint(1, address, "Terminating")));
-      Stage.await(
+      stage.news.add(LoopbackCluster.delta(1, LoopbackCluster.endpoint(1, address, "Terminating")));
+      LoopbackCluster.await(
           () ->
               stage.discovery.requests.stream()
                   .anyMatch(each -> each.target().contains("since=1&")));
-      AtomicInteger written = Stage.accept(full);
-      assertEquals(503, Peer.read(client.getInputStream()).status());
+      AtomicInteger written = LoopbackCluster.accept(full);
+      assertEquals(503, ScriptedPeer.read(client.getInputStream()).status());
       assertEquals(0, written.get());
       for (Socket socket : filling) {
         socket.close();
@@ -439,8 +447,8 @@
     stage.server(SERVES);
     stage.start();
     int before = stage.discovery.requests.size();
-    stage.news.add((message, socket) -> Peer.answer(socket, 200, "", body));
-    Stage.await(
+    stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 200, "", body));
+    LoopbackCluster.await(
         () ->
             stage.discovery.requests.stream()
                 .skip(before)
@@ -450,32 +458,34 @@
 
   @Test
   void afterAFailedOrBrokenCallTheListIsFollowedOn() throws Exception {
-    Peer server = new Peer(SERVES);
+    ScriptedPeer server = new ScriptedPeer(SERVES);
     stage.servers.add(server);
     stage.start();
-    stage.news.add((message, socket) -> Peer.answer(socket, 503, "", ""));
+    stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
     stage.news.add(RESETS);
     stage.news.add((message, socket) -> socket.close());
     stage.news.add(
         (message, socket) ->
-            Peer.answer(
+            ScriptedPeer.answer(
                 socket,
                 200,
                 "Connection: close\r\n",
                 "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
-    stage.news.add(Stage.delta(4, Stage.endpoint(1, server.address(), "Ready")));
+    stage.news.add(
+        LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
     assertEquals(200, stage.call("lookup").status());
   }
 
   @Test
   void whereDiscoveryIsAskedTheModuleSaysWhenAfterAFailure() throws Exception {
     ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    Peer server = new Peer(SERVES);
+    ScriptedPeer server = new ScriptedPeer(SERVES);
     stage.servers.add(server);
     stage.start();
-    stage.news.add((message, socket) -> Peer.answer(socket, 503, "", ""));
-    stage.news.add(Stage.delta(4, Stage.endpoint(1, server.address(), "Ready")));
-    Stage.await(
+    stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+    stage.news.add(
+        LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
+    LoopbackCluster.await(
         () ->
             stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=4&")));
     assertEquals(200, stage.call("lookup").status());
@@ -488,19 +498,21 @@
   @Test
   void aWatchThatFellSilentIsOpenedAnewAtOnce() throws Exception {
     ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    Peer drained = stage.server(SERVES);
-    Peer other = stage.server((message, socket) -> Peer.answer(socket, 200, "", "other"));
+    ScriptedPeer drained = stage.server(SERVES);
+    ScriptedPeer other =
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
     AtomicInteger failures = new AtomicInteger();
     stage.start(
         stage.overheard(
             (event, details) -> {
-              if (event.equals("servers") && details[1] == Balancer.ListKind.FAILED) {
+              if (event.equals("servers") && details[1] == LoadBalancer.ListKind.FAILED) {
                 failures.incrementAndGet();
               }
             }));
     stage.news.add(SILENT);
-    stage.news.add(Stage.delta(5, Stage.endpoint(1, drained.address(), "Terminating")));
-    Stage.await(
+    stage.news.add(
+        LoopbackCluster.delta(5, LoopbackCluster.endpoint(1, drained.address(), "Terminating")));
+    LoopbackCluster.await(
         () ->
             stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=5&")));
     assertEquals(0, failures.get(), "and not after the wait that follows a failed call");
@@ -532,7 +544,7 @@
             .peer(
                 (message, socket) -> {
                   ready.await();
-                  Peer.answer(socket, 200, "", stage.config.get("known").toString());
+                  ScriptedPeer.answer(socket, 200, "", stage.config.get("known").toString());
                 })
             .address());
     ((ObjectNode) stage.config.get("settings")).put("discovery", asks ? "subscribe" : "automatic");
@@ -546,15 +558,15 @@
 
   /** A listed server that does not even answer for its health before that. */
   private void silentUntil(CountDownLatch ready) throws IOException {
-    Peer behind = stage.server(SERVES);
+    ScriptedPeer behind = stage.server(SERVES);
     ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     ArrayNode known = (ArrayNode) stage.config.get("known").get("endpoints");
     ((ObjectNode) known.get(known.size() - 1)).put("address", "127.0.0.1:" + silent.getLocalPort());
-    Peer.daemon(
+    ScriptedPeer.daemon(
         () -> {
           while (true) {
             Socket accepted = silent.accept();
-            Peer.daemon(
+            ScriptedPeer.daemon(
                 () -> {
                   ready.await();
                   behind.serve(accepted);
@@ -565,17 +577,17 @@
 
   @Test
   void theListGivesTimesAndNamesAsTheModuleNeedsThem() throws Exception {
-    ObjectNode entry = Stage.endpoint(1, "127.0.0.1:9", "Ready");
+    ObjectNode entry = LoopbackCluster.endpoint(1, "127.0.0.1:9", "Ready");
     ((ObjectNode) stage.config.get("known"))
         .putArray("endpoints")
         .add(entry)
-        .add(Stage.endpoint(2, "127.0.0.1:9", "Gone"));
+        .add(LoopbackCluster.endpoint(2, "127.0.0.1:9", "Gone"));
     entry.put("since_ms", 1_700_000_000_123L);
-    List<Discovery.Endpoint> list =
-        Discovery.decode(stage.config.get("known"), Config.of(stage.config)).endpoints();
+    List<Discovery.ListedEndpoint> list =
+        Discovery.decode(stage.config.get("known"), AgentConfig.of(stage.config)).endpoints();
     assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
     assertEquals(0, list.get(1).server().startedAt());
-    assertEquals(Balancer.Phase.GONE, list.get(1).server().phase());
+    assertEquals(LoadBalancer.Phase.GONE, list.get(1).server().phase());
     assertEquals(Discovery.id("s-1"), list.get(0).server().id());
   }
 
@@ -606,7 +618,7 @@
     stage.server(
         (message, socket) -> {
           open.await();
-          Peer.answer(socket, 200, "", "served");
+          ScriptedPeer.answer(socket, 200, "", "served");
         });
     stage.start();
     List<CompletableFuture<Integer>> answers = new ArrayList<>();
@@ -615,9 +627,10 @@
       String request = stage.request("order", 8000, "body");
       CompletableFuture<Integer> answer = new CompletableFuture<>();
       answers.add(answer);
-      Peer.daemon(() -> answer.complete(Stage.exchange(client, request).status()));
+      ScriptedPeer.daemon(
+          () -> answer.complete(LoopbackCluster.exchange(client, request).status()));
     }
-    Stage.await(() -> stage.arrived() > 0);
+    LoopbackCluster.await(() -> stage.arrived() > 0);
     open.countDown();
     for (CompletableFuture<Integer> answer : answers) {
       assertTrue(List.of(200, 503).contains(answer.get(20, TimeUnit.SECONDS)));
@@ -637,7 +650,8 @@
     List<Socket> kept = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
       Socket client = stage.dial();
-      if (Stage.exchange(client, stage.request("lookup", 8000, "")).header("Connection") == null) {
+      if (LoopbackCluster.exchange(client, stage.request("lookup", 8000, "")).header("Connection")
+          == null) {
         kept.add(client);
       }
     }
@@ -647,11 +661,13 @@
       String request = stage.request("lookup", 8000, "");
       CompletableFuture<Integer> answer = new CompletableFuture<>();
       more.add(answer);
-      Peer.daemon(() -> answer.complete(Stage.exchange(client, request).status()));
+      ScriptedPeer.daemon(
+          () -> answer.complete(LoopbackCluster.exchange(client, request).status()));
     }
     int told = 0;
     for (Socket client : kept) {
-      Peer.Message answer = Stage.exchange(client, stage.request("lookup", 8000, ""));
+      ScriptedPeer.Message answer =
+          LoopbackCluster.exchange(client, stage.request("lookup", 8000, ""));
       assertTrue(List.of(200, 503).contains(answer.status()));
       told += "close".equals(answer.header("Connection")) ? 1 : 0;
     }
@@ -669,24 +685,25 @@
           if (message.target().startsWith("/order")) {
             go.await();
           }
-          Peer.answer(socket, 200, "", "served");
+          ScriptedPeer.answer(socket, 200, "", "served");
         });
     stage.start();
     Socket held = stage.dial();
     Socket idle = stage.dial();
-    assertEquals(200, Stage.exchange(idle, stage.request("lookup", 8000, "")).status());
-    Peer.write(held, stage.request("order", 8000, "body"));
-    Stage.await(() -> stage.arrived() == 2);
-    Thread ending = Peer.daemon(stage.agent::stop);
+    assertEquals(200, LoopbackCluster.exchange(idle, stage.request("lookup", 8000, "")).status());
+    ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+    LoopbackCluster.await(() -> stage.arrived() == 2);
+    Thread ending = ScriptedPeer.daemon(stage.agent::stop);
     // It says so, and serves on, on connections old and new, without ending them.
-    Stage.await(() -> health() == 503);
+    LoopbackCluster.await(() -> health() == 503);
     for (Socket each : List.of(idle, stage.dial())) {
-      Peer.Message answer = Stage.exchange(each, stage.request("lookup", 8000, ""));
+      ScriptedPeer.Message answer =
+          LoopbackCluster.exchange(each, stage.request("lookup", 8000, ""));
       assertEquals(200, answer.status());
       assertNull(answer.header("Connection"));
     }
-    assertThrows(EOFException.class, () -> Peer.read(idle.getInputStream()));
-    Stage.await(
+    assertThrows(EOFException.class, () -> ScriptedPeer.read(idle.getInputStream()));
+    LoopbackCluster.await(
         () -> { // it no longer listens, but still owes an answer
           try {
             return !stage.dial().isBound();
@@ -696,23 +713,23 @@
         });
     assertTrue(ending.isAlive());
     go.countDown();
-    Peer.Message answer = Peer.read(held.getInputStream());
+    ScriptedPeer.Message answer = ScriptedPeer.read(held.getInputStream());
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
-    ending.join(Stage.GENEROUS_MS);
+    ending.join(LoopbackCluster.GENEROUS_MS);
     assertFalse(ending.isAlive());
   }
 
   @Test
   void anAgentToldToEndThatNobodyUsesEndsBeforeOneInUse() throws Exception {
-    try (Stage used = new Stage()) {
+    try (LoopbackCluster used = new LoopbackCluster()) {
       used.start();
       stage.start();
       stage.hangUp();
       used.dial();
-      Thread unusedEnds = Peer.daemon(stage.agent::stop);
-      Thread usedEnds = Peer.daemon(used.agent::stop);
-      unusedEnds.join(Stage.GENEROUS_MS);
+      Thread unusedEnds = ScriptedPeer.daemon(stage.agent::stop);
+      Thread usedEnds = ScriptedPeer.daemon(used.agent::stop);
+      unusedEnds.join(LoopbackCluster.GENEROUS_MS);
       assertFalse(unusedEnds.isAlive());
       assertTrue(usedEnds.isAlive());
     }
@@ -728,11 +745,11 @@
     }
     stage.start(AgentTest::neverAnswers); // and a client that waits for longer than the test
     Socket client = stage.dial();
-    Peer.write(client, stage.request("order", 2 * Stage.GENEROUS_MS, "body"));
+    ScriptedPeer.write(client, stage.request("order", 2 * LoopbackCluster.GENEROUS_MS, "body"));
     Thread.sleep(100);
-    Peer.daemon(stage.agent::stop);
-    assertEquals(504, Peer.read(client.getInputStream()).status());
-    assertThrows(EOFException.class, () -> Peer.read(client.getInputStream()));
+    ScriptedPeer.daemon(stage.agent::stop);
+    assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
+    assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
   }
 
   /**
@@ -742,28 +759,28 @@
   @Test
   void anAgentToldToEndAnswersBeforeTheKillHoweverLongTheDeadlinesAre() throws Exception {
     for (JsonNode each : stage.config.get("settings").get("classes")) {
-      ((ObjectNode) each).put("give-up-us", 3_000 * Stage.GENEROUS_MS);
+      ((ObjectNode) each).put("give-up-us", 3_000 * LoopbackCluster.GENEROUS_MS);
     }
     stage.start(AgentTest::neverAnswers);
     Socket client = stage.dial();
-    Peer.write(client, stage.request("order", 3 * Stage.GENEROUS_MS, "body"));
-    Peer.daemon(stage.agent::stop);
-    assertEquals(504, Peer.read(client.getInputStream()).status());
-    assertThrows(EOFException.class, () -> Peer.read(client.getInputStream()));
+    ScriptedPeer.write(client, stage.request("order", 3 * LoopbackCluster.GENEROUS_MS, "body"));
+    ScriptedPeer.daemon(stage.agent::stop);
+    assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
+    assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
   }
 
   /** A module that leaves its requests open. */
-  private static Balancer neverAnswers(Agent unusedAgent) {
-    return (Balancer)
+  private static LoadBalancer neverAnswers(Agent unusedAgent) {
+    return (LoadBalancer)
         Proxy.newProxyInstance(
-            Balancer.class.getClassLoader(),
-            new Class<?>[] {Balancer.class},
+            LoadBalancer.class.getClassLoader(),
+            new Class<?>[] {LoadBalancer.class},
             (proxy, method, details) -> null);
   }
 
   private int health() {
     try (Socket socket = stage.dial()) {
-      return Stage.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
+      return LoopbackCluster.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
     } catch (IOException e) {
       return 0;
     }
@@ -773,7 +790,8 @@
   void reportsAreReadInTheSettingsOrder() throws Exception {
     stage.server(
         (message, socket) ->
-            Peer.answer(socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
+            ScriptedPeer.answer(
+                socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
     stage.start(
         stage.overheard(
@@ -791,12 +809,14 @@
     stage.config.put("seed", "not hex");
     assertEquals(
         "config: seed has an unusable value: not hex",
-        assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config)).getMessage());
+        assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(stage.config))
+            .getMessage());
     stage.config.put("seed", "1").put("listen", "somewhere");
     assertEquals(
         "unusable address: somewhere",
-        assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config)).getMessage());
+        assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(stage.config))
+            .getMessage());
     stage.config.remove("settings");
-    assertThrows(IllegalArgumentException.class, () -> Config.of(stage.config));
+    assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(stage.config));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
@@ -23,14 +23,14 @@
  */
 class BadClientsTest {
   private static final String GET = "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\n";
-  private static final Peer.Script SERVES =
-      (message, socket) -> Peer.answer(socket, 200, "", "served");
+  private static final ScriptedPeer.Script SERVES =
+      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
 
-  private Stage stage;
+  private LoopbackCluster stage;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
   }
 
   @AfterEach
@@ -40,7 +40,7 @@
 
   private void assertTurnedAway(int status, String bytes) throws IOException {
     Socket client = stage.dial();
-    Peer.Message answer = Stage.exchange(client, bytes);
+    ScriptedPeer.Message answer = LoopbackCluster.exchange(client, bytes);
     assertEquals(status, answer.status());
     assertEquals("close", answer.header("Connection"));
     assertEquals(-1, client.getInputStream().read());
@@ -120,18 +120,18 @@
     stage.start();
     assertTurnedAway(413, stage.request("order", 500, "x".repeat(65_537)));
     Socket client = stage.dial(); // one that goes on sending for ever, in chunks
-    Peer.write(
+    ScriptedPeer.write(
         client,
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
             + "Request-Timeout-Ms: 8000\r\nTransfer-Encoding: chunked\r\n\r\n");
-    Peer.daemon(
+    ScriptedPeer.daemon(
         () -> {
           while (true) {
-            Peer.write(client, "8000\r\n" + "y".repeat(0x8000) + "\r\n");
+            ScriptedPeer.write(client, "8000\r\n" + "y".repeat(0x8000) + "\r\n");
           }
         });
-    assertEquals(413, Peer.read(client.getInputStream()).status());
-    Stage.await(
+    assertEquals(413, ScriptedPeer.read(client.getInputStream()).status());
+    LoopbackCluster.await(
         () -> {
           try {
             client.getOutputStream().write('y');
@@ -151,21 +151,21 @@
     stage.server(
         (message, socket) -> {
           go.await();
-          Peer.answer(socket, 200, "", "served");
+          ScriptedPeer.answer(socket, 200, "", "served");
         });
     stage.start();
     Socket client = stage.dial();
-    Peer.write(
+    ScriptedPeer.write(
         client,
         stage.request("order", 8000, "b")
             + stage
                 .request("order", 8000, "x")
                 .replace("Content-Length: 1", "Content-Length: 60000000"));
-    Stage.await(() -> stage.arrived() == 1);
+    LoopbackCluster.await(() -> stage.arrived() == 1);
     Thread.sleep(100);
     go.countDown();
-    assertEquals(200, Peer.read(client.getInputStream()).status());
-    assertEquals(413, Peer.read(client.getInputStream()).status());
+    assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
+    assertEquals(413, ScriptedPeer.read(client.getInputStream()).status());
     assertEquals(-1, client.getInputStream().read());
   }
 
@@ -176,18 +176,18 @@
     stage.server(
         (message, socket) -> {
           go.await();
-          Peer.answer(socket, 200, "", "served");
+          ScriptedPeer.answer(socket, 200, "", "served");
         });
     stage.start();
     Socket first = stage.dial();
     String request = stage.request("pay", 8000, "body");
-    Peer.write(first, request);
-    Stage.await(() -> stage.arrived() == 1);
-    assertEquals(409, Stage.exchange(stage.dial(), request).status());
+    ScriptedPeer.write(first, request);
+    LoopbackCluster.await(() -> stage.arrived() == 1);
+    assertEquals(409, LoopbackCluster.exchange(stage.dial(), request).status());
     go.countDown();
-    assertEquals(200, Peer.read(first.getInputStream()).status());
+    assertEquals(200, ScriptedPeer.read(first.getInputStream()).status());
     assertEquals(1, stage.arrived());
-    assertEquals(200, Stage.exchange(first, stage.request("pay", 8000, "body")).status());
+    assertEquals(200, LoopbackCluster.exchange(first, stage.request("pay", 8000, "body")).status());
   }
 
   /** Guards against descriptors held for those who say nothing, or never come to the end. */
@@ -202,11 +202,11 @@
   void halfARequestIsNotWaitedForForEver(String half) throws IOException {
     stage.start();
     Socket client = stage.dial();
-    Peer.write(client, half);
+    ScriptedPeer.write(client, half);
     if (half.isEmpty()) {
       assertEquals(-1, client.getInputStream().read());
     } else {
-      assertEquals(408, Peer.read(client.getInputStream()).status());
+      assertEquals(408, ScriptedPeer.read(client.getInputStream()).status());
     }
   }
 
@@ -237,11 +237,11 @@
   void theEndDoesNotWaitForSilentOrHalfSentRequests() throws Exception {
     stage.start();
     Socket half = stage.dial();
-    Peer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
+    ScriptedPeer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
     Socket silent = stage.dial();
     Thread.sleep(100);
     CompletableFuture<Void> ended = CompletableFuture.runAsync(stage.agent::stop);
-    ended.get(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    ended.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     assertEquals(-1, silent.getInputStream().read());
     half.getInputStream().readAllBytes(); // an error perhaps, and the end
   }
@@ -253,7 +253,8 @@
     Socket client = stage.dial();
     String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n", -1);
     assertEquals(
-        100, Stage.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n").status());
-    assertEquals(200, Stage.exchange(client, parts[1]).status());
+        100,
+        LoopbackCluster.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n").status());
+    assertEquals(200, LoopbackCluster.exchange(client, parts[1]).status());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
@@ -20,12 +20,12 @@
  * has run.
  */
 class BadServersTest {
-  private Stage stage;
+  private LoopbackCluster stage;
   private final AtomicInteger turn = new AtomicInteger();
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
     stage.settings("caps", caps -> caps.put("probes", false));
   }
 
@@ -42,9 +42,9 @@
       stage.server(
           (message, socket) -> {
             if (turn.getAndIncrement() == 0) {
-              Peer.write(socket, bytes);
+              ScriptedPeer.write(socket, bytes);
             } else {
-              Peer.answer(socket, 200, "", "served");
+              ScriptedPeer.answer(socket, 200, "", "served");
             }
           });
     }
@@ -102,10 +102,10 @@
   @ParameterizedTest
   @ValueSource(strings = {"ended by close", ""})
   void anAnswerWithNoLengthEndsWithItsConnection(String body) throws IOException {
-    Peer server =
+    ScriptedPeer server =
         stage.server(
             (message, socket) -> {
-              Peer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
+              ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
               socket.close();
             });
     stage.start();
@@ -121,7 +121,7 @@
    */
   @Test
   void anAnswerWithNoLengthThatIsResetOnTheWayIsNotServedAndMayHaveRun() throws IOException {
-    answersBegun("x".repeat(100), Peer::reset);
+    answersBegun("x".repeat(100), ScriptedPeer::reset);
     assertEquals(502, stage.call("order").status());
     assertEquals("served", stage.call("lookup").text());
     assertEquals(3, turn.get());
@@ -130,13 +130,14 @@
   @Test
   void anAnswerWithNoLengthThatNeverEndsIsGivenUpInTime() throws IOException {
     answersBegun("x".repeat(100), socket -> {});
-    assertEquals(502, Stage.exchange(stage.dial(), stage.request("order", 400, "body")).status());
+    assertEquals(
+        502, LoopbackCluster.exchange(stage.dial(), stage.request("order", 400, "body")).status());
     assertEquals(1, turn.get(), "it may have run");
   }
 
   @Test
   void anAnswerWithNoLengthIsNotReadForEver() throws IOException {
-    answersBegun("x".repeat(Backends.BODY_MAX + 1), socket -> {});
+    answersBegun("x".repeat(BackendConnections.BODY_MAX + 1), socket -> {});
     assertEquals(502, stage.call("order").status());
   }
 
@@ -149,10 +150,10 @@
       stage.server(
           (message, socket) -> {
             if (turn.getAndIncrement() < 2) {
-              Peer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
+              ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
               ending.of(socket);
             } else {
-              Peer.answer(socket, 200, "", "served");
+              ScriptedPeer.answer(socket, 200, "", "served");
             }
           });
     }
@@ -192,14 +193,15 @@
     stage.server(
         (message, socket) -> {
           String id = message.header("Request-Id");
-          Peer.write(
+          ScriptedPeer.write(
               socket,
               ("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id).repeat(2));
         });
     stage.start();
     Socket client = stage.dial();
     for (int i = 1; i <= 20; i++) {
-      assertEquals("id" + i, Stage.exchange(client, stage.request("order", 8000, "b")).text());
+      assertEquals(
+          "id" + i, LoopbackCluster.exchange(client, stage.request("order", 8000, "b")).text());
     }
   }
 
@@ -227,7 +229,8 @@
       })
   void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
     stage.server(
-        (message, socket) -> Peer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
+        (message, socket) ->
+            ScriptedPeer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
     stage.start(
         stage.overheard(
@@ -246,24 +249,25 @@
    */
   @Test
   void nothingIsKeptForServersThatAreGone() throws Exception {
-    Peer first = stage.server((message, socket) -> Peer.answer(socket, 200, "", "served"));
+    ScriptedPeer first =
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
     stage.start();
     assertEquals(200, stage.call("order").status());
     for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
       stage.news.add(
-          Stage.delta(
+          LoopbackCluster.delta(
               i,
-              Stage.endpoint(i - 1, first.address(), "Gone"),
-              Stage.endpoint(1000 + i, first.address(), "Gone"),
-              Stage.endpoint(i, first.address(), "Ready")));
+              LoopbackCluster.endpoint(i - 1, first.address(), "Gone"),
+              LoopbackCluster.endpoint(1000 + i, first.address(), "Gone"),
+              LoopbackCluster.endpoint(i, first.address(), "Ready")));
     }
-    Stage.await(
+    LoopbackCluster.await(
         () ->
             stage.discovery.requests.stream()
                 .anyMatch(each -> each.target().contains("since=40&")));
     assertEquals(200, stage.call("order").status());
     assertEquals(1, stage.agent.kept(), "of the last one alone");
-    Stage.await(() -> first.ended.size() >= 1);
+    LoopbackCluster.await(() -> first.ended.size() >= 1);
   }
 
   /**
@@ -276,9 +280,9 @@
     stage.server(
         (message, socket) -> {
           if (resets.getAndDecrement() > 0) {
-            Peer.reset(socket);
+            ScriptedPeer.reset(socket);
           } else {
-            Peer.answer(socket, 200, "", "served");
+            ScriptedPeer.answer(socket, 200, "", "served");
           }
         });
     stage.start();
@@ -300,7 +304,8 @@
       String request = stage.request("order", 8000, "body");
       CompletableFuture<Integer> answer = new CompletableFuture<>();
       answers.add(answer);
-      Peer.daemon(() -> answer.complete(Stage.exchange(client, request).status()));
+      ScriptedPeer.daemon(
+          () -> answer.complete(LoopbackCluster.exchange(client, request).status()));
     }
     for (CompletableFuture<Integer> answer : answers) {
       assertEquals(200, answer.get(20, TimeUnit.SECONDS));
--- a/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
@@ -31,8 +31,9 @@
 
   @BeforeEach
   void set() throws IOException {
-    Config config =
-        Config.of(new ObjectMapper().readTree(Path.of("src/test/resources/config.json").toFile()));
+    AgentConfig config =
+        AgentConfig.of(
+            new ObjectMapper().readTree(Path.of("src/test/resources/config.json").toFile()));
     clients =
         new ClientServer(
             group.next(),
@@ -41,7 +42,8 @@
             () -> true,
             new ClientServer.Listener() {
               @Override
-              public void request(ClientServer.Incoming request, ClientServer.Exchange exchange) {
+              public void request(
+                  ClientServer.IncomingRequest request, ClientServer.Exchange exchange) {
                 listener.request(request, exchange);
               }
 
@@ -61,7 +63,7 @@
   private Socket dial() throws IOException {
     int port = ((InetSocketAddress) clients.channel().localAddress()).getPort();
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    socket.setSoTimeout((int) Stage.GENEROUS_MS);
+    socket.setSoTimeout((int) LoopbackCluster.GENEROUS_MS);
     return socket;
   }
 
@@ -79,15 +81,17 @@
   @Test
   void aPeerThatIsSilentAndThenSendsHalfARequestIsNotWaitedForTwice() throws Exception {
     try (Socket peer = dial()) {
-      Stage.await(() -> !group.next().submit(clients::isEmpty).syncUninterruptibly().getNow());
+      LoopbackCluster.await(
+          () -> !group.next().submit(clients::isEmpty).syncUninterruptibly().getNow());
       nanos.set(TimeUnit.MILLISECONDS.toNanos(1_900));
-      Peer.write(
+      ScriptedPeer.write(
           peer,
           "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Id: a\r\nRequest-Class: order\r\n"
               + "Request-Timeout-Ms: 9000\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n");
-      assertEquals(100, Peer.read(peer.getInputStream()).status(), "this much has been read");
+      assertEquals(
+          100, ScriptedPeer.read(peer.getInputStream()).status(), "this much has been read");
       nanos.set(TimeUnit.MILLISECONDS.toNanos(2_100));
-      assertEquals(408, Peer.read(peer.getInputStream()).status());
+      assertEquals(408, ScriptedPeer.read(peer.getInputStream()).status());
     }
   }
 
@@ -100,7 +104,8 @@
     listener =
         new ClientServer.Listener() {
           @Override
-          public void request(ClientServer.Incoming request, ClientServer.Exchange exchange) {
+          public void request(
+              ClientServer.IncomingRequest request, ClientServer.Exchange exchange) {
             exchange.answer(HttpResponseStatus.OK);
           }
 
@@ -109,9 +114,10 @@
         };
     try (Socket client = dial();
         Socket silent = dial()) {
-      Stage.await(() -> group.next().submit(clients::size).syncUninterruptibly().getNow() == 2);
+      LoopbackCluster.await(
+          () -> group.next().submit(clients::size).syncUninterruptibly().getNow() == 2);
       group.next().submit(clients::stopListening).syncUninterruptibly();
-      Peer.Message answer = Stage.exchange(client, request("a"));
+      ScriptedPeer.Message answer = LoopbackCluster.exchange(client, request("a"));
       assertEquals(200, answer.status());
       assertEquals("close", answer.header("Connection"));
       assertEquals(-1, silent.getInputStream().read());
@@ -129,7 +135,8 @@
           private boolean first = true;
 
           @Override
-          public void request(ClientServer.Incoming request, ClientServer.Exchange exchange) {
+          public void request(
+              ClientServer.IncomingRequest request, ClientServer.Exchange exchange) {
             if (!first) {
               exchange.answer(HttpResponseStatus.OK);
               return;
@@ -149,9 +156,9 @@
           public void clientLeft(ClientServer.Exchange exchange) {}
         };
     try (Socket client = dial()) {
-      Peer.write(client, request("a") + request("b"));
-      assertEquals(200, Peer.read(client.getInputStream()).status());
-      Peer.Message second = Peer.read(client.getInputStream());
+      ScriptedPeer.write(client, request("a") + request("b"));
+      assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
+      ScriptedPeer.Message second = ScriptedPeer.read(client.getInputStream());
       assertEquals(200, second.status());
       assertEquals("close", second.header("Connection"));
     }
--- a/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
@@ -26,26 +26,26 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
  * What holds while descriptors are scarce: discovery and servers are reached, and clients served.
  */
 class DescriptorsTest {
-  private static final Peer.Script SERVES =
-      (message, socket) -> Peer.answer(socket, 200, "", "served");
+  private static final ScriptedPeer.Script SERVES =
+      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
   private static final int EACH = 12;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private Stage stage;
+  private LoopbackCluster stage;
   private volatile boolean over;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
     ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * EACH);
   }
 
@@ -59,22 +59,22 @@
   /** Failed before: the attempt never ended, and the connection it never had counted for ever. */
   @Test
   void anAttemptForWhichNoSocketCanBeOpenedWasNeverSent() throws Exception {
-    Peer server = stage.peer(SERVES);
+    ScriptedPeer server = stage.peer(SERVES);
     AtomicInteger left = new AtomicInteger(-2 * EACH);
     BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    Backends backends =
+    BackendConnections backends =
         loop.submit(
                 () ->
-                    new Backends(
+                    new BackendConnections(
                         loop,
-                        Config.of(stage.config),
+                        AgentConfig.of(stage.config),
                         EACH,
-                        new Tally(),
+                        new RequestStatistics(),
                         () -> {
                           if (left.getAndIncrement() < 0) {
                             throw new ChannelException("too many open files");
                           }
-                          return new Inspectable();
+                          return new InspectableSocketChannel();
                         }))
             .sync()
             .getNow();
@@ -87,15 +87,18 @@
                         InetAddress.getLoopbackAddress(), server.listener.getLocalPort()));
                 backends.send(
                     1,
-                    new Backends.Outgoing(
-                        HttpMethod.GET, "/lookup", new DefaultHttpHeaders(), Backends.NO_BODY),
+                    new BackendConnections.OutgoingRequest(
+                        HttpMethod.GET,
+                        "/lookup",
+                        new DefaultHttpHeaders(),
+                        BackendConnections.NO_BODY),
                     0,
                     result -> outcomes.add(result.outcome()));
               })
           .sync();
       assertEquals(
           i < 2 * EACH ? Outcome.NEVER_SENT : Outcome.OK,
-          outcomes.poll(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+          outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     }
     assertTrue(loop.submit(backends::connections).sync().getNow() <= 1);
   }
@@ -110,10 +113,11 @@
     Discovery discovery =
         new Discovery(
             loop,
-            Config.of(stage.config),
+            AgentConfig.of(stage.config),
             new Discovery.Listener() {
               @Override
-              public void list(Balancer.ListKind kind, List<Discovery.Endpoint> endpoints) {
+              public void list(
+                  LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
                 listed.countDown();
               }
 
@@ -129,7 +133,7 @@
               return new NioSocketChannel();
             });
     loop.submit(discovery::watch).sync();
-    assertTrue(listed.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    assertTrue(listed.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     assertEquals(
         List.of("no socket", "no socket"),
         loop.submit(() -> List.copyOf(failures)).sync().getNow());
@@ -142,36 +146,39 @@
    */
   @Test
   void idleClientsThatFillTheDescriptorsKeepNobodyFromServersAndDiscovery() throws Exception {
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-    Peer replacement = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
+    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    ScriptedPeer replacement =
+        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
     int port = stage.discovery.listener.getLocalPort();
     stage.discovery.close();
-    stage.agent = Agent.start(Config.of(stage.config));
+    stage.agent = Agent.start(AgentConfig.of(stage.config));
     AtomicInteger idle = new AtomicInteger();
     for (int i = 0; i < 4 * EACH; i++) {
       boolean asks = i % 2 == 0;
-      Peer.daemon(() -> idle(asks, idle));
+      ScriptedPeer.daemon(() -> idle(asks, idle));
     }
     stage.awaitReady();
-    Stage.await(() -> idle.get() > 4 * EACH); // some have been closed for room, and come again
+    LoopbackCluster.await(
+        () -> idle.get() > 4 * EACH); // some have been closed for room, and come again
     assertEquals("old", stage.call("order").text());
     String list =
         "{\"index\":7,\"snapshot\":true,\"endpoints\":["
-            + Stage.endpoint(2, replacement.address(), "Ready")
+            + LoopbackCluster.endpoint(2, replacement.address(), "Ready")
             + "]}";
-    Peer back =
-        new Peer(
+    ScriptedPeer back =
+        new ScriptedPeer(
             port,
             (message, socket) -> {
               // Whatever the agent held: the one before may have been asked in the moment in which
               // it closed.
               if (!message.target().contains("since=7")) {
-                Peer.answer(socket, 200, "", list);
+                ScriptedPeer.answer(socket, 200, "", list);
               }
             });
     stage.peers.add(back);
-    Stage.await(() -> !back.requests.isEmpty());
-    Stage.await(() -> back.requests.stream().anyMatch(each -> each.target().contains("since=7")));
+    LoopbackCluster.await(() -> !back.requests.isEmpty());
+    LoopbackCluster.await(
+        () -> back.requests.stream().anyMatch(each -> each.target().contains("since=7")));
     for (int i = 0; i < 10; i++) {
       assertEquals("new", stage.call("order").text());
       assertTrue(
@@ -190,7 +197,7 @@
           new Socket(InetAddress.getLoopbackAddress(), stage.agent.address().getPort())) {
         dialled.incrementAndGet();
         if (asks) {
-          Peer.write(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+          ScriptedPeer.write(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         client.getInputStream().readAllBytes();
       } catch (IOException e) {
--- a/src/test/java/slateslip/loadbalancer/net/AskedDiscoveryTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
@@ -16,36 +16,37 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.DefaultLoadBalancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /**
  * A discovery that has to be asked, and what fails of its calls, over loopback sockets. The
  * module's waits are noted and left out: the order of events alone decides.
  */
-class AskedDiscoveryTest {
+class DiscoveryWatchTest {
   /** The module's token for the time of the next call. */
   private static final long TIMER_ASK = -3;
 
   /** So long after discovery had it and could be reached, a change counts as told. */
   private static final long TOLD_MICROS = 6_000_000;
 
-  private static final Peer.Script REFUSES = (message, socket) -> Peer.answer(socket, 503, "", "");
-  private static final Peer.Script RESETS = (message, socket) -> Peer.reset(socket);
+  private static final ScriptedPeer.Script REFUSES =
+      (message, socket) -> ScriptedPeer.answer(socket, 503, "", "");
+  private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
 
   /** The module's waits before each call, microseconds. */
   private final List<Long> waits = new CopyOnWriteArrayList<>();
 
-  private Stage stage;
-  private Peer drained;
-  private Peer other;
+  private LoopbackCluster stage;
+  private ScriptedPeer drained;
+  private ScriptedPeer other;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
     ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    drained = stage.server((message, socket) -> Peer.answer(socket, 200, "", "drained"));
-    other = stage.server((message, socket) -> Peer.answer(socket, 200, "", "other"));
+    drained = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "drained"));
+    other = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
   }
 
   @AfterEach
@@ -54,12 +55,12 @@
   }
 
   /** The usual module, whose waits before it asks discovery are noted and over at once. */
-  private Balancer hurried(Agent agent) {
+  private LoadBalancer hurried(Agent agent) {
     var actions =
-        (Balancer.Actions)
+        (LoadBalancer.Actions)
             Proxy.newProxyInstance(
-                Balancer.class.getClassLoader(),
-                new Class<?>[] {Balancer.Actions.class},
+                LoadBalancer.class.getClassLoader(),
+                new Class<?>[] {LoadBalancer.Actions.class},
                 (proxy, method, details) -> {
                   if (method.getName().equals("timer") && details[0].equals(TIMER_ASK)) {
                     waits.add((Long) details[1]);
@@ -68,19 +69,20 @@
                   }
                   return method.invoke(agent, details);
                 });
-    return new Rules(Config.of(stage.config).settings(), 1, 0, actions);
+    return new DefaultLoadBalancer(AgentConfig.of(stage.config).settings(), 1, 0, actions);
   }
 
-  private List<String> asked(Peer discovery) {
-    return discovery.requests.stream().map(Peer.Message::target).toList();
+  private List<String> asked(ScriptedPeer discovery) {
+    return discovery.requests.stream().map(ScriptedPeer.Message::target).toList();
   }
 
-  private Peer.Script drain() {
-    return Stage.delta(5, Stage.endpoint(1, drained.address(), "Terminating"));
+  private ScriptedPeer.Script drain() {
+    return LoopbackCluster.delta(5, LoopbackCluster.endpoint(1, drained.address(), "Terminating"));
   }
 
-  private void assertDrainKnown(Peer discovery) throws IOException {
-    Stage.await(() -> asked(discovery).stream().anyMatch(each -> each.contains("since=5&")));
+  private void assertDrainKnown(ScriptedPeer discovery) throws IOException {
+    LoopbackCluster.await(
+        () -> asked(discovery).stream().anyMatch(each -> each.contains("since=5&")));
     int before = drained.requests.size();
     for (int i = 0; i < 5; i++) {
       assertEquals("other", stage.call("lookup").text());
@@ -115,7 +117,8 @@
   void anAgentThatKnowsNoServersFetchesTheWholeListFirst() throws Exception {
     ((ObjectNode) stage.config.get("known")).putArray("endpoints");
     stage.start(this::hurried);
-    Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+    LoopbackCluster.await(
+        () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
     assertEquals("/v1/servers", asked(stage.discovery).get(0));
   }
 
@@ -123,9 +126,9 @@
   @Test
   void aVersionBeforeTheOneHeldMakesItFetchTheWholeList() throws Exception {
     ((ObjectNode) stage.config.get("known")).put("index", 7);
-    stage.news.add(Stage.delta(4));
+    stage.news.add(LoopbackCluster.delta(4));
     stage.start(this::hurried);
-    Stage.await(() -> asked(stage.discovery).size() >= 3);
+    LoopbackCluster.await(() -> asked(stage.discovery).size() >= 3);
     assertTrue(asked(stage.discovery).get(0).contains("since=7&"));
     assertEquals("/v1/servers", asked(stage.discovery).get(1));
   }
@@ -160,7 +163,7 @@
   @Test
   void theKnownListComesBeforeDiscoverysAlsoWhereTheModuleAsksAtOnce() throws Exception {
     List<Object> lists = new CopyOnWriteArrayList<>();
-    Function<Agent, Balancer> overheard =
+    Function<Agent, LoadBalancer> overheard =
         stage.overheard(
             (event, details) -> {
               if (event.equals("servers")) {
@@ -169,7 +172,7 @@
             });
     stage.agent =
         Agent.made(
-            Config.of(stage.config),
+            AgentConfig.of(stage.config),
             agent -> {
               agent.watchServers();
               return overheard.apply(agent);
@@ -181,7 +184,7 @@
     stage.news.add(drain());
     stage.agent.beginSoon();
     assertDrainKnown(stage.discovery);
-    assertEquals(List.of(Balancer.ListKind.CACHED, Balancer.ListKind.DELTA), lists);
+    assertEquals(List.of(LoadBalancer.ListKind.CACHED, LoadBalancer.ListKind.DELTA), lists);
   }
 
   /** Failed before: it was told as a closed connection, each time it was asked for again. */
@@ -190,7 +193,8 @@
     stage.news.addAll(
         List.of(
             (message, socket) ->
-                Peer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + (8 << 20) + "\r\n\r\n{"),
+                ScriptedPeer.write(
+                    socket, "HTTP/1.1 200 OK\r\nContent-Length: " + (8 << 20) + "\r\n\r\n{"),
             drain()));
     PrintStream usual = System.err;
     var log = new ByteArrayOutputStream();
@@ -217,10 +221,10 @@
   void aListWithNoLengthEndsWithItsConnectionAndIsNoFailure() throws Exception {
     stage.news.add(
         (message, socket) -> {
-          Peer.write(
+          ScriptedPeer.write(
               socket,
               "HTTP/1.1 200 OK\r\n\r\n{\"index\":5,\"snapshot\":false,\"endpoints\":["
-                  + Stage.endpoint(1, drained.address(), "Terminating")
+                  + LoopbackCluster.endpoint(1, drained.address(), "Terminating")
                   + "]}");
           socket.close();
         });
@@ -234,9 +238,9 @@
     int port = stage.discovery.listener.getLocalPort();
     stage.discovery.close();
     stage.start(this::hurried);
-    Stage.await(() -> waits.size() >= 8);
-    Peer back =
-        new Peer(
+    LoopbackCluster.await(() -> waits.size() >= 8);
+    ScriptedPeer back =
+        new ScriptedPeer(
             port,
             (message, socket) -> {
               if (message.target().contains("since=0&")) {
--- a/src/test/java/slateslip/loadbalancer/net/LeavingTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /**
  * A client that leaves while its request waits: nobody is to work for it, whatever it waits for.
  */
-class LeavingTest {
+class GracefulShutdownTest {
   private final CountDownLatch came = new CountDownLatch(1);
   private final CountDownLatch left = new CountDownLatch(1);
 
@@ -32,11 +32,11 @@
   private final AtomicInteger taken = new AtomicInteger();
 
   private final CompletableFuture<Object> outcome = new CompletableFuture<>();
-  private Stage stage;
+  private LoopbackCluster stage;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
     stage.settings("caps", caps -> caps.put("probes", false));
   }
 
@@ -65,13 +65,14 @@
   private void passTheLoop() throws IOException {
     try (Socket socket = stage.dial()) {
       assertEquals(
-          200, Stage.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
+          200,
+          LoopbackCluster.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
     }
   }
 
   private void leave(Socket client) throws Exception {
     client.close();
-    left.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     assertEquals(0, left.getCount());
     passTheLoop();
   }
@@ -81,18 +82,20 @@
    * request does.
    */
   private void assertOnlyTheNextIsSent(String firstAddress) throws Exception {
-    Peer fresh =
-        stage.peer((message, socket) -> Peer.answer(socket, 200, "", message.header("Request-Id")));
+    ScriptedPeer fresh =
+        stage.peer(
+            (message, socket) ->
+                ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
     stage.news.add(
-        Stage.delta(
+        LoopbackCluster.delta(
             1,
-            Stage.endpoint(9, fresh.address(), "Ready"),
-            Stage.endpoint(1, firstAddress, "Gone")));
-    Stage.await(
+            LoopbackCluster.endpoint(9, fresh.address(), "Ready"),
+            LoopbackCluster.endpoint(1, firstAddress, "Gone")));
+    LoopbackCluster.await(
         () ->
             stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
     String next = stage.request("lookup", 8000, "");
-    assertEquals("id2", Stage.exchange(stage.dial(), next).text());
+    assertEquals("id2", LoopbackCluster.exchange(stage.dial(), next).text());
     assertEquals(
         List.of("id2"), fresh.requests.stream().map(each -> each.header("Request-Id")).toList());
   }
@@ -101,20 +104,22 @@
   void aRequestThatWaitsForRoomIsNotSentOnceItsClientLeft() throws Exception {
     start();
     Socket client = stage.dial();
-    Peer.write(client, stage.request("lookup", 8000, ""));
-    came.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     leave(client);
     assertOnlyTheNextIsSent("127.0.0.1:9");
   }
 
   @Test
   void aRequestThatWaitsForItsRepeatIsNotSentOnceItsClientLeft() throws Exception {
-    Peer full =
-        stage.server((message, socket) -> Peer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+    ScriptedPeer full =
+        stage.server(
+            (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
     start();
     Socket client = stage.dial();
-    Peer.write(client, stage.request("lookup", 8000, ""));
-    assertEquals(Balancer.Outcome.FULL, outcome.get(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    assertEquals(
+        LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     passTheLoop();
     leave(client);
     assertOnlyTheNextIsSent(full.address());
@@ -123,22 +128,23 @@
 
   @Test
   void aRequestThatWaitsForItsDialIsNotSentOnceItsClientLeft() throws Exception {
-    stage.settings("caps", caps -> caps.put("dial-timeout-us", 1000 * Stage.GENEROUS_MS));
+    stage.settings("caps", caps -> caps.put("dial-timeout-us", 1000 * LoopbackCluster.GENEROUS_MS));
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String address = "127.0.0.1:" + full.getLocalPort();
       ((ObjectNode) stage.config.get("known"))
           .putArray("endpoints")
-          .add(Stage.endpoint(1, address, "Ready"));
-      List<Socket> filling = Stage.fill(full);
+          .add(LoopbackCluster.endpoint(1, address, "Ready"));
+      List<Socket> filling = LoopbackCluster.fill(full);
       start();
       Socket client = stage.dial();
-      Peer.write(client, stage.request("lookup", 8000, ""));
-      came.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+      ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+      came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
       passTheLoop();
       leave(client);
       assertEquals(
-          Balancer.Outcome.CANCELLED, outcome.get(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
-      AtomicInteger written = Stage.accept(full);
+          LoadBalancer.Outcome.CANCELLED,
+          outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      AtomicInteger written = LoopbackCluster.accept(full);
       assertOnlyTheNextIsSent(address);
       assertEquals(0, written.get());
       for (Socket socket : filling) {
@@ -153,14 +159,14 @@
   void aClientHasGoneHoweverItEndsItsConnection(String how) throws Exception {
     start();
     Socket client = stage.dial();
-    Peer.write(client, stage.request("lookup", 8000, ""));
-    came.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     switch (how) {
       case "close" -> client.close();
-      case "reset" -> Peer.reset(client);
+      case "reset" -> ScriptedPeer.reset(client);
       default -> client.shutdownOutput();
     }
-    assertTrue(left.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    assertTrue(left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     assertOnlyTheNextIsSent("127.0.0.1:9");
   }
 
@@ -180,7 +186,7 @@
 
   private static void hold(CountDownLatch until) {
     try {
-      until.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+      until.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       throw new AssertionError(e);
     }
@@ -198,24 +204,27 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aRequestIsNotSentWhoseClientLeftBeforeItWasRead(boolean onANewConnection) throws Exception {
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", message.header("Request-Id")));
+    stage.server(
+        (message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
     CountDownLatch go = holdTheLoop();
     Socket client = onANewConnection ? null : stage.dial();
     if (client != null) {
       assertEquals(
-          200, Stage.exchange(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
+          200,
+          LoopbackCluster.exchange(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
     }
     Socket first = stage.dial();
-    Peer.write(first, stage.request("lookup", 8000, ""));
-    assertTrue(came.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    ScriptedPeer.write(first, stage.request("lookup", 8000, ""));
+    assertTrue(came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     client = client == null ? stage.dial() : client;
-    Peer.write(client, stage.request("lookup", 8000, ""));
+    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
     client.close();
     go.countDown();
-    assertEquals("id1", Peer.read(first.getInputStream()).text());
+    assertEquals("id1", ScriptedPeer.read(first.getInputStream()).text());
     passTheLoop();
     passTheLoop();
-    assertEquals("id3", Stage.exchange(stage.dial(), stage.request("lookup", 8000, "")).text());
+    assertEquals(
+        "id3", LoopbackCluster.exchange(stage.dial(), stage.request("lookup", 8000, "")).text());
     assertEquals(List.of("id1", "id3"), arrived());
   }
 
@@ -224,13 +233,13 @@
   @ValueSource(ints = {1, 3, 5, 20, 60})
   void ofManyRequestsAskedAtOnceNoneIsSentOnceTheirClientLeft(int ahead) throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    Peer server =
+    ScriptedPeer server =
         stage.server(
             (message, socket) -> {
               if (message.header("Request-Id").equals("id1")) {
                 hold(go);
               }
-              Peer.answer(socket, 200, "", message.header("Request-Id"));
+              ScriptedPeer.answer(socket, 200, "", message.header("Request-Id"));
             });
     start();
     Socket client = stage.dial();
@@ -238,15 +247,16 @@
     for (int i = 0; i < ahead; i++) {
       all.append(stage.request("lookup", 8000, ""));
     }
-    Peer.write(client, all.toString());
-    Stage.await(() -> server.requests.size() == 1);
+    ScriptedPeer.write(client, all.toString());
+    LoopbackCluster.await(() -> server.requests.size() == 1);
     client.close();
     assertTrue(
-        left.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS),
+        left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS),
         "the close is seen behind what was asked");
     go.countDown();
     String next = "id" + (ahead + 2);
-    assertEquals(next, Stage.exchange(stage.dial(), stage.request("lookup", 8000, "")).text());
+    assertEquals(
+        next, LoopbackCluster.exchange(stage.dial(), stage.request("lookup", 8000, "")).text());
     assertEquals(List.of("id1", next), arrived());
   }
 
@@ -259,15 +269,17 @@
             + "Request-Id: x\r\nRequest-Timeout-Ms: 500\r\nContent-Length: 60000000\r\n\r\nand a part of it"
       })
   void aCloseBehindWhatIsNoRequestIsSeen(String noise) throws Exception {
-    Peer full =
-        stage.server((message, socket) -> Peer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+    ScriptedPeer full =
+        stage.server(
+            (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
     start();
     Socket client = stage.dial();
-    Peer.write(client, stage.request("lookup", 8000, "") + noise);
-    assertEquals(Balancer.Outcome.FULL, outcome.get(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    ScriptedPeer.write(client, stage.request("lookup", 8000, "") + noise);
+    assertEquals(
+        LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     passTheLoop();
     client.close();
-    assertTrue(left.await(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS), "the close is seen");
+    assertTrue(left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS), "the close is seen");
     assertOnlyTheNextIsSent(full.address());
     assertEquals(1, full.requests.size());
   }
@@ -277,17 +289,18 @@
   @ValueSource(ints = {3, 60})
   void noneIsSentForAClientThatReadsNoAnswersOnceItLeft(int ahead) throws Exception {
     String large = "x".repeat(60_000);
-    Peer server = stage.server((message, socket) -> Peer.answer(socket, 200, "", large));
+    ScriptedPeer server =
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", large));
     start();
     Socket client = new Socket();
     client.setReceiveBufferSize(2048);
     client.connect(
         new InetSocketAddress(InetAddress.getLoopbackAddress(), stage.agent.address().getPort()));
     for (int i = 0; i <= ahead; i++) {
-      Peer.write(client, stage.request("lookup", 8000, ""));
+      ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
     }
-    Stage.await(() -> server.requests.size() >= 2);
-    Peer.reset(client);
+    LoopbackCluster.await(() -> server.requests.size() >= 2);
+    ScriptedPeer.reset(client);
     passTheLoop();
     int before = taken.get();
     assertEquals(large, stage.call("lookup").text());
--- a/src/test/java/slateslip/loadbalancer/net/KeptAgeTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
@@ -9,10 +9,10 @@
  * How long connections to servers are kept, as learnt from those that broke; on a clock turned by
  * hand.
  */
-class KeptAgeTest {
+class IdleConnectionTimeoutTest {
   private static final long MS = 1_000_000;
   private static final long MOST = 3_750 * MS;
-  private final KeptAge age = new KeptAge(MOST, 0);
+  private final IdleConnectionTimeout age = new IdleConnectionTimeout(MOST, 0);
 
   private void use(int times, long idleMs, int everyBreaks, long atMs) {
     for (int i = 1; i <= times; i++) {
--- a/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /** Connections to servers that come up late or never, as the test lets them. */
 class LateConnectionsTest {
   private static final long DIAL_MICROS = 400_000;
 
   /** A socket that connects only when the test says so. */
-  private static final class Held extends Inspectable {
+  private static final class Held extends InspectableSocketChannel {
     private SocketAddress to;
 
     @Override
@@ -57,12 +57,12 @@
   /** So many of the first connections are held. */
   private int late;
 
-  private Peer server;
-  private Backends backends;
+  private ScriptedPeer server;
+  private BackendConnections backends;
 
   @BeforeEach
   void set() throws IOException {
-    server = new Peer((message, socket) -> Peer.answer(socket, 200, "", "served"));
+    server = new ScriptedPeer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
   }
 
   /** Connections may take so long to come up. */
@@ -75,14 +75,14 @@
     backends =
         loop.submit(
                 () ->
-                    new Backends(
+                    new BackendConnections(
                         loop,
-                        Config.of(config),
+                        AgentConfig.of(config),
                         10,
-                        new Tally(),
+                        new RequestStatistics(),
                         () -> {
                           if (dials++ >= late) {
-                            return new Inspectable();
+                            return new InspectableSocketChannel();
                           }
                           held.add(new Held());
                           return held.get(held.size() - 1);
@@ -99,9 +99,9 @@
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
-  private static Backends.Outgoing outgoing() {
-    return new Backends.Outgoing(
-        HttpMethod.GET, "/lookup", new DefaultHttpHeaders(), Backends.NO_BODY);
+  private static BackendConnections.OutgoingRequest outgoing() {
+    return new BackendConnections.OutgoingRequest(
+        HttpMethod.GET, "/lookup", new DefaultHttpHeaders(), BackendConnections.NO_BODY);
   }
 
   /** How an attempt ends that may take so long; 0 is for ever. */
@@ -109,7 +109,7 @@
     loop.submit(
             () -> backends.send(1, outgoing(), micros, result -> outcomes.add(result.outcome())))
         .sync();
-    return outcomes.poll(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    return outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Failed before: the attempt ended as one that could not connect. */
@@ -163,7 +163,8 @@
     loop.submit(() -> backends.send(1, outgoing(), 0, result -> outcomes.add(result.outcome())))
         .sync();
     loop.submit(() -> backends.gone(1)).sync();
-    assertEquals(Outcome.NEVER_SENT, outcomes.poll(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    assertEquals(
+        Outcome.NEVER_SENT, outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     loop.submit(
             () -> {
               held.get(0).comeUp();
--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
@@ -34,19 +34,19 @@
 
 /** Settings with a version, taken over while the agent runs, over loopback sockets. */
 class LiveSettingsTest {
-  private static final Peer.Script SERVES =
-      (message, socket) -> Peer.answer(socket, 200, "", "served");
+  private static final ScriptedPeer.Script SERVES =
+      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
 
   @TempDir private Path dir;
   private final PrintStream usualLog = System.err;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-  private Stage stage;
+  private LoopbackCluster stage;
   private Path file;
 
   @BeforeEach
   void set() throws IOException {
     System.setErr(new PrintStream(log, true));
-    stage = new Stage();
+    stage = new LoopbackCluster();
     stage.config.putObject("live_settings").put("version", 41);
     file = dir.resolve("config.json");
   }
@@ -69,7 +69,7 @@
   private void take(long version, Consumer<ObjectNode> change) throws IOException {
     write(version, change);
     stage.agent.reload(file);
-    Stage.await(() -> version == inForce());
+    LoopbackCluster.await(() -> version == inForce());
   }
 
   private static ObjectNode settings(ObjectNode config) {
@@ -85,8 +85,8 @@
     classes(config).insert(0, ((ObjectNode) classes(config).get(0).deepCopy()).put("name", name));
   }
 
-  private Peer.Message health() throws IOException {
-    return Stage.exchange(
+  private ScriptedPeer.Message health() throws IOException {
+    return LoopbackCluster.exchange(
         stage.dial(), "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   }
 
@@ -103,19 +103,19 @@
   }
 
   private void awaitLogged(String line) {
-    Stage.await(() -> logged().lines().anyMatch(each -> each.startsWith(line)));
+    LoopbackCluster.await(() -> logged().lines().anyMatch(each -> each.startsWith(line)));
   }
 
   private int status(String type) throws IOException {
     String request = stage.request("lookup", 8000, "").replace("lookup", type);
-    return Stage.exchange(stage.dial(), request).status();
+    return LoopbackCluster.exchange(stage.dial(), request).status();
   }
 
   // ---- Taken ----
 
   @Test
   void classesAreAddedMovedAndRemovedByNameAndTheVersionIsShown() throws Exception {
-    Peer server = stage.server(SERVES);
+    ScriptedPeer server = stage.server(SERVES);
     stage.start();
     assertEquals(400, status("extra"));
     assertEquals("settings: version 41\n", health().text());
@@ -139,20 +139,20 @@
   /** Guards against the class of one list being taken for what has its place in the next. */
   @Test
   void aRequestWhoseBodyComesAfterTheChangeIsOfTheClassThatItNames() throws Exception {
-    Peer server = stage.server(SERVES);
+    ScriptedPeer server = stage.server(SERVES);
     stage.start();
     Socket[] halves = new Socket[2];
     for (int i = 0; i < 2; i++) {
       halves[i] = stage.dial();
       String whole = stage.request(i == 0 ? "pay" : "order", 8000, "body");
-      Peer.write(halves[i], whole.substring(0, whole.length() - 4));
+      ScriptedPeer.write(halves[i], whole.substring(0, whole.length() - 4));
     }
-    Stage.await(() -> inForce() == 41); // the heads have been read before this
+    LoopbackCluster.await(() -> inForce() == 41); // the heads have been read before this
     take(42, config -> classes(config).remove(1));
-    Peer.write(halves[0], "body");
-    Peer.write(halves[1], "body");
-    assertEquals(400, Peer.read(halves[0].getInputStream()).status());
-    assertEquals(200, Peer.read(halves[1].getInputStream()).status());
+    ScriptedPeer.write(halves[0], "body");
+    ScriptedPeer.write(halves[1], "body");
+    assertEquals(400, ScriptedPeer.read(halves[0].getInputStream()).status());
+    assertEquals(200, ScriptedPeer.read(halves[1].getInputStream()).status());
     assertEquals("/order?q=1", server.requests.get(0).target());
   }
 
@@ -169,14 +169,14 @@
     for (String type : List.of("lookup", "pay", "order")) {
       Socket socket = stage.dial();
       clients.add(
-          Peer.daemon(
+          ScriptedPeer.daemon(
               () -> {
                 while (!over.get()) {
                   String request;
                   synchronized (requests) {
                     request = stage.request(type, 8000, type.equals("lookup") ? "" : "body");
                   }
-                  Peer.Message answer = Stage.exchange(socket, request);
+                  ScriptedPeer.Message answer = LoopbackCluster.exchange(socket, request);
                   if (answer.status() == 200) {
                     served.incrementAndGet();
                   } else {
@@ -199,7 +199,7 @@
               settings(config).put("locality", 1).put("group-size", 7);
             }
           });
-      Stage.await(() -> served.get() >= before + 10 || !others.isEmpty());
+      LoopbackCluster.await(() -> served.get() >= before + 10 || !others.isEmpty());
     }
     over.set(true);
     for (Thread client : clients) {
@@ -218,28 +218,28 @@
           (message, socket) -> {
             if (first.getAndSet(false)) {
               go.await();
-              Peer.reset(socket);
+              ScriptedPeer.reset(socket);
             } else {
-              Peer.answer(socket, 200, "", "served");
+              ScriptedPeer.answer(socket, 200, "", "served");
             }
           });
     }
     stage.start();
     Socket client = stage.dial();
-    Peer.write(client, stage.request("lookup", 8000, ""));
-    Stage.await(() -> stage.arrived() == 1);
+    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    LoopbackCluster.await(() -> stage.arrived() == 1);
     if (changed) {
       take(42, config -> ((ObjectNode) classes(config).get(0)).put("semantics", "unsafe"));
     }
     go.countDown();
-    assertEquals(changed ? 502 : 200, Peer.read(client.getInputStream()).status());
+    assertEquals(changed ? 502 : 200, ScriptedPeer.read(client.getInputStream()).status());
     assertEquals(changed ? 1 : 2, stage.arrived());
   }
 
   @Test
   void connectionsAreKeptAndDialledByTheNewSettings() throws Exception {
     ((ObjectNode) settings(stage.config).get("caps")).put("probes", false); // they dial, too
-    Peer server = stage.server(SERVES);
+    ScriptedPeer server = stage.server(SERVES);
     stage.start();
     for (int i = 0; i < 3; i++) {
       assertEquals(200, stage.call("lookup").status());
@@ -256,10 +256,10 @@
     List<Socket> many = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       many.add(stage.dial());
-      Peer.write(many.get(i), stage.request("order", 8000, "body"));
+      ScriptedPeer.write(many.get(i), stage.request("order", 8000, "body"));
     }
     for (Socket each : many) {
-      assertEquals(200, Peer.read(each.getInputStream()).status(), "in their turn");
+      assertEquals(200, ScriptedPeer.read(each.getInputStream()).status(), "in their turn");
     }
   }
 
@@ -267,7 +267,8 @@
   void listsAreReadByTheNamesOfTheNewZones() throws Exception {
     stage.server(SERVES);
     stage.start();
-    Peer other = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "other"));
+    ScriptedPeer other =
+        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
     take(
         42,
         config -> {
@@ -282,12 +283,13 @@
         });
     take(44, config -> settings(config).putArray("zones").add("a").add("new"));
     stage.news.add(
-        Stage.delta(
+        LoopbackCluster.delta(
             1,
-            Stage.endpoint(1, stage.servers.get(0).address(), "Gone"),
-            Stage.endpoint(2, other.address(), "Ready").put("zone", "new"))); // unknown before
-    Stage.await(() -> stage.news.isEmpty());
-    Stage.await(
+            LoopbackCluster.endpoint(1, stage.servers.get(0).address(), "Gone"),
+            LoopbackCluster.endpoint(2, other.address(), "Ready")
+                .put("zone", "new"))); // unknown before
+    LoopbackCluster.await(() -> stage.news.isEmpty());
+    LoopbackCluster.await(
         () -> {
           try {
             return "other".equals(stage.call("lookup").text());
@@ -328,11 +330,11 @@
   void whatIsUnusableChangesNothingButDiscoveryAndTheNextGoodOneIsTaken(String what, String line)
       throws Exception {
     stage.server(SERVES);
-    Peer elsewhere =
+    ScriptedPeer elsewhere =
         stage.peer(
             (message, socket) -> {
               if (!message.target().contains("since")) {
-                Peer.answer(socket, 200, "", stage.config.get("known").toString());
+                ScriptedPeer.answer(socket, 200, "", stage.config.get("known").toString());
               }
             });
     stage.start();
@@ -376,7 +378,7 @@
       assertEquals(200, stage.call(type).status(), type);
     }
     if (text.equals(Files.readString(file))) { // else discovery's address is not there to read
-      Stage.await(() -> !elsewhere.requests.isEmpty());
+      LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
     } else {
       assertEquals(0, elsewhere.requests.size());
     }
@@ -387,12 +389,12 @@
 
   @Test
   void theSameVersionWithTheSameContentIsNothingNewButDiscoveryMoves() throws Exception {
-    Peer server = stage.server(SERVES);
-    Peer elsewhere = stage.peer((message, socket) -> {});
+    ScriptedPeer server = stage.server(SERVES);
+    ScriptedPeer elsewhere = stage.peer((message, socket) -> {});
     stage.start();
     write(41, config -> config.put("discovery", elsewhere.address()).put("seed", "77"));
     stage.agent.reload(file);
-    Stage.await(() -> !elsewhere.requests.isEmpty());
+    LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
     assertEquals(200, stage.call("lookup").status());
     assertEquals(1, server.requests.size());
     assertFalse(logged().contains("refused: "), logged());
@@ -402,7 +404,7 @@
   void withoutLiveSettingsOnlyDiscoveryIsTakenAndNoVersionIsShown() throws Exception {
     stage.config.remove("live_settings");
     stage.server(SERVES);
-    Peer elsewhere = stage.peer((message, socket) -> {});
+    ScriptedPeer elsewhere = stage.peer((message, socket) -> {});
     stage.start();
     stage.config.putObject("live_settings").put("check_ms", 10);
     write(
@@ -412,7 +414,7 @@
           config.put("discovery", elsewhere.address());
         });
     stage.agent.reload(file);
-    Stage.await(() -> !elsewhere.requests.isEmpty());
+    LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
     assertEquals(400, status("extra"));
     assertNull(health().header("Settings-Version"));
     assertEquals("", health().text());
@@ -436,7 +438,8 @@
       })
   void unusableLiveSettingsEndTheStart(String live) throws Exception {
     Files.writeString(file, stage.config.toString().replace("{\"version\":41}", live));
-    String why = assertThrows(IllegalArgumentException.class, () -> Config.read(file)).getMessage();
+    String why =
+        assertThrows(IllegalArgumentException.class, () -> AgentConfig.read(file)).getMessage();
     assertTrue(why.matches("config: live_settings\\.\\S+ has an unusable value: .*"), why);
   }
 
@@ -450,10 +453,10 @@
     ((ObjectNode) stage.config.get("live_settings")).put("check_ms", checkMs);
     write(41, config -> {});
     stage.agent = Agent.start(file);
-    Stage.await(() -> logged().contains("settings: version 41 in force from the start"));
+    LoopbackCluster.await(() -> logged().contains("settings: version 41 in force from the start"));
     if (checkMs > 0) {
       write(42, config -> addFirst(config, "extra"));
-      Stage.await(() -> inForce() == 42);
+      LoopbackCluster.await(() -> inForce() == 42);
     }
     write(43, config -> {});
     String whole = Files.readString(file);
@@ -463,7 +466,7 @@
     }
     awaitLogged("settings: refused: cannot read");
     Files.writeString(file, whole);
-    Stage.await(() -> inForce() == 43);
+    LoopbackCluster.await(() -> inForce() == 43);
     assertEquals(400, status("extra"));
     long refused = logged().lines().filter(each -> each.contains("refused")).count();
     assertTrue(refused <= 2, "an unusable file is told of once: " + logged());
@@ -485,9 +488,11 @@
     stage.server(SERVES);
     stage.start();
     Path pipe = pipe();
-    Thread reader = Peer.daemon(() -> stage.agent.reload(pipe));
-    Stage.await(
-        () -> reader.getState() == Thread.State.RUNNABLE && Stage.inside(reader, "readAgain"));
+    Thread reader = ScriptedPeer.daemon(() -> stage.agent.reload(pipe));
+    LoopbackCluster.await(
+        () ->
+            reader.getState() == Thread.State.RUNNABLE
+                && LoopbackCluster.inside(reader, "readAgain"));
     for (int version = 43; version <= 45; version++) {
       write(version, config -> addFirst(config, "extra"));
       stage.agent.reload(file);
@@ -498,7 +503,7 @@
     ((ObjectNode) copy.get("live_settings")).put("version", 42);
     Files.writeString(pipe, copy.toString());
     reader.join();
-    Stage.await(() -> inForce() == 45);
+    LoopbackCluster.await(() -> inForce() == 45);
     assertEquals(List.of("42 in force, was 41", "45 in force, was 42"), changes());
     assertEquals(200, status("extra"));
   }
@@ -518,10 +523,10 @@
     for (int i = 0; i < 100; i++) {
       String name = "extra" + i;
       write(42 + i, config -> addFirst(config, name));
-      Peer.daemon(() -> stage.agent.reload(file));
+      ScriptedPeer.daemon(() -> stage.agent.reload(file));
     }
     stage.agent.reload(file);
-    Stage.await(() -> inForce() == 141);
+    LoopbackCluster.await(() -> inForce() == 141);
     assertEquals(200, status("extra99"));
     assertEquals(400, status("extra98"));
     long last = 41;
@@ -537,8 +542,8 @@
   void theEndDoesNotWaitForAReadThatIsUnderWay() throws Exception {
     stage.start();
     Path pipe = pipe();
-    Thread reader = Peer.daemon(() -> stage.agent.reload(pipe));
-    Stage.await(() -> Stage.inside(reader, "readAgain"));
+    Thread reader = ScriptedPeer.daemon(() -> stage.agent.reload(pipe));
+    LoopbackCluster.await(() -> LoopbackCluster.inside(reader, "readAgain"));
     stage.hangUp();
     stage.agent.stop();
     ObjectNode copy = stage.config.deepCopy();
@@ -552,9 +557,9 @@
 
   @Test
   void theTallyNamesTheVersionAndThePageShowsTheLines() throws Exception {
-    Tally tally = new Tally();
-    tally.settings(new LiveSettings().told(Config.of(stage.config)));
-    tally.answered(Tally.Answer.SERVED, 1);
+    RequestStatistics tally = new RequestStatistics();
+    tally.settings(new LiveSettings().told(AgentConfig.of(stage.config)));
+    tally.answered(RequestStatistics.Disposition.SERVED, 1);
     String told = "settings 41 (taken 0, refused 0)";
     assertTrue(tally.take(0, 0).get(0).endsWith("; " + told));
     stage.start();
--- a/src/test/java/slateslip/loadbalancer/net/Stage.java
+++ b/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
@@ -22,48 +22,48 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import slateslip.loadbalancer.Balancer;
-import slateslip.loadbalancer.Rules;
+import slateslip.loadbalancer.DefaultLoadBalancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /** An agent on a loopback port with a scripted discovery and scripted servers. */
-final class Stage implements Closeable {
+final class LoopbackCluster implements Closeable {
   static final long GENEROUS_MS = 20_000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   final ObjectNode config;
-  final List<Peer> servers = new ArrayList<>();
+  final List<ScriptedPeer> servers = new ArrayList<>();
 
   /** Others that close with the stage. */
-  final List<Peer> peers = new ArrayList<>();
+  final List<ScriptedPeer> peers = new ArrayList<>();
 
   /**
    * What discovery answers to the calls after the first, one each; it waits while there is none.
    */
-  final BlockingQueue<Peer.Script> news = new LinkedBlockingQueue<>();
+  final BlockingQueue<ScriptedPeer.Script> news = new LinkedBlockingQueue<>();
 
-  final Peer discovery;
+  final ScriptedPeer discovery;
   Agent agent;
   private final List<Socket> clients = new ArrayList<>();
   private int requests;
 
-  Stage() throws IOException {
+  LoopbackCluster() throws IOException {
     config =
         (ObjectNode) JSON.readTree(Files.readAllBytes(Path.of("src/test/resources/config.json")));
     discovery =
-        new Peer(
+        new ScriptedPeer(
             (message, socket) -> {
               if (message.target().contains("since")) {
                 news.take().handle(message, socket);
               } else {
-                Peer.answer(socket, 200, "", config.get("known").toString());
+                ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
               }
             });
     config.put("discovery", discovery.address());
   }
 
   /** Adds a server to the known list, which is also discovery's first answer. */
-  Peer server(Peer.Script script) throws IOException {
-    Peer peer = new Peer(script);
+  ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
+    ScriptedPeer peer = new ScriptedPeer(script);
     servers.add(peer);
     ((ArrayNode) config.get("known").get("endpoints"))
         .add(endpoint(servers.size(), peer.address(), "Ready"));
@@ -71,8 +71,8 @@
   }
 
   /** A server that is not listed. */
-  Peer peer(Peer.Script script) throws IOException {
-    Peer peer = new Peer(script);
+  ScriptedPeer peer(ScriptedPeer.Script script) throws IOException {
+    ScriptedPeer peer = new ScriptedPeer(script);
     peers.add(peer);
     return peer;
   }
@@ -90,37 +90,37 @@
   }
 
   /** Discovery's answer with changes. */
-  static Peer.Script delta(int index, ObjectNode... entries) {
+  static ScriptedPeer.Script delta(int index, ObjectNode... entries) {
     ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
     list.putArray("endpoints").addAll(List.of(entries));
-    return (message, socket) -> Peer.answer(socket, 200, "", list.toString());
+    return (message, socket) -> ScriptedPeer.answer(socket, 200, "", list.toString());
   }
 
-  Stage settings(String group, Consumer<ObjectNode> change) {
+  LoopbackCluster settings(String group, Consumer<ObjectNode> change) {
     change.accept((ObjectNode) config.get("settings").get(group));
     return this;
   }
 
-  Stage start() throws IOException {
-    agent = Agent.start(Config.of(config));
+  LoopbackCluster start() throws IOException {
+    agent = Agent.start(AgentConfig.of(config));
     awaitReady();
     return this;
   }
 
-  Stage start(Function<Agent, Balancer> module) throws IOException {
-    agent = Agent.start(Config.of(config), module);
+  LoopbackCluster start(Function<Agent, LoadBalancer> module) throws IOException {
+    agent = Agent.start(AgentConfig.of(config), module);
     awaitReady();
     return this;
   }
 
   /** The usual module behind one that is told of each event before it, and may fail. */
-  Function<Agent, Balancer> overheard(BiConsumer<String, Object[]> before) {
+  Function<Agent, LoadBalancer> overheard(BiConsumer<String, Object[]> before) {
     return agent -> {
-      Balancer rules = new Rules(Config.of(config).settings(), 1, 0, agent);
-      return (Balancer)
+      LoadBalancer rules = new DefaultLoadBalancer(AgentConfig.of(config).settings(), 1, 0, agent);
+      return (LoadBalancer)
           Proxy.newProxyInstance(
-              Balancer.class.getClassLoader(),
-              new Class<?>[] {Balancer.class},
+              LoadBalancer.class.getClassLoader(),
+              new Class<?>[] {LoadBalancer.class},
               (proxy, method, details) -> {
                 before.accept(method.getName(), details);
                 return method.invoke(rules, details);
@@ -132,8 +132,8 @@
     await(
         () -> {
           try (Socket socket = dial()) {
-            Peer.write(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-            return Peer.read(socket.getInputStream()).status() == 200;
+            ScriptedPeer.write(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+            return ScriptedPeer.read(socket.getInputStream()).status() == 200;
           } catch (IOException e) {
             return false;
           }
@@ -168,13 +168,13 @@
   }
 
   /** Sends a request on a new connection and returns its answer. */
-  Peer.Message call(String type) throws IOException {
+  ScriptedPeer.Message call(String type) throws IOException {
     return exchange(dial(), request(type, 8000, "body"));
   }
 
-  static Peer.Message exchange(Socket socket, String request) throws IOException {
-    Peer.write(socket, request);
-    return Peer.read(socket.getInputStream());
+  static ScriptedPeer.Message exchange(Socket socket, String request) throws IOException {
+    ScriptedPeer.write(socket, request);
+    return ScriptedPeer.read(socket.getInputStream());
   }
 
   /** How many requests have reached the servers. */
@@ -191,7 +191,7 @@
     for (int i = 0; i < 4; i++) {
       Socket socket = new Socket();
       filling.add(socket);
-      Peer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
+      ScriptedPeer.daemon(() -> socket.connect(full.getLocalSocketAddress()));
     }
     await(
         () ->
@@ -203,11 +203,12 @@
   /** Counts what comes on the connections to such a listener, once they are accepted. */
   static AtomicInteger accept(ServerSocket full) {
     AtomicInteger written = new AtomicInteger();
-    Peer.daemon(
+    ScriptedPeer.daemon(
         () -> {
           while (true) {
             Socket accepted = full.accept();
-            Peer.daemon(() -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
+            ScriptedPeer.daemon(
+                () -> written.addAndGet(accepted.getInputStream().readNBytes(1).length));
           }
         });
     return written;
@@ -244,13 +245,13 @@
   public void close() throws IOException {
     hangUp();
     if (agent != null) {
-      Peer.daemon(agent::stop); // it lingers; the next test need not wait for that
+      ScriptedPeer.daemon(agent::stop); // it lingers; the next test need not wait for that
     }
     discovery.close();
-    for (Peer server : servers) {
+    for (ScriptedPeer server : servers) {
       server.close();
     }
-    for (Peer peer : peers) {
+    for (ScriptedPeer peer : peers) {
       peer.close();
     }
   }
