--- a/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import slateslip.loadbalancer.Balancer;
+import slateslip.loadbalancer.LoadBalancer;
 
 /** A new configuration under way, over loopback sockets. */
 class ReloadTest {
   @TempDir private Path dir;
-  private Stage stage;
+  private LoopbackCluster stage;
   private Path file;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new Stage();
+    stage = new LoopbackCluster();
     file = dir.resolve("config.json");
   }
 
@@ -46,69 +46,71 @@
   }
 
   /** Another discovery that lists this one server and then has no news; it notes the calls. */
-  private Peer discoveryOf(Peer server) throws IOException {
+  private ScriptedPeer discoveryOf(ScriptedPeer server) throws IOException {
     return stage.peer(
         (message, socket) -> {
           if (!message.target().contains("since")) {
-            Peer.answer(
+            ScriptedPeer.answer(
                 socket,
                 200,
                 "",
                 "{\"index\":1,\"snapshot\":true,\"endpoints\":["
-                    + Stage.endpoint(9, server.address(), "Ready")
+                    + LoopbackCluster.endpoint(9, server.address(), "Ready")
                     + "]}");
           }
         });
   }
 
-  private static List<String> asked(Peer discovery) {
-    return discovery.requests.stream().map(Peer.Message::target).toList();
+  private static List<String> asked(ScriptedPeer discovery) {
+    return discovery.requests.stream().map(ScriptedPeer.Message::target).toList();
   }
 
   @Test
   void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    Peer old =
+    ScriptedPeer old =
         stage.server(
             (message, socket) -> {
               go.await();
-              Peer.answer(socket, 200, "", "old");
+              ScriptedPeer.answer(socket, 200, "", "old");
             });
-    Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-    Peer other = discoveryOf(fresh);
+    ScriptedPeer fresh =
+        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+    ScriptedPeer other = discoveryOf(fresh);
     stage.start();
     Socket held = stage.dial();
-    Peer.write(held, stage.request("order", 8000, "body"));
-    Stage.await(() -> old.requests.size() == 1);
+    ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+    LoopbackCluster.await(() -> old.requests.size() == 1);
     write(other.address());
     for (int i = 0; i < 5; i++) { // several in a row do no more than one
       stage.agent.reload(file);
     }
-    Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+    LoopbackCluster.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
     assertEquals("/v1/servers", asked(other).get(0));
     assertEquals(1, asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
     for (int i = 0; i < 5; i++) {
       assertEquals("new", stage.call("order").text(), "the new list is the whole list");
     }
     go.countDown();
-    assertEquals("old", Peer.read(held.getInputStream()).text());
+    assertEquals("old", ScriptedPeer.read(held.getInputStream()).text());
   }
 
   /** Guards against an agent without servers while the new discovery is not up yet. */
   @Test
   void theOldListStaysUntilTheNewOneComes() throws Exception {
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-    Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-    Peer up = discoveryOf(fresh);
-    Peer down = stage.peer((message, socket) -> Peer.reset(socket));
+    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    ScriptedPeer fresh =
+        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+    ScriptedPeer up = discoveryOf(fresh);
+    ScriptedPeer down = stage.peer((message, socket) -> ScriptedPeer.reset(socket));
     stage.start();
     write(down.address());
     stage.agent.reload(file);
-    Stage.await(() -> down.requests.size() >= 2);
+    LoopbackCluster.await(() -> down.requests.size() >= 2);
     assertEquals("old", stage.call("lookup").text());
     write(up.address());
     stage.agent.reload(file);
-    Stage.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
+    LoopbackCluster.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
     assertEquals("new", stage.call("lookup").text());
   }
 
@@ -119,23 +121,24 @@
   @Test
   void callsThatFailAfterAMoveAreMadeAgainWithoutTheWaitOfOthers() throws Exception {
     ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-    Peer fresh = stage.peer((message, socket) -> Peer.answer(socket, 200, "", "new"));
-    Peer busy =
+    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    ScriptedPeer fresh =
+        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+    ScriptedPeer busy =
         stage.peer(
             (message, socket) -> {
               if (message.target().contains("since")) {
                 return;
               }
               if (asked(stage.peers.get(1)).size() <= 3) {
-                Peer.answer(socket, 503, "", "");
+                ScriptedPeer.answer(socket, 503, "", "");
               } else {
-                Peer.answer(
+                ScriptedPeer.answer(
                     socket,
                     200,
                     "",
                     "{\"index\":1,\"snapshot\":true,\"endpoints\":["
-                        + Stage.endpoint(9, fresh.address(), "Ready")
+                        + LoopbackCluster.endpoint(9, fresh.address(), "Ready")
                         + "]}");
               }
             });
@@ -143,20 +146,20 @@
     stage.start(
         stage.overheard(
             (event, details) -> {
-              if (event.equals("servers") && details[1] == Balancer.ListKind.FAILED) {
+              if (event.equals("servers") && details[1] == LoadBalancer.ListKind.FAILED) {
                 waits.incrementAndGet();
               }
             }));
     write(busy.address());
     stage.agent.reload(file);
-    Stage.await(() -> asked(busy).stream().anyMatch(each -> each.contains("since=1&")));
+    LoopbackCluster.await(() -> asked(busy).stream().anyMatch(each -> each.contains("since=1&")));
     assertEquals(0, waits.get());
     assertEquals("new", stage.call("lookup").text());
   }
 
   @Test
   void anUnusableFileChangesNothing() throws Exception {
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
+    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
     stage.start();
     for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
       Files.writeString(file, text);
@@ -164,8 +167,9 @@
     }
     stage.agent.reload(dir.resolve("missing"));
     int before = stage.discovery.requests.size();
-    stage.news.add(Stage.delta(1, Stage.endpoint(2, "127.0.0.1:9", "Terminating")));
-    Stage.await(() -> stage.discovery.requests.size() > before);
+    stage.news.add(
+        LoopbackCluster.delta(1, LoopbackCluster.endpoint(2, "127.0.0.1:9", "Terminating")));
+    LoopbackCluster.await(() -> stage.discovery.requests.size() > before);
     assertEquals("old", stage.call("lookup").text());
   }
 
@@ -175,21 +179,24 @@
    */
   @Test
   void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
-    Peer old = stage.server((message, socket) -> Peer.answer(socket, 200, "", "old"));
-    Peer other = discoveryOf(old);
+    ScriptedPeer old =
+        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    ScriptedPeer other = discoveryOf(old);
     write(stage.discovery.address());
     Process process = program("-Xmx48m");
     try {
-      Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+      LoopbackCluster.await(
+          () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
       write(other.address());
       signal(process, "HUP");
-      Stage.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+      LoopbackCluster.await(
+          () -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
       assertTrue(process.isAlive());
       signal(process, "TERM");
       for (int i = 0; i < 3; i++) {
         signal(process, "HUP");
       }
-      assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       assertEquals(0, process.exitValue());
       assertFalse(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
     } finally {
@@ -208,9 +215,10 @@
     program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
     Process process = program.start();
     try {
-      Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+      LoopbackCluster.await(
+          () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
       signal(process, "TERM");
-      assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       assertTrue(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
     } finally {
       process.destroyForcibly();
@@ -224,17 +232,18 @@
    */
   @Test
   void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
-    stage.server((message, socket) -> Peer.answer(socket, 200, "", ""));
+    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
     write(stage.discovery.address());
     Process process = program("-Xlog:class+load");
     try {
-      Stage.await(() -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+      LoopbackCluster.await(
+          () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
       signal(process, "TERM");
-      assertTrue(process.waitFor(Stage.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       String loaded = Files.readString(dir.resolve("log"));
       assertTrue(loaded.contains(" slateslip.loadbalancer.net.Discovery$Answers "));
       assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
-      try (InputStream code = Config.class.getResourceAsStream("Config.class")) {
+      try (InputStream code = AgentConfig.class.getResourceAsStream("AgentConfig.class")) {
         String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertFalse(
             text.contains("makeConcatWithConstants"), "concatenations are made by the compiler");
--- a/src/test/java/slateslip/loadbalancer/net/TallyTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
@@ -6,11 +6,11 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.Outcome;
+import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /** What the agent counts for those on call. */
-class TallyTest {
-  private final Tally tally = new Tally();
+class RequestStatisticsTest {
+  private final RequestStatistics tally = new RequestStatistics();
 
   @Test
   void aPeriodIsToldOnceWithOneUnservedRequest() {
@@ -19,8 +19,8 @@
     tally.ended(Outcome.RESET);
     tally.broke(true, false);
     tally.ended(Outcome.OK);
-    tally.answered(Tally.Answer.SERVED, 2);
-    tally.answered(Tally.Answer.REFUSED, 0);
+    tally.answered(RequestStatistics.Disposition.SERVED, 2);
+    tally.answered(RequestStatistics.Disposition.REFUSED, 0);
     assertTrue(tally.wantsUnserved());
     tally.unserved("a1", "lookup", "refused", 51_000, 424, List.of());
     assertFalse(tally.wantsUnserved(), "one a period");
@@ -35,7 +35,7 @@
 
   @Test
   void theAttemptsOfAnUnservedRequestAreTold() {
-    tally.answered(Tally.Answer.FAILED, 2);
+    tally.answered(RequestStatistics.Disposition.FAILED, 2);
     tally.unserved(
         "b2", "pay", "failed", 9_000, 100, List.of("s-1 reset after 1 ms", "s-2 out after 2 ms"));
     assertEquals(
@@ -47,7 +47,7 @@
   @Test
   void whatTheGuardAnsweredIsCountedOnTheSameLine() {
     for (int i = 0; i < 30; i++) {
-      tally.answered(Tally.Answer.FAILED, 0);
+      tally.answered(RequestStatistics.Disposition.FAILED, 0);
       tally.givenUp();
     }
     List<String> lines = tally.take(0, 0);
--- a/src/test/java/slateslip/loadbalancer/net/Peer.java
+++ b/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** A small peer on a loopback port that does with each message what the test's script says. */
-public final class Peer implements Closeable {
+public final class ScriptedPeer implements Closeable {
   /** What to do with a message; returning without an answer leaves the peer silent. */
   public interface Script {
     void handle(Message message, Socket socket) throws Exception;
@@ -52,12 +52,12 @@
 
   private final Script script;
 
-  public Peer(Script script) throws IOException {
+  public ScriptedPeer(Script script) throws IOException {
     this(0, script);
   }
 
   /** One at this port, where another has been before. */
-  public Peer(int port, Script script) throws IOException {
+  public ScriptedPeer(int port, Script script) throws IOException {
     this.script = script;
     this.listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
     daemon(
--- a/src/test/java/slateslip/loadbalancer/net/DecodersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/StrictHttpDecodersTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the decoders read and refuse, message behind message. */
-class DecodersTest {
+class StrictHttpDecodersTest {
   /** Whether each part that comes out can be read. */
   private static List<Boolean> readable(EmbeddedChannel channel, String bytes) {
     channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1));
@@ -28,7 +28,7 @@
    */
   @Test
   void headersAreReadStrictlyBehindAStatusLineWithNoReason() {
-    EmbeddedChannel channel = new EmbeddedChannel(new Decoders.Responses());
+    EmbeddedChannel channel = new EmbeddedChannel(new StrictHttpDecoders.Responses());
     String good = "HTTP/1.1 200 \r\nContent-Length: 4\r\n\r\ngood";
     assertEquals(List.of(true, true), readable(channel, good));
     assertEquals(List.of(true, true), readable(channel, good));
--- a/src/test/java/slateslip/loadbalancer/policy/TwoRandomChoicesTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/PowerOfTwoChoicesTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class TwoRandomChoicesTest {
+class PowerOfTwoChoicesTest {
   private static final Comparator<Integer> FIRST = (unusedFirst, unusedSecond) -> 0;
   private static final int PICKS = 30_000;
 
@@ -19,8 +19,8 @@
 
   @Test
   void noneAndOneNeedNoDraw() {
-    assertThat(TwoRandomChoices.pick(List.<Integer>of(), each -> 0, FIRST, null), nullValue());
-    assertThat(TwoRandomChoices.pick(List.of(5), each -> 0, FIRST, null), is(5));
+    assertThat(PowerOfTwoChoices.pick(List.<Integer>of(), each -> 0, FIRST, null), nullValue());
+    assertThat(PowerOfTwoChoices.pick(List.of(5), each -> 0, FIRST, null), is(5));
   }
 
   @Test
@@ -28,7 +28,7 @@
     List<Integer> inFlight = List.of(3, 1, 2);
     Map<Integer, Integer> picks = new HashMap<>();
     for (int i = 0; i < PICKS; i++) {
-      picks.merge(TwoRandomChoices.pick(inFlight, each -> each, FIRST, random), 1, Integer::sum);
+      picks.merge(PowerOfTwoChoices.pick(inFlight, each -> each, FIRST, random), 1, Integer::sum);
     }
     assertThat(picks.containsKey(3), is(false));
     // The emptiest is in two of the three pairs.
@@ -40,7 +40,9 @@
     Map<Integer, Integer> picks = new HashMap<>();
     for (int i = 0; i < PICKS; i++) {
       picks.merge(
-          TwoRandomChoices.pick(List.of(0, 1, 2, 3, 4), each -> 9, FIRST, random), 1, Integer::sum);
+          PowerOfTwoChoices.pick(List.of(0, 1, 2, 3, 4), each -> 9, FIRST, random),
+          1,
+          Integer::sum);
     }
     picks.values().forEach(n -> assertThat(Math.abs(n - PICKS / 5) < PICKS / 50, is(true)));
   }
@@ -49,11 +51,11 @@
   void tiesGoToTheLesser() {
     for (int i = 0; i < 100; i++) {
       int pick =
-          TwoRandomChoices.pick(
+          PowerOfTwoChoices.pick(
               List.of(8, 4), each -> 1, Comparator.<Integer>naturalOrder(), random);
       assertThat(pick, is(4));
     }
     assertThat(
-        TwoRandomChoices.less(1, 2, each -> 10 - each, Comparator.<Integer>naturalOrder()), is(2));
+        PowerOfTwoChoices.less(1, 2, each -> 10 - each, Comparator.<Integer>naturalOrder()), is(2));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/policy/RetryAllowanceTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/RetryTokenBucketTest.java
@@ -5,8 +5,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class RetryAllowanceTest {
-  private static int spendAll(RetryAllowance allowance) {
+class RetryTokenBucketTest {
+  private static int spendAll(RetryTokenBucket allowance) {
     int spent = 0;
     for (; allowance.permits(); spent++) {
       allowance.spend();
@@ -16,7 +16,7 @@
 
   @Test
   void itStartsFullAndIsThenEarned() {
-    RetryAllowance allowance = new RetryAllowance(0.25, 10);
+    RetryTokenBucket allowance = new RetryTokenBucket(0.25, 10);
     assertThat(spendAll(allowance), is(10));
     for (int i = 0; i < 3; i++) {
       allowance.earn();
@@ -28,7 +28,7 @@
 
   @Test
   void noMoreThanTheMostIsSavedUp() {
-    RetryAllowance allowance = new RetryAllowance(0.5, 3);
+    RetryTokenBucket allowance = new RetryTokenBucket(0.5, 3);
     for (int i = 0; i < 1000; i++) {
       allowance.earn();
     }
--- a/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import slateslip.loadbalancer.Balancer.ListKind;
-import slateslip.loadbalancer.Balancer.Phase;
-import slateslip.loadbalancer.Balancer.Server;
-import slateslip.loadbalancer.net.Config;
-import slateslip.loadbalancer.net.Discovery.Endpoint;
+import slateslip.loadbalancer.LoadBalancer.ListKind;
+import slateslip.loadbalancer.LoadBalancer.Phase;
+import slateslip.loadbalancer.LoadBalancer.Server;
+import slateslip.loadbalancer.net.AgentConfig;
+import slateslip.loadbalancer.net.Discovery.ListedEndpoint;
 
 /** One hollow agent on a clock that only the test moves. */
 class HollowAgentTest {
@@ -30,7 +30,7 @@
   private final HollowAgent agent =
       new HollowAgent(
           clock.eventLoop(),
-          Config.read(Path.of("src/test/resources/config.json")),
+          AgentConfig.read(Path.of("src/test/resources/config.json")),
           truth,
           new HollowLoad(0, ANSWER_MICROS, 0),
           () -> micros,
@@ -40,8 +40,8 @@
     clock.freezeTime();
   }
 
-  private static Endpoint server(int id, Phase phase) {
-    return new Endpoint(
+  private static ListedEndpoint server(int id, Phase phase) {
+    return new ListedEndpoint(
         new Server(id, 0, 0, 0, phase, 1, 0),
         "s" + id,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
@@ -106,7 +106,7 @@
 
   @Test
   void settingsOfAnOlderVersionAreNotTakenOver() {
-    Config other = Config.read(Path.of("src/test/resources/config.json"));
+    AgentConfig other = AgentConfig.read(Path.of("src/test/resources/config.json"));
     assertTrue(agent.settings(5, other));
     assertFalse(agent.settings(5, other));
     assertFalse(agent.settings(4, other));
--- a/src/test/java/slateslip/loadbalancer/simulator/Frames.java
+++ b/src/test/java/slateslip/loadbalancer/simulator/Frames.java
@@ -172,7 +172,7 @@
   /** Runs the drill over all frames; one list of records for each reply. */
   List<List<Reply>> run() throws IOException {
     var out = new ByteArrayOutputStream();
-    new Drill(new ByteArrayInputStream(all.toByteArray()), out).run();
+    new SimulatorAdapter(new ByteArrayInputStream(all.toByteArray()), out).run();
     List<List<Reply>> replies = new ArrayList<>();
     ByteBuffer in = ByteBuffer.wrap(out.toByteArray());
     while (in.hasRemaining()) {
--- a/src/test/java/slateslip/loadbalancer/simulator/DrillTest.java
+++ b/src/test/java/slateslip/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -12,7 +12,7 @@
 import slateslip.loadbalancer.simulator.Frames.Reply;
 
 /** The adapter: frames in, replies out, and plain words for what is malformed. */
-class DrillTest {
+class SimulatorAdapterTest {
   private static final int SEND = 16;
   private static final int LOG = 24;
 
