--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -173,8 +173,8 @@
 
   /** A call of the operator's; answered once. */
   public void handleOperatorRequest(
-      OperatorRequest handleOperatorRequest, Consumer<OperatorResponse> answer) {
-    operatorRequests.handleRequest(handleOperatorRequest, answer);
+      OperatorRequest handleOperatorRequest, Consumer<OperatorResponse> response) {
+    operatorRequests.handleRequest(handleOperatorRequest, response);
   }
 
   /** Figures of this agent. */
@@ -324,8 +324,8 @@
       links.connectTo(List.of(peer));
     } else if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
       operatorRequests.forwardedRequestReceived(peer, forwarded);
-    } else if (message instanceof ControlPeerMessage.ForwardedResponse answered) {
-      operatorRequests.forwardedResponseReceived(peer, answered);
+    } else if (message instanceof ControlPeerMessage.ForwardedResponse responded) {
+      operatorRequests.forwardedResponseReceived(peer, responded);
     } else if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
       peerProgress.recordReport(
           peer, sender.incarnation(), replica.role().epoch(), delivered.slowestVersion());
--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -56,14 +56,14 @@
   private final Subscription subscription;
   private final SubscriptionClient client;
   private final CountDownLatch ended = new CountDownLatch(1);
-  private boolean leaving;
+  private boolean shuttingDown;
 
   private DataPlane(NodeSettings settings) throws IOException {
     this.settings = settings;
     SplittableRandom random = new SplittableRandom();
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
-    pools = new BackendPools(loop, connectionsMost(), metrics, InspectableSocketChannel::new);
+    pools = new BackendPools(loop, maxConnections(), metrics, InspectableSocketChannel::new);
     FleetRouter router = new FleetRouter(routerSettings(settings, random.nextLong()));
     forwarder =
         new Forwarder(loop, router, DataPlane::nowMicros, pools, metrics, random.nextLong());
@@ -75,7 +75,7 @@
         new SubscriptionClient(
             loop, subscription, settings.ports().first(), router::demand, this::learnt);
     status = new StatusServer(loop, settings.readyListen(), this::isReady, this::metricsText);
-    ingress = new ClientIngress(loop, settings.frontListen(), connectionsMost(), forwarder);
+    ingress = new ClientIngress(loop, settings.frontListen(), maxConnections(), forwarder);
   }
 
   /**
@@ -106,7 +106,7 @@
   }
 
   /** Connections on either side. */
-  private int connectionsMost() {
+  private int maxConnections() {
     int descriptors = settings.limits().maxFileDescriptors();
     int usable = descriptors > 0 ? descriptors : DESCRIPTORS_DEFAULT;
     return Math.max(1, (usable - DESCRIPTORS_RESERVED) / 2);
@@ -121,7 +121,7 @@
   }
 
   private boolean isReady() {
-    return subscription.isReady() && !leaving;
+    return subscription.isReady() && !shuttingDown;
   }
 
   private String metricsText() {
@@ -180,11 +180,11 @@
   public void stop() {
     whileItRuns(
         () -> {
-          if (!leaving) {
-            leaving = true;
+          if (!shuttingDown) {
+            shuttingDown = true;
             LOG.infof("leaving with %d requests open", forwarder.openRequests());
             long graceMillis = settings.bounds().gracePeriodMillis();
-            new Departure(loop, ingress, forwarder, graceMillis, this::end).begin();
+            new GracefulShutdown(loop, ingress, forwarder, graceMillis, this::end).start();
           }
         });
     awaitEnd();
--- a/src/main/java/slateslip/dataplane/DataPlaneMain.java
+++ b/src/main/java/slateslip/dataplane/DataPlaneMain.java
@@ -23,9 +23,9 @@
       throw new IOException("listen.front and listen.ready are needed by the data plane");
     }
     DataPlane dataPlane = DataPlane.start(settings);
-    SettingsFileWatcher watch = new SettingsFileWatcher(file, dataPlane::settingsChanged);
-    Signal.handle(new Signal("HUP"), signal -> watch.reload());
-    watch.start();
+    SettingsFileWatcher watcher = new SettingsFileWatcher(file, dataPlane::settingsChanged);
+    Signal.handle(new Signal("HUP"), signal -> watcher.reload());
+    watcher.start();
     Runtime.getRuntime().addShutdownHook(new Thread(() -> end(dataPlane)));
     dataPlane.awaitEnd();
   }
--- a/src/main/java/slateslip/dataplane/DataPlaneMetrics.java
+++ b/src/main/java/slateslip/dataplane/DataPlaneMetrics.java
@@ -9,7 +9,7 @@
   public long clientsGone;
 
   /** Answers of the data plane's own. */
-  public long ownAnswers;
+  public long localResponses;
 
   /** Answers that were broken off. */
   public long brokenOff;
@@ -27,8 +27,8 @@
   public long reused;
 
   /** Answers of backends that belonged to no request. */
-  public long surplusAnswers;
+  public long surplusResponses;
 
   /** Answers of backends that could not be read or were incomplete. */
-  public long badAnswers;
+  public long malformedResponses;
 }
--- a/src/main/java/slateslip/dataplane/Departure.java
+++ b/src/main/java/slateslip/dataplane/GracefulShutdown.java
@@ -9,7 +9,7 @@
  * The end of a process in order. It serves on while clients may still be sent here, then closes
  * connections that rest, and ends when none is left, or just before the grace period is over.
  */
-final class Departure {
+final class GracefulShutdown {
   /**
    * How long the platform may still send new connections here: it asks for readiness once a second
    * and goes by the second miss.
@@ -17,54 +17,54 @@
   private static final long SERVE_ON_MILLIS = 2_500;
 
   /** What is still open so long before the end of the grace period is broken off. */
-  private static final long LAST_MILLIS = 800;
+  private static final long ABORT_MARGIN_MILLIS = 800;
 
   /** For the last bytes to leave. */
   private static final long FLUSH_MILLIS = 100;
 
-  private static final long LOOK_MILLIS = 50;
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
   private final EventLoop loop;
   private final ClientIngress ingress;
   private final Forwarder forwarder;
   private final Runnable end;
-  private final long beganNanos = System.nanoTime();
+  private final long startedNanos = System.nanoTime();
   private final long serveOnMillis;
   private final long lastMillis;
   private boolean closing;
 
-  Departure(
+  GracefulShutdown(
       EventLoop loop, ClientIngress ingress, Forwarder forwarder, long graceMillis, Runnable end) {
     this.loop = loop;
     this.ingress = ingress;
     this.forwarder = forwarder;
     this.end = end;
-    this.lastMillis = Math.max(0, graceMillis - LAST_MILLIS);
+    this.lastMillis = Math.max(0, graceMillis - ABORT_MARGIN_MILLIS);
     this.serveOnMillis = Math.min(SERVE_ON_MILLIS, lastMillis / 2);
   }
 
-  void begin() {
-    ingress.leave();
-    forwarder.leave();
-    look();
+  void start() {
+    ingress.startShutdown();
+    forwarder.startShutdown();
+    poll();
   }
 
-  private void look() {
-    long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNanos);
+  private void poll() {
+    long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
     if (passed >= serveOnMillis && !closing) {
       closing = true;
       ingress.stopListening();
     }
     if (closing) {
-      ingress.closeResting();
+      ingress.closeIdle();
     }
     if (closing && ingress.size() == 0) {
       end.run();
     } else if (passed >= lastMillis) {
-      forwarder.breakOffAll();
+      forwarder.abortAll();
       loop.schedule(end, FLUSH_MILLIS, TimeUnit.MILLISECONDS);
     } else {
-      loop.schedule(this::look, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/HeaderNames.java
+++ b/src/main/java/slateslip/dataplane/HeaderNames.java
@@ -73,7 +73,7 @@
       List.of(CREDENTIAL, TENANT, TARGET_INSTANCE, PRIORITY, DEADLINE_MS);
 
   /** End-to-end headers that no {@code Connection} option may take away. */
-  private static final List<CharSequence> KEPT =
+  private static final List<CharSequence> RETAINED =
       List.of(
           HttpHeaderNames.HOST,
           ATTEMPT_ID,
@@ -98,9 +98,9 @@
   }
 
   private static void removeOption(HttpHeaders headers, String option) {
-    boolean kept =
-        KEPT.stream().anyMatch(name -> AsciiString.contentEqualsIgnoreCase(name, option));
-    if (!kept && !option.isEmpty()) {
+    boolean retained =
+        RETAINED.stream().anyMatch(name -> AsciiString.contentEqualsIgnoreCase(name, option));
+    if (!retained && !option.isEmpty()) {
       headers.remove(option);
     }
   }
--- a/src/main/java/slateslip/dataplane/backend/AttemptListener.java
+++ b/src/main/java/slateslip/dataplane/backend/AttemptListener.java
@@ -13,13 +13,13 @@
    *
    * @param load that the backend told in it; null if none
    */
-  void streamBegan(BackendAnswer head, BackendLoad load);
+  void streamBegan(BackendResponse head, BackendLoad load);
 
   /** A whole event has come. */
   void event(StreamEvent event);
 
   /** What had come has been told; the next part may take long. */
-  void pause();
+  void readComplete();
 
   /** The attempt has ended; told once, and last. */
   void ended(AttemptResult result);
--- a/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
@@ -41,7 +41,7 @@
   private boolean written;
 
   /** Whether an answer of its own has begun, maybe before the backend had the whole request. */
-  private boolean answerBegan;
+  private boolean responseStarted;
 
   private boolean started;
   private boolean ended;
@@ -84,11 +84,11 @@
               .loop()
               .schedule(this::timeOut, request.firstEventTimeoutMicros(), TimeUnit.MICROSECONDS);
     }
-    BackendConnection kept = pool.take(pools.keptAge().limitNanos());
-    if (kept != null) {
-      idledNanos = kept.idleNanos();
+    BackendConnection reused = pool.take(pools.idleTimeout().limitNanos());
+    if (reused != null) {
+      idledNanos = reused.idleNanos();
       pools.metrics().reused++;
-      write(kept);
+      write(reused);
     } else {
       connect();
     }
@@ -173,17 +173,17 @@
   }
 
   /** The head of an answer of its own has come. */
-  void answerBegan() {
-    answerBegan = true;
+  void responseStarted() {
+    responseStarted = true;
   }
 
   /** Whether the backend may have run the request, if nothing else says that it has not. */
   private boolean mayHaveRun() {
-    return written || answerBegan;
+    return written || responseStarted;
   }
 
   /** The head of a stream has come. */
-  void streamBegan(BackendAnswer head, BackendLoad load) {
+  void streamBegan(BackendResponse head, BackendLoad load) {
     listener.streamBegan(head, load);
   }
 
@@ -196,31 +196,31 @@
     if (!started) {
       started = true;
       cancelTimer();
-      watchSilence(request.silenceTimeoutMicros());
+      startIdleTimer(request.idleTimeoutMicros());
     }
     listener.event(event);
   }
 
-  private void watchSilence(long micros) {
+  private void startIdleTimer(long micros) {
     if (micros > 0) {
-      timer = pools.loop().schedule(this::checkSilence, micros, TimeUnit.MICROSECONDS);
+      timer = pools.loop().schedule(this::checkIdleTimeout, micros, TimeUnit.MICROSECONDS);
     }
   }
 
-  private void checkSilence() {
-    long silentMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - lastEventNanos);
-    long leftMicros = request.silenceTimeoutMicros() - silentMicros;
+  private void checkIdleTimeout() {
+    long idleMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - lastEventNanos);
+    long leftMicros = request.idleTimeoutMicros() - idleMicros;
     if (leftMicros <= 0 && connection.channel.config().isAutoRead()) {
       timeOut();
     } else {
-      watchSilence(Math.max(leftMicros, 1_000));
+      startIdleTimer(Math.max(leftMicros, 1_000));
     }
   }
 
   /** What had come has been told. */
-  void pause() {
+  void readComplete() {
     if (!ended) {
-      listener.pause();
+      listener.readComplete();
     }
   }
 
@@ -260,7 +260,7 @@
       boolean atOnce =
           result.outcome().kind() == AttemptOutcome.Kind.BROKEN
               && now - startedNanos < AT_ONCE_NANOS;
-      pools.keptAge().used(idledNanos, atOnce, now);
+      pools.idleTimeout().recordUse(idledNanos, atOnce, now);
     }
     if (pool != null) {
       pool.connected(this);
--- a/src/main/java/slateslip/dataplane/backend/BackendConnection.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendConnection.java
@@ -12,7 +12,7 @@
 /** One connection to a backend; it serves one attempt at a time. */
 final class BackendConnection extends ChannelInitializer<InspectableSocketChannel> {
   /** Bytes of a status line, and of an answer's headers. */
-  private static final int HEAD_BYTES_MOST = 16 * 1024;
+  private static final int MAX_HEAD_BYTES = 16 * 1024;
 
   /** How long one is kept whose backend states no time: it may be under a second. */
   private static final long UNSTATED_KEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
@@ -42,16 +42,18 @@
   @Override
   protected void initChannel(InspectableSocketChannel opened) {
     channel = opened;
-    decoder = new StrictHttpDecoders.Responses(HEAD_BYTES_MOST, HEAD_BYTES_MOST);
-    opened.pipeline().addLast(decoder, new HttpRequestEncoder(), new AnswerReader(this, decoder));
+    decoder = new StrictHttpDecoders.Responses(MAX_HEAD_BYTES, MAX_HEAD_BYTES);
+    opened
+        .pipeline()
+        .addLast(decoder, new HttpRequestEncoder(), new ResponseHandler(this, decoder));
   }
 
-  void badAnswer() {
-    metrics.badAnswers++;
+  void malformedResponse() {
+    metrics.malformedResponses++;
   }
 
-  void surplusAnswer() {
-    metrics.surplusAnswers++;
+  void surplusResponse() {
+    metrics.surplusResponses++;
   }
 
   /** Its last attempt has ended well, or it has just come up. */
--- a/src/main/java/slateslip/dataplane/backend/BackendPool.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPool.java
@@ -43,7 +43,7 @@
   BackendConnection take(long learntLimitNanos) {
     while (!idle.isEmpty()) {
       BackendConnection connection = idle.pollFirst();
-      if (!connection.isOld(learntLimitNanos) && connection.channel.silent()) {
+      if (!connection.isOld(learntLimitNanos) && connection.channel.isIdle()) {
         return connection;
       }
       connection.channel.close();
--- a/src/main/java/slateslip/dataplane/backend/BackendPools.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPools.java
@@ -34,7 +34,7 @@
   private static final long SWEEP_SECONDS = 1;
 
   /** However long backends keep idle connections, none is kept for longer. */
-  private static final long KEEP_MOST_NANOS = TimeUnit.SECONDS.toNanos(60);
+  private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
   /**
    * Part of its even share of a backend's connections that a data plane takes: shares are never
@@ -43,17 +43,17 @@
   private static final double SHARE_PART = 0.9;
 
   /** However many data planes there are, each may have so many connections to a backend. */
-  private static final int CONNECTIONS_LEAST = 4;
+  private static final int MIN_CONNECTIONS = 4;
 
   private static final int PROBE_TIMEOUT_MICROS = 1_000_000;
   private static final String DEFAULT_HEALTH_PATH = "/health";
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
-  private final int connectionsMost;
+  private final int maxConnections;
   private final DataPlaneMetrics metrics;
-  private final IdleConnectionTimeout keptAge =
-      new IdleConnectionTimeout(KEEP_MOST_NANOS, System.nanoTime());
+  private final IdleConnectionTimeout idleTimeout =
+      new IdleConnectionTimeout(MAX_IDLE_NANOS, System.nanoTime());
   private final Map<String, BackendPool> pools = new HashMap<>();
   private RoutingTable table;
   private int agents = 1;
@@ -62,11 +62,11 @@
   /** With sockets as {@code sockets} makes them. */
   public BackendPools(
       EventLoop loop,
-      int connectionsMost,
+      int maxConnections,
       DataPlaneMetrics metrics,
       ChannelFactory<InspectableSocketChannel> sockets) {
     this.loop = loop;
-    this.connectionsMost = connectionsMost;
+    this.maxConnections = maxConnections;
     this.metrics = metrics;
     this.bootstrap =
         new Bootstrap().group(loop).channelFactory(sockets).option(ChannelOption.TCP_NODELAY, true);
@@ -159,8 +159,8 @@
     return loop;
   }
 
-  IdleConnectionTimeout keptAge() {
-    return keptAge;
+  IdleConnectionTimeout idleTimeout() {
+    return idleTimeout;
   }
 
   DataPlaneMetrics metrics() {
@@ -169,7 +169,7 @@
 
   /** Begins to connect; null if there is no room for one more connection. */
   ChannelFuture dial(BackendPool pool, BackendConnection connection, int timeoutMillis) {
-    if (pool.connections >= connectionsMost(pool.service) || !hasRoom()) {
+    if (pool.connections >= maxConnections(pool.service) || !hasCapacity()) {
       return null;
     }
     ChannelFuture connecting =
@@ -195,20 +195,20 @@
     return connecting;
   }
 
-  private int connectionsMost(String serviceName) {
+  private int maxConnections(String serviceName) {
     Service service = table == null ? null : table.service(serviceName).orElse(null);
     if (service == null || service.maxConnections() <= 0) {
-      return connectionsMost;
+      return maxConnections;
     }
-    return Math.max(CONNECTIONS_LEAST, (int) (SHARE_PART * service.maxConnections() / agents));
+    return Math.max(MIN_CONNECTIONS, (int) (SHARE_PART * service.maxConnections() / agents));
   }
 
   /**
    * Makes room under the limit of the process by closing the connection that has been idle for
    * longest.
    */
-  private boolean hasRoom() {
-    if (connections < connectionsMost) {
+  private boolean hasCapacity() {
+    if (connections < maxConnections) {
       return true;
     }
     BackendConnection oldest = null;
@@ -223,13 +223,13 @@
     }
     oldest.pool.forget(oldest);
     oldest.channel.close();
-    return connections < connectionsMost;
+    return connections < maxConnections;
   }
 
   private void closeOld() {
-    keptAge.fade(System.nanoTime());
+    idleTimeout.decay(System.nanoTime());
     for (BackendPool pool : pools.values()) {
-      pool.closeOld(keptAge.limitNanos());
+      pool.closeOld(idleTimeout.limitNanos());
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/backend/BackendAnswer.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendResponse.java
@@ -11,5 +11,5 @@
  * @param body whole body; empty in the head of a stream
  * @param contentLength what {@code Content-Length} says or would say of the whole body
  */
-public record BackendAnswer(
+public record BackendResponse(
     HttpResponseStatus status, HttpHeaders headers, byte[] body, long contentLength) {}
--- a/src/main/java/slateslip/dataplane/backend/OutgoingRequest.java
+++ b/src/main/java/slateslip/dataplane/backend/OutgoingRequest.java
@@ -14,7 +14,7 @@
  *     answer carries none
  * @param deadlineMillis what is left when it is handed over; 0 leaves the header out
  * @param firstEventTimeoutMicros until the first event or whole answer; 0 for none
- * @param silenceTimeoutMicros between events after the first; 0 for none
+ * @param idleTimeoutMicros between events after the first; 0 for none
  */
 public record OutgoingRequest(
     HttpMethod method,
@@ -24,4 +24,4 @@
     String attemptId,
     long deadlineMillis,
     long firstEventTimeoutMicros,
-    long silenceTimeoutMicros) {}
+    long idleTimeoutMicros) {}
--- a/src/main/java/slateslip/dataplane/backend/ProbeListener.java
+++ b/src/main/java/slateslip/dataplane/backend/ProbeListener.java
@@ -17,13 +17,13 @@
   }
 
   @Override
-  public void streamBegan(BackendAnswer head, BackendLoad load) {}
+  public void streamBegan(BackendResponse head, BackendLoad load) {}
 
   @Override
   public void event(StreamEvent event) {}
 
   @Override
-  public void pause() {}
+  public void readComplete() {}
 
   @Override
   public void ended(AttemptResult result) {
@@ -31,16 +31,16 @@
   }
 
   private ProbeOutcome outcome(AttemptResult result) {
-    BackendAnswer answer = result.answer();
-    if (answer != null) {
-      String instance = answer.headers().get(HeaderNames.INSTANCE_ID);
+    BackendResponse response = result.response();
+    if (response != null) {
+      String instance = response.headers().get(HeaderNames.INSTANCE_ID);
       if (instance != null && !instance.equals(backendId)) {
         return ProbeOutcome.OTHER_INSTANCE;
       }
     }
     return switch (result.outcome().kind()) {
       case SUCCESS -> ProbeOutcome.HEALTHY;
-      case ERROR_ANSWER -> ProbeOutcome.UNHEALTHY;
+      case ERROR_RESPONSE -> ProbeOutcome.UNHEALTHY;
       case NOT_EXECUTED -> ProbeOutcome.FULL;
       case OTHER_INSTANCE -> ProbeOutcome.OTHER_INSTANCE;
       case TIMEOUT, CANCELLED -> ProbeOutcome.TIMEOUT;
--- a/src/main/java/slateslip/dataplane/backend/AnswerReader.java
+++ b/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
@@ -25,12 +25,12 @@
  * Turns what arrives on a backend connection into the outcome of its attempt. An answer counts only
  * if it carries the id of the request, and a success only with a stamp and whole.
  */
-final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
+final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
   /** Longest answer that is no stream; it is collected whole before it goes on. */
-  private static final int BODY_BYTES_MOST = 16 << 20;
+  private static final int MAX_BODY_BYTES = 16 << 20;
 
   /** Answers to earlier requests that are passed over before a connection counts as broken. */
-  private static final int SURPLUS_MOST = 2;
+  private static final int MAX_SURPLUS_BYTES = 2;
 
   private static final String EVENT_STREAM = "text/event-stream";
 
@@ -45,7 +45,7 @@
 
   private int surplusCount;
 
-  AnswerReader(BackendConnection connection, StrictHttpDecoders.Responses decoder) {
+  ResponseHandler(BackendConnection connection, StrictHttpDecoders.Responses decoder) {
     this.connection = connection;
     this.decoder = decoder;
   }
@@ -68,14 +68,14 @@
   private boolean read(BackendAttempt attempt, HttpObject part) {
     boolean early = !attempt.isWritten() && attempt.request().attemptId().isEmpty();
     if (part.decoderResult().isFailure() || early) {
-      connection.badAnswer();
+      connection.malformedResponse();
       return false;
     }
     if (part instanceof HttpResponse response && !begin(attempt, response)) {
       return false;
     }
     if (part instanceof HttpContent content && !add(attempt, content)) {
-      connection.badAnswer();
+      connection.malformedResponse();
       return false;
     }
     if (part instanceof LastHttpContent && !attempt.isEnded()) {
@@ -93,13 +93,13 @@
     HttpHeaders headers = response.headers();
     surplus = !belongsTo(attempt, headers);
     if (surplus) {
-      connection.surplusAnswer();
-      return ++surplusCount <= SURPLUS_MOST;
+      connection.surplusResponse();
+      return ++surplusCount <= MAX_SURPLUS_BYTES;
     }
-    attempt.answerBegan();
+    attempt.responseStarted();
     long length = StrictHttpDecoders.framing(headers);
-    if (length == StrictHttpDecoders.UNCLEAR || length > BODY_BYTES_MOST) {
-      connection.badAnswer();
+    if (length == StrictHttpDecoders.UNCLEAR || length > MAX_BODY_BYTES) {
+      connection.malformedResponse();
       return false;
     }
     connection.learnKeepTime(headers);
@@ -131,7 +131,7 @@
     if (splitter != null) {
       return splitter.feed(content.content(), attempt::event);
     }
-    if (body.readableBytes() + content.content().readableBytes() > BODY_BYTES_MOST) {
+    if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
       return false;
     }
     if (content.content().isReadable()) {
@@ -148,21 +148,21 @@
       surplus = false;
       return true;
     }
-    boolean endToldByClose =
+    boolean endsWithConnection =
         StrictHttpDecoders.framing(head.headers()) == StrictHttpDecoders.NO_LENGTH;
-    if (splitter != null && (splitter.hasPartialEvent() || endToldByClose)) {
-      connection.badAnswer();
+    if (splitter != null && (splitter.hasPartialEvent() || endsWithConnection)) {
+      connection.malformedResponse();
       return false;
     }
     AttemptOutcome.Kind kind = kind(attempt);
     if (kind == AttemptOutcome.Kind.BROKEN) {
-      connection.badAnswer();
+      connection.malformedResponse();
       return false;
     }
-    BackendAnswer whole = splitter == null ? answer(body) : null;
+    BackendResponse complete = splitter == null ? answer(body) : null;
     var outcome = new AttemptOutcome(kind, head.status().code());
     BackendLoad load = splitter == null ? load(head.headers()) : null;
-    var result = new AttemptResult(outcome, load, whole);
+    var result = new AttemptResult(outcome, load, complete);
     boolean reusable = isReusable() && attempt.isWritten();
     reset();
     attempt.end(result, reusable);
@@ -197,17 +197,17 @@
     }
     return headers.contains(HeaderNames.NOT_EXECUTED)
         ? AttemptOutcome.Kind.NOT_EXECUTED
-        : AttemptOutcome.Kind.ERROR_ANSWER;
+        : AttemptOutcome.Kind.ERROR_RESPONSE;
   }
 
-  private BackendAnswer answer(ByteBuf bytes) {
+  private BackendResponse answer(ByteBuf bytes) {
     HttpHeaders headers = new DefaultHttpHeaders().set(head.headers());
     HeaderNames.removeHopByHop(headers);
     headers.remove(HeaderNames.BACKEND_LOAD);
     byte[] copy = ByteBufUtil.getBytes(bytes);
     long framing = StrictHttpDecoders.framing(head.headers());
     long length = copy.length == 0 && framing > 0 ? framing : copy.length;
-    return new BackendAnswer(head.status(), headers, copy, length);
+    return new BackendResponse(head.status(), headers, copy, length);
   }
 
   private static BackendLoad load(HttpHeaders headers) {
@@ -229,7 +229,7 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     if (connection.attempt != null && splitter != null) {
-      connection.attempt.pause();
+      connection.attempt.readComplete();
     }
     context.fireChannelReadComplete();
   }
--- a/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
+++ b/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
@@ -4,8 +4,8 @@
 import slateslip.dataplane.HeaderNames;
 import slateslip.dataplane.backend.AttemptListener;
 import slateslip.dataplane.backend.AttemptResult;
-import slateslip.dataplane.backend.BackendAnswer;
 import slateslip.dataplane.backend.BackendAttempt;
+import slateslip.dataplane.backend.BackendResponse;
 import slateslip.dataplane.ingress.ClientExchange;
 import slateslip.dataplane.stream.StreamEvent;
 import slateslip.routing.RouterInput;
@@ -19,7 +19,7 @@
   private final RouterDriver driver;
   private final DataPlaneMetrics metrics;
   private final Runnable whenEnded;
-  private BackendAnswer streamHead;
+  private BackendResponse streamHead;
   private BackendLoad streamLoad;
 
   AttemptRelay(
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void streamBegan(BackendAnswer head, BackendLoad load) {
+  public void streamBegan(BackendResponse head, BackendLoad load) {
     streamHead = head;
     streamLoad = load;
   }
@@ -69,7 +69,7 @@
       return;
     }
     forwarded.streamingAttempt = number;
-    if (!forwarded.exchange.isBegun()) {
+    if (!forwarded.exchange.isStarted()) {
       removeOwnId(forwarded, streamHead);
       forwarded.exchange.beginStream(streamHead.status(), streamHead.headers());
     } else {
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void pause() {
+  public void readComplete() {
     forwarded.exchange.flush();
     BackendAttempt attempt = forwarded.attempts.get(number);
     if (attempt != null && !forwarded.exchange.isEnded() && !forwarded.exchange.isWritable()) {
@@ -93,8 +93,8 @@
     AttemptOutcome outcome = result.outcome();
     if (outcome.kind() == AttemptOutcome.Kind.SUCCESS) {
       passOn(result);
-    } else if (outcome.kind() == AttemptOutcome.Kind.ERROR_ANSWER) {
-      forwarded.failures.put(number, result.answer());
+    } else if (outcome.kind() == AttemptOutcome.Kind.ERROR_RESPONSE) {
+      forwarded.failures.put(number, result.response());
     } else {
       forwarded.exchange.flush();
     }
@@ -112,24 +112,24 @@
     if (streamHead != null && takesStream()) {
       beginStream();
       exchange.endStream();
-    } else if (streamHead == null && !exchange.isBegun()) {
-      relay(forwarded, result.answer());
+    } else if (streamHead == null && !exchange.isStarted()) {
+      relay(forwarded, result.response());
     } else {
       exchange.breakOff(); // a whole answer where a stream was to go on
     }
   }
 
   /** Passes a whole answer on. */
-  static void relay(ForwardedRequest forwarded, BackendAnswer answer) {
-    removeOwnId(forwarded, answer);
+  static void relay(ForwardedRequest forwarded, BackendResponse response) {
+    removeOwnId(forwarded, response);
     forwarded.exchange.relay(
-        answer.status(), answer.headers(), answer.body(), answer.contentLength());
+        response.status(), response.headers(), response.body(), response.contentLength());
   }
 
   /** Takes away an attempt id that the client did not send. */
-  private static void removeOwnId(ForwardedRequest forwarded, BackendAnswer answer) {
-    if (forwarded.request.facts().attemptId().isEmpty()) {
-      answer.headers().remove(HeaderNames.ATTEMPT_ID);
+  private static void removeOwnId(ForwardedRequest forwarded, BackendResponse response) {
+    if (forwarded.request.attributes().attemptId().isEmpty()) {
+      response.headers().remove(HeaderNames.ATTEMPT_ID);
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/forwarding/ForwardedRequest.java
+++ b/src/main/java/slateslip/dataplane/forwarding/ForwardedRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import slateslip.dataplane.backend.BackendAnswer;
 import slateslip.dataplane.backend.BackendAttempt;
+import slateslip.dataplane.backend.BackendResponse;
 import slateslip.dataplane.ingress.ClientExchange;
 import slateslip.dataplane.ingress.ClientRequest;
 
@@ -26,7 +26,7 @@
   final Map<Integer, BackendAttempt> attempts = new HashMap<>();
 
   /** Failure answers, kept until the router says which to pass on. */
-  final Map<Integer, BackendAnswer> failures = new HashMap<>();
+  final Map<Integer, BackendResponse> failures = new HashMap<>();
 
   /** Id of the last event that was passed on. */
   long lastEventId = NO_EVENT;
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -74,16 +74,16 @@
   /** This data plane's share of the fleet-wide limits. */
   public void sharesChanged(QuotaAllocation shares) {
     pools.agentsChanged(shares.dataPlanes());
-    driver.feed(new RouterInput.SharesChanged(shares));
+    driver.feed(new RouterInput.QuotaAllocationChanged(shares));
   }
 
   /** The process is leaving. */
-  public void leave() {
-    driver.feed(new RouterInput.Leaving());
+  public void startShutdown() {
+    driver.feed(new RouterInput.ShutdownStarted());
   }
 
   /** Breaks off all answers that are owed; for the very end. */
-  public void breakOffAll() {
+  public void abortAll() {
     for (ForwardedRequest forwarded : List.copyOf(open.values())) {
       forwarded.exchange.breakOff();
       List.copyOf(forwarded.attempts.values()).forEach(BackendAttempt::cancel);
@@ -93,12 +93,12 @@
   @Override
   public void requestArrived(ClientRequest request, ClientExchange exchange) {
     metrics.requests++;
-    String sent = request.facts().attemptId();
+    String sent = request.attributes().attemptId();
     String attemptId = sent.isEmpty() ? drawAttemptId() : sent;
     var forwarded = new ForwardedRequest(nextId++, request, exchange, attemptId);
     open.put(forwarded.id, forwarded);
     byExchange.put(exchange, forwarded);
-    driver.feed(new RouterInput.RequestArrived(forwarded.id, request.facts()));
+    driver.feed(new RouterInput.RequestArrived(forwarded.id, request.attributes()));
     forgetIfDone(forwarded);
   }
 
@@ -136,11 +136,11 @@
   private void carryOut(RouterOutput output) {
     if (output instanceof RouterOutput.SendAttempt send) {
       send(send);
-    } else if (output instanceof RouterOutput.Answer answer) {
-      answer(answer);
+    } else if (output instanceof RouterOutput.Respond response) {
+      respond(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       relayError(relay);
-    } else if (output instanceof RouterOutput.Break end) {
+    } else if (output instanceof RouterOutput.AbortConnection end) {
       breakOff(end.request());
     } else if (output instanceof RouterOutput.CancelAttempt cancel) {
       cancel(cancel);
@@ -187,21 +187,21 @@
         forwarded.attemptId,
         send.deadlineMillis(),
         send.firstEventTimeoutMicros(),
-        send.silenceTimeoutMicros());
+        send.idleTimeoutMicros());
   }
 
-  private void answer(RouterOutput.Answer answer) {
-    ForwardedRequest forwarded = open.get(answer.request());
+  private void respond(RouterOutput.Respond response) {
+    ForwardedRequest forwarded = open.get(response.request());
     if (forwarded == null) {
       return;
     }
-    if (forwarded.exchange.isBegun()) {
-      breakOff(answer.request());
+    if (forwarded.exchange.isStarted()) {
+      breakOff(response.request());
       return;
     }
-    metrics.ownAnswers++;
-    HttpResponseStatus status = HttpResponseStatus.valueOf(answer.status());
-    forwarded.exchange.answer(status, answer.retryAfterMicros());
+    metrics.localResponses++;
+    HttpResponseStatus status = HttpResponseStatus.valueOf(response.status());
+    forwarded.exchange.respond(status, response.retryAfterMicros());
     forgetIfDone(forwarded);
   }
 
@@ -210,7 +210,7 @@
     if (forwarded == null) {
       return;
     }
-    if (forwarded.exchange.isBegun()) {
+    if (forwarded.exchange.isStarted()) {
       breakOff(relay.request());
       return;
     }
--- a/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
@@ -48,7 +48,7 @@
   }
 
   /** Requests read ahead behind the one being answered, before reading pauses. */
-  private static final int AHEAD_MOST = 16;
+  private static final int MAX_PIPELINED = 16;
 
   /**
    * How long a connection with unread bytes is kept after its last answer, so that no reset
@@ -56,18 +56,19 @@
    */
   private static final long LINGER_MILLIS = 500;
 
-  private record Asked(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
+  private record ParsedRequest(
+      ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
   private final ClientIngress ingress;
   private final SocketChannel channel;
   private final StrictHttpDecoders.Requests decoder;
-  private final Deque<Asked> ahead = new ArrayDeque<>();
+  private final Deque<ParsedRequest> pipelined = new ArrayDeque<>();
   private ClientExchange current;
   private HttpRequest head;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
-  private int heldBytes;
+  private int reservedBytes;
   private int currentBytes;
-  private boolean deaf;
+  private boolean readingStopped;
   private Phase phase = Phase.RESTING;
   private long phaseSince = System.nanoTime();
 
@@ -95,7 +96,7 @@
     return current == exchange;
   }
 
-  boolean isLastAnswer(boolean keepAlive) {
+  boolean isLastResponse(boolean keepAlive) {
     return !keepAlive || ingress.endsConnections();
   }
 
@@ -112,11 +113,11 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     ingress.closed(this);
-    deaf = true;
-    ahead.clear();
+    readingStopped = true;
+    pipelined.clear();
     body = Unpooled.EMPTY_BUFFER;
-    ingress.release(heldBytes);
-    heldBytes = 0;
+    ingress.release(reservedBytes);
+    reservedBytes = 0;
     ClientExchange left = current;
     current = null;
     if (left != null) {
@@ -138,7 +139,7 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    if (phase == Phase.RESTING && decoder.begun()) {
+    if (phase == Phase.RESTING && decoder.hasStarted()) {
       enter(Phase.READING_HEAD);
     }
     context.fireChannelReadComplete();
@@ -146,20 +147,20 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-    if (deaf) {
+    if (readingStopped) {
       return;
     }
     if (part.decoderResult().isFailure()) {
-      refuse(statusOf(part.decoderResult().cause()));
+      reject(statusOf(part.decoderResult().cause()));
       return;
     }
     if (part instanceof HttpRequest request) {
       beginRequest(request);
     }
-    if (part instanceof HttpContent content && !deaf) {
+    if (part instanceof HttpContent content && !readingStopped) {
       addBody(content.content());
     }
-    if (part instanceof LastHttpContent && !deaf) {
+    if (part instanceof LastHttpContent && !readingStopped) {
       endRequest();
     }
   }
@@ -175,10 +176,10 @@
   private void beginRequest(HttpRequest request) {
     head = request;
     long length = StrictHttpDecoders.framing(request.headers());
-    HttpResponseStatus refusal =
-        RequestHead.refusal(request, length, ingress.limits().maxBodyBytes());
-    if (refusal != null) {
-      refuse(refusal);
+    HttpResponseStatus rejection =
+        RequestHead.rejection(request, length, ingress.limits().maxBodyBytes());
+    if (rejection != null) {
+      reject(rejection);
       return;
     }
     if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
@@ -189,13 +190,13 @@
   }
 
   private void enterUnlessAnswering(Phase next) {
-    if (current == null && ahead.isEmpty()) {
+    if (current == null && pipelined.isEmpty()) {
       enter(next);
     }
   }
 
   private void sayContinue(HttpRequest request) {
-    if (HttpUtil.is100ContinueExpected(request) && current == null && ahead.isEmpty()) {
+    if (HttpUtil.is100ContinueExpected(request) && current == null && pipelined.isEmpty()) {
       channel.writeAndFlush(
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
@@ -208,11 +209,11 @@
       return;
     }
     if (body.readableBytes() + count > ingress.limits().maxBodyBytes()) {
-      refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+      reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
     } else if (!ingress.reserve(count)) {
-      refuse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+      reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
     } else {
-      heldBytes += count;
+      reservedBytes += count;
       body.writeBytes(bytes);
       enterUnlessAnswering(Phase.READING_BODY);
     }
@@ -224,41 +225,41 @@
     HttpHeaders headers = new DefaultHttpHeaders().set(head.headers());
     HeaderNames.removeHopByHop(headers);
     HeaderNames.removeOwn(headers);
-    var facts = RequestHead.facts(head, bytes.length);
-    var request = new ClientRequest(head.method(), head.uri(), headers, bytes, facts);
-    ask(new Asked(request, null, HttpUtil.isKeepAlive(head)));
+    var attributes = RequestHead.attributes(head, bytes.length);
+    var request = new ClientRequest(head.method(), head.uri(), headers, bytes, attributes);
+    enqueue(new ParsedRequest(request, null, HttpUtil.isKeepAlive(head)));
   }
 
   /** Answers what is no request with an error in its turn; nothing more is read. */
-  private void refuse(HttpResponseStatus status) {
-    deaf = true;
+  private void reject(HttpResponseStatus status) {
+    readingStopped = true;
     body = Unpooled.EMPTY_BUFFER;
-    ask(new Asked(null, status, false));
+    enqueue(new ParsedRequest(null, status, false));
   }
 
-  private void ask(Asked asked) {
-    ahead.add(asked);
-    if (ahead.size() >= AHEAD_MOST) {
+  private void enqueue(ParsedRequest parsed) {
+    pipelined.add(parsed);
+    if (pipelined.size() >= MAX_PIPELINED) {
       channel.config().setAutoRead(false);
     }
-    takeNext();
+    processNext();
   }
 
-  private void takeNext() {
-    if (current != null || ahead.isEmpty() || !channel.isActive()) {
+  private void processNext() {
+    if (current != null || pipelined.isEmpty() || !channel.isActive()) {
       return;
     }
-    Asked asked = ahead.poll();
+    ParsedRequest parsed = pipelined.poll();
     channel.config().setAutoRead(true);
     enter(Phase.ANSWERING);
-    ClientRequest request = asked.request;
+    ClientRequest request = parsed.request;
     currentBytes = request == null ? 0 : request.body().length;
-    String attemptId = request == null ? "" : request.facts().attemptId();
+    String attemptId = request == null ? "" : request.attributes().attemptId();
     boolean headOnly = request != null && request.method().equals(HttpMethod.HEAD);
-    current = new ClientExchange(this, attemptId, asked.keepAlive, headOnly);
+    current = new ClientExchange(this, attemptId, parsed.keepAlive, headOnly);
     if (request == null) {
-      boolean full = asked.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-      current.answer(asked.error, full ? ClientIngress.RETRY_AFTER_MICROS : 0);
+      boolean full = parsed.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+      current.respond(parsed.error, full ? ClientIngress.RETRY_AFTER_MICROS : 0);
     } else {
       ingress.listener().requestArrived(request, current);
     }
@@ -270,22 +271,22 @@
       return;
     }
     current = null;
-    heldBytes -= currentBytes;
+    reservedBytes -= currentBytes;
     ingress.release(currentBytes);
     currentBytes = 0;
     if (last) {
       closeAfter(written);
-    } else if (ahead.isEmpty()) {
-      enter(decoder.begun() ? Phase.READING_HEAD : Phase.RESTING);
+    } else if (pipelined.isEmpty()) {
+      enter(decoder.hasStarted() ? Phase.READING_HEAD : Phase.RESTING);
     } else {
-      channel.eventLoop().execute(this::takeNext);
+      channel.eventLoop().execute(this::processNext);
     }
   }
 
   private void closeAfter(ChannelFuture written) {
-    boolean unread = deaf || decoder.begun();
-    deaf = true;
-    ahead.clear();
+    boolean unread = readingStopped || decoder.hasStarted();
+    readingStopped = true;
+    pipelined.clear();
     enter(Phase.CLOSING);
     written.addListener(unread ? done -> linger() : ChannelFutureListener.CLOSE);
   }
@@ -296,21 +297,21 @@
   }
 
   void breakOff() {
-    deaf = true;
+    readingStopped = true;
     current = null;
-    ahead.clear();
+    pipelined.clear();
     enter(Phase.CLOSING);
     channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
   /** Its request took too long to come. */
   void timeOut() {
-    refuse(HttpResponseStatus.REQUEST_TIMEOUT);
+    reject(HttpResponseStatus.REQUEST_TIMEOUT);
   }
 
   /** Closes it, as nothing is owed. */
   void close() {
-    deaf = true;
+    readingStopped = true;
     channel.close();
   }
 }
--- a/src/main/java/slateslip/dataplane/ingress/ClientExchange.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientExchange.java
@@ -27,7 +27,7 @@
   private final boolean keepAlive;
   private final boolean headOnly;
   private boolean last;
-  private boolean begun;
+  private boolean started;
   private boolean ended;
 
   ClientExchange(
@@ -39,8 +39,8 @@
   }
 
   /** Whether a part of the answer has been written. */
-  public boolean isBegun() {
-    return begun;
+  public boolean isStarted() {
+    return started;
   }
 
   /**
@@ -60,8 +60,8 @@
    *
    * @param retryAfterMicros what {@code Retry-After} says; 0 leaves it out
    */
-  public void answer(HttpResponseStatus status, long retryAfterMicros) {
-    if (isEnded() || begun) {
+  public void respond(HttpResponseStatus status, long retryAfterMicros) {
+    if (isEnded() || started) {
       return;
     }
     var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
@@ -75,12 +75,12 @@
       response.headers().set(HeaderNames.ATTEMPT_ID, attemptId);
     }
     response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    writeWhole(response);
+    writeComplete(response);
   }
 
   /** Passes on a backend's whole answer; {@code headers} hold no hop-by-hop ones. */
   public void relay(HttpResponseStatus status, HttpHeaders headers, byte[] body, long length) {
-    if (isEnded() || begun) {
+    if (isEnded() || started) {
       return;
     }
     ByteBuf content = headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body);
@@ -90,13 +90,13 @@
         && status.code() != HttpResponseStatus.NOT_MODIFIED.code()) {
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
     }
-    writeWhole(response);
+    writeComplete(response);
   }
 
-  private void writeWhole(DefaultFullHttpResponse response) {
-    begun = true;
+  private void writeComplete(DefaultFullHttpResponse response) {
+    started = true;
     ended = true;
-    last = connection.isLastAnswer(keepAlive);
+    last = connection.isLastResponse(keepAlive);
     markLast(response.headers());
     connection.finish(this, connection.channel().writeAndFlush(response), last);
   }
@@ -109,21 +109,21 @@
 
   /** Begins a stream of events; it goes out with the first {@link #flush}. */
   public void beginStream(HttpResponseStatus status, HttpHeaders headers) {
-    if (isEnded() || begun) {
+    if (isEnded() || started) {
       return;
     }
-    begun = true;
+    started = true;
     var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
     response.headers().set(headers);
     HttpUtil.setTransferEncodingChunked(response, true);
-    last = connection.isLastAnswer(keepAlive);
+    last = connection.isLastResponse(keepAlive);
     markLast(response.headers());
     connection.channel().write(response);
   }
 
   /** Writes one whole event of a stream that has begun. */
   public void event(byte[] bytes) {
-    if (!isEnded() && begun) {
+    if (!isEnded() && started) {
       connection.channel().write(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
     }
   }
@@ -137,7 +137,7 @@
 
   /** Completes a stream. */
   public void endStream() {
-    if (isEnded() || !begun) {
+    if (isEnded() || !started) {
       return;
     }
     ended = true;
--- a/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
@@ -36,20 +36,20 @@
   private static final double PRESSED_PART = 0.8;
 
   private final IngressListener listener;
-  private final int connectionsMost;
+  private final int maxConnections;
   private final Channel server;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
   private IngressLimits limits = IngressLimits.DEFAULT;
   private long reservedBytes;
-  private boolean leaving;
+  private boolean shuttingDown;
 
   /** Listens; called from outside the loop. */
   public ClientIngress(
-      EventLoop loop, InetSocketAddress address, int connectionsMost, IngressListener listener)
+      EventLoop loop, InetSocketAddress address, int maxConnections, IngressListener listener)
       throws IOException {
     this.listener = listener;
-    this.connectionsMost = connectionsMost;
-    ChannelFuture bound =
+    this.maxConnections = maxConnections;
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -65,10 +65,10 @@
                 })
             .bind(address)
             .awaitUninterruptibly();
-    if (!bound.isSuccess()) {
-      throw new IOException("cannot listen on " + address + ": " + bound.cause().getMessage());
+    if (!bindFuture.isSuccess()) {
+      throw new IOException("cannot listen on " + address + ": " + bindFuture.cause().getMessage());
     }
-    this.server = bound.channel();
+    this.server = bindFuture.channel();
     loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
   }
 
@@ -115,16 +115,16 @@
   }
 
   /** From now on each answer is the last of its connection. */
-  public void leave() {
-    leaving = true;
+  public void startShutdown() {
+    shuttingDown = true;
   }
 
   boolean endsConnections() {
-    return leaving || connections.size() >= PRESSED_PART * connectionsMost;
+    return shuttingDown || connections.size() >= PRESSED_PART * maxConnections;
   }
 
   /** Closes connections on which no request is under way. */
-  public void closeResting() {
+  public void closeIdle() {
     for (ClientConnection connection : List.copyOf(connections)) {
       if (connection.phase() == ClientConnection.Phase.RESTING) {
         connection.close();
@@ -160,7 +160,7 @@
   }
 
   private void limitAccepting() {
-    server.config().setAutoRead(connections.size() < connectionsMost);
+    server.config().setAutoRead(connections.size() < maxConnections);
   }
 
   private void sweep() {
--- a/src/main/java/slateslip/dataplane/ingress/ClientRequest.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientRequest.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
-import slateslip.routing.RequestFacts;
+import slateslip.routing.RequestAttributes;
 
 /**
  * A client's request, read whole.
@@ -12,7 +12,11 @@
  * @param headers those that a backend may receive; what concerns one connection or is the data
  *     plane's to set is left out
  * @param body whole body; empty if there is none
- * @param facts what the request says of itself
+ * @param attributes what the request says of itself
  */
 public record ClientRequest(
-    HttpMethod method, String uri, HttpHeaders headers, byte[] body, RequestFacts facts) {}
+    HttpMethod method,
+    String uri,
+    HttpHeaders headers,
+    byte[] body,
+    RequestAttributes attributes) {}
--- a/src/main/java/slateslip/dataplane/ingress/RequestHead.java
+++ b/src/main/java/slateslip/dataplane/ingress/RequestHead.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import slateslip.dataplane.HeaderNames;
 import slateslip.loadbalancer.net.StrictHttpDecoders;
-import slateslip.routing.RequestFacts;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /** Checks the head of a request and reads what it says of itself. */
 final class RequestHead {
   /** Headers of which a second one would let two readers see two requests. */
-  private static final List<CharSequence> AT_MOST_ONCE =
+  private static final List<CharSequence> SINGLE_VALUED =
       List.of(
           HttpHeaderNames.HOST,
           HeaderNames.ATTEMPT_ID,
@@ -30,7 +30,7 @@
 
   private static final int HEX_RADIX = 16;
   private static final int HEX_DIGITS_OF_LONG = 16;
-  private static final int PROMPT_PARTS_MOST = 256;
+  private static final int MAX_PROMPT_PARTS = 256;
 
   private RequestHead() {}
 
@@ -40,7 +40,7 @@
    * @param length as {@link StrictHttpDecoders#framing} tells it
    * @return null if it is well-formed and its body is not too long
    */
-  static HttpResponseStatus refusal(HttpRequest head, long length, long maxBodyBytes) {
+  static HttpResponseStatus rejection(HttpRequest head, long length, long maxBodyBytes) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
       return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
     }
@@ -65,7 +65,7 @@
     if (headers.get(HttpHeaderNames.HOST, "").isEmpty()) {
       return false;
     }
-    for (CharSequence name : AT_MOST_ONCE) {
+    for (CharSequence name : SINGLE_VALUED) {
       if (headers.getAll(name).size() > 1) {
         return false;
       }
@@ -88,12 +88,12 @@
   }
 
   /** What a well-formed request says of itself; numbers that cannot be read count as not given. */
-  static RequestFacts facts(HttpRequest head, int bodyBytes) {
+  static RequestAttributes attributes(HttpRequest head, int bodyBytes) {
     HttpHeaders headers = head.headers();
     String usage = headers.get(HeaderNames.TOKEN_USAGE);
     int comma = usage == null ? -1 : usage.indexOf(',');
     int query = head.uri().indexOf('?');
-    return new RequestFacts(
+    return new RequestAttributes(
         headers.get(HeaderNames.ATTEMPT_ID, ""),
         headers.get(HttpHeaderNames.HOST),
         query < 0 ? head.uri() : head.uri().substring(0, query),
@@ -112,7 +112,7 @@
       return List.of();
     }
     List<PromptPart> parts = new ArrayList<>();
-    for (String part : text.split(",", PROMPT_PARTS_MOST)) {
+    for (String part : text.split(",", MAX_PROMPT_PARTS)) {
       int colon = part.indexOf(':');
       long tokens =
           colon < 0 ? -1 : StrictHttpDecoders.digits(part.substring(colon + 1).trim(), -1);
--- a/src/main/java/slateslip/dataplane/status/MetricsText.java
+++ b/src/main/java/slateslip/dataplane/status/MetricsText.java
@@ -20,14 +20,14 @@
     MetricsText text = new MetricsText();
     text.add("requests_total", "counter", metrics.requests);
     text.add("clients_gone_total", "counter", metrics.clientsGone);
-    text.add("own_answers_total", "counter", metrics.ownAnswers);
+    text.add("own_answers_total", "counter", metrics.localResponses);
     text.add("broken_off_total", "counter", metrics.brokenOff);
     text.add("streams_resumed_total", "counter", metrics.resumed);
     text.add("events_total", "counter", metrics.events);
     text.add("backend_connections_opened_total", "counter", metrics.dialled);
     text.add("backend_connections_reused_total", "counter", metrics.reused);
-    text.add("surplus_answers_total", "counter", metrics.surplusAnswers);
-    text.add("bad_answers_total", "counter", metrics.badAnswers);
+    text.add("surplus_answers_total", "counter", metrics.surplusResponses);
+    text.add("bad_answers_total", "counter", metrics.malformedResponses);
     text.add("open_requests", "gauge", openRequests);
     text.add("client_connections", "gauge", clientConnections);
     text.add("backend_connections", "gauge", backendConnections);
--- a/src/main/java/slateslip/dataplane/status/StatusServer.java
+++ b/src/main/java/slateslip/dataplane/status/StatusServer.java
@@ -36,9 +36,9 @@
  * loop.
  */
 public final class StatusServer {
-  private static final int LINE_BYTES_MOST = 1024;
-  private static final int HEAD_BYTES_MOST = 8192;
-  private static final int SILENCE_SECONDS = 30;
+  private static final int MAX_LINE_BYTES = 1024;
+  private static final int MAX_HEAD_BYTES = 8192;
+  private static final int READ_TIMEOUT_SECONDS = 30;
   private static final String METRICS_TYPE = "text/plain; version=0.0.4";
 
   private final BooleanSupplier ready;
@@ -51,7 +51,7 @@
       throws IOException {
     this.ready = ready;
     this.metrics = metrics;
-    ChannelFuture bound =
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -62,18 +62,18 @@
                     channel
                         .pipeline()
                         .addLast(
-                            new ReadTimeoutHandler(SILENCE_SECONDS),
-                            new StrictHttpDecoders.Requests(LINE_BYTES_MOST, HEAD_BYTES_MOST),
+                            new ReadTimeoutHandler(READ_TIMEOUT_SECONDS),
+                            new StrictHttpDecoders.Requests(MAX_LINE_BYTES, MAX_HEAD_BYTES),
                             new HttpResponseEncoder(),
-                            new Answers());
+                            new StatusHandler());
                   }
                 })
             .bind(address)
             .awaitUninterruptibly();
-    if (!bound.isSuccess()) {
-      throw new IOException("cannot listen on " + address + ": " + bound.cause().getMessage());
+    if (!bindFuture.isSuccess()) {
+      throw new IOException("cannot listen on " + address + ": " + bindFuture.cause().getMessage());
     }
-    server = bound.channel();
+    server = bindFuture.channel();
   }
 
   /** Where it listens. */
@@ -81,7 +81,7 @@
     return (InetSocketAddress) server.localAddress();
   }
 
-  private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
+  private final class StatusHandler extends SimpleChannelInboundHandler<HttpObject> {
     private HttpRequest head;
 
     @Override
--- a/src/main/java/slateslip/dataplane/stream/EventSplitter.java
+++ b/src/main/java/slateslip/dataplane/stream/EventSplitter.java
@@ -11,7 +11,7 @@
  */
 public final class EventSplitter {
   /** Longest event; a stream with a longer one is broken. */
-  public static final int EVENT_BYTES_MOST = 1 << 20;
+  public static final int MAX_EVENT_BYTES = 1 << 20;
 
   private static final int FIRST_BYTES = 256;
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
@@ -35,7 +35,7 @@
   public boolean feed(ByteBuf bytes, Consumer<StreamEvent> events) {
     while (bytes.isReadable()) {
       byte next = bytes.readByte();
-      if (length == EVENT_BYTES_MOST) {
+      if (length == MAX_EVENT_BYTES) {
         return false;
       }
       append(next);
--- a/src/main/java/slateslip/dataplane/subscription/SessionTable.java
+++ b/src/main/java/slateslip/dataplane/subscription/BackendDirectory.java
@@ -15,7 +15,7 @@
  * that drains. One that was only missing in an agent's list may come back as it was: that agent may
  * not have heard of it yet.
  */
-final class SessionTable {
+final class BackendDirectory {
   /** How long a backend that is gone is remembered. */
   private static final long GONE_MILLIS = 60_000;
 
@@ -23,12 +23,12 @@
    * A backend that is not listed any more.
    *
    * @param sequence of what was known last
-   * @param told whether an agent has said so; else it was missing in an agent's whole list
+   * @param announced whether an agent has said so; else it was missing in an agent's whole list
    */
-  private record Gone(long sequence, boolean told, long atMillis) {
+  private record Gone(long sequence, boolean announced, long atMillis) {
     /** Whether a session is not newer than what is gone. */
     boolean covers(BackendSession session) {
-      return told ? session.sequence() <= sequence : session.sequence() < sequence;
+      return announced ? session.sequence() <= sequence : session.sequence() < sequence;
     }
   }
 
@@ -107,14 +107,14 @@
         && (one.remainingWarmupMillis() > 0) == (other.remainingWarmupMillis() > 0);
   }
 
-  private boolean remove(long nowMillis, String id, boolean told) {
+  private boolean remove(long nowMillis, String id, boolean announced) {
     BackendSession known = sessions.remove(id);
     if (known != null) {
-      gone.put(id, new Gone(known.sequence(), told, nowMillis));
+      gone.put(id, new Gone(known.sequence(), announced, nowMillis));
       return true;
     }
     Gone before = gone.get(id);
-    if (before != null && told) {
+    if (before != null && announced) {
       gone.put(id, new Gone(before.sequence, true, nowMillis));
     }
     return false;
--- a/src/main/java/slateslip/dataplane/subscription/DataPlaneIdentity.java
+++ b/src/main/java/slateslip/dataplane/subscription/DataPlaneIdentity.java
@@ -20,8 +20,8 @@
    */
   long rank(String agent) {
     long distance = 4L - commonParts(agent);
-    long order = ((long) (agent.hashCode() * 31 + node.hashCode()) * HASH_FACTOR) & HASH_MASK;
-    return (distance << RANK_SHIFT) + order;
+    long rankOrder = ((long) (agent.hashCode() * 31 + node.hashCode()) * HASH_FACTOR) & HASH_MASK;
+    return (distance << RANK_SHIFT) + rankOrder;
   }
 
   private int commonParts(String agent) {
--- a/src/main/java/slateslip/dataplane/subscription/Subscription.java
+++ b/src/main/java/slateslip/dataplane/subscription/Subscription.java
@@ -28,37 +28,37 @@
    * A stream on which nothing came for so long is dead; agents send heartbeats several times a
    * second.
    */
-  private static final long SILENT_MILLIS = 700;
+  private static final long STREAM_TIMEOUT_MILLIS = 700;
 
   /** How long a stream may take to come up. */
-  private static final long DIAL_MILLIS = 1_000;
+  private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
 
   /** By how much the active agent may lag behind another's configuration. */
-  private static final long BEHIND_MILLIS = 200;
+  private static final long MAX_LAG_MILLIS = 200;
 
   /**
    * How long a preferred agent has to be good before it takes over from one that is good as well.
    */
-  private static final long PREFERRED_MILLIS = 3_000;
+  private static final long PREFERRED_STABLE_MILLIS = 3_000;
 
   /**
    * Two ticks that are further apart mean that this process was held up, not that its peers were
    * silent.
    */
-  private static final long HELD_UP_MILLIS = 300;
+  private static final long STALL_THRESHOLD_MILLIS = 300;
 
-  private static final long DEMAND_MILLIS = 250;
+  private static final long DEMAND_INTERVAL_MILLIS = 250;
 
   /** Control agents close a stream on which nothing comes for three seconds. */
-  private static final long PING_MILLIS = 1_000;
+  private static final long PING_INTERVAL_MILLIS = 1_000;
 
   private final DataPlaneIdentity identity;
   private final Map<String, ControlStream> streams = new LinkedHashMap<>();
-  private final SessionTable sessions = new SessionTable();
+  private final BackendDirectory sessions = new BackendDirectory();
   private final Set<String> seeds = new LinkedHashSet<>();
   private List<SubscriptionOutput> outputs = new ArrayList<>();
   private ConfigurationDocument document;
-  private boolean listed;
+  private boolean backendsReceived;
   private ControlStream active;
   private long behindSinceMillis = Long.MAX_VALUE;
   private long lastTickMillis;
@@ -78,7 +78,7 @@
 
   /** Whether a configuration and a list of backends have come. */
   public boolean isReady() {
-    return document != null && listed;
+    return document != null && backendsReceived;
   }
 
   /**
@@ -149,31 +149,32 @@
   }
 
   private void tick(long now, List<TenantDemand> demand) {
-    forgiveIfHeldUp(now);
+    extendTimeoutsAfterStall(now);
     sessions.expire(now);
     for (ControlStream stream : List.copyOf(streams.values())) {
       closeIfDead(now, stream);
     }
     dial(now);
-    closeSuperfluous(now);
+    closeSurplusStream(now);
     chooseActive(now);
-    tellDemand(now, demand);
+    reportDemand(now, demand);
     pingOthers(now);
   }
 
-  private void forgiveIfHeldUp(long now) {
+  private void extendTimeoutsAfterStall(long now) {
     long passed = now - lastTickMillis;
-    if (passed > HELD_UP_MILLIS) {
+    if (passed > STALL_THRESHOLD_MILLIS) {
       streams.values().forEach(stream -> stream.heardMillis = Math.max(stream.heardMillis, now));
     }
     lastTickMillis = now;
   }
 
   private void closeIfDead(long now, ControlStream stream) {
-    long silent = now - stream.heardMillis;
+    long silentMillis = now - stream.heardMillis;
     boolean dead =
-        (stream.isOpen() && silent > SILENT_MILLIS)
-            || (stream.state == ControlStream.State.DIALLING && silent > DIAL_MILLIS);
+        (stream.isOpen() && silentMillis > STREAM_TIMEOUT_MILLIS)
+            || (stream.state == ControlStream.State.DIALLING
+                && silentMillis > CONNECT_TIMEOUT_MILLIS);
     if (dead) {
       close(now, stream);
     }
@@ -194,9 +195,9 @@
         streams.values().stream()
             .filter(stream -> stream.state != ControlStream.State.CLOSED)
             .count();
-    int place = 0;
+    int position = 0;
     for (ControlStream stream : wanted) {
-      boolean preferred = place++ < STREAMS;
+      boolean preferred = position++ < STREAMS;
       boolean due = stream.state == ControlStream.State.CLOSED && now >= stream.notBeforeMillis;
       if (due && (inUse < STREAMS || (preferred && inUse == STREAMS))) {
         stream.dialled(now);
@@ -224,7 +225,7 @@
         agent, identity.rank(agent), identity.incarnation() + agent.hashCode());
   }
 
-  private void closeSuperfluous(long now) {
+  private void closeSurplusStream(long now) {
     List<ControlStream> open =
         new ArrayList<>(streams.values().stream().filter(ControlStream::isOpen).toList());
     if (open.size() <= STREAMS) {
@@ -252,10 +253,10 @@
     } else if (best.configurationVersion()
         > Math.max(configurationVersion(), active.configurationVersion())) {
       behindSinceMillis = Math.min(behindSinceMillis, now);
-      if (now - behindSinceMillis >= BEHIND_MILLIS) {
+      if (now - behindSinceMillis >= MAX_LAG_MILLIS) {
         activate(best);
       }
-    } else if (best.rank < active.rank && now - best.goodSinceMillis >= PREFERRED_MILLIS) {
+    } else if (best.rank < active.rank && now - best.goodSinceMillis >= PREFERRED_STABLE_MILLIS) {
       activate(best);
     }
   }
@@ -294,8 +295,8 @@
     outputs.add(new SubscriptionOutput.Report("active control agent: " + stream.agent));
   }
 
-  private void tellDemand(long now, List<TenantDemand> demand) {
-    if (active != null && now - lastDemandMillis >= DEMAND_MILLIS) {
+  private void reportDemand(long now, List<TenantDemand> demand) {
+    if (active != null && now - lastDemandMillis >= DEMAND_INTERVAL_MILLIS) {
       lastDemandMillis = now;
       send(active, new DataPlaneMessage.Demand(demand));
     }
@@ -303,7 +304,7 @@
 
   /** Shows on the streams that carry nothing else that this data plane is alive. */
   private void pingOthers(long now) {
-    if (now - lastPingMillis < PING_MILLIS) {
+    if (now - lastPingMillis < PING_INTERVAL_MILLIS) {
       return;
     }
     lastPingMillis = now;
@@ -327,28 +328,28 @@
       stream.heartbeat(now, heartbeat);
       chooseActive(now);
     } else if (message instanceof ControlPlaneMessage.ConfigurationSnapshot snapshot) {
-      take(stream, snapshot);
+      applyUpdate(stream, snapshot);
     } else if (message instanceof ControlPlaneMessage.ConfigurationPatch patch) {
-      take(stream, patch);
+      applyUpdate(stream, patch);
     } else if (stream == active) {
-      fromActive(now, stream, message);
+      activeStreamMessage(now, stream, message);
     }
   }
 
-  private void fromActive(long now, ControlStream stream, ControlPlaneMessage message) {
+  private void activeStreamMessage(long now, ControlStream stream, ControlPlaneMessage message) {
     if (message instanceof ControlPlaneMessage.SessionSnapshot snapshot) {
       boolean changed = sessions.snapshot(now, snapshot.complete(), snapshot.sessions());
-      tookSessions(stream, snapshot.revision(), changed || !listed);
-      listed = true;
+      sessionsApplied(stream, snapshot.revision(), changed || !backendsReceived);
+      backendsReceived = true;
     } else if (message instanceof ControlPlaneMessage.SessionDelta delta) {
       boolean changed = sessions.delta(now, delta.changed(), delta.removedIds());
-      tookSessions(stream, delta.revision(), changed);
+      sessionsApplied(stream, delta.revision(), changed);
     } else if (message instanceof ControlPlaneMessage.QuotaUpdate shares) {
       outputs.add(new SubscriptionOutput.Share(shares.allocation()));
     }
   }
 
-  private void tookSessions(ControlStream stream, long revision, boolean changed) {
+  private void sessionsApplied(ControlStream stream, long revision, boolean changed) {
     if (changed) {
       outputs.add(new SubscriptionOutput.ListBackends(sessions.all()));
     }
@@ -360,14 +361,15 @@
     send(stream, new DataPlaneMessage.Acknowledge(configurationVersion(), stream.sessionRevision));
   }
 
-  private void take(ControlStream stream, ControlPlaneMessage.ConfigurationSnapshot snapshot) {
+  private void applyUpdate(
+      ControlStream stream, ControlPlaneMessage.ConfigurationSnapshot snapshot) {
     if (snapshot.version() > configurationVersion()) {
       apply(ConfigurationDocument.committed(snapshot.document()));
     }
     acknowledge(stream);
   }
 
-  private void take(ControlStream stream, ControlPlaneMessage.ConfigurationPatch patch) {
+  private void applyUpdate(ControlStream stream, ControlPlaneMessage.ConfigurationPatch patch) {
     if (patch.toVersion() <= configurationVersion()) {
       acknowledge(stream);
     } else if (patch.fromVersion() == configurationVersion() && document != null) {
--- a/src/main/java/slateslip/experiment/Fields.java
+++ b/src/main/java/slateslip/experiment/ExperimentFields.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /** Checked access to the fields of a JSON object; a problem names the field by its whole path. */
-final class Fields {
+final class ExperimentFields {
   private final String path;
   private final Map<?, ?> values;
 
-  Fields(String path, Map<?, ?> values) {
+  ExperimentFields(String path, Map<?, ?> values) {
     this.path = path;
     this.values = values;
   }
@@ -49,7 +49,7 @@
     return has(name) ? number(name) : otherwise;
   }
 
-  int whole(String name) throws Problem {
+  int integer(String name) throws Problem {
     double number = number(name);
     if (number != Math.rint(number) || number > Integer.MAX_VALUE) {
       throw problem(name, "is not a whole number");
@@ -57,8 +57,8 @@
     return (int) number;
   }
 
-  int whole(String name, int otherwise) throws Problem {
-    return has(name) ? whole(name) : otherwise;
+  int integer(String name, int otherwise) throws Problem {
+    return has(name) ? integer(name) : otherwise;
   }
 
   boolean flag(String name, boolean otherwise) throws Problem {
@@ -71,28 +71,28 @@
     throw problem(name, "is neither true nor false");
   }
 
-  Fields object(String name) throws Problem {
+  ExperimentFields object(String name) throws Problem {
     if (values.get(name) instanceof Map<?, ?> map) {
-      return new Fields(inner(name), map);
+      return new ExperimentFields(inner(name), map);
     }
     throw problem(name, "is not an object");
   }
 
   /** The objects of a list; an empty one if the field is missing. */
-  List<Fields> objects(String name) throws Problem {
-    List<Fields> result = new ArrayList<>();
+  List<ExperimentFields> objects(String name) throws Problem {
+    List<ExperimentFields> result = new ArrayList<>();
     for (Object element : list(name)) {
-      String place = inner(name) + "[" + result.size() + "]";
+      String row = inner(name) + "[" + result.size() + "]";
       if (!(element instanceof Map<?, ?> map)) {
-        throw new Problem(place, "is not an object");
+        throw new Problem(row, "is not an object");
       }
-      result.add(new Fields(place, map));
+      result.add(new ExperimentFields(row, map));
     }
     return result;
   }
 
   /** The whole numbers of a list. */
-  List<Long> wholeNumbers(String name) throws Problem {
+  List<Long> integers(String name) throws Problem {
     List<Long> result = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof Number number)) {
--- a/src/main/java/slateslip/experiment/ExperimentFile.java
+++ b/src/main/java/slateslip/experiment/ExperimentFile.java
@@ -42,34 +42,35 @@
   /** Reads a file; the deployment's path is relative to it. */
   public static Reading read(Path file) {
     try {
-      Fields fields = parse(file);
+      ExperimentFields fields = parse(file);
       Path deploymentFile = file.resolveSibling(fields.text("deployment"));
       return new Reading.Valid(experiment(fields, deployment(deploymentFile)));
-    } catch (Fields.Problem problem) {
+    } catch (ExperimentFields.Problem problem) {
       return new Reading.Invalid(file + ": " + problem.getMessage());
     }
   }
 
-  private static Fields parse(Path file) throws Fields.Problem {
+  private static ExperimentFields parse(Path file) throws ExperimentFields.Problem {
     try {
       Map<String, Object> values =
           JsonMapper.builder().build().fromJsonObject(Files.readString(file));
-      return new Fields("", values);
+      return new ExperimentFields("", values);
     } catch (IOException unreadable) {
-      throw new Fields.Problem(file.toString(), "cannot be read: " + unreadable);
+      throw new ExperimentFields.Problem(file.toString(), "cannot be read: " + unreadable);
     } catch (JsonException malformed) {
-      throw new Fields.Problem(file.toString(), "is not JSON: " + malformed.getMessage());
+      throw new ExperimentFields.Problem(file.toString(), "is not JSON: " + malformed.getMessage());
     }
   }
 
-  private static Experiment experiment(Fields fields, WorldPlan deployment) throws Fields.Problem {
+  private static Experiment experiment(ExperimentFields fields, WorldPlan deployment)
+      throws ExperimentFields.Problem {
     double load = fields.number("load", 1);
     List<Fault> faults = new ArrayList<>();
-    for (Fields fault : fields.objects("faults")) {
+    for (ExperimentFields fault : fields.objects("faults")) {
       faults.add(fault(fault));
     }
     List<WorldPlan> plans = new ArrayList<>();
-    for (long seed : fields.wholeNumbers("seeds")) {
+    for (long seed : fields.integers("seeds")) {
       plans.add(
           new WorldPlan(
               seed,
@@ -90,9 +91,9 @@
     return new Experiment(fields.text("name"), plans, variants(fields));
   }
 
-  private static List<Variant> variants(Fields fields) throws Fields.Problem {
+  private static List<Variant> variants(ExperimentFields fields) throws ExperimentFields.Problem {
     List<Variant> variants = new ArrayList<>();
-    for (Fields variant : fields.objects("variants")) {
+    for (ExperimentFields variant : fields.objects("variants")) {
       PlacementPolicy policy = variant.has("policy") ? policy(variant.object("policy")) : null;
       variants.add(new Variant(variant.text("name"), policy));
     }
@@ -102,48 +103,48 @@
     return variants;
   }
 
-  private static PlacementPolicy policy(Fields fields) throws Fields.Problem {
+  private static PlacementPolicy policy(ExperimentFields fields) throws ExperimentFields.Problem {
     return new PlacementPolicy(
         fields.flag("own_zone_only", false),
-        fields.whole("choices"),
+        fields.integer("choices"),
         fields.number("other_zone_millis", 0),
         fields.number("reading_weight", 1),
-        fields.whole("assumed_kept", 0),
+        fields.integer("assumed_kept", 0),
         fields.number("pending_weight", 0),
         fields.number("waiting_millis", 0),
         fields.number("running_millis", 0),
         fields.number("bound_factor", 0));
   }
 
-  private static Fault fault(Fields fields) throws Fields.Problem {
+  private static Fault fault(ExperimentFields fields) throws ExperimentFields.Problem {
     return new Fault(
         oneOf(fields, "kind", Fault.Kind.class),
         Math.round(fields.number("at_s") * MICROS_PER_SECOND),
         Math.round(fields.number("for_s", 0) * MICROS_PER_SECOND),
-        fields.whole("target", 0),
+        fields.integer("target", 0),
         fields.number("strength", 0));
   }
 
-  private static WorldPlan deployment(Path file) throws Fields.Problem {
-    Fields fields = parse(file);
+  private static WorldPlan deployment(Path file) throws ExperimentFields.Problem {
+    ExperimentFields fields = parse(file);
     List<RequestClass> classes = new ArrayList<>();
-    for (Fields requestClass : fields.objects("classes")) {
+    for (ExperimentFields requestClass : fields.objects("classes")) {
       classes.add(requestClass(requestClass));
     }
     List<BackendGroup> backends = new ArrayList<>();
-    for (Fields group : fields.objects("backends")) {
+    for (ExperimentFields group : fields.objects("backends")) {
       backends.add(backends(group));
     }
     List<TenantPlan> tenants = new ArrayList<>();
-    for (Fields tenant : fields.objects("tenants")) {
+    for (ExperimentFields tenant : fields.objects("tenants")) {
       tenants.add(new TenantPlan(tenant.number("share"), tenant.number("tokens_per_second", 0)));
     }
-    Fields network = fields.object("network");
+    ExperimentFields network = fields.object("network");
     return new WorldPlan(
         0,
         0,
-        fields.whole("zones"),
-        fields.whole("data_planes"),
+        fields.integer("zones"),
+        fields.integer("data_planes"),
         fields.number("requests_per_second"),
         classes,
         backends,
@@ -156,53 +157,55 @@
         List.of());
   }
 
-  private static long micros(Fields fields, String name) throws Fields.Problem {
+  private static long micros(ExperimentFields fields, String name) throws ExperimentFields.Problem {
     return Math.round(fields.number(name) * MICROS_PER_MILLI);
   }
 
-  private static BackendGroup backends(Fields fields) throws Fields.Problem {
+  private static BackendGroup backends(ExperimentFields fields) throws ExperimentFields.Problem {
     EngineParameters engine = fields.has("engine") ? engine(fields.object("engine")) : null;
     return new BackendGroup(
         fields.text("service"),
-        fields.whole("count"),
+        fields.integer("count"),
         engine,
-        fields.whole("slots", 0),
-        fields.whole("queue", 0));
+        fields.integer("slots", 0),
+        fields.integer("queue", 0));
   }
 
-  private static EngineParameters engine(Fields fields) throws Fields.Problem {
+  private static EngineParameters engine(ExperimentFields fields) throws ExperimentFields.Problem {
     return new EngineParameters(
-        fields.whole("slots"),
-        fields.whole("queue"),
-        fields.whole("memory_tokens"),
-        fields.whole("block_tokens"),
+        fields.integer("slots"),
+        fields.integer("queue"),
+        fields.integer("memory_tokens"),
+        fields.integer("block_tokens"),
         fields.number("step_ms"),
         fields.number("step_ms_per_request"),
         fields.number("context_ms_per_thousand"),
         fields.number("prefill_tokens_per_ms"),
         fields.number("pairs_ms_per_million"),
         fields.number("first_token_ms"),
-        fields.whole("prefill_chunk_tokens"),
-        fields.whole("tokens_per_event"));
+        fields.integer("prefill_chunk_tokens"),
+        fields.integer("tokens_per_event"));
   }
 
-  private static RequestClass requestClass(Fields fields) throws Fields.Problem {
+  private static RequestClass requestClass(ExperimentFields fields)
+      throws ExperimentFields.Problem {
     List<SharedPart> parts = new ArrayList<>();
-    for (Fields part : fields.objects("shared_parts")) {
-      parts.add(new SharedPart(size(part, "tokens"), part.whole("things"), part.number("skew", 0)));
+    for (ExperimentFields part : fields.objects("shared_parts")) {
+      parts.add(
+          new SharedPart(size(part, "tokens"), part.integer("things"), part.number("skew", 0)));
     }
     return new RequestClass(
         fields.text("name"),
         fields.text("service"),
         oneOf(fields, "kind", RouteKind.class),
         fields.flag("resumable", false),
-        fields.whole("target_latency_ms"),
-        fields.whole("gap_aim_ms", 0),
-        fields.whole("deadline_ms"),
-        fields.whole("timeout_ms"),
-        fields.whole("priority"),
-        fields.whole("max_attempts"),
-        fields.whole("retries"),
+        fields.integer("target_latency_ms"),
+        fields.integer("gap_aim_ms", 0),
+        fields.integer("deadline_ms"),
+        fields.integer("timeout_ms"),
+        fields.integer("priority"),
+        fields.integer("max_attempts"),
+        fields.integer("retries"),
         fields.number("share"),
         fields.number("worth"),
         fields.number("late_worth"),
@@ -213,16 +216,16 @@
         fields.number("error_share", 0));
   }
 
-  private static Size size(Fields fields, String name) throws Fields.Problem {
+  private static Size size(ExperimentFields fields, String name) throws ExperimentFields.Problem {
     if (!fields.has(name)) {
       return Size.NONE;
     }
-    Fields size = fields.object(name);
+    ExperimentFields size = fields.object(name);
     return new Size(size.number("mean"), size.number("spread"), size.number("max"));
   }
 
-  private static <T extends Enum<T>> T oneOf(Fields fields, String name, Class<T> type)
-      throws Fields.Problem {
+  private static <T extends Enum<T>> T oneOf(ExperimentFields fields, String name, Class<T> type)
+      throws ExperimentFields.Problem {
     String text = fields.text(name).toUpperCase(Locale.ROOT);
     for (T constant : type.getEnumConstants()) {
       if (constant.name().equals(text)) {
--- a/src/main/java/slateslip/experiment/ResultLines.java
+++ b/src/main/java/slateslip/experiment/ResultLines.java
@@ -40,13 +40,13 @@
     fields.put("late", group.late());
     fields.put("refused", group.refused());
     fields.put("failed", group.failed());
-    fields.put("worth", group.worthShare());
+    fields.put("worth", group.valueFraction());
     fields.put("first_p50_us", group.firstMicros().getValueAtPercentile(50));
     fields.put("first_p95_us", group.firstMicros().getValueAtPercentile(95));
     fields.put("first_p99_us", group.firstMicros().getValueAtPercentile(99));
     fields.put("pause_p99_us", group.gapMicros().getValueAtPercentile(99));
-    if (!Double.isNaN(group.keptShare())) {
-      fields.put("kept", group.keptShare());
+    if (!Double.isNaN(group.cachedFraction())) {
+      fields.put("kept", group.cachedFraction());
       fields.put("read_again_tokens", group.sharedTokensReadAgain());
     }
     return fields;
--- a/src/main/java/slateslip/experiment/ResultPlot.java
+++ b/src/main/java/slateslip/experiment/ResultPlot.java
@@ -50,7 +50,7 @@
       int top = MARGIN + row * (PANEL_HEIGHT + 2 * MARGIN);
       curves(0, top, name + ": time to first event, ms", name, Group::firstMicros);
       curves(1, top, name + ": longest pause, ms", name, Group::gapMicros);
-      bars(2, top, name + ": kept part of prompts", name, Group::keptShare);
+      bars(2, top, name + ": kept part of prompts", name, Group::cachedFraction);
       bars(3, top, name + ": refused", name, g -> (double) g.refused() / g.total());
       row++;
     }
@@ -65,21 +65,21 @@
       String name,
       java.util.function.Function<Group, Histogram> histogram) {
     int left = frame(column, top, title);
-    double most = 1;
+    double max = 1;
     for (Group group : groups(name)) {
-      most = Math.max(most, histogram.apply(group).getValueAtPercentile(99.5) / 1e3);
+      max = Math.max(max, histogram.apply(group).getValueAtPercentile(99.5) / 1e3);
     }
-    text(left - 45, top + 10, String.format(Locale.ROOT, "%.0f", most));
+    text(left - 45, top + 10, String.format(Locale.ROOT, "%.0f", max));
     for (double percentile : new double[] {50, 90, 99}) {
-      text(left + (int) place(percentile), top + PANEL_HEIGHT + 14, "p" + (int) percentile);
+      text(left + (int) row(percentile), top + PANEL_HEIGHT + 14, "p" + (int) percentile);
     }
     int index = 0;
     for (Group group : groups(name)) {
       StringBuilder points = new StringBuilder();
       for (double percentile : PERCENTILES) {
         double millis = histogram.apply(group).getValueAtPercentile(percentile) / 1e3;
-        double y = top + PANEL_HEIGHT * (1 - millis / most);
-        points.append(String.format(Locale.ROOT, "%.1f,%.1f ", left + place(percentile), y));
+        double y = top + PANEL_HEIGHT * (1 - millis / max);
+        points.append(String.format(Locale.ROOT, "%.1f,%.1f ", left + row(percentile), y));
       }
       svg.append(
           String.format(
@@ -143,7 +143,7 @@
   }
 
   /** Quantiles are spread so that the upper end shows: by the logarithm of what lies above. */
-  private static double place(double percentile) {
+  private static double row(double percentile) {
     double nines = -Math.log10(1 - percentile / 100);
     return PANEL_WIDTH * nines / -Math.log10(1 - 0.995);
   }
--- a/src/main/java/slateslip/experiment/ResultTable.java
+++ b/src/main/java/slateslip/experiment/ResultTable.java
@@ -46,7 +46,7 @@
             variant,
             name,
             group.total(),
-            group.worthShare(),
+            group.valueFraction(),
             share(group.inTime(), group),
             share(group.late(), group),
             share(group.refused(), group),
@@ -55,9 +55,9 @@
             millis(group.firstMicros().getValueAtPercentile(95)),
             millis(group.firstMicros().getValueAtPercentile(99)),
             millis(group.gapMicros().getValueAtPercentile(99)),
-            Double.isNaN(group.keptShare())
+            Double.isNaN(group.cachedFraction())
                 ? "-"
-                : String.format(Locale.ROOT, "%.3f", group.keptShare()),
+                : String.format(Locale.ROOT, "%.3f", group.cachedFraction()),
             group.sharedTokensReadAgain() / 1e3));
   }
 
--- a/src/main/java/slateslip/experiment/policy/KnownBackend.java
+++ b/src/main/java/slateslip/experiment/policy/KnownBackend.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import slateslip.distribution.BackendSession;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.routing.RouterInput.BackendLoad;
 
 /** What a router knows of a backend: its own attempts there and what it must have kept of them. */
 final class KnownBackend {
   private final long memoryTokens;
-  private final Map<Long, Integer> keptParts = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<Long, Integer> cachedParts = new LinkedHashMap<>(16, 0.75f, true);
   private BackendSession session;
-  private long keptTokens;
+  private long cachedTokens;
   private int inFlight;
   private int waiting;
   private long pendingTokens;
@@ -60,12 +60,12 @@
     waiting++;
     pendingTokens += tokensToRead;
     for (PromptPart part : prompt) {
-      Integer before = keptParts.put(part.id(), part.tokens());
-      keptTokens += before == null ? part.tokens() : 0;
+      Integer before = cachedParts.put(part.id(), part.tokens());
+      cachedTokens += before == null ? part.tokens() : 0;
     }
-    var oldest = keptParts.entrySet().iterator();
-    while (keptTokens > memoryTokens && oldest.hasNext()) {
-      keptTokens -= oldest.next().getValue();
+    var oldest = cachedParts.entrySet().iterator();
+    while (cachedTokens > memoryTokens && oldest.hasNext()) {
+      cachedTokens -= oldest.next().getValue();
       oldest.remove();
     }
   }
@@ -75,9 +75,9 @@
     pendingTokens -= tokensToRead;
   }
 
-  void ended(boolean hadBegun, long tokensToRead) {
+  void ended(boolean hadStarted, long tokensToRead) {
     inFlight--;
-    if (!hadBegun) {
+    if (!hadStarted) {
       begun(tokensToRead);
     }
   }
@@ -85,10 +85,10 @@
   /** Tokens of a prompt that it has to read. */
   long missingTokens(List<PromptPart> prompt) {
     long missing = 0;
-    boolean kept = true;
+    boolean cachedTokens = true;
     for (PromptPart part : prompt) {
-      kept &= keptParts.containsKey(part.id());
-      missing += kept ? 0 : part.tokens();
+      cachedTokens &= cachedParts.containsKey(part.id());
+      missing += cachedTokens ? 0 : part.tokens();
     }
     return missing;
   }
--- a/src/main/java/slateslip/experiment/policy/PlacementPolicy.java
+++ b/src/main/java/slateslip/experiment/policy/PlacementPolicy.java
@@ -9,13 +9,13 @@
  *     are compared; 0 for all
  * @param otherZoneMillis cost of a backend of another zone
  * @param readingWeight weight of the time that it takes to read what the backend has not kept
- * @param assumedKept at how many of the first choices the shared parts count as kept, because the
- *     other data planes send them there too
+ * @param assumedCachedTokens at how many of the first choices the shared parts count as kept,
+ *     because the other data planes send them there too
  * @param pendingWeight weight of the time that it takes to read the own attempts there that have
  *     not begun their answers
  * @param waitingMillis cost of each own attempt there that has not begun its answer
  * @param runningMillis cost of each request running or waiting there, by its last answer
- * @param boundFactor a choice is passed over if it has more own attempts than this many times the
+ * @param limitFactor a choice is passed over if it has more own attempts than this many times the
  *     mean, plus one; 0 for no bound
  */
 public record PlacementPolicy(
@@ -23,8 +23,8 @@
     int choices,
     double otherZoneMillis,
     double readingWeight,
-    int assumedKept,
+    int assumedCachedTokens,
     double pendingWeight,
     double waitingMillis,
     double runningMillis,
-    double boundFactor) {}
+    double limitFactor) {}
--- a/src/main/java/slateslip/experiment/policy/PolicyRouter.java
+++ b/src/main/java/slateslip/experiment/policy/PolicyRouter.java
@@ -15,8 +15,8 @@
 import slateslip.configuration.Tenant;
 import slateslip.distribution.BackendSession;
 import slateslip.distribution.TenantDemand;
-import slateslip.routing.RequestFacts;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes;
+import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.routing.RequestRouter;
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterOutput;
@@ -94,16 +94,17 @@
   }
 
   private void arrived(long nowMicros, RouterInput.RequestArrived arrived) {
-    RequestFacts facts = arrived.facts();
-    Route route = table == null ? null : table.route(facts.host(), facts.path()).orElse(null);
+    RequestAttributes attributes = arrived.attributes();
+    Route route =
+        table == null ? null : table.route(attributes.host(), attributes.path()).orElse(null);
     if (route == null) {
-      outputs.add(new RouterOutput.Answer(arrived.request(), 503, RETRY_AFTER_MICROS));
+      outputs.add(new RouterOutput.Respond(arrived.request(), 503, RETRY_AFTER_MICROS));
       return;
     }
-    Tenant tenant = table.tenantByKey(facts.credential()).orElseThrow();
-    long holdMillis = Math.min(route.timeoutMillis(), facts.deadlineMillis());
+    Tenant tenant = table.tenantByKey(attributes.credential()).orElseThrow();
+    long holdMillis = Math.min(route.timeoutMillis(), attributes.deadlineMillis());
     Open request =
-        new Open(arrived.request(), facts, route, tenant, nowMicros + holdMillis * 1_000);
+        new Open(arrived.request(), attributes, route, tenant, nowMicros + holdMillis * 1_000);
     open.put(request.id, request);
     outputs.add(new RouterOutput.WakeAt(request.endMicros));
     send(nowMicros, request);
@@ -117,10 +118,10 @@
       return;
     }
     request.backend = backend;
-    request.begun = false;
+    request.started = false;
     request.tried.add(backend.session().id());
     request.tokensToRead = tokensToRead(backend, request);
-    backend.sent(request.facts.prompt(), request.tokensToRead);
+    backend.sent(request.attributes.prompt(), request.tokensToRead);
     outputs.add(
         new RouterOutput.SendAttempt(
             request.id,
@@ -140,16 +141,16 @@
     if (eligible.isEmpty()) {
       eligible = eligible(request, false);
     }
-    long part = deepestShared(request.facts.prompt());
+    long part = deepestShared(request.attributes.prompt());
     eligible.sort(
         Comparator.comparingLong(
             (KnownBackend backend) -> rendezvous(part, backend.session().id())));
-    eligible.stream().limit(policy.assumedKept()).forEach(request.assumedKeepers::add);
+    eligible.stream().limit(policy.assumedCachedTokens()).forEach(request.assumedKeepers::add);
     double mean = eligible.stream().mapToInt(KnownBackend::inFlight).average().orElse(0);
     List<KnownBackend> choices = new ArrayList<>();
     for (KnownBackend backend : eligible) {
-      boolean bounded = policy.boundFactor() > 0;
-      if (!bounded || backend.inFlight() <= policy.boundFactor() * mean + 1) {
+      boolean bounded = policy.limitFactor() > 0;
+      if (!bounded || backend.inFlight() <= policy.limitFactor() * mean + 1) {
         choices.add(backend);
       }
     }
@@ -186,7 +187,7 @@
   }
 
   private long tokensToRead(KnownBackend backend, Open request) {
-    List<PromptPart> prompt = request.facts.prompt();
+    List<PromptPart> prompt = request.attributes.prompt();
     if (request.assumedKeepers.contains(backend) && !prompt.isEmpty()) {
       return prompt.get(prompt.size() - 1).tokens();
     }
@@ -206,9 +207,9 @@
 
   private void begun(RouterInput.AttemptStarted started) {
     Open request = open.get(started.request());
-    if (request != null && !request.begun) {
-      request.begun = true;
-      request.everBegun = true;
+    if (request != null && !request.started) {
+      request.started = true;
+      request.everStarted = true;
       request.backend.begun(request.tokensToRead);
     }
   }
@@ -218,13 +219,13 @@
     if (request == null) {
       return;
     }
-    request.backend.ended(request.begun, request.tokensToRead);
+    request.backend.ended(request.started, request.tokensToRead);
     request.backend.load(ended.load());
     request.lastEventId = Math.max(request.lastEventId, ended.lastEventId());
     request.mayHaveRun |= ended.outcome().mayHaveRun();
     switch (ended.outcome().kind()) {
       case SUCCESS -> open.remove(request.id);
-      case ERROR_ANSWER -> {
+      case ERROR_RESPONSE -> {
         outputs.add(new RouterOutput.RelayError(request.id, ended.attempt()));
         open.remove(request.id);
       }
@@ -242,12 +243,12 @@
 
   private void giveUp(Open request) {
     open.remove(request.id);
-    if (request.everBegun) {
-      outputs.add(new RouterOutput.Break(request.id));
+    if (request.everStarted) {
+      outputs.add(new RouterOutput.AbortConnection(request.id));
     } else if (request.mayHaveRun) {
-      outputs.add(new RouterOutput.Answer(request.id, 502, 0));
+      outputs.add(new RouterOutput.Respond(request.id, 502, 0));
     } else {
-      outputs.add(new RouterOutput.Answer(request.id, 503, RETRY_AFTER_MICROS));
+      outputs.add(new RouterOutput.Respond(request.id, 503, RETRY_AFTER_MICROS));
     }
   }
 
@@ -264,22 +265,22 @@
         open.remove(request.id);
         leave(request);
         outputs.add(
-            request.everBegun
-                ? new RouterOutput.Break(request.id)
-                : new RouterOutput.Answer(request.id, 504, 0));
+            request.everStarted
+                ? new RouterOutput.AbortConnection(request.id)
+                : new RouterOutput.Respond(request.id, 504, 0));
       }
     }
   }
 
   private void leave(Open request) {
-    request.backend.ended(request.begun, request.tokensToRead);
+    request.backend.ended(request.started, request.tokensToRead);
     outputs.add(new RouterOutput.CancelAttempt(request.id, request.attempts - 1));
   }
 
   /** A request that is owed an answer. */
   private static final class Open {
     private final long id;
-    private final RequestFacts facts;
+    private final RequestAttributes attributes;
     private final Route route;
     private final Tenant tenant;
     private final long endMicros;
@@ -289,13 +290,13 @@
     private long tokensToRead;
     private int attempts;
     private long lastEventId = -1;
-    private boolean begun;
-    private boolean everBegun;
+    private boolean started;
+    private boolean everStarted;
     private boolean mayHaveRun;
 
-    Open(long id, RequestFacts facts, Route route, Tenant tenant, long endMicros) {
+    Open(long id, RequestAttributes attributes, Route route, Tenant tenant, long endMicros) {
       this.id = id;
-      this.facts = facts;
+      this.attributes = attributes;
       this.route = route;
       this.tenant = tenant;
       this.endMicros = endMicros;
--- a/src/main/java/slateslip/loadbalancer/Admission.java
+++ b/src/main/java/slateslip/loadbalancer/Admission.java
@@ -10,26 +10,26 @@
    * A server that fails at once rests as if the request had taken its time, doubled up to this
    * often.
    */
-  private static final int REST_DOUBLINGS = 5;
+  private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
   /** Where the limits of all agents together for a server unknown so far start. */
-  private static final double LIMIT_START = 12;
+  private static final double INITIAL_LIMIT = 12;
 
   /** After a fast answer with the limit half used. */
-  private static final double LIMIT_UP = 0.2;
+  private static final double LIMIT_INCREMENT = 0.2;
 
-  private static final double LIMIT_FACTOR = 0.3;
+  private static final double LOW_LIMIT_DECREASE = 0.3;
 
   /**
    * The same past the aim: a choked server mends only if all that share it leave it for seconds.
    */
-  private static final double LIMIT_LATE = 0.1;
+  private static final double LATE_LOW_LIMIT_DECREASE = 0.1;
 
   /** Up to this limit an agent is light: its answers from a server are few, and one says little. */
-  private static final double LIMIT_FEW = 2;
+  private static final double LOW_LIMIT = 2;
 
   /** The least limit of all agents together, so that none is shut out; below 1 a server pauses. */
-  private static final double LIMIT_LEAST = 6;
+  private static final double MIN_TOTAL_LIMIT = 6;
 
   /**
    * An answer slower than this many times the unhurried time says that the server has too much in
@@ -42,105 +42,113 @@
    * where the work alone often takes half that time, a smaller part finds idle servers slow and
    * shuts them.
    */
-  private static final double SLOW_SHARE = 0.65;
+  private static final double SLOW_TIMEOUT_FRACTION = 0.65;
 
   /** To a light agent an answer within this part of the aim is never slow. */
-  private static final double HARMLESS_SHARE = 0.4;
+  private static final double FAST_TARGET_FRACTION = 0.4;
 
   /**
    * After a slow answer: even at as many as an unhurried server has above the quantile. Danger:
    * works vary, and where fewer slow answers outweigh the fast, the limits of idle servers sink to
    * the least.
    */
-  private static final double LIMIT_DOWN =
-      LIMIT_UP * LatencyTracker.QUANTILE / (1 - LatencyTracker.QUANTILE);
+  private static final double LIMIT_DECREMENT =
+      LIMIT_INCREMENT * LatencyTracker.QUANTILE / (1 - LatencyTracker.QUANTILE);
 
   /** How much slower than the class a server may be by nature before its answers count as slow. */
-  private static final double NATURE_MAX = 2;
+  private static final double MAX_NATURAL_SLOWNESS = 2;
 
   private final LoadBalancerContext agent;
-  private final LatencyTracker answerTimes;
-  private final SlowStart cold;
+  private final LatencyTracker latencies;
+  private final SlowStart slowStart;
   private final EndpointHealthChecker health;
 
   Admission(
       LoadBalancerContext agent,
-      LatencyTracker answerTimes,
-      SlowStart cold,
+      LatencyTracker latencies,
+      SlowStart slowStart,
       EndpointHealthChecker health) {
     this.agent = agent;
-    this.answerTimes = answerTimes;
-    this.cold = cold;
+    this.latencies = latencies;
+    this.slowStart = slowStart;
     this.health = health;
   }
 
   /** Gives listed servers that have none a first limit; so many agents have one in their subset. */
   void startLimits(int subset) {
-    double part = Math.min(1, (double) subset / Math.max(1, agent.listed.size()));
+    double subsetFraction = Math.min(1, (double) subset / Math.max(1, agent.listed.size()));
     for (Endpoint target : agent.listed) {
       target.limit =
-          target.limit == 0 ? LIMIT_START / (agent.settings.agents() * part) : target.limit;
+          target.limit == 0
+              ? INITIAL_LIMIT / (agent.settings.agents() * subsetFraction)
+              : target.limit;
     }
   }
 
-  boolean hasRoom(Endpoint target, long now) {
+  boolean hasCapacity(Endpoint target, long now) {
     return target.inFlight < Math.max(1, (int) target.limit)
-        && now >= target.restUntil
-        && (!target.cold(now) || cold.coldBudget(target, now) >= 1);
+        && now >= target.backoffUntil
+        && (!target.isWarmingUp(now) || slowStart.availableRequests(target, now) >= 1);
   }
 
-  void learn(PendingRequest req, Endpoint target, Outcome outcome, long spent, long now) {
+  void recordOutcome(PendingRequest req, Endpoint target, Outcome outcome, long elapsed, long now) {
     if (outcome == Outcome.CANCELLED || outcome == Outcome.NEVER_SENT) {
       return; // says nothing about the server
     }
     boolean failed = outcome != Outcome.OK && outcome != Outcome.FULL;
     target.health.requestEnded(now, failed);
     if (outcome == Outcome.OK) {
-      target.answeredSinceProbe = true;
-      target.failuresInRow = 0;
-      target.answeredAt = now;
-      cold.recovered(target, now);
-      answerTimes.learnTime(req, target, spent, now);
+      target.respondedSinceProbe = true;
+      target.consecutiveFailures = 0;
+      target.respondedAt = now;
+      slowStart.responseReceived(target, now);
+      latencies.recordLatency(req, target, elapsed, now);
       req.state.served++;
-      target.answerRate =
-          LatencyTracker.rate(target, now) + 1.0 * SECOND / LatencyTracker.RATE_PERIOD;
-    } else if (outcome == Outcome.CONNECT_FAILED && target.failuresInRow > 0) {
-      cold.broke(target, now); // one alone may be a full table of connections
+      target.responseRate =
+          LatencyTracker.responseRate(target, now) + 1.0 * SECOND / LatencyTracker.RATE_PERIOD;
+    } else if (outcome == Outcome.CONNECT_FAILED && target.consecutiveFailures > 0) {
+      slowStart.connectionLost(target, now); // one alone may be a full table of connections
     }
-    if (outcome != Outcome.OK && (outcome != Outcome.TIMEOUT || now - spent > target.answeredAt)) {
+    if (outcome != Outcome.OK
+        && (outcome != Outcome.TIMEOUT || now - elapsed > target.respondedAt)) {
       // Danger: a server that fails at once always has the fewest in flight and would draw
       // everything;
       // and of many agents none sends a silent server enough to fill the window. But one failure of
       // another kind between answers is no reason: with one in ten half the servers would rest.
-      int before = outcome == Outcome.TIMEOUT ? target.failuresInRow : target.failuresInRow - 1;
-      if (before >= 0) {
-        long usual = (long) Math.max(req.state.typical, (double) agent.settings.tick());
-        target.restUntil = now + (usual << before);
+      int previousFailures =
+          outcome == Outcome.TIMEOUT ? target.consecutiveFailures : target.consecutiveFailures - 1;
+      if (previousFailures >= 0) {
+        long typicalTime =
+            (long) Math.max(req.state.typicalLatency, (double) agent.settings.tick());
+        target.backoffUntil = now + (typicalTime << previousFailures);
       }
-      target.failuresInRow = Math.min(REST_DOUBLINGS, target.failuresInRow + 1);
+      target.consecutiveFailures = Math.min(MAX_BACKOFF_DOUBLINGS, target.consecutiveFailures + 1);
     }
     // Danger: a connection that breaks says nothing about room; to make less room for each leaves
     // servers
     // idle behind a network that resets now and then.
     // Nor does a time-out while others are answered: heavy requests would close every server to the
     // rest.
-    boolean crowded =
+    boolean overloadSignal =
         outcome != Outcome.ERROR
             && outcome != Outcome.RESET
-            && (outcome != Outcome.TIMEOUT || now - spent > target.answeredAt);
-    if (outcome == Outcome.OK ? slow(req, target, spent) : crowded) {
+            && (outcome != Outcome.TIMEOUT || now - elapsed > target.respondedAt);
+    if (outcome == Outcome.OK ? isSlow(req, target, elapsed) : overloadSignal) {
       // In proportion where it is low: one slow answer must not close a server to a light agent.
-      double factor = spent > req.state.type.aim() ? LIMIT_LATE : LIMIT_FACTOR;
-      double less = target.limit > LIMIT_FEW ? target.limit - LIMIT_DOWN : factor * target.limit;
-      target.limit = Math.max(Math.min(1, LIMIT_LEAST / agent.settings.agents()), less);
+      double decrease =
+          elapsed > req.state.type.latencyTarget() ? LATE_LOW_LIMIT_DECREASE : LOW_LIMIT_DECREASE;
+      double reducedLimit =
+          target.limit > LOW_LIMIT ? target.limit - LIMIT_DECREMENT : decrease * target.limit;
+      target.limit = Math.max(Math.min(1, MIN_TOTAL_LIMIT / agent.settings.agents()), reducedLimit);
     } else if (outcome == Outcome.OK && 2 * (target.inFlight + 1) >= target.limit) {
-      target.limit += LIMIT_UP;
+      target.limit += LIMIT_INCREMENT;
     }
     if (target.limit < 1) { // Danger: with many agents one each is too much for a small server
-      target.restUntil = Math.max(target.restUntil, now + (long) (spent * (1 / target.limit - 1)));
+      target.backoffUntil =
+          Math.max(target.backoffUntil, now + (long) (elapsed * (1 / target.limit - 1)));
     }
     if (failed && health.available(target, now)) {
-      health.judge(target, now);
+      health.ejectIfFailing(target, now);
     }
   }
 
@@ -151,14 +159,18 @@
    * the few answers of one class for so long that it takes a jam for their usual time; all classes
    * together are known before.
    */
-  private boolean slow(PendingRequest req, Endpoint target, long spent) {
-    QuantileEstimator times = answerTimes.of(req.state);
-    double nature =
-        target.pace.known() ? Math.max(1, Math.min(NATURE_MAX, target.pace.lowest())) : 1;
-    double most = SLOW_SHARE * (req.endAt - req.cameAt);
-    return spent
+  private boolean isSlow(PendingRequest req, Endpoint target, long elapsed) {
+    QuantileEstimator times = latencies.of(req.state);
+    double naturalSlowness =
+        target.slownessQuantile.known()
+            ? Math.max(1, Math.min(MAX_NATURAL_SLOWNESS, target.slownessQuantile.lowest()))
+            : 1;
+    double maxElapsed = SLOW_TIMEOUT_FRACTION * (req.endAt - req.arrivedAt);
+    return elapsed
         > Math.max(
-            target.limit > LIMIT_FEW ? 0 : HARMLESS_SHARE * req.state.type.aim(),
-            times.known() ? Math.min(most, SLOW_MULTIPLE * nature * times.lowest()) : most);
+            target.limit > LOW_LIMIT ? 0 : FAST_TARGET_FRACTION * req.state.type.latencyTarget(),
+            times.known()
+                ? Math.min(maxElapsed, SLOW_MULTIPLE * naturalSlowness * times.lowest())
+                : maxElapsed);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/ClassPriorities.java
+++ b/src/main/java/slateslip/loadbalancer/ClassPriorities.java
@@ -5,46 +5,51 @@
   private static final long SECOND = 1_000_000;
 
   /** How far back the counts of requests come and served look, for ranking the classes. */
-  private static final long RANK_PERIOD = 2 * SECOND;
+  private static final long RATE_PERIOD = 2 * SECOND;
 
   private final LoadBalancerContext agent;
   private final RequestClasses classes;
-  private long rankedAt;
+  private long updatedAt;
 
   ClassPriorities(LoadBalancerContext agent, RequestClasses classes, long now) {
     this.agent = agent;
     this.classes = classes;
-    this.rankedAt = now;
+    this.updatedAt = now;
   }
 
   /** Orders the classes by what a unit of their work adds to the goal, as measured now. */
-  void rank(long now) {
-    double fade = Math.exp(-(double) (now - rankedAt) / RANK_PERIOD);
-    rankedAt = now;
-    classes.order().removeIf(state -> state.held.isEmpty() && !classes.current().contains(state));
-    double all = 0;
-    RequestClassState worst = classes.order().get(0);
-    for (RequestClassState state : classes.order()) {
-      state.came *= fade;
-      state.served *= fade;
-      all += state.came * state.type.worth() * unit(state);
-      if (state.served * worst.came < worst.served * state.came) {
+  void update(long now) {
+    double decay = Math.exp(-(double) (now - updatedAt) / RATE_PERIOD);
+    updatedAt = now;
+    classes
+        .byPriority()
+        .removeIf(state -> state.queued.isEmpty() && !classes.current().contains(state));
+    double totalWeight = 0;
+    RequestClassState worst = classes.byPriority().get(0);
+    for (RequestClassState state : classes.byPriority()) {
+      state.arrived *= decay;
+      state.served *= decay;
+      totalWeight += state.arrived * state.type.value() * weightPerRequest(state);
+      if (state.served * worst.arrived < worst.served * state.arrived) {
         worst = state;
       }
     }
-    for (RequestClassState state : classes.order()) {
-      double each = state.type.worth() * unit(state) / Math.max(all, Double.MIN_NORMAL);
-      state.value = (agent.settings.goal().whole() + agent.settings.goal().worstWindow()) * each;
+    for (RequestClassState state : classes.byPriority()) {
+      double classShare =
+          state.type.value() * weightPerRequest(state) / Math.max(totalWeight, Double.MIN_NORMAL);
+      state.value =
+          (agent.settings.goal().overall() + agent.settings.goal().worstWindow()) * classShare;
       if (state == worst) {
-        state.value += agent.settings.goal().worstClass() / Math.max(state.came, Double.MIN_NORMAL);
+        state.value +=
+            agent.settings.goal().worstClass() / Math.max(state.arrived, Double.MIN_NORMAL);
       }
-      state.value /= Math.max(state.typical, 1);
+      state.value /= Math.max(state.typicalLatency, 1);
     }
-    classes.order().sort((a, b) -> Double.compare(b.value, a.value));
+    classes.byPriority().sort((a, b) -> Double.compare(b.value, a.value));
   }
 
   /** What one request of a class weighs: its work where worth is counted by work. */
-  private double unit(RequestClassState state) {
-    return agent.settings.worthByWork() ? state.typical : 1;
+  private double weightPerRequest(RequestClassState state) {
+    return agent.settings.valueByWork() ? state.typicalLatency : 1;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -19,10 +19,10 @@
   private static final long SECOND = 1_000_000;
 
   /** Further attempts earned by each request: retries can never multiply an overload. */
-  private static final double RETRY_EARNED = 0.2;
+  private static final double RETRY_BUDGET_RATIO = 0.2;
 
   /** What may be saved up of them, enough for one broken server. */
-  private static final double RETRY_BANK = 10;
+  private static final double MAX_RETRY_TOKENS = 10;
 
   /** While requests are held, how often they are looked at, in ticks of the host. */
   private static final int SWEEP_TICKS = 4;
@@ -32,57 +32,58 @@
    * from a change, or the return of discovery, until it counts as told, the last second is for the
    * answer.
    */
-  private static final long ASK_TWICE = 5 * SECOND;
+  private static final long MAX_DOUBLE_DELAY = 5 * SECOND;
 
   /** And each at the least: a discovery that turns calls away is not to be flooded with more. */
-  private static final long ASK_LEAST = SECOND / 2;
+  private static final long MIN_POLL_DELAY = SECOND / 2;
 
   /**
    * The part of the time that the settings leave for asking over which the first calls are spread.
    */
-  private static final int ASK_SPREAD = 4;
+  private static final int INITIAL_POLL_SPREAD = 4;
 
   /** Names the timer of the next probe. */
   static final long TIMER_PROBE = -1;
 
   private static final long TIMER_SWEEP = -2;
-  private static final long TIMER_ASK = -3;
+  private static final long TIMER_POLL_DISCOVERY = -3;
 
   private final LoadBalancerContext agent;
   private final RequestClasses classes;
-  private final LatencyTracker times = new LatencyTracker();
+  private final LatencyTracker latencies = new LatencyTracker();
   private final WarmServiceRates warmRates;
-  private final SlowStart cold;
+  private final SlowStart slowStart;
   private final SubsetSizer subset;
   private final EndpointHealthChecker health;
   private final Admission admission;
-  private final EndpointSelector pick;
-  private final ClassPriorities ranking;
-  private final RetryTokenBucket retries = new RetryTokenBucket(RETRY_EARNED, RETRY_BANK);
+  private final EndpointSelector selector;
+  private final ClassPriorities priorities;
+  private final RetryTokenBucket retries =
+      new RetryTokenBucket(RETRY_BUDGET_RATIO, MAX_RETRY_TOKENS);
   private final QueueReport waitingReport = new QueueReport();
-  private final Map<Long, PendingRequest> open = new HashMap<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
   private final Map<Long, PendingRequest> byToken = new HashMap<>();
   private long nextToken;
-  private boolean sweeping;
+  private boolean sweepScheduled;
 
   /** The last wait before discovery was asked again; half of two while it answers. */
-  private long askDelay = ASK_TWICE / 2;
+  private long pollDelay = MAX_DOUBLE_DELAY / 2;
 
   /** A new instance that knows nothing but its settings; seed for its random choices. */
   public DefaultLoadBalancer(Settings settings, long seed, long now, Actions actions) {
     this.agent = new LoadBalancerContext(settings, seed, actions);
     this.classes = new RequestClasses(agent);
     this.warmRates = new WarmServiceRates(agent);
-    this.cold = new SlowStart(agent, warmRates);
+    this.slowStart = new SlowStart(agent, warmRates);
     this.subset = new SubsetSizer(agent);
-    this.health = new EndpointHealthChecker(agent, cold, subset);
-    this.admission = new Admission(agent, times, cold, health);
-    this.pick = new EndpointSelector(agent, health, admission, times, cold, subset);
-    this.ranking = new ClassPriorities(agent, classes, now);
-    if (settings.askDiscovery()) {
+    this.health = new EndpointHealthChecker(agent, slowStart, subset);
+    this.admission = new Admission(agent, latencies, slowStart, health);
+    this.selector = new EndpointSelector(agent, health, admission, latencies, slowStart, subset);
+    this.priorities = new ClassPriorities(agent, classes, now);
+    if (settings.pollDiscovery()) {
       // Danger: agents started together call together, and discovery turns most of them away.
-      long spread = settings.obligations().askWithin() / ASK_SPREAD;
-      actions.timer(TIMER_ASK, agent.random.nextLong(spread + 1));
+      long spread = settings.obligations().discoveryWithin() / INITIAL_POLL_SPREAD;
+      actions.timer(TIMER_POLL_DISCOVERY, agent.random.nextLong(spread + 1));
     }
   }
 
@@ -90,56 +91,67 @@
   public void request(long now, Request request) {
     RequestClassState state = classes.current().get(request.requestClass());
     RequestClass type = state.type;
-    long aim = type.aim() + (long) (type.aimStretch() * request.cost());
-    long spent = state.spentBefore(request, now, agent.settings.tick());
+    long latencyTarget =
+        type.latencyTarget() + (long) (type.latencyTargetPerCost() * request.cost());
+    long elapsed = state.elapsedBeforeArrival(request, now, agent.settings.tick());
     // Danger: work for an answer already too late. Where that is only reckoned, not marked, such a
     // request is still served while nobody waits: a client may be hasty by nature.
-    boolean late = spent > 0 && type.lateShare() == 0 && aim - spent < state.times.value();
-    long left = late && !request.repeated() ? aim : aim - spent;
-    long last = request.deadline() - agent.settings.tick();
-    long endAt = type.lateShare() > 0 ? last : Math.min(last, now + left - agent.settings.tick());
-    PendingRequest req = new PendingRequest(request, state, nextToken++, now, endAt);
-    open.put(request.id(), req);
-    byToken.put(req.token, req);
-    agent.actions.timer(req.token, Math.max(0, endAt - now));
-    state.came(request);
-    subset.requestCame(state.unhurried);
+    boolean alreadyLate =
+        elapsed > 0
+            && type.lateValueFraction() == 0
+            && latencyTarget - elapsed < state.latencies.value();
+    long timeLeft = alreadyLate && !request.repeated() ? latencyTarget : latencyTarget - elapsed;
+    long latestEnd = request.deadline() - agent.settings.tick();
+    long endAt =
+        type.lateValueFraction() > 0
+            ? latestEnd
+            : Math.min(latestEnd, now + timeLeft - agent.settings.tick());
+    PendingRequest pendingRequest = new PendingRequest(request, state, nextToken++, now, endAt);
+    pending.put(request.id(), pendingRequest);
+    byToken.put(pendingRequest.token, pendingRequest);
+    agent.actions.timer(pendingRequest.token, Math.max(0, endAt - now));
+    state.arrived(request);
+    subset.requestArrived(state.unloadedLatency);
     retries.earn();
-    if (late && (request.repeated() || classes.waiting())) {
-      finish(req, now);
+    if (alreadyLate && (request.repeated() || classes.hasQueued())) {
+      finish(pendingRequest, now);
     } else {
-      dispatchOrHold(req, now);
+      dispatchOrQueue(pendingRequest, now);
     }
   }
 
   /** Sends a request if its history permits and a server has room. */
-  private boolean dispatch(PendingRequest req, long now) {
-    if (req.attempts.size() >= agent.settings.permits().maxAttempts() || now >= req.endAt) {
+  private boolean dispatch(PendingRequest pendingRequest, long now) {
+    if (pendingRequest.attempts.size() >= agent.settings.permits().maxAttempts()
+        || now >= pendingRequest.endAt) {
       return false;
     }
-    Endpoint target = pick.pick(req, now);
+    Endpoint target = selector.select(pendingRequest, now);
     if (target == null) {
       return false;
     }
-    req.held = false;
-    req.attempts.add(new Attempt(target, now));
+    pendingRequest.queued = false;
+    pendingRequest.attempts.add(new Attempt(target, now));
     target.inFlight++;
-    target.coldSpent++;
-    agent.actions.send(req.request.id(), target.id, req.type.streamed() ? 0 : req.endAt - now);
+    target.warmupSpent++;
+    agent.actions.send(
+        pendingRequest.request.id(),
+        target.id,
+        pendingRequest.type.streaming() ? 0 : pendingRequest.endAt - now);
     return true;
   }
 
-  private void dispatchOrHold(PendingRequest req, long now) {
-    if (!dispatch(req, now)) {
-      req.held = true;
-      req.state.held.addLast(req);
-      sweepLater();
+  private void dispatchOrQueue(PendingRequest pendingRequest, long now) {
+    if (!dispatch(pendingRequest, now)) {
+      pendingRequest.queued = true;
+      pendingRequest.state.queued.addLast(pendingRequest);
+      scheduleSweep();
     }
   }
 
-  private void sweepLater() {
-    if (!sweeping && classes.waiting()) {
-      sweeping = true;
+  private void scheduleSweep() {
+    if (!sweepScheduled && classes.hasQueued()) {
+      sweepScheduled = true;
       agent.actions.timer(TIMER_SWEEP, SWEEP_TICKS * agent.settings.tick());
     }
   }
@@ -148,40 +160,47 @@
    * Sends what was held for want of room, the newest of each class first. Danger: oldest first, in
    * a long queue each is sent when it is just too late, and the servers work for nobody.
    */
-  private void release(long now) {
-    for (RequestClassState state : classes.order()) {
-      Deque<PendingRequest> queue = state.held;
-      while (!queue.isEmpty() && (!queue.peekFirst().held || hopeless(queue.peekFirst(), now))) {
+  private void dispatchQueued(long now) {
+    for (RequestClassState state : classes.byPriority()) {
+      Deque<PendingRequest> queue = state.queued;
+      while (!queue.isEmpty()
+          && (!queue.peekFirst().queued || cannotFinishInTime(queue.peekFirst(), now))) {
         PendingRequest oldest = queue.pollFirst();
-        if (oldest.held) {
+        if (oldest.queued) {
           finish(oldest, now);
         }
       }
-      while (!queue.isEmpty() && (!queue.peekLast().held || dispatch(queue.peekLast(), now))) {
+      while (!queue.isEmpty() && (!queue.peekLast().queued || dispatch(queue.peekLast(), now))) {
         queue.pollLast();
       }
       // Danger: the oldest would cross zones with too little time left; take the newest that may.
       for (var newest = queue.descendingIterator(); newest.hasNext(); ) {
-        PendingRequest req = newest.next();
-        if (req.held && now - req.cameAt >= pick.patience(req) && !dispatch(req, now)) {
+        PendingRequest pendingRequest = newest.next();
+        if (pendingRequest.queued
+            && now - pendingRequest.arrivedAt >= selector.crossZoneDelay(pendingRequest)
+            && !dispatch(pendingRequest, now)) {
           break;
         }
       }
     }
   }
 
-  private void tellWaiting(long now) {
-    long held = open.values().stream().filter(each -> each.held).count();
-    if (held > 0 && waitingReport.due(now)) {
+  private void logQueue(long now) {
+    long queued = pending.values().stream().filter(each -> each.queued).count();
+    if (queued > 0 && waitingReport.due(now)) {
       agent.actions.log(
           QueueReport.line(
-              now, held, agent.listed, agent.settings.zone(), each -> health.available(each, now)));
+              now,
+              queued,
+              agent.listed,
+              agent.settings.zone(),
+              each -> health.available(each, now)));
     }
   }
 
   /** Whether an answer would come too late to be worth the work. */
-  private boolean hopeless(PendingRequest req, long now) {
-    return now + (long) req.state.times.value() > req.endAt;
+  private boolean cannotFinishInTime(PendingRequest pendingRequest, long now) {
+    return now + (long) pendingRequest.state.latencies.value() > pendingRequest.endAt;
   }
 
   @Override
@@ -191,62 +210,66 @@
       int attempt,
       long server,
       Outcome outcome,
-      long spent,
+      long elapsed,
       boolean closed,
       double[] load) {
-    PendingRequest req = open.get(request);
-    if (req == null
-        || attempt >= req.attempts.size()
-        || req.attempts.get(attempt).outcome != null) {
+    PendingRequest pendingRequest = pending.get(request);
+    if (pendingRequest == null
+        || attempt >= pendingRequest.attempts.size()
+        || pendingRequest.attempts.get(attempt).outcome != null) {
       return; // not held any more, or told twice
     }
-    Attempt ended = req.attempts.get(attempt);
+    Attempt ended = pendingRequest.attempts.get(attempt);
     ended.outcome = outcome;
-    ended.target.inFlight--;
-    agent.servers.forget(ended.target);
-    admission.learn(req, ended.target, outcome, spent, now);
+    ended.endpoint.inFlight--;
+    agent.servers.forget(ended.endpoint);
+    admission.recordOutcome(pendingRequest, ended.endpoint, outcome, elapsed, now);
     if (closed) {
-      close(req);
+      close(pendingRequest);
     }
-    if (!req.closed && req.out() == 0) {
-      again(req, now);
+    if (!pendingRequest.closed && pendingRequest.attemptsInFlight() == 0) {
+      retryOrFinish(pendingRequest, now);
     }
-    if (req.closed && req.out() == 0) {
-      open.remove(request);
+    if (pendingRequest.closed && pendingRequest.attemptsInFlight() == 0) {
+      pending.remove(request);
     }
-    release(now);
+    dispatchQueued(now);
   }
 
   /** After a failed attempt: another one where permitted and affordable, or the final answer. */
-  private void again(PendingRequest req, long now) {
-    if (!hopeless(req, now) && mayGoAgain(req, now) && retries.permits()) {
+  private void retryOrFinish(PendingRequest pendingRequest, long now) {
+    if (!cannotFinishInTime(pendingRequest, now)
+        && mayRetry(pendingRequest, now)
+        && retries.permits()) {
       retries.spend();
-      dispatchOrHold(req, now);
+      dispatchOrQueue(pendingRequest, now);
     } else {
-      finish(req, now);
+      finish(pendingRequest, now);
     }
   }
 
-  private boolean mayGoAgain(PendingRequest req, long now) {
-    return req.attempts.size() < agent.settings.permits().maxAttempts()
-        && RetryEligibility.maySend(req, agent.settings.permits(), now);
+  private boolean mayRetry(PendingRequest pendingRequest, long now) {
+    return pendingRequest.attempts.size() < agent.settings.permits().maxAttempts()
+        && RetryEligibility.maySend(pendingRequest, agent.settings.permits(), now);
   }
 
   /** The final answer for a request that will not be served: a refusal where permitted. */
-  private void finish(PendingRequest req, long now) {
-    if (req.closed) {
+  private void finish(PendingRequest pendingRequest, long now) {
+    if (pendingRequest.closed) {
       return;
     }
-    cancelAll(req);
-    if (!req.request.repeated()) {
-      req.state.unservedWait += LatencyTracker.BLEND * (now - req.cameAt - req.state.unservedWait);
+    cancelAll(pendingRequest);
+    if (!pendingRequest.request.repeated()) {
+      pendingRequest.state.unservedWait +=
+          LatencyTracker.BLEND
+              * (now - pendingRequest.arrivedAt - pendingRequest.state.unservedWait);
     }
-    if (RetryEligibility.mayRefuse(req)) {
-      agent.actions.refuse(req.request.id(), comeBack(req, now));
+    if (RetryEligibility.mayRefuse(pendingRequest)) {
+      agent.actions.refuse(pendingRequest.request.id(), retryAfter(pendingRequest, now));
     } else {
-      agent.actions.fail(req.request.id());
+      agent.actions.fail(pendingRequest.request.id());
     }
-    close(req);
+    close(pendingRequest);
   }
 
   /**
@@ -254,51 +277,55 @@
    * now, and not before one answer's time; nobody is told to wait longer than a client would for
    * all tries. Danger: a time that is only long keeps clients away from servers that have room.
    */
-  private long comeBack(PendingRequest req, long now) {
+  private long retryAfter(PendingRequest pendingRequest, long now) {
     long permitted = agent.settings.permits().maxRetryAfter();
-    long most = permitted > 0 ? permitted : req.type.giveUp();
-    double perSecond =
-        agent.listed.stream().mapToDouble(each -> LatencyTracker.rate(each, now)).sum();
-    long ahead = 1 + classes.order().stream().mapToLong(each -> each.held.size()).sum();
-    double wait = perSecond == 0 ? most : ahead / perSecond * SECOND;
+    long maxDelay = permitted > 0 ? permitted : pendingRequest.type.timeout();
+    double responsesPerSecond =
+        agent.listed.stream().mapToDouble(each -> LatencyTracker.responseRate(each, now)).sum();
+    long queuedAhead =
+        1 + classes.byPriority().stream().mapToLong(each -> each.queued.size()).sum();
+    double wait = responsesPerSecond == 0 ? maxDelay : queuedAhead / responsesPerSecond * SECOND;
     return (long)
         Math.min(
-            (double) most,
-            Math.max((double) agent.settings.tick(), Math.max(wait, req.state.typical)));
+            (double) maxDelay,
+            Math.max(
+                (double) agent.settings.tick(),
+                Math.max(wait, pendingRequest.state.typicalLatency)));
   }
 
-  private void cancelAll(PendingRequest req) {
-    for (int i = 0; i < req.attempts.size() && agent.settings.permits().cancel(); i++) {
-      if (req.attempts.get(i).outcome == null) {
-        agent.actions.cancel(req.request.id(), i);
+  private void cancelAll(PendingRequest pendingRequest) {
+    for (int i = 0; i < pendingRequest.attempts.size() && agent.settings.permits().cancel(); i++) {
+      if (pendingRequest.attempts.get(i).outcome == null) {
+        agent.actions.cancel(pendingRequest.request.id(), i);
       }
     }
   }
 
-  private void close(PendingRequest req) {
-    req.closed = true;
-    req.held = false;
-    byToken.remove(req.token);
-    if (req.out() == 0) {
-      open.remove(req.request.id());
+  private void close(PendingRequest pendingRequest) {
+    pendingRequest.closed = true;
+    pendingRequest.queued = false;
+    byToken.remove(pendingRequest.token);
+    if (pendingRequest.attemptsInFlight() == 0) {
+      pending.remove(pendingRequest.request.id());
     }
   }
 
   @Override
   public void clientLeft(long now, long request) {
-    PendingRequest req = open.get(request);
-    if (req != null && !req.closed) {
-      cancelAll(req);
-      req.state.held.remove(req); // it would count among those that wait until its turn came
-      close(req);
+    PendingRequest pendingRequest = pending.get(request);
+    if (pendingRequest != null && !pendingRequest.closed) {
+      cancelAll(pendingRequest);
+      pendingRequest.state.queued.remove(
+          pendingRequest); // it would count among those that wait until its turn came
+      close(pendingRequest);
     }
   }
 
   @Override
-  public void streamStarted(long now, long request, int attempt, long server, long spent) {
-    PendingRequest req = open.get(request);
-    if (req != null) {
-      req.streaming = true;
+  public void streamStarted(long now, long request, int attempt, long server, long elapsed) {
+    PendingRequest pendingRequest = pending.get(request);
+    if (pendingRequest != null) {
+      pendingRequest.streaming = true;
     }
   }
 
@@ -307,22 +334,23 @@
     if (token == TIMER_PROBE) {
       health.probe(now, 0.5);
     } else if (token == TIMER_SWEEP) {
-      ranking.rank(now);
-      release(now);
-      tellWaiting(now);
-      sweeping = false;
-      sweepLater();
-    } else if (token == TIMER_ASK) {
+      priorities.update(now);
+      dispatchQueued(now);
+      logQueue(now);
+      sweepScheduled = false;
+      scheduleSweep();
+    } else if (token == TIMER_POLL_DISCOVERY) {
       agent.actions.watchServers();
     } else {
-      PendingRequest req = byToken.get(token);
-      if (req == null || req.streaming) {
+      PendingRequest pendingRequest = byToken.get(token);
+      if (pendingRequest == null || pendingRequest.streaming) {
         return; // answered long ago, or with the client now
       }
-      if (req.out() > 0 && now < req.endAt + agent.settings.tick()) {
+      if (pendingRequest.attemptsInFlight() > 0
+          && now < pendingRequest.endAt + agent.settings.tick()) {
         agent.actions.timer(token, agent.settings.tick()); // the attempt's time-out comes too
       } else {
-        finish(req, now);
+        finish(pendingRequest, now);
       }
     }
   }
@@ -332,69 +360,72 @@
 
   @Override
   public void settings(long now, SettingsReload next) {
-    for (PendingRequest req : open.values()) {
-      int at = classes.current().indexOf(req.state);
+    for (PendingRequest pendingRequest : pending.values()) {
+      int at = classes.current().indexOf(pendingRequest.state);
       int to = at < 0 ? SettingsReload.REMOVED : next.classes().get(at);
-      req.type =
-          SettingsReload.strictest(req.type, to < 0 ? null : next.settings().classes().get(to));
+      pendingRequest.type =
+          SettingsReload.strictest(
+              pendingRequest.type, to < 0 ? null : next.settings().classes().get(to));
     }
-    if (next.settings().askDiscovery() && !agent.settings.askDiscovery()) {
+    if (next.settings().pollDiscovery() && !agent.settings.pollDiscovery()) {
       agent.actions.watchServers();
     }
     agent.settings = next.settings();
-    classes.take(next);
+    classes.reload(next);
     if (next.movesServers() || warmRates.zonesDiffer()) {
-      agent.servers.move(next, open.values());
-      times.moveKinds(next);
-      warmRates.moveZones(next);
+      agent.servers.move(next, pending.values());
+      latencies.remapKinds(next);
+      warmRates.remapZones(next);
     }
-    cold.settingsChanged(now);
+    slowStart.settingsChanged(now);
     health.settingsChanged();
     // Danger: one that may not go again would stand before others in its queue until its time is
     // up.
-    for (RequestClassState state : classes.order()) {
-      List.copyOf(state.held).stream()
-          .filter(req -> req.held && !mayGoAgain(req, now))
-          .forEach(req -> finish(req, now));
+    for (RequestClassState state : classes.byPriority()) {
+      List.copyOf(state.queued).stream()
+          .filter(pendingRequest -> pendingRequest.queued && !mayRetry(pendingRequest, now))
+          .forEach(pendingRequest -> finish(pendingRequest, now));
     }
     health.probeUnlessProbing(now);
-    release(now);
+    dispatchQueued(now);
   }
 
   @Override
-  public void probed(long now, long server, Outcome outcome, long spent, double[] load) {
+  public void probed(long now, long server, Outcome outcome, long elapsed, double[] load) {
     if (health.probed(now, server, outcome)) {
-      release(now);
+      dispatchQueued(now);
     }
   }
 
   @Override
   public void servers(long now, ListKind kind, List<Server> entries) {
     if (kind == ListKind.FAILED) {
-      if (agent.settings.askDiscovery()) {
+      if (agent.settings.pollDiscovery()) {
         // Danger: waits that grow leave an old list in use; equal ones keep the agents in step, and
         // those who were turned away together are turned away again.
-        askDelay = ASK_LEAST + agent.random.nextLong(ASK_TWICE - askDelay - ASK_LEAST + 1);
-        agent.actions.timer(TIMER_ASK, askDelay);
+        pollDelay =
+            MIN_POLL_DELAY
+                + agent.random.nextLong(MAX_DOUBLE_DELAY - pollDelay - MIN_POLL_DELAY + 1);
+        agent.actions.timer(TIMER_POLL_DISCOVERY, pollDelay);
       }
       return;
     }
     if (kind != ListKind.CACHED) {
-      askDelay = ASK_TWICE / 2;
+      pollDelay = MAX_DOUBLE_DELAY / 2;
     }
-    warmRates.reckon(now);
+    warmRates.updateAll(now);
     if (kind != ListKind.DELTA) {
       agent.servers.retain(entries);
     }
     for (Server entry : entries) {
       Endpoint started = agent.servers.apply(entry);
       if (started != null) {
-        cold.restart(now, started);
+        slowStart.serverStarted(now, started);
       }
     }
     agent.servers.order(agent.settings.agent());
-    admission.startLimits(subset.subset(SubsetSizer.LEAST));
+    admission.startLimits(subset.idleSubsetSize(SubsetSizer.MIN_LOCAL));
     health.probeUnlessProbing(now);
-    release(now);
+    dispatchQueued(now);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/Endpoint.java
+++ b/src/main/java/slateslip/loadbalancer/Endpoint.java
@@ -9,17 +9,17 @@
   final long id;
 
   /** Its line of the server list. */
-  Server listed;
+  Server listing;
 
   /** Whether new requests may go to it at all: listed as ready. */
   boolean ready;
 
   /** Whether the list has it no more. */
-  boolean gone;
+  boolean removed;
 
   final BackendHealth health;
-  boolean probeOut;
-  boolean answeredSinceProbe;
+  boolean probePending;
+  boolean respondedSinceProbe;
 
   /** This agent's attempts that are out. */
   int inFlight;
@@ -28,43 +28,43 @@
   double limit;
 
   /** Its answer times against those of all servers, as a mean. */
-  double stretch = 1;
+  double slowdown = 1;
 
   /** When that was last measured. */
-  long stretchAt;
+  long slowdownAt;
 
   /** A quantile of its answer times, each as a multiple of its class's lowest. */
-  final QuantileEstimator pace = new QuantileEstimator(LatencyTracker.QUANTILE);
+  final QuantileEstimator slownessQuantile = new QuantileEstimator(LatencyTracker.QUANTILE);
 
   /** When it last answered. */
-  long answeredAt;
+  long respondedAt;
 
   /** Fast failures in a row, and until when it rests for them. */
-  int failuresInRow;
+  int consecutiveFailures;
 
-  long restUntil;
+  long backoffUntil;
 
   /** Start and end of the warm-up this agent believes in. */
-  long coldSince;
+  long warmupStart;
 
-  long coldUntil = Long.MIN_VALUE;
+  long warmupEnd = Long.MIN_VALUE;
 
   /** Requests granted since it became cold, those sent or lost, and when that was reckoned. */
-  double coldGranted;
+  double warmupGranted;
 
-  double coldSpent;
-  long coldAt;
+  double warmupSpent;
+  long warmupUpdatedAt;
 
   /** A broken connection or a dead probe was seen and no answer since. */
-  boolean broken;
+  boolean suspectedRestart;
 
   /** When that was first seen. */
-  long brokenAt;
+  long suspectedAt;
 
   /** Answers a second, as a mean that fades, and when it was reckoned. */
-  double answerRate;
+  double responseRate;
 
-  long answerRateAt;
+  long responseRateAt;
 
   Endpoint(long id, HealthParameters parameters) {
     this.id = id;
@@ -72,8 +72,8 @@
   }
 
   /** Whether it may still be warming up. */
-  boolean cold(long now) {
-    return now < coldUntil;
+  boolean isWarmingUp(long now) {
+    return now < warmupEnd;
   }
 
   int inFlight() {
--- a/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
@@ -39,7 +39,7 @@
   /**
    * And by how many deviations above the peers' share: what fails everywhere is no server's fault.
    */
-  private static final double SURE = 1;
+  private static final double EJECTION_MARGIN = 1;
 
   /** After this the passive state is Unknown again. */
   private static final long REACTIVATION = 5 * SECOND;
@@ -47,19 +47,19 @@
   /** What {@link BackendHealth} goes by. */
   static final HealthParameters PARAMETERS =
       new HealthParameters(
-          PROBE_THRESHOLD, WINDOW, WINDOW_MINIMUM, FAILURE_LIMIT, SURE, REACTIVATION);
+          PROBE_THRESHOLD, WINDOW, WINDOW_MINIMUM, FAILURE_LIMIT, EJECTION_MARGIN, REACTIVATION);
 
   private final LoadBalancerContext agent;
-  private final SlowStart cold;
+  private final SlowStart slowStart;
   private final SubsetSizer subset;
-  private int probeTurn;
+  private int nextProbeIndex;
   private boolean probing;
 
-  EndpointHealthChecker(LoadBalancerContext agent, SlowStart cold, SubsetSizer subset) {
+  EndpointHealthChecker(LoadBalancerContext agent, SlowStart slowStart, SubsetSizer subset) {
     this.agent = agent;
-    this.cold = cold;
+    this.slowStart = slowStart;
     this.subset = subset;
-    this.probeTurn = agent.random.nextInt(1 << 16);
+    this.nextProbeIndex = agent.random.nextInt(1 << 16);
   }
 
   /** Whether a server is available now; its passive state is reset where that is due. */
@@ -75,13 +75,13 @@
    * Makes the passive state Unhealthy when too much fails here, and more than elsewhere in its
    * zone.
    */
-  void judge(Endpoint target, long now) {
+  void ejectIfFailing(Endpoint target, long now) {
     if (!target.health.failsTooOften()) {
       return;
     }
     List<BackendHealth> peers = new ArrayList<>();
     for (Endpoint peer : agent.listed) {
-      if (peer != target && peer.listed.zone() == target.listed.zone()) {
+      if (peer != target && peer.listing.zone() == target.listing.zone()) {
         peers.add(peer.health);
       }
     }
@@ -97,19 +97,19 @@
   }
 
   /** Those it draws from, and what stands before them that is not available and may recover. */
-  private List<Endpoint> watched(long now) {
-    List<Endpoint> watched = new ArrayList<>();
-    int left = subset.spread(SubsetSizer.LEAST, now);
+  private List<Endpoint> probeCandidates(long now) {
+    List<Endpoint> probeCandidates = new ArrayList<>();
+    int remaining = subset.subsetSize(SubsetSizer.MIN_LOCAL, now);
     for (Endpoint target : agent.listed) {
-      if (left == 0) {
+      if (remaining == 0) {
         break;
       }
-      if (target.ready && target.listed.zone() == agent.settings.zone()) {
-        watched.add(target);
-        left -= available(target, now) ? 1 : 0;
+      if (target.ready && target.listing.zone() == agent.settings.zone()) {
+        probeCandidates.add(target);
+        remaining -= available(target, now) ? 1 : 0;
       }
     }
-    return watched.isEmpty() ? agent.listed : watched;
+    return probeCandidates.isEmpty() ? agent.listed : probeCandidates;
   }
 
   /**
@@ -117,19 +117,21 @@
    * at size the probes cost more than the requests; and agents started together would probe in
    * step.
    */
-  void probe(long now, double from) {
+  void probe(long now, double minDelayFraction) {
     probing = agent.settings.permits().probes() && !agent.listed.isEmpty();
     if (!probing) {
       return;
     }
-    List<Endpoint> watched = watched(now);
-    double sharers = (double) agent.settings.agents() * watched.size() / agent.listed.size();
-    double mean = PROBE_INTERVAL * Math.max(1, sharers) / watched.size();
+    List<Endpoint> probeCandidates = probeCandidates(now);
+    double sharers =
+        (double) agent.settings.agents() * probeCandidates.size() / agent.listed.size();
+    double mean = PROBE_INTERVAL * Math.max(1, sharers) / probeCandidates.size();
     agent.actions.timer(
-        DefaultLoadBalancer.TIMER_PROBE, 1 + (long) (mean * (from + agent.random.nextDouble())));
-    Endpoint target = watched.get(probeTurn++ % watched.size());
-    if (from > 0 && !target.probeOut) {
-      target.probeOut = true;
+        DefaultLoadBalancer.TIMER_PROBE,
+        1 + (long) (mean * (minDelayFraction + agent.random.nextDouble())));
+    Endpoint target = probeCandidates.get(nextProbeIndex++ % probeCandidates.size());
+    if (minDelayFraction > 0 && !target.probePending) {
+      target.probePending = true;
       agent.actions.probe(target.id);
     }
   }
@@ -144,32 +146,32 @@
     if (target == null) {
       return false;
     }
-    target.probeOut = false;
+    target.probePending = false;
     if (outcome == Outcome.NEVER_SENT) {
       return false; // says nothing about the server
     }
     if (outcome == Outcome.OK) {
-      cold.recovered(target, now);
+      slowStart.responseReceived(target, now);
       if (target.health.probeSucceeded()) {
         agent.servers.log(target, "active Healthy: probe answered");
       }
     } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET)
-        && target.answeredSinceProbe) {
+        && target.respondedSinceProbe) {
       // Danger: a busy server answers probes late, and a connection may break under one; real
       // answers
       // prove that it lives.
       target.health.probeInconclusive();
     } else {
       if (outcome == Outcome.CONNECT_FAILED) {
-        cold.broke(target, now);
+        slowStart.connectionLost(target, now);
       }
       if (target.health.probeFailed()) {
-        cold.broke(target, now);
+        slowStart.connectionLost(target, now);
         agent.servers.log(
             target, "active Unhealthy: " + target.health.probeFailures() + " probes failed");
       }
     }
-    target.answeredSinceProbe = false;
+    target.respondedSinceProbe = false;
     return true;
   }
 
--- a/src/main/java/slateslip/loadbalancer/EndpointTable.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointTable.java
@@ -53,26 +53,26 @@
    */
   Endpoint apply(Server entry) {
     if (entry.phase() == Phase.GONE) {
-      Endpoint gone = targets.get(entry.id());
-      if (gone != null) {
-        remove(gone);
+      Endpoint removed = targets.get(entry.id());
+      if (removed != null) {
+        remove(removed);
       }
       return null;
     }
     Endpoint target = targets.computeIfAbsent(entry.id(), id -> new Endpoint(id, health));
-    Server before = target.listed;
-    if (before == null || target.gone) {
+    Server before = target.listing;
+    if (before == null || target.removed) {
       listed.add(target);
     }
-    target.gone = false;
-    target.listed = entry;
+    target.removed = false;
+    target.listing = entry;
     boolean ready = entry.phase() == Phase.READY;
     if (before != null && target.ready != ready) {
       log(target, ready ? "ready" : "draining: nothing new is sent");
     }
     target.ready = ready;
-    boolean anew = before == null || entry.startedAt() != before.startedAt();
-    return entry.startedAt() > 0 && anew ? target : null;
+    boolean restarted = before == null || entry.startedAt() != before.startedAt();
+    return entry.startedAt() > 0 && restarted ? target : null;
   }
 
   /**
@@ -88,7 +88,7 @@
       log(target, "gone from the list");
     }
     target.ready = false;
-    target.gone = true;
+    target.removed = true;
     forget(target);
   }
 
@@ -96,7 +96,7 @@
    * Danger: servers come and go for ever. What is known of one goes with it once nothing is out.
    */
   void forget(Endpoint target) {
-    if (target.gone && target.inFlight == 0) {
+    if (target.removed && target.inFlight == 0) {
       targets.remove(target.id);
     }
   }
@@ -106,13 +106,13 @@
    */
   void move(SettingsReload next, Collection<PendingRequest> open) {
     Set<Endpoint> known = new HashSet<>(targets.values());
-    open.forEach(req -> req.attempts.forEach(attempt -> known.add(attempt.target)));
-    known.forEach(target -> target.listed = next.moved(target.listed));
+    open.forEach(req -> req.attempts.forEach(attempt -> known.add(attempt.endpoint)));
+    known.forEach(target -> target.listing = next.remapped(target.listing));
   }
 
   /** Tells on-call staff of a server, unless it is gone and nobody is to look after it. */
   void log(Endpoint target, String what) {
-    if (!target.gone) {
+    if (!target.removed) {
       actions.log("server " + target.id + " " + what);
     }
   }
--- a/src/main/java/slateslip/loadbalancer/LoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/LoadBalancer.java
@@ -106,24 +106,24 @@
   /**
    * A class of requests.
    *
-   * @param aim an answer within this time of the request's arrival has its full worth
-   * @param aimStretch the aim grows by this multiple of the request's own cost
-   * @param giveUp how long a client waits in all
+   * @param latencyTarget an answer within this time of the request's arrival has its full worth
+   * @param latencyTargetPerCost the aim grows by this multiple of the request's own cost
+   * @param timeout how long a client waits in all
    * @param window how long the group drops repeats of a keyed request, from its first send
-   * @param worth what an answer in time is worth
-   * @param lateShare the part of the worth that a late answer still has
-   * @param streamed whether answers arrive in parts
+   * @param value what an answer in time is worth
+   * @param lateValueFraction the part of the worth that a late answer still has
+   * @param streaming whether answers arrive in parts
    */
   record RequestClass(
-      long aim,
-      double aimStretch,
-      long giveUp,
+      long latencyTarget,
+      double latencyTargetPerCost,
+      long timeout,
       Semantics semantics,
       Scope scope,
       long window,
-      double worth,
-      double lateShare,
-      boolean streamed) {}
+      double value,
+      double lateValueFraction,
+      boolean streaming) {}
 
   /**
    * A tenant: requests a second that count in full, over all agents; its fraction of the service.
@@ -143,23 +143,23 @@
 
   /** What the rules on draining and on cold servers say. */
   record Obligations(
-      long answerSlack,
+      long responseSlack,
       long drainGrace,
-      double coldFrom,
-      long coldTime,
+      double warmupStartFraction,
+      long warmupTime,
       double overloadMultiple,
       long overloadTime,
-      long askWithin) {}
+      long discoveryWithin) {}
 
   /**
    * What things cost, in parts of the result: crossings, probes, waste, late failures, messages.
    */
-  record Prices(double crossing, double probe, double waste, double lateFailure, double message) {}
+  record Prices(double crossZone, double probe, double waste, double lateFailure, double message) {}
 
   /**
    * How the result is weighed: all of it, its worst stretch of time, worst class and worst tenant.
    */
-  record Goal(double whole, double worstWindow, double worstClass, double worstTenant) {}
+  record Goal(double overall, double worstWindow, double worstClass, double worstTenant) {}
 
   /** What an instance is told at its start, and again with {@link LoadBalancer#settings}. */
   record Settings(
@@ -168,11 +168,11 @@
       int zone,
       int zones,
       long tick,
-      boolean askDiscovery,
-      boolean warmKeys,
+      boolean pollDiscovery,
+      boolean keyAffinity,
       boolean listedWeights,
-      boolean worthByWork,
-      double overQuotaWorth,
+      boolean valueByWork,
+      double overQuotaValue,
       Permits permits,
       Obligations obligations,
       Prices prices,
@@ -248,7 +248,7 @@
      * @param agent which, or all with -1
      * @param message the bytes
      */
-    void tell(int agent, byte[] message);
+    void sendToPeers(int agent, byte[] message);
 
     /**
      * Asks for {@link LoadBalancer#timer}.
--- a/src/main/java/slateslip/loadbalancer/PendingRequest.java
+++ b/src/main/java/slateslip/loadbalancer/PendingRequest.java
@@ -17,36 +17,36 @@
   /** Names its timer. */
   final long token;
 
-  final long cameAt;
+  final long arrivedAt;
 
   /** When there is nothing left to win, at the latest when the client gives up. */
   final long endAt;
 
   final List<Attempt> attempts = new ArrayList<>(1);
   boolean closed;
-  boolean held;
+  boolean queued;
   boolean streaming;
 
   /** Whether it has been to every server that it may go to. */
-  boolean mayReturn;
+  boolean mayRevisit;
 
-  PendingRequest(Request request, RequestClassState state, long token, long cameAt, long endAt) {
+  PendingRequest(Request request, RequestClassState state, long token, long arrivedAt, long endAt) {
     this.request = request;
     this.state = state;
     this.type = state.type;
     this.token = token;
-    this.cameAt = cameAt;
+    this.arrivedAt = arrivedAt;
     this.endAt = endAt;
   }
 
   /** One attempt; its outcome is null while it is out. */
   static final class Attempt {
-    final Endpoint target;
+    final Endpoint endpoint;
     final long sentAt;
     Outcome outcome;
 
-    Attempt(Endpoint target, long sentAt) {
-      this.target = target;
+    Attempt(Endpoint endpoint, long sentAt) {
+      this.endpoint = endpoint;
       this.sentAt = sentAt;
     }
 
@@ -56,25 +56,26 @@
   }
 
   /** How many attempts are out. */
-  int out() {
-    int out = 0;
+  int attemptsInFlight() {
+    int attemptsInFlight = 0;
     for (Attempt attempt : attempts) {
-      out += attempt.outcome == null ? 1 : 0;
+      attemptsInFlight += attempt.outcome == null ? 1 : 0;
     }
-    return out;
+    return attemptsInFlight;
   }
 
-  boolean sentTo(Endpoint target) {
-    return attempts.stream().anyMatch(attempt -> attempt.target == target);
+  boolean wasSentTo(Endpoint endpoint) {
+    return attempts.stream().anyMatch(attempt -> attempt.endpoint == endpoint);
   }
 
   /**
    * Whether it is not to go there again: where it may return, one that was not reached is open to
    * it.
    */
-  boolean tried(Endpoint target) {
+  boolean isExcluded(Endpoint endpoint) {
     for (Attempt attempt : attempts) {
-      if (attempt.target == target && (!mayReturn || attempt.outcome != Outcome.CONNECT_FAILED)) {
+      if (attempt.endpoint == endpoint
+          && (!mayRevisit || attempt.outcome != Outcome.CONNECT_FAILED)) {
         return true;
       }
     }
--- a/src/main/java/slateslip/loadbalancer/QueueReport.java
+++ b/src/main/java/slateslip/loadbalancer/QueueReport.java
@@ -8,56 +8,56 @@
   /** How often it is told why requests wait, in microseconds. */
   private static final long PERIOD = 5_000_000;
 
-  private long toldAt;
+  private long loggedAt;
 
   /** Whether enough time has passed since the last line; then this one counts as told. */
   boolean due(long now) {
-    if (now - toldAt < PERIOD) {
+    if (now - loggedAt < PERIOD) {
       return false;
     }
-    toldAt = now;
+    loggedAt = now;
     return true;
   }
 
   /**
    * The line for the log.
    *
-   * @param held requests held for want of room
+   * @param queued requests held for want of room
    * @param available whether a server may get requests by its health
    */
   static String line(
       long now,
-      long held,
+      long queued,
       Collection<Endpoint> listed,
       int ownZone,
       Predicate<Endpoint> available) {
-    String own = room(now, listed, each -> each.listed.zone() == ownZone, available);
-    String others = room(now, listed, each -> each.listed.zone() != ownZone, available);
-    return "waiting: " + held + "; own zone " + own + "; others " + others;
+    String own = capacity(now, listed, each -> each.listing.zone() == ownZone, available);
+    String others = capacity(now, listed, each -> each.listing.zone() != ownZone, available);
+    return "waiting: " + queued + "; own zone " + own + "; others " + others;
   }
 
-  private static String room(
+  private static String capacity(
       long now,
       Collection<Endpoint> listed,
       Predicate<Endpoint> where,
       Predicate<Endpoint> available) {
     int ready = 0;
     int unhealthy = 0;
-    int cold = 0;
-    int resting = 0;
-    int used = 0;
+    int warmingUp = 0;
+    int backingOff = 0;
+    int inFlight = 0;
     double limits = 0;
     for (Endpoint target : listed) {
       if (target.ready && where.test(target)) {
         ready++;
         unhealthy += available.test(target) ? 0 : 1;
-        cold += target.cold(now) ? 1 : 0;
-        resting += now < target.restUntil ? 1 : 0;
-        used += target.inFlight;
+        warmingUp += target.isWarmingUp(now) ? 1 : 0;
+        backingOff += now < target.backoffUntil ? 1 : 0;
+        inFlight += target.inFlight;
         limits += target.limit;
       }
     }
-    return used
+    return inFlight
         + " out of "
         + Math.round(limits)
         + " at "
@@ -65,9 +65,9 @@
         + " ready ("
         + unhealthy
         + " unhealthy, "
-        + cold
+        + warmingUp
         + " starting, "
-        + resting
+        + backingOff
         + " resting)";
   }
 }
--- a/src/main/java/slateslip/loadbalancer/RequestClassState.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClassState.java
@@ -17,61 +17,61 @@
   RequestClass type;
 
   /** Its requests that wait in this agent for want of room. */
-  final Deque<PendingRequest> held = new ArrayDeque<>();
+  final Deque<PendingRequest> queued = new ArrayDeque<>();
 
   /** Requests come and requests served, as counts that fade. */
-  double came;
+  double arrived;
 
   double served;
 
   /** The mean answer time, and the lowest that it has been. */
-  double typical;
+  double typicalLatency;
 
-  double unhurried;
+  double unloadedLatency;
 
   /** The mean of its requests' cost hints. */
   double meanCost;
 
   /** A quantile of its answer times. */
-  final QuantileEstimator times;
+  final QuantileEstimator latencies;
 
   /** How long a request unserved here had waited: what a client's repeat has behind it. */
   double unservedWait;
 
   /** The time that most requests bring, a first try's, by a running majority vote. */
-  private long usualLeft;
+  private long typicalTimeLeft;
 
-  private int usualVotes;
+  private int typicalTimeVotes;
 
   /** What a unit of its work adds to the goal, as last measured. */
   double value;
 
   RequestClassState(RequestClass type, double quantile) {
     this.type = type;
-    this.times = new QuantileEstimator(quantile);
+    this.latencies = new QuantileEstimator(quantile);
   }
 
   /** Counts one of its requests that has come. */
-  void came(Request request) {
+  void arrived(Request request) {
     meanCost += (meanCost == 0 ? 1 : LatencyTracker.BLEND / 2) * (request.cost() - meanCost);
-    came++;
+    arrived++;
   }
 
   /**
    * What a client's repeat has behind it. First tries of a class all bring the same time; a request
    * that brings another is a repeat, and what it lacks of the time for all tries is spent.
    */
-  long spentBefore(Request request, long now, long tick) {
-    long left = request.deadline() - now;
-    boolean usual = Math.abs(left - usualLeft) <= SAME_TICKS * tick;
-    if (usual) {
-      usualVotes = Math.min(VOTES_MAX, usualVotes + 1);
-    } else if (--usualVotes < 0) {
-      usualLeft = left;
-      usualVotes = 1;
+  long elapsedBeforeArrival(Request request, long now, long tick) {
+    long timeLeft = request.deadline() - now;
+    boolean isTypical = Math.abs(timeLeft - typicalTimeLeft) <= SAME_TICKS * tick;
+    if (isTypical) {
+      typicalTimeVotes = Math.min(VOTES_MAX, typicalTimeVotes + 1);
+    } else if (--typicalTimeVotes < 0) {
+      typicalTimeLeft = timeLeft;
+      typicalTimeVotes = 1;
     }
-    boolean unsure = usual || usualVotes < VOTES_MAX / 2;
-    long lacking = unsure ? 0 : Math.max(0, type.giveUp() - left);
-    return Math.max(lacking, request.repeated() ? (long) unservedWait : 0);
+    boolean uncertain = isTypical || typicalTimeVotes < VOTES_MAX / 2;
+    long missingTime = uncertain ? 0 : Math.max(0, type.timeout() - timeLeft);
+    return Math.max(missingTime, request.repeated() ? (long) unservedWait : 0);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/RequestClasses.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClasses.java
@@ -8,7 +8,7 @@
 final class RequestClasses {
   private final LoadBalancerContext agent;
   private final List<RequestClassState> classes = new ArrayList<>();
-  private final List<RequestClassState> order;
+  private final List<RequestClassState> byPriority;
 
   RequestClasses(LoadBalancerContext agent) {
     this.agent = agent;
@@ -16,7 +16,7 @@
         .settings
         .classes()
         .forEach(type -> classes.add(new RequestClassState(type, LatencyTracker.QUANTILE)));
-    this.order = new ArrayList<>(classes);
+    this.byPriority = new ArrayList<>(classes);
   }
 
   /** Those in force, by their positions in the settings. */
@@ -25,35 +25,35 @@
   }
 
   /** All, the most valuable first. */
-  List<RequestClassState> order() {
-    return order;
+  List<RequestClassState> byPriority() {
+    return byPriority;
   }
 
   /** Whether requests are held for want of room. */
-  boolean waiting() {
-    return order.stream().anyMatch(state -> !state.held.isEmpty());
+  boolean hasQueued() {
+    return byPriority.stream().anyMatch(state -> !state.queued.isEmpty());
   }
 
   /**
    * What is known of a class goes with its name; one that is removed ends with its last request
    * held.
    */
-  void take(SettingsReload next) {
-    RequestClassState[] after = new RequestClassState[agent.settings.classes().size()];
+  void reload(SettingsReload next) {
+    RequestClassState[] reloaded = new RequestClassState[agent.settings.classes().size()];
     for (int i = 0; i < classes.size(); i++) {
       int to = next.classes().get(i);
       if (to >= 0) {
-        after[to] = classes.get(i);
-        after[to].type = agent.settings.classes().get(to);
+        reloaded[to] = classes.get(i);
+        reloaded[to].type = agent.settings.classes().get(to);
       }
     }
     classes.clear();
-    for (int i = 0; i < after.length; i++) {
+    for (int i = 0; i < reloaded.length; i++) {
       RequestClass type = agent.settings.classes().get(i);
       classes.add(
-          after[i] == null ? new RequestClassState(type, LatencyTracker.QUANTILE) : after[i]);
+          reloaded[i] == null ? new RequestClassState(type, LatencyTracker.QUANTILE) : reloaded[i]);
     }
-    order.removeIf(state -> state.held.isEmpty() || classes.contains(state));
-    order.addAll(0, classes);
+    byPriority.removeIf(state -> state.queued.isEmpty() || classes.contains(state));
+    byPriority.addAll(0, classes);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/RetryEligibility.java
+++ b/src/main/java/slateslip/loadbalancer/RetryEligibility.java
@@ -21,7 +21,8 @@
    */
   static boolean maySend(PendingRequest req, Permits permits, long now) {
     Semantics semantics = req.type.semantics();
-    boolean sending = req.out() > 0 && !(permits.duplicates() && semantics == Semantics.SAFE);
+    boolean sending =
+        req.attemptsInFlight() > 0 && !(permits.duplicates() && semantics == Semantics.SAFE);
     if (req.closed || req.streaming || sending) {
       return false;
     }
@@ -46,8 +47,8 @@
             attempt ->
                 !attempt.mayHaveRun()
                     || (scope == Scope.ZONE
-                        ? attempt.target.listed.zone() == target.listed.zone()
-                        : attempt.target.listed.cell() == target.listed.cell()));
+                        ? attempt.endpoint.listing.zone() == target.listing.zone()
+                        : attempt.endpoint.listing.cell() == target.listing.cell()));
   }
 
   /** A refusal says that trying again is harmless: danger of an effect twice if it is not. */
--- a/src/main/java/slateslip/loadbalancer/SettingsParser.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsParser.java
@@ -64,21 +64,21 @@
   private LoadBalancer.Settings settings() {
     var permits =
         new LoadBalancer.Permits(
-            (int) atLeast(1, "caps.max-attempts"),
+            (int) requireAtLeast(1, "caps.max-attempts"),
             flag("caps.may-duplicate"),
             flag("caps.cancel"),
             flag("caps.probes"),
             flag("caps.peers"),
-            flag("caps.retry-after") ? whole("caps.max-retry-after-us") : 0);
+            flag("caps.retry-after") ? integer("caps.max-retry-after-us") : 0);
     var obligations =
         new LoadBalancer.Obligations(
-            whole("obligations.answer-slack-us"),
-            whole("obligations.stop-sending-within-us"),
+            integer("obligations.answer-slack-us"),
+            integer("obligations.stop-sending-within-us"),
             number("obligations.cold-from"),
-            atLeast(1, "obligations.cold-us"),
+            requireAtLeast(1, "obligations.cold-us"),
             number("obligations.fall-multiple"),
-            atLeast(1, "obligations.overload-for-us"),
-            has("obligations.ask-within-us") ? whole("obligations.ask-within-us") : 0);
+            requireAtLeast(1, "obligations.overload-for-us"),
+            has("obligations.ask-within-us") ? integer("obligations.ask-within-us") : 0);
     var prices =
         new LoadBalancer.Prices(
             number("deductions.cross-zone", 0),
@@ -97,11 +97,11 @@
       }
     }
     return new LoadBalancer.Settings(
-        (int) atLeast(0, "me"),
-        (int) atLeast(1, "group-size"),
-        (int) atLeast(0, "locality"),
+        (int) requireAtLeast(0, "me"),
+        (int) requireAtLeast(1, "group-size"),
+        (int) requireAtLeast(0, "locality"),
         zones(),
-        atLeast(1, "granularity-us"),
+        requireAtLeast(1, "granularity-us"),
         need("discovery").equals("subscribe"),
         word("family-info.warm-keys", "false").equals("true"),
         !word("weight-source", "none").equals("none"),
@@ -118,7 +118,7 @@
 
   private int zones() {
     int zones = list("zones").size();
-    if (zones <= atLeast(0, "locality")) {
+    if (zones <= requireAtLeast(0, "locality")) {
       throw bad("locality");
     }
     return zones;
@@ -126,14 +126,14 @@
 
   private List<LoadBalancer.RequestClass> classes() {
     List<LoadBalancer.RequestClass> classes = new ArrayList<>();
-    long count = atLeast(0, "classes.count");
+    long count = requireAtLeast(0, "classes.count");
     for (int i = 0; i < count; i++) {
       String at = "classes." + i + ".";
       classes.add(
           new LoadBalancer.RequestClass(
-              atLeast(1, at + "aim-us"),
+              requireAtLeast(1, at + "aim-us"),
               number(at + "aim-stretch", 0),
-              atLeast(1, at + "give-up-us"),
+              requireAtLeast(1, at + "give-up-us"),
               semantics(at + "semantics"),
               scope(word(at + "key-scope", "all"), at + "key-scope"),
               window(at + "window-us"),
@@ -149,13 +149,13 @@
    * come up. Guards against an effect twice where a window is short beside that time.
    */
   private long window(String key) {
-    long dial = has("caps.dial-timeout-us") ? whole("caps.dial-timeout-us") : 0;
-    return has(key) ? Math.max(0, whole(key) - dial) : 0;
+    long dial = has("caps.dial-timeout-us") ? integer("caps.dial-timeout-us") : 0;
+    return has(key) ? Math.max(0, integer(key) - dial) : 0;
   }
 
   private List<LoadBalancer.Tenant> tenants() {
     List<LoadBalancer.Tenant> tenants = new ArrayList<>();
-    long count = has("realms.count") ? whole("realms.count") : 0;
+    long count = has("realms.count") ? integer("realms.count") : 0;
     for (int i = 0; i < count; i++) {
       String at = "realms." + i + ".";
       tenants.add(
@@ -211,13 +211,13 @@
     };
   }
 
-  private long whole(String key) {
+  private long integer(String key) {
     return Math.round(number(key));
   }
 
-  private long atLeast(long least, String key) {
-    long value = whole(key);
-    if (value < least) {
+  private long requireAtLeast(long minimum, String key) {
+    long value = integer(key);
+    if (value < minimum) {
       throw bad(key);
     }
     return value;
--- a/src/main/java/slateslip/loadbalancer/SettingsReload.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsReload.java
@@ -73,10 +73,10 @@
    * with it.
    */
   public boolean movesServers() {
-    return moves(zones) || moves(kinds);
+    return isRemapped(zones) || isRemapped(kinds);
   }
 
-  private static boolean moves(List<Integer> positions) {
+  private static boolean isRemapped(List<Integer> positions) {
     for (int i = 0; i < positions.size(); i++) {
       if (positions.get(i) != i) {
         return true;
@@ -86,18 +86,18 @@
   }
 
   /** A line of the server list with its zone and kind by their new positions. */
-  public Server moved(Server line) {
+  public Server remapped(Server line) {
     return new Server(
         line.id(),
-        moved(zones, line.zone()),
+        remapped(zones, line.zone()),
         line.cell(),
-        moved(kinds, line.kind()),
+        remapped(kinds, line.kind()),
         line.phase(),
         line.weight(),
         line.startedAt());
   }
 
-  private static int moved(List<Integer> positions, int at) {
+  private static int remapped(List<Integer> positions, int at) {
     return at < 0 || at >= positions.size() ? REMOVED : positions.get(at);
   }
 
@@ -108,7 +108,7 @@
    * @return its new one, or {@link #REMOVED}
    */
   public int kind(int kind) {
-    return moved(kinds, kind);
+    return remapped(kinds, kind);
   }
 
   /**
@@ -120,14 +120,14 @@
    * the repeats of a class that is no more is not known. All three then go again only where no
    * attempt may have run.
    *
-   * @param taken the class as its requests go by it until now
+   * @param original the class as its requests go by it until now
    * @param next the class under the new settings, or null if there is none
    * @return the class as the open request goes by it from now on
    */
-  static RequestClass strictest(RequestClass taken, RequestClass next) {
-    Semantics semantics = taken.semantics();
-    Scope scope = taken.scope();
-    long window = taken.window();
+  static RequestClass strictest(RequestClass original, RequestClass next) {
+    Semantics semantics = original.semantics();
+    Scope scope = original.scope();
+    long window = original.window();
     if (next == null) {
       semantics = semantics == Semantics.SAFE ? Semantics.SAFE : Semantics.UNSAFE;
     } else if (semantics == Semantics.SAFE) {
@@ -143,14 +143,14 @@
       }
     }
     return new RequestClass(
-        taken.aim(),
-        taken.aimStretch(),
-        taken.giveUp(),
+        original.latencyTarget(),
+        original.latencyTargetPerCost(),
+        original.timeout(),
         semantics,
         scope,
         window,
-        taken.worth(),
-        taken.lateShare(),
-        taken.streamed());
+        original.value(),
+        original.lateValueFraction(),
+        original.streaming());
   }
 }
--- a/src/main/java/slateslip/loadbalancer/SlowStart.java
+++ b/src/main/java/slateslip/loadbalancer/SlowStart.java
@@ -10,13 +10,13 @@
    * How long a server is thought to have restarted unless the list says so: the list is seconds
    * late.
    */
-  private static final long SUSPICION = 5 * SECOND;
+  private static final long SUSPECTED_WARMUP = 5 * SECOND;
 
   /** A break shorter than this is no restart. */
-  private static final long BREAK_LEAST = SECOND / 2;
+  private static final long MIN_OUTAGE = SECOND / 2;
 
   /** How much of the time that topples a server its burst may fill: half, the list may be late. */
-  private static final double COLD_BURST = 0.5;
+  private static final double MAX_BURST_FRACTION = 0.5;
 
   private final LoadBalancerContext agent;
   private final WarmServiceRates warmRates;
@@ -31,9 +31,9 @@
    * connections. Danger: a network that breaks connections would make one server in three cold at
    * any time.
    */
-  void broke(Endpoint target, long now) {
-    target.brokenAt = target.broken ? target.brokenAt : now;
-    target.broken = true;
+  void connectionLost(Endpoint target, long now) {
+    target.suspectedAt = target.suspectedRestart ? target.suspectedAt : now;
+    target.suspectedRestart = true;
   }
 
   /**
@@ -42,47 +42,48 @@
    * and the requests of all are turned away; a process does not come back within the time of one
    * more try.
    */
-  void recovered(Endpoint target, long now) {
-    if (target.broken) {
-      target.broken = false;
-      if (!target.cold(now) && now - target.brokenAt >= BREAK_LEAST) {
-        chill(target, now, now, now + SUSPICION, "answers again after a break");
+  void responseReceived(Endpoint target, long now) {
+    if (target.suspectedRestart) {
+      target.suspectedRestart = false;
+      if (!target.isWarmingUp(now) && now - target.suspectedAt >= MIN_OUTAGE) {
+        beginWarmup(target, now, now, now + SUSPECTED_WARMUP, "answers again after a break");
       }
     }
   }
 
-  void restart(long now, Endpoint target) {
+  void serverStarted(long now, Endpoint target) {
     target.health.reset();
-    target.broken = false;
+    target.suspectedRestart = false;
     target.limit = 0;
-    target.stretch = 1;
-    long warmAt = target.listed.startedAt() + agent.settings.obligations().coldTime();
+    target.slowdown = 1;
+    long warmAt = target.listing.startedAt() + agent.settings.obligations().warmupTime();
     if (now < warmAt) {
-      chill(target, now, target.listed.startedAt(), warmAt, "listed as just started");
+      beginWarmup(target, now, target.listing.startedAt(), warmAt, "listed as just started");
     }
   }
 
-  private void chill(Endpoint target, long now, long since, long until, String why) {
-    target.coldSince = since;
-    target.coldUntil = until;
-    target.coldGranted =
+  private void beginWarmup(Endpoint target, long now, long since, long until, String why) {
+    target.warmupStart = since;
+    target.warmupEnd = until;
+    target.warmupGranted =
         agent.random.nextDouble(); // a whole one each: a thousand agents send a thousand
-    target.coldSpent = 0;
-    target.coldAt = now;
+    target.warmupSpent = 0;
+    target.warmupUpdatedAt = now;
     agent.servers.log(target, "cold: " + why);
   }
 
   /** The part of its capacity that a cold server has at the least. */
-  private double warmth(Endpoint target, long now) {
+  private double warmFraction(Endpoint target, long now) {
     Obligations rule = agent.settings.obligations();
-    double share = Math.max(0, (double) (now - target.coldSince) / rule.coldTime());
-    double from = rule.coldFrom();
+    double share = Math.max(0, (double) (now - target.warmupStart) / rule.warmupTime());
+    double from = rule.warmupStartFraction();
     return from + (1 - from) * Math.min(1, share);
   }
 
   /** Danger: a server that has just started may need longer for one request than anybody waits. */
-  boolean warmEnough(PendingRequest req, Endpoint target, long now) {
-    return !target.cold(now) || req.state.typical / warmth(target, now) < req.endAt - now;
+  boolean canFinishInTime(PendingRequest req, Endpoint target, long now) {
+    return !target.isWarmingUp(now)
+        || req.state.typicalLatency / warmFraction(target, now) < req.endAt - now;
   }
 
   /**
@@ -93,27 +94,30 @@
    * more than what the rule leaves beside the requests of one window, and half of what it puts down
    * to chance.
    */
-  double coldBudget(Endpoint target, long now) {
+  double availableRequests(Endpoint target, long now) {
     Obligations rule = agent.settings.obligations();
-    double perSecond = warmRates.of(target.listed.zone(), now) * warmth(target, now);
+    double perSecond = warmRates.rate(target.listing.zone(), now) * warmFraction(target, now);
     double perWindow = perSecond * rule.overloadTime() / SECOND;
     double budget = rule.overloadMultiple() * perWindow * agent.settings.agents();
     double chance = (Math.sqrt(budget) + 1) / agent.settings.agents();
-    double held = (rule.overloadMultiple() - 1) * perWindow + chance;
-    target.coldGranted += perSecond * (now - target.coldAt) / SECOND;
-    target.coldAt = now;
-    target.coldSpent = Math.max(target.coldSpent, Math.floor(target.coldGranted - held));
-    target.coldSpent = Math.max(target.coldSpent, target.coldGranted - 1 - COLD_BURST * perWindow);
-    return Math.floor(target.coldGranted - target.coldSpent);
+    double maxCredit = (rule.overloadMultiple() - 1) * perWindow + chance;
+    target.warmupGranted += perSecond * (now - target.warmupUpdatedAt) / SECOND;
+    target.warmupUpdatedAt = now;
+    target.warmupSpent = Math.max(target.warmupSpent, Math.floor(target.warmupGranted - maxCredit));
+    target.warmupSpent =
+        Math.max(target.warmupSpent, target.warmupGranted - 1 - MAX_BURST_FRACTION * perWindow);
+    return Math.floor(target.warmupGranted - target.warmupSpent);
   }
 
   /** Warm-ups that the list told of last as long as other settings say. */
   void settingsChanged(long now) {
     for (Endpoint target : agent.listed) {
-      if (target.cold(now) && target.coldSince == target.listed.startedAt()) { // as the list has it
+      if (target.isWarmingUp(now)
+          && target.warmupStart == target.listing.startedAt()) { // as the list has it
         // What it may be sent stays: a change of settings earns it nothing.
-        target.coldUntil =
-            Math.max(target.coldUntil, target.coldSince + agent.settings.obligations().coldTime());
+        target.warmupEnd =
+            Math.max(
+                target.warmupEnd, target.warmupStart + agent.settings.obligations().warmupTime());
       }
     }
   }
--- a/src/main/java/slateslip/loadbalancer/ValidatingLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/ValidatingLoadBalancer.java
@@ -15,7 +15,7 @@
   private static final class Seen {
     int sends;
     long ended;
-    boolean answered;
+    boolean responded;
   }
 
   /** Hands the actions on and counts the sends. */
@@ -34,13 +34,13 @@
 
     @Override
     public void refuse(long request, long retryAfter) {
-      answered(request);
+      responded(request);
       host.refuse(request, retryAfter);
     }
 
     @Override
     public void fail(long request) {
-      answered(request);
+      responded(request);
       host.fail(request);
     }
 
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void tell(int agent, byte[] message) {
-      host.tell(agent, message);
+    public void sendToPeers(int agent, byte[] message) {
+      host.sendToPeers(agent, message);
     }
 
     @Override
@@ -175,7 +175,7 @@
         now,
         () -> {
           seen.ended |= 1L << attempt;
-          seen.answered |= closed;
+          seen.responded |= closed;
           balancer.outcome(now, request, attempt, server, outcome, spent, closed, load);
           forget(request, seen);
         });
@@ -188,7 +188,7 @@
         () -> {
           if (requests.containsKey(request)) {
             balancer.clientLeft(now, request);
-            answered(request);
+            responded(request);
           }
         });
   }
@@ -211,7 +211,7 @@
     event(now, () -> balancer.timer(now, token));
   }
 
-  private void event(long now, Runnable told) {
+  private void event(long now, Runnable reported) {
     if (inside) {
       throw new IllegalStateException("an action has called back into the balancer");
     }
@@ -221,7 +221,7 @@
     latest = now;
     inside = true;
     try {
-      told.run();
+      reported.run();
     } finally {
       inside = false;
     }
@@ -240,14 +240,14 @@
     return seen;
   }
 
-  private void answered(long request) {
+  private void responded(long request) {
     Seen seen = requests.get(request);
-    seen.answered = true;
+    seen.responded = true;
     forget(request, seen);
   }
 
   private void forget(long request, Seen seen) {
-    if (seen.answered && Long.bitCount(seen.ended) == seen.sends) {
+    if (seen.responded && Long.bitCount(seen.ended) == seen.sends) {
       requests.remove(request);
     }
   }
--- a/src/main/java/slateslip/loadbalancer/WarmServiceRates.java
+++ b/src/main/java/slateslip/loadbalancer/WarmServiceRates.java
@@ -5,22 +5,22 @@
 /** What a warm server of each zone answers. It measures; others decide. */
 final class WarmServiceRates {
   /** What all agents together take a warm server to answer a second while nothing is known. */
-  private static final double COLD_RATE_BLIND = 5;
+  private static final double UNKNOWN_RATE = 5;
 
   private final LoadBalancerContext agent;
-  private double[] rates;
-  private long[] reckonedAt;
+  private double[] ratePerZone;
+  private long[] updatedAt;
 
   WarmServiceRates(LoadBalancerContext agent) {
     this.agent = agent;
-    this.rates = blind();
-    this.reckonedAt = new long[rates.length];
+    this.ratePerZone = initialRates();
+    this.updatedAt = new long[ratePerZone.length];
   }
 
-  private double[] blind() {
-    double[] blind = new double[agent.settings.zones()];
-    Arrays.fill(blind, COLD_RATE_BLIND / agent.settings.agents());
-    return blind;
+  private double[] initialRates() {
+    double[] initialRates = new double[agent.settings.zones()];
+    Arrays.fill(initialRates, UNKNOWN_RATE / agent.settings.agents());
+    return initialRates;
   }
 
   /**
@@ -28,42 +28,45 @@
    * use only, light agents in hundreds each take the rate of the one server they just met for that
    * of all.
    */
-  double of(int zone, long now) {
-    if (reckonedAt[zone] != now) {
-      reckonedAt[zone] = now;
+  double rate(int zone, long now) {
+    if (updatedAt[zone] != now) {
+      updatedAt[zone] = now;
       double sum = 0;
-      int n = 0;
+      int warmServers = 0;
       for (Endpoint target : agent.listed) {
-        boolean warm = target.listed.zone() == zone && target.ready && !target.cold(now);
-        sum += warm ? LatencyTracker.rate(target, now) : 0;
-        n += warm ? 1 : 0;
+        boolean warm = target.listing.zone() == zone && target.ready && !target.isWarmingUp(now);
+        sum += warm ? LatencyTracker.responseRate(target, now) : 0;
+        warmServers += warm ? 1 : 0;
       }
-      rates[zone] = sum == 0 ? rates[zone] : sum / n; // without a warm one the last known holds
+      ratePerZone[zone] =
+          sum == 0
+              ? ratePerZone[zone]
+              : sum / warmServers; // without a warm one the last known holds
     }
-    return rates[zone];
+    return ratePerZone[zone];
   }
 
   /** Reckons all as long as there are warm servers: they may leave with the next list. */
-  void reckon(long now) {
-    for (int zone = 0; zone < rates.length; zone++) {
-      of(zone, now);
+  void updateAll(long now) {
+    for (int zone = 0; zone < ratePerZone.length; zone++) {
+      rate(zone, now);
     }
   }
 
   /** Whether it knows another number of zones than the settings. */
   boolean zonesDiffer() {
-    return rates.length != agent.settings.zones();
+    return ratePerZone.length != agent.settings.zones();
   }
 
   /** Zones go by their new positions. */
-  void moveZones(SettingsReload next) {
-    double[] moved = blind();
-    for (int zone = 0; zone < rates.length; zone++) {
+  void remapZones(SettingsReload next) {
+    double[] moved = initialRates();
+    for (int zone = 0; zone < ratePerZone.length; zone++) {
       if (next.zones().get(zone) >= 0) {
-        moved[next.zones().get(zone)] = rates[zone];
+        moved[next.zones().get(zone)] = ratePerZone[zone];
       }
     }
-    rates = moved;
-    reckonedAt = new long[moved.length];
+    ratePerZone = moved;
+    updatedAt = new long[moved.length];
   }
 }
