--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -66,7 +66,7 @@
   private static final long CLOSING_MS = 300;
 
   /** However long the deadlines are, connections begin to end after this. */
-  private static final long SERVE_ON_MOST_MS = 2_000;
+  private static final long MAX_SERVE_ON_MS = 2_000;
 
   /** How long the first list is waited for before the known one has to do. */
   private static final long FIRST_LIST_MS = 1_000;
@@ -80,8 +80,8 @@
   private final BackendConnections backends;
   private final Discovery discovery;
   private final ClientServer clients;
-  private final RequestStatistics tally = new RequestStatistics();
-  private final Map<Long, Pending> open = new HashMap<>();
+  private final RequestStatistics statistics = new RequestStatistics();
+  private final Map<Long, Pending> pendingById = new HashMap<>();
   private final Map<Exchange, Pending> byExchange = new HashMap<>();
 
   /** The same by the ids that clients gave. */
@@ -106,9 +106,9 @@
 
   private final AtomicBoolean stopping = new AtomicBoolean();
   private long nextId = 1;
-  private boolean watchWanted;
+  private boolean watchRequested;
   private boolean deciding;
-  private boolean ending;
+  private boolean closing;
 
   /**
    * Whether a list has come, or has been waited for long enough; and whether the path has been run.
@@ -128,8 +128,8 @@
     final Exchange exchange;
     final long cameAt;
     final List<BackendConnections.Attempt> attempts = new ArrayList<>(1);
-    int out;
-    boolean answered;
+    int attemptsInFlight;
+    boolean completed;
     Future<?> guard;
 
     Pending(long id, IncomingRequest request, Exchange exchange, long cameAt) {
@@ -143,26 +143,26 @@
   private Agent(Path path, AgentConfig config, Function<Agent, LoadBalancer> module)
       throws IOException {
     this.config = config;
-    this.file = new ConfigFileWatcher(path, config.live() != null, this::found);
+    this.file = new ConfigFileWatcher(path, config.live() != null, this::configRead);
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
-    backends = new BackendConnections(loop, config, connectionsMost(config), tally);
+    backends = new BackendConnections(loop, config, maxConnections(config), statistics);
     discovery =
         new Discovery(
             loop,
             config,
             new Discovery.Listener() {
               @Override
-              public void list(
+              public void updateServers(
                   LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
                 listed = true;
-                Agent.this.list(kind, endpoints);
+                Agent.this.updateServers(kind, endpoints);
               }
 
               @Override
               public void failed(String why) {
                 log("discovery: " + why);
-                if (Agent.this.config.settings().askDiscovery()) {
+                if (Agent.this.config.settings().pollDiscovery()) {
                   event(
                       () ->
                           Agent.this.balancer.servers(
@@ -171,7 +171,7 @@
               }
             });
     known = known(config);
-    if (config.settings().askDiscovery()) {
+    if (config.settings().pollDiscovery()) {
       discovery.holds(known);
     }
     // After discovery, which the module may ask at once; and on the loop, where a timer that it
@@ -192,16 +192,11 @@
         };
     clients =
         new ClientServer(
-            loop,
-            config,
-            connectionsMost(config),
-            () -> listed && warm,
-            listener,
-            System::nanoTime);
+            loop, config, maxConnections(config), () -> listed && warm, listener, System::nanoTime);
   }
 
   /** Connections on either side. */
-  private static int connectionsMost(AgentConfig config) {
+  private static int maxConnections(AgentConfig config) {
     return (config.sockets() - SOCKETS_RESERVED) / 2;
   }
 
@@ -265,36 +260,36 @@
     apply(
         config
             .withoutKnown()); // before the module makes its own of it: both at once may be too much
-    List<Discovery.ListedEndpoint> held = known.endpoints();
+    List<Discovery.ListedEndpoint> cached = known.endpoints();
     known = null;
-    list(LoadBalancer.ListKind.CACHED, held);
-    watchWanted |= !config.settings().askDiscovery();
-    watchOnceBegun();
+    updateServers(LoadBalancer.ListKind.CACHED, cached);
+    watchRequested |= !config.settings().pollDiscovery();
+    watchWhenStarted();
     loop.schedule(() -> listed = true, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
     CodeWarmup.run(
         loop,
         config,
         backends,
         clients,
-        answered -> {
-          tally.take(0, 0); // its own requests are nobody's
+        completed -> {
+          statistics.take(0, 0); // its own requests are nobody's
           loop.scheduleAtFixedRate(
               this::tell,
               RequestStatistics.PERIOD_SECONDS,
               RequestStatistics.PERIOD_SECONDS,
               TimeUnit.SECONDS);
           warm = true;
-          warmedBy = answered;
+          warmedBy = completed;
           if (config.live() != null) {
             say(LiveSettings.started(config));
-            tally.settings(live.told(config));
-            file.lookEvery(config.live().checkMs());
+            statistics.settings(live.summary(config));
+            file.pollEvery(config.live().checkMs());
           }
         });
   }
 
   private void tell() {
-    tally.take(open.size(), backends.connections()).forEach(Agent::say);
+    statistics.take(pendingById.size(), backends.connections()).forEach(Agent::say);
   }
 
   /** Where it listens. */
@@ -314,11 +309,11 @@
   }
 
   /** The file has been read, on the thread that did so. */
-  private void found(ConfigFileWatcher.ReadResult found) {
+  private void configRead(ConfigFileWatcher.ReadResult configRead) {
     try {
-      loop.execute(() -> takeOver(found));
+      loop.execute(() -> reloadConfig(configRead));
     } catch (RejectedExecutionException e) {
-      if (found.asked()) {
+      if (configRead.requested()) {
         say("reload: not taken, the agent has ended"); // a signal may come at any time of the end
       }
     }
@@ -328,69 +323,71 @@
    * Discovery moves whatever the settings beside it are worth: an agent that loses discovery loses
    * its list, which is worse than late settings. These are taken whole or not at all.
    */
-  private void takeOver(ConfigFileWatcher.ReadResult found) {
-    if (found.discovery() != null) {
-      discovery.moveTo(found.discovery());
+  private void reloadConfig(ConfigFileWatcher.ReadResult configRead) {
+    if (configRead.discovery() != null) {
+      discovery.moveTo(configRead.discovery());
     }
     if (config.live() == null) {
-      if (found.unusable() != null) {
-        say("reload: the old settings stay: " + found.unusable());
+      if (configRead.unusable() != null) {
+        say("reload: the old settings stay: " + configRead.unusable());
       }
       return;
     }
     event(
         () -> {
-          if (live.wants(config, found)) {
-            takeSettings(found);
+          if (live.shouldApply(config, configRead)) {
+            applySettings(configRead);
           }
-          tally.settings(live.told(config));
+          statistics.settings(live.summary(config));
         });
   }
 
   /**
    * Everything here and the module go by the new settings from the same moment, between two events.
    */
-  private void takeSettings(ConfigFileWatcher.ReadResult found) {
+  private void applySettings(ConfigFileWatcher.ReadResult configRead) {
     long from = System.nanoTime();
     AgentConfig before = config;
-    AgentConfig next = found.config();
-    SettingsReload takeover;
+    AgentConfig next = configRead.config();
+    SettingsReload reload;
     try {
       if (stopping.get()) {
         throw new IllegalArgumentException("the agent ends");
       }
-      takeover =
-          LiveSettings.takeover(
+      reload =
+          LiveSettings.reload(
               before,
               next,
               zone ->
                   servers.values().stream()
                       .anyMatch(each -> each.server().zone() == before.zones().indexOf(zone)));
       apply(next);
-      balancer.settings(now(), takeover);
+      balancer.settings(now(), reload);
     } catch (RuntimeException e) {
       apply(before);
       live.refuse(
-          before, found, e instanceof IllegalArgumentException ? e.getMessage() : e.toString());
+          before,
+          configRead,
+          e instanceof IllegalArgumentException ? e.getMessage() : e.toString());
       return;
     }
-    if (takeover.movesServers()) {
+    if (reload.movesServers()) {
       servers.replaceAll(
           (id, each) ->
               new Discovery.ListedEndpoint(
-                  takeover.moved(each.server()), each.name(), each.address()));
+                  reload.remapped(each.server()), each.name(), each.address()));
     }
-    if (!next.settings().askDiscovery()) {
+    if (!next.settings().pollDiscovery()) {
       discovery.watch(); // the module does not ask for it any more
     }
-    file.lookEvery(next.live().checkMs());
-    live.took(before, found, (System.nanoTime() - from) / 1000);
+    file.pollEvery(next.live().checkMs());
+    live.applied(before, configRead, (System.nanoTime() - from) / 1000);
   }
 
   private void apply(AgentConfig next) {
     config = next;
-    backends.apply(next, connectionsMost(next));
-    clients.apply(next, connectionsMost(next));
+    backends.apply(next, maxConnections(next));
+    clients.apply(next, maxConnections(next));
     discovery.apply(next);
   }
 
@@ -410,25 +407,27 @@
         () -> {
           long longest =
               config.settings().classes().stream()
-                      .mapToLong(LoadBalancer.RequestClass::giveUp)
+                      .mapToLong(LoadBalancer.RequestClass::timeout)
                       .max()
                       .orElse(0)
                   / 1000;
           long last = Math.min(longest, KILL_DEADLINE_MS) + KILL_AFTER_MS - LAST_MS;
           say(
               "ending: "
-                  + open.size()
+                  + pendingById.size()
                   + " requests open, the last answers come after "
                   + last
                   + " ms");
-          clients.leave();
+          clients.startShutdown();
           loop.schedule(this::endIfUnused, LINGER_MS, TimeUnit.MILLISECONDS);
           loop.schedule(
-              this::end, Math.min(SERVE_ON_MOST_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
+              this::beginClosing,
+              Math.min(MAX_SERVE_ON_MS, last - CLOSING_MS),
+              TimeUnit.MILLISECONDS);
           loop.schedule(
               () ->
-                  List.copyOf(open.values())
-                      .forEach(each -> giveUp(each, HttpResponseStatus.GATEWAY_TIMEOUT)),
+                  List.copyOf(pendingById.values())
+                      .forEach(each -> timeOut(each, HttpResponseStatus.GATEWAY_TIMEOUT)),
               last,
               TimeUnit.MILLISECONDS);
         });
@@ -437,22 +436,22 @@
 
   private void endIfUnused() {
     if (clients.isEmpty()) {
-      end();
+      beginClosing();
     } else {
       loop.schedule(this::endIfUnused, 10, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void end() {
-    if (!ending) {
-      ending = true;
+  private void beginClosing() {
+    if (!closing) {
+      closing = true;
       clients.drain();
       loop.schedule(clients::stopListening, CLOSING_MS / 2, TimeUnit.MILLISECONDS);
-      draining();
+      awaitConnectionsClosed();
     }
   }
 
-  private void draining() {
+  private void awaitConnectionsClosed() {
     // Answers still being written hold their connections open.
     if (clients.isEmpty()) {
       clients.stopListening();
@@ -462,7 +461,7 @@
           .shutdownGracefully(50, 500, TimeUnit.MILLISECONDS)
           .addListener(done -> ended.countDown());
     } else {
-      loop.schedule(this::draining, 10, TimeUnit.MILLISECONDS);
+      loop.schedule(this::awaitConnectionsClosed, 10, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -476,7 +475,7 @@
   }
 
   /** How many servers something is kept for: what leaves the list must leave nothing behind. */
-  int kept() throws InterruptedException {
+  int trackedServers() throws InterruptedException {
     return loop.submit(() -> Math.max(servers.size(), backends.size())).sync().getNow();
   }
 
@@ -514,7 +513,7 @@
       StackTraceElement[] trace = e.getStackTrace();
       say("module: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
       if (pending != null) {
-        loop.execute(() -> giveUp(pending, HttpResponseStatus.INTERNAL_SERVER_ERROR));
+        loop.execute(() -> timeOut(pending, HttpResponseStatus.INTERNAL_SERVER_ERROR));
       }
     } finally {
       deciding = false;
@@ -525,25 +524,25 @@
    * Guards against a request that the module has lost by a fault of its own: it is still failed
    * once.
    */
-  private void giveUp(Pending pending, HttpResponseStatus status) {
-    if (!pending.answered) {
-      tally.givenUp();
+  private void timeOut(Pending pending, HttpResponseStatus status) {
+    if (!pending.completed) {
+      statistics.givenUp();
       answer(pending, status, 0);
       event(() -> balancer.clientLeft(now(), pending.id));
-      abandon(pending);
+      cancelAttempts(pending);
     }
   }
 
-  private void list(LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
+  private void updateServers(LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
     Set<Long> gone =
         new HashSet<>(kind == LoadBalancer.ListKind.DELTA ? Set.of() : servers.keySet());
     for (Discovery.ListedEndpoint endpoint : endpoints) {
       long id = endpoint.server().id();
       gone.remove(id);
       servers.put(id, endpoint);
-      backends.listed(endpoint);
+      backends.update(endpoint);
     }
-    gone.forEach(backends::gone);
+    gone.forEach(backends::remove);
     List<LoadBalancer.Server> entries =
         endpoints.stream().map(Discovery.ListedEndpoint::server).toList();
     event(() -> balancer.servers(now(), kind, entries));
@@ -564,20 +563,20 @@
     }
     long id = nextId++;
     Pending pending = new Pending(id, incoming, exchange, now());
-    open.put(id, pending);
+    pendingById.put(id, pending);
     byExchange.put(exchange, pending);
     byName.put(incoming.id(), pending);
     long left = Math.max(0, 1000 * incoming.timeoutMs() - MARGIN_MICROS);
     pending.guard =
         loop.schedule(
-            () -> giveUp(pending, HttpResponseStatus.GATEWAY_TIMEOUT),
+            () -> timeOut(pending, HttpResponseStatus.GATEWAY_TIMEOUT),
             left + GUARD_MICROS,
             TimeUnit.MICROSECONDS);
     long deadline = now() + left;
     event(
         pending,
         () -> {
-          IncomingRequest current = clients.current(incoming);
+          IncomingRequest current = clients.reparse(incoming);
           if (current == null) {
             answer(pending, HttpResponseStatus.BAD_REQUEST, 0);
             return;
@@ -599,15 +598,15 @@
 
   private void clientLeft(Exchange exchange) {
     Pending pending = byExchange.get(exchange);
-    if (pending != null && !pending.answered) {
-      answered(pending, RequestStatistics.Disposition.LEFT);
+    if (pending != null && !pending.completed) {
+      completed(pending, RequestStatistics.Disposition.LEFT);
       event(() -> balancer.clientLeft(now(), pending.id));
-      abandon(pending);
+      cancelAttempts(pending);
     }
   }
 
   /** Ends the attempts that outlive their client, where the module has left them. */
-  private void abandon(Pending pending) {
+  private void cancelAttempts(Pending pending) {
     pending.attempts.forEach(BackendConnections.Attempt::cancel);
   }
 
@@ -617,20 +616,20 @@
       long server,
       long sentAt,
       BackendConnections.AttemptResult result) {
-    pending.out--;
-    tally.ended(result.outcome());
-    boolean first = !pending.answered;
+    pending.attemptsInFlight--;
+    statistics.ended(result.outcome());
+    boolean first = !pending.completed;
     if (result.served() != null && first) {
       pending.exchange.answer(HttpResponseStatus.OK, result.served(), 0);
-      answered(pending, RequestStatistics.Disposition.SERVED);
+      completed(pending, RequestStatistics.Disposition.SERVED);
     }
     // Guards against asking every server what one has found to be no good, and against blaming it.
-    boolean bad = result.bad() != null;
+    boolean bad = result.rejection() != null;
     if (bad) {
-      answer(pending, result.bad(), 0);
+      answer(pending, result.rejection(), 0);
     }
     LoadBalancer.Outcome outcome = bad ? LoadBalancer.Outcome.CANCELLED : result.outcome();
-    forget(pending);
+    removeIfDone(pending);
     event(
         pending,
         () ->
@@ -641,42 +640,44 @@
                 server,
                 outcome,
                 now() - sentAt,
-                pending.answered,
+                pending.completed,
                 result.load()));
   }
 
   private void answer(Pending pending, HttpResponseStatus status, long retryAfter) {
-    if (!pending.answered) {
+    if (!pending.completed) {
       pending.exchange.answer(status, null, retryAfter);
       boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-      answered(
+      completed(
           pending,
           refused ? RequestStatistics.Disposition.REFUSED : RequestStatistics.Disposition.FAILED);
     }
   }
 
-  private void answered(Pending pending, RequestStatistics.Disposition how) {
-    pending.answered = true;
-    tally.answered(how, pending.attempts.size());
+  private void completed(Pending pending, RequestStatistics.Disposition how) {
+    pending.completed = true;
+    statistics.completed(how, pending.attempts.size());
     if (how != RequestStatistics.Disposition.SERVED
         && how != RequestStatistics.Disposition.LEFT
-        && tally.wantsUnserved()) {
-      tally.unserved(
+        && statistics.wantsUnserved()) {
+      statistics.unserved(
           pending.request.id(),
           pending.request.type(),
           RequestStatistics.word(how),
           now() - pending.cameAt,
           pending.request.timeoutMs(),
-          pending.attempts.stream().map(each -> name(each.server()) + " " + each.told()).toList());
+          pending.attempts.stream()
+              .map(each -> name(each.server()) + " " + each.describe())
+              .toList());
     }
     pending.guard.cancel(false);
     byExchange.remove(pending.exchange);
-    forget(pending);
+    removeIfDone(pending);
   }
 
-  private void forget(Pending pending) {
-    if (pending.answered && pending.out == 0) {
-      open.remove(pending.id);
+  private void removeIfDone(Pending pending) {
+    if (pending.completed && pending.attemptsInFlight == 0) {
+      pendingById.remove(pending.id);
       byName.remove(pending.request.id(), pending);
     }
   }
@@ -685,15 +686,15 @@
 
   @Override
   public void send(long request, long server, long timeout) {
-    Pending pending = open.get(request);
-    if (pending == null || pending.answered) {
+    Pending pending = pendingById.get(request);
+    if (pending == null || pending.completed) {
       return;
     }
     int attempt = pending.attempts.size();
     long sentAt = now();
-    pending.out++;
+    pending.attemptsInFlight++;
     if (attempt == 0) {
-      tally.waited(sentAt - pending.cameAt);
+      statistics.waited(sentAt - pending.cameAt);
     }
     pending.attempts.add(
         backends.send(
@@ -705,7 +706,7 @@
 
   @Override
   public void refuse(long request, long retryAfter) {
-    Pending pending = open.get(request);
+    Pending pending = pendingById.get(request);
     if (pending != null) {
       answer(
           pending,
@@ -716,7 +717,7 @@
 
   @Override
   public void fail(long request) {
-    Pending pending = open.get(request);
+    Pending pending = pendingById.get(request);
     if (pending != null) {
       answer(pending, HttpResponseStatus.BAD_GATEWAY, 0);
     }
@@ -724,7 +725,7 @@
 
   @Override
   public void cancel(long request, int attempt) {
-    Pending pending = open.get(request);
+    Pending pending = pendingById.get(request);
     if (pending != null && attempt < pending.attempts.size()) {
       pending.attempts.get(attempt).cancel();
     }
@@ -743,7 +744,7 @@
   }
 
   @Override
-  public void tell(int agent, byte[] message) {} // the module sends no messages
+  public void sendToPeers(int agent, byte[] message) {} // the module sends no messages
 
   @Override
   public void timer(long token, long delay) {
@@ -759,8 +760,8 @@
   public void watchServers() {
     loop.execute(
         () -> {
-          watchWanted = true;
-          watchOnceBegun();
+          watchRequested = true;
+          watchWhenStarted();
         });
   }
 
@@ -768,8 +769,8 @@
    * Guards against the known list coming after discovery's, where the module asks as soon as it is
    * made: it would take the newer one's place.
    */
-  private void watchOnceBegun() {
-    if (known == null && watchWanted) {
+  private void watchWhenStarted() {
+    if (known == null && watchRequested) {
       discovery.watch();
     }
   }
--- a/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
@@ -75,7 +75,7 @@
    * The file is looked at no more often than this: a look costs a call of the system, a change a
    * read.
    */
-  private static final long CHECK_MS_LEAST = 10;
+  private static final long MIN_CHECK_MS = 10;
 
   private static final int NESTING_MAX = 100;
   private static final JsonFactory JSON =
@@ -103,7 +103,7 @@
         address(text(root, "listen")),
         address(text(root, "discovery")),
         seed(text(root, "seed")),
-        (int) atLeast(64, need(root, "limits"), "sockets"),
+        (int) requireAtLeast(64, need(root, "limits"), "sockets"),
         root.path(KNOWN),
         SettingsParser.parse(pairs),
         names(settings.path("classes")),
@@ -112,8 +112,8 @@
         names(settings.path("kinds")),
         names(settings.path("load-info").path("fields")),
         settings.path("load-info").path("via").asText().equals("probe"),
-        atLeast(1000, need(settings, "caps"), "dial-timeout-us"),
-        atLeast(1000, need(settings, "caps"), "idle-close-us"),
+        requireAtLeast(1000, need(settings, "caps"), "dial-timeout-us"),
+        requireAtLeast(1000, need(settings, "caps"), "idle-close-us"),
         live(root));
   }
 
@@ -123,7 +123,7 @@
       return null;
     }
     long every = root.get(LIVE).has("check_ms") ? live(root, "check_ms") : 0;
-    if (every != 0 && every < CHECK_MS_LEAST) {
+    if (every != 0 && every < MIN_CHECK_MS) {
       throw badLive("check_ms", root.get(LIVE).get("check_ms"));
     }
     return new Live(version, every);
@@ -160,7 +160,7 @@
    * Whether the two say the same but for what matters at the start alone, and where discovery is.
    */
   boolean sameSettings(AgentConfig other) {
-    return settled().equals(other.settled());
+    return unchanging().equals(other.unchanging());
   }
 
   /**
@@ -186,7 +186,7 @@
         live);
   }
 
-  private AgentConfig settled() {
+  private AgentConfig unchanging() {
     return new AgentConfig(
         listen,
         null,
@@ -338,9 +338,9 @@
     return need(node, name).asText();
   }
 
-  private static long atLeast(long least, JsonNode node, String name) {
+  private static long requireAtLeast(long minimum, JsonNode node, String name) {
     JsonNode value = need(node, name);
-    if (!value.isNumber() || value.asLong() < least) {
+    if (!value.isNumber() || value.asLong() < minimum) {
       throw new IllegalArgumentException("config: " + name + " has an unusable value: " + value);
     }
     return value.asLong();
--- a/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
@@ -59,7 +59,7 @@
    * null.
    */
   record AttemptResult(
-      Outcome outcome, double[] load, ServedResponse served, HttpResponseStatus bad) {}
+      Outcome outcome, double[] load, ServedResponse served, HttpResponseStatus rejection) {}
 
   static final String REQUEST_TIMEOUT = "Request-Timeout-Ms";
   static final int BODY_MAX = 64 << 10;
@@ -74,7 +74,7 @@
   private static final double[] NO_LOAD = new double[0];
 
   /** The part of the servers' idle time after which a connection is not used again. */
-  private static final double IDLE_PART = 0.75;
+  private static final double IDLE_TIME_FRACTION = 0.75;
 
   private static final long SWEEP_SECONDS = 1;
 
@@ -83,10 +83,10 @@
    * behind the answer, which would be taken for the answer of the next request: it shows in that
    * time.
    */
-  private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+  private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   /** A connection that breaks so soon after a write was dead before it. */
-  private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+  private static final long IMMEDIATE_RESET_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private static final long PROBE_TIMEOUT_MICROS = 250_000;
 
@@ -94,7 +94,7 @@
    * After this part of the time that a connection may take it is late; another is dialled beside
    * it.
    */
-  private static final double LATE_PART = 0.125;
+  private static final double LATE_CONNECT_FRACTION = 0.125;
 
   /**
    * The names of the values as the answers' headers have them, where the settings say otherwise.
@@ -116,13 +116,13 @@
 
   private final EventLoop loop;
   private AgentConfig config;
-  private final RequestStatistics tally;
+  private final RequestStatistics statistics;
   private final Bootstrap bootstrap;
-  private final IdleConnectionTimeout keptAge;
-  private int connectionsMost;
+  private final IdleConnectionTimeout idleTimeout;
+  private int maxConnections;
 
   /** How long a connection may take, ms. */
-  private int connectMost;
+  private int connectTimeoutMillis;
 
   private final Map<Long, Pool> pools = new HashMap<>();
   private int connections;
@@ -133,7 +133,7 @@
    */
   private static final class Pool {
     final InetSocketAddress address;
-    final long restNanos;
+    final long reuseDelayNanos;
 
     /** Most recently used first: what is not needed grows old and is closed. */
     final Deque<Connection> idle = new ArrayDeque<>();
@@ -141,9 +141,9 @@
     final Set<Attempt> connecting = new HashSet<>();
     boolean retired;
 
-    Pool(InetSocketAddress address, long restNanos) {
+    Pool(InetSocketAddress address, long reuseDelayNanos) {
       this.address = address;
-      this.restNanos = restNanos;
+      this.reuseDelayNanos = reuseDelayNanos;
     }
 
     void closeIdle() {
@@ -154,30 +154,30 @@
   }
 
   BackendConnections(
-      EventLoop loop, AgentConfig config, int connectionsMost, RequestStatistics tally) {
-    this(loop, config, connectionsMost, tally, InspectableSocketChannel::new);
+      EventLoop loop, AgentConfig config, int maxConnections, RequestStatistics statistics) {
+    this(loop, config, maxConnections, statistics, InspectableSocketChannel::new);
   }
 
   /** With sockets that come from elsewhere than the usual ones. */
   BackendConnections(
       EventLoop loop,
       AgentConfig config,
-      int connectionsMost,
-      RequestStatistics tally,
+      int maxConnections,
+      RequestStatistics statistics,
       ChannelFactory<InspectableSocketChannel> sockets) {
     this.loop = loop;
-    this.tally = tally;
+    this.statistics = statistics;
     this.config = config;
-    this.connectionsMost = connectionsMost;
-    this.connectMost = connectMs(config);
-    this.keptAge = new IdleConnectionTimeout(idleNanos(config), System.nanoTime());
+    this.maxConnections = maxConnections;
+    this.connectTimeoutMillis = connectMs(config);
+    this.idleTimeout = new IdleConnectionTimeout(idleNanos(config), System.nanoTime());
     this.bootstrap =
         new Bootstrap().group(loop).channelFactory(sockets).option(ChannelOption.TCP_NODELAY, true);
-    loop.scheduleWithFixedDelay(this::closeOld, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
+    loop.scheduleWithFixedDelay(this::closeExpired, SWEEP_SECONDS, SWEEP_SECONDS, TimeUnit.SECONDS);
   }
 
   private static long idleNanos(AgentConfig config) {
-    return (long) (1000 * IDLE_PART * config.idleCloseMicros());
+    return (long) (1000 * IDLE_TIME_FRACTION * config.idleCloseMicros());
   }
 
   private static int connectMs(AgentConfig config) {
@@ -187,20 +187,20 @@
   /** Goes by another configuration from now on; what is out goes on as it began. */
   void apply(AgentConfig next, int connections) {
     config = next;
-    connectionsMost = connections;
-    keptAge.limitTo(idleNanos(next));
-    connectMost = connectMs(next);
+    maxConnections = connections;
+    idleTimeout.limitTo(idleNanos(next));
+    connectTimeoutMillis = connectMs(next);
   }
 
   /** Applies a line of the server list. */
-  void listed(Discovery.ListedEndpoint endpoint) {
+  void update(Discovery.ListedEndpoint endpoint) {
     long id = endpoint.server().id();
     Pool pool = pools.get(id);
     if (endpoint.server().phase() != LoadBalancer.Phase.READY) {
-      gone(id);
+      remove(id);
     } else if (pool == null || !pool.address.equals(endpoint.address())) {
-      gone(id); // Guards against using what leads to the address that it had before.
-      pools.put(id, new Pool(endpoint.address(), REST_NANOS));
+      remove(id); // Guards against using what leads to the address that it had before.
+      pools.put(id, new Pool(endpoint.address(), REUSE_DELAY_NANOS));
     }
   }
 
@@ -208,7 +208,7 @@
    * The agent itself as a server: nothing but its answers comes from it, so connections need no
    * rest.
    */
-  void self(long id, InetSocketAddress address) {
+  void addSelf(long id, InetSocketAddress address) {
     pools.put(id, new Pool(address, 0));
   }
 
@@ -217,7 +217,7 @@
    * Guards against a request that is written when its connection comes up only after the drain was
    * told, and against memory and connections kept for servers that will never come back.
    */
-  void gone(long server) {
+  void remove(long server) {
     Pool pool = pools.remove(server);
     if (pool != null) {
       pool.retired = true;
@@ -243,10 +243,10 @@
     return pools.size();
   }
 
-  private void closeOld() {
-    keptAge.fade(System.nanoTime());
+  private void closeExpired() {
+    idleTimeout.decay(System.nanoTime());
     for (Pool pool : pools.values()) {
-      while (!pool.idle.isEmpty() && pool.idle.peekLast().old()) {
+      while (!pool.idle.isEmpty() && pool.idle.peekLast().isTooOld()) {
         pool.idle.pollLast().channel.close();
       }
     }
@@ -255,8 +255,8 @@
   /**
    * Makes room under the limit on sockets by closing the connection that has been idle for longest.
    */
-  private boolean roomForOne() {
-    if (connections < connectionsMost) {
+  private boolean makeRoomForConnection() {
+    if (connections < maxConnections) {
       return true;
     }
     Connection oldest = null;
@@ -270,15 +270,15 @@
       return false;
     }
     oldest.channel.close();
-    return connections < connectionsMost;
+    return connections < maxConnections;
   }
 
   /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
-  private Connection rested(Pool pool) {
+  private Connection takeReusable(Pool pool) {
     for (Connection each : List.copyOf(pool.idle)) {
-      if (System.nanoTime() - each.idleSince >= pool.restNanos) {
+      if (System.nanoTime() - each.idleSince >= pool.reuseDelayNanos) {
         pool.idle.remove(each);
-        if (!each.old() && each.channel.silent()) {
+        if (!each.isTooOld() && each.channel.isIdle()) {
           return each;
         }
         each.channel.close();
@@ -289,21 +289,21 @@
 
   /** Sends a request; a time-out of 0 is none. The result comes later, exactly once. */
   Attempt send(
-      long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> then) {
-    Attempt attempt = new Attempt(server, request, timeoutMicros, then);
+      long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> onResult) {
+    Attempt attempt = new Attempt(server, request, timeoutMicros, onResult);
     attempt.start();
     return attempt;
   }
 
   /** Asks a server for its health. */
-  void probe(long server, Consumer<AttemptResult> then) {
+  void probe(long server, Consumer<AttemptResult> onResult) {
     OutgoingRequest request =
         new OutgoingRequest(
             HttpMethod.GET,
             config.loadByProbe() ? "/load" : "/healthz",
             new DefaultHttpHeaders(),
             NO_BODY);
-    new Attempt(server, request, PROBE_TIMEOUT_MICROS, then).start();
+    new Attempt(server, request, PROBE_TIMEOUT_MICROS, onResult).start();
   }
 
   /** One request on its way to a server, or a probe. */
@@ -311,9 +311,9 @@
     private final long server;
     private final long startedAt = System.nanoTime();
     private final OutgoingRequest request;
-    private final Consumer<AttemptResult> then;
+    private final Consumer<AttemptResult> onResult;
     private final long endAt;
-    private final boolean limited;
+    private final boolean hasTimeout;
     private final Future<?> timer;
     private Pool pool;
     private Connection connection;
@@ -335,14 +335,17 @@
     private long endedAt;
 
     private Attempt(
-        long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> then) {
+        long server,
+        OutgoingRequest request,
+        long timeoutMicros,
+        Consumer<AttemptResult> onResult) {
       this.server = server;
       this.request = request;
-      this.then = then;
-      this.limited = timeoutMicros > 0;
+      this.onResult = onResult;
+      this.hasTimeout = timeoutMicros > 0;
       this.endAt = System.nanoTime() + 1000 * timeoutMicros;
       this.timer =
-          limited
+          hasTimeout
               ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS)
               : null;
     }
@@ -352,7 +355,7 @@
     }
 
     /** What became of it, in words for the log. */
-    String told() {
+    String describe() {
       long nanos = (ended ? endedAt : System.nanoTime()) - startedAt;
       String dialled = dials == 0 ? "" : dials == 1 ? " dialled" : " dialled twice";
       return (outcome == null ? "out" : RequestStatistics.word(outcome))
@@ -369,11 +372,11 @@
         end(Outcome.NEVER_SENT);
         return;
       }
-      Connection idle = rested(pool);
+      Connection idle = takeReusable(pool);
       if (idle != null) {
         idledNanos = startedAt - idle.idleSince;
         write(idle);
-      } else if (roomForOne()) {
+      } else if (makeRoomForConnection()) {
         connect();
       } else {
         end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
@@ -382,11 +385,11 @@
 
     private void connect() {
       pool.connecting.add(this);
-      int most = connectMost;
-      dial(most);
-      int late = (int) (LATE_PART * most);
+      int timeoutMillis = connectTimeoutMillis;
+      dial(timeoutMillis);
+      int late = (int) (LATE_CONNECT_FRACTION * timeoutMillis);
       if (!ended && late > 0) {
-        loop.schedule(() -> dialAgain(most - late), late, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> dialSecond(timeoutMillis - late), late, TimeUnit.MILLISECONDS);
       }
     }
 
@@ -395,20 +398,20 @@
      * request most of its time. Both dials together take no longer than one may, for a repeat's
      * window depends on that.
      */
-    private void dialAgain(int mostMs) {
-      if (!ended && connection == null && roomForOne()) {
-        tally.dialledAgain();
-        dial(mostMs);
+    private void dialSecond(int timeoutMillis) {
+      if (!ended && connection == null && makeRoomForConnection()) {
+        statistics.connectionsDialledAgain();
+        dial(timeoutMillis);
       }
     }
 
-    private void dial(int mostMs) {
+    private void dial(int timeoutMillis) {
       Connection fresh = new Connection(pool);
       ChannelFuture connecting =
           bootstrap
               .clone()
               .handler(fresh)
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, mostMs)
+              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
               .connect(pool.address);
       if (InspectableSocketChannel.noSocket(connecting)) {
         endIfNoneComesUp(Outcome.NEVER_SENT);
@@ -416,7 +419,7 @@
       }
       connections++;
       dials++;
-      tally.dialled();
+      statistics.connectionsDialled();
       Channel dialled = connecting.channel();
       dialling.add(dialled);
       dialled.closeFuture().addListener(closed -> connections--);
@@ -464,7 +467,7 @@
       if (!request.method.equals(HttpMethod.GET)) {
         headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body.length);
       }
-      if (limited) {
+      if (hasTimeout) {
         headers.set(REQUEST_TIMEOUT, Math.max(1, (endAt - System.nanoTime()) / 1_000_000));
       }
       to.channel
@@ -500,12 +503,12 @@
       ended = true;
       outcome = result.outcome();
       endedAt = System.nanoTime();
-      boolean atOnce = outcome == Outcome.RESET && endedAt - startedAt < AT_ONCE_NANOS;
+      boolean atOnce = outcome == Outcome.RESET && endedAt - startedAt < IMMEDIATE_RESET_NANOS;
       if (outcome == Outcome.RESET) {
-        tally.broke(idledNanos >= 0, atOnce);
+        statistics.connectionReset(idledNanos >= 0, atOnce);
       }
       if (idledNanos >= 0) {
-        keptAge.used(idledNanos, atOnce, endedAt);
+        idleTimeout.recordUse(idledNanos, atOnce, endedAt);
       }
       if (timer != null) {
         timer.cancel(false);
@@ -522,7 +525,7 @@
         }
       }
       AgentConfig under = config;
-      loop.execute(() -> then.accept(reported(result, under)));
+      loop.execute(() -> onResult.accept(reported(result, under)));
     }
   }
 
@@ -531,7 +534,7 @@
   private AttemptResult reported(AttemptResult result, AgentConfig under) {
     return under == config
         ? result
-        : new AttemptResult(result.outcome(), NO_LOAD, result.served(), result.bad());
+        : new AttemptResult(result.outcome(), NO_LOAD, result.served(), result.rejection());
   }
 
   /** One connection to a server. */
@@ -548,8 +551,8 @@
       this.pool = pool;
     }
 
-    boolean old() {
-      return System.nanoTime() - idleSince >= keptAge.limitNanos();
+    boolean isTooOld() {
+      return System.nanoTime() - idleSince >= idleTimeout.limitNanos();
     }
 
     @Override
@@ -587,13 +590,13 @@
       }
       String spoilt = spoilt(attempt, part);
       if (spoilt != null) {
-        tally.spoilt(spoilt);
+        statistics.malformed(spoilt);
         attempt.broken(); // nothing of it is served, and it may have run
       } else if (part instanceof LastHttpContent) {
-        HttpResponse whole = head;
+        HttpResponse complete = head;
         head = null;
-        if (whole.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-          finish(attempt, whole);
+        if (complete.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
+          finish(attempt, complete);
         }
       }
     }
@@ -637,11 +640,11 @@
       return true;
     }
 
-    private void finish(Attempt attempt, HttpResponse whole) {
+    private void finish(Attempt attempt, HttpResponse complete) {
       byte[] bytes = ByteBufUtil.getBytes(body);
       body.clear().capacity(0);
-      HttpHeaders headers = whole.headers();
-      int status = whole.status().code();
+      HttpHeaders headers = complete.headers();
+      int status = complete.status().code();
       boolean turnedAway =
           (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
       Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
@@ -652,15 +655,15 @@
                   bytes,
                   headers.get(HttpHeaderNames.CONTENT_TYPE),
                   headers.get(HttpHeaderNames.CONTENT_ENCODING));
-      HttpResponseStatus bad =
-          whole.status().codeClass() == HttpStatusClass.CLIENT_ERROR
+      HttpResponseStatus rejection =
+          complete.status().codeClass() == HttpStatusClass.CLIENT_ERROR
                   && !MAY_SUCCEED_LATER.contains(status)
-              ? whole.status()
+              ? complete.status()
               : null;
       boolean ends = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
       attempt.end(
-          new AttemptResult(outcome, load(attempt, headers, bytes), served, bad),
-          ends && HttpUtil.isKeepAlive(whole) && !decoder.leftover());
+          new AttemptResult(outcome, load(attempt, headers, bytes), served, rejection),
+          ends && HttpUtil.isKeepAlive(complete) && !decoder.leftover());
     }
 
     @Override
--- a/src/main/java/slateslip/loadbalancer/net/ClientServer.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientServer.java
@@ -66,7 +66,7 @@
    * hint are 0 if not given.
    */
   record IncomingRequest(
-      AgentConfig under,
+      AgentConfig config,
       String id,
       int requestClass,
       int tenant,
@@ -77,7 +77,7 @@
       OutgoingRequest forward) {
     IncomingRequest with(byte[] body) {
       return new IncomingRequest(
-          under,
+          config,
           id,
           requestClass,
           tenant,
@@ -90,7 +90,7 @@
 
     /** The name of its class. */
     String type() {
-      return under.classes().get(requestClass);
+      return config.classes().get(requestClass);
     }
   }
 
@@ -115,7 +115,7 @@
           HttpHeaderNames.CONTENT_LENGTH);
 
   /** What a request says once at the most; of two, a server might believe the other. */
-  private static final List<String> ONCE =
+  private static final List<String> SINGLE_VALUED =
       List.of(
           "Host",
           "Request-Id",
@@ -137,86 +137,86 @@
    * went, for its close lies behind what it asked; and against heads by the thousand that take the
    * memory.
    */
-  private static final int AHEAD_LEAST = 4;
+  private static final int MIN_PIPELINED = 4;
 
-  private static final int AHEAD_ALL = 512;
-  private static final int AHEAD_MOST = 64;
+  private static final int MAX_PIPELINED_TOTAL = 512;
+  private static final int MAX_PIPELINED = 64;
 
   /** Reads of one connection in a row. */
-  private static final int READS_MOST = 16;
+  private static final int MAX_READS = 16;
 
   /**
    * Such rows passed over behind what was no request, while an answer is owed for what came before.
    * Guards against a flood that is read for nothing.
    */
-  private static final int PASSED_OVER_MOST = 16;
+  private static final int MAX_SKIPPED_READS = 16;
 
   /**
    * How long a connection may take until its first request is whole, or over sending a later one.
    */
-  private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** How long one that has had an answer is kept while there is room, and while there is little. */
-  private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private static final long KEPT_LEAST_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long MIN_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** How long a new connection may say nothing at the least: its first request is on the way. */
-  private static final long SILENT_LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long MIN_FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /** How long one that ends may take until its last answer is written, and then over reading it. */
-  private static final long FINISH_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long RESPONSE_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-  private static final int LINGER_MOST = 16;
+  private static final int MAX_LINGERING = 16;
 
   /**
    * From this part of the room on those kept are closed sooner, and each answer is a connection's
    * last.
    */
-  private static final double PRESSED = 0.6;
+  private static final double PRESSURE_FRACTION = 0.6;
 
   private static final long SWEEP_MS = 100;
 
   /** The part of the heap that bodies of requests may take. */
-  private static final int BODIES_PART = 6;
+  private static final int BODY_HEAP_DIVISOR = 6;
 
   private AgentConfig config;
   private final Listener listener;
   private final BooleanSupplier ready;
   private final LongSupplier nanoClock;
-  private int connectionsMost;
+  private int maxConnections;
   private final Channel server;
   private final Set<Connection> connections = new LinkedHashSet<>();
 
   /** Of these, the longest there first: nothing said yet. */
-  private final Set<Connection> silent = new LinkedHashSet<>();
+  private final Set<Connection> awaitingFirstRequest = new LinkedHashSet<>();
 
   /** Half a request sent. */
-  private final Set<Connection> begun = new LinkedHashSet<>();
+  private final Set<Connection> readingRequest = new LinkedHashSet<>();
 
   /** Kept after an answer. */
-  private final Set<Connection> kept = new LinkedHashSet<>();
+  private final Set<Connection> idle = new LinkedHashSet<>();
 
   /** Its last answer is being written. */
-  private final Set<Connection> finishing = new LinkedHashSet<>();
+  private final Set<Connection> writingLastResponse = new LinkedHashSet<>();
 
   /** Its last answer is being read. */
-  private final Set<Connection> ending = new LinkedHashSet<>();
+  private final Set<Connection> lingering = new LinkedHashSet<>();
 
-  private long bodies;
+  private long bufferedBodyBytes;
 
   /** Requests read ahead on all connections. */
-  private int readAhead;
+  private int pipelinedRequests;
 
-  private boolean leaving;
+  private boolean shuttingDown;
   private boolean draining;
 
   /** Listens; fails with an exception if it cannot. Called from outside the loop. */
   ClientServer(
       EventLoop loop,
       AgentConfig config,
-      int connectionsMost,
+      int maxConnections,
       BooleanSupplier ready,
       Listener listener,
       LongSupplier nanoClock)
@@ -225,8 +225,8 @@
     this.config = config;
     this.listener = listener;
     this.ready = ready;
-    this.connectionsMost = connectionsMost;
-    ChannelFuture bound =
+    this.maxConnections = maxConnections;
+    ChannelFuture bindFuture =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -238,7 +238,7 @@
                 ChannelOption.RECVBUF_ALLOCATOR,
                 new AdaptiveRecvByteBufAllocator()
                     .respectMaybeMoreData(false)
-                    .maxMessagesPerRead(READS_MOST))
+                    .maxMessagesPerRead(MAX_READS))
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
@@ -250,11 +250,11 @@
                 })
             .bind(config.listen())
             .awaitUninterruptibly();
-    if (!bound.isSuccess()) {
+    if (!bindFuture.isSuccess()) {
       throw new IOException(
-          "cannot listen on " + config.listen() + ": " + bound.cause().getMessage());
+          "cannot listen on " + config.listen() + ": " + bindFuture.cause().getMessage());
     }
-    this.server = bound.channel();
+    this.server = bindFuture.channel();
     loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
   }
 
@@ -263,10 +263,10 @@
   }
 
   /** Goes by another configuration from now on. */
-  void apply(AgentConfig next, int most) {
+  void apply(AgentConfig next, int max) {
     config = next;
-    connectionsMost = most;
-    makeRoom();
+    maxConnections = max;
+    enforceConnectionLimit();
   }
 
   /**
@@ -277,8 +277,8 @@
    * @return null if it is no request any more, as with a class that has been removed
    */
   @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
-  IncomingRequest current(IncomingRequest request) {
-    if (request.under() == config) {
+  IncomingRequest reparse(IncomingRequest request) {
+    if (request.config() == config) {
       return request;
     }
     OutgoingRequest forward = request.forward();
@@ -290,8 +290,8 @@
   }
 
   /** From now on it says that it is not ready; all else goes on. */
-  void leave() {
-    leaving = true;
+  void startShutdown() {
+    shuttingDown = true;
   }
 
   /**
@@ -300,8 +300,8 @@
    */
   void drain() {
     draining = true;
-    expired(silent, SILENT_LEAST_NANOS).forEach(Connection::close);
-    List.copyOf(kept).forEach(Connection::close);
+    olderThan(awaitingFirstRequest, MIN_FIRST_REQUEST_NANOS).forEach(Connection::close);
+    List.copyOf(idle).forEach(Connection::close);
   }
 
   /**
@@ -314,10 +314,10 @@
         .eventLoop()
         .schedule(
             () -> {
-              List.copyOf(silent).forEach(Connection::close);
-              List.copyOf(begun).forEach(Connection::close);
+              List.copyOf(awaitingFirstRequest).forEach(Connection::close);
+              List.copyOf(readingRequest).forEach(Connection::close);
             },
-            SILENT_LEAST_NANOS,
+            MIN_FIRST_REQUEST_NANOS,
             TimeUnit.NANOSECONDS);
   }
 
@@ -337,51 +337,53 @@
    * they make room, the longest silent first. While none can go none is accepted: one in use must
    * not be closed unannounced, for its next request may be on the way.
    */
-  private void makeRoom() {
+  private void enforceConnectionLimit() {
     long now = nanoClock.getAsLong();
-    while (connections.size() - ending.size() - finishing.size() >= connectionsMost) {
-      Connection first = older(silent, now - SILENT_LEAST_NANOS);
-      first = first == null ? older(kept, now - KEPT_LEAST_NANOS) : first;
+    while (connections.size() - lingering.size() - writingLastResponse.size() >= maxConnections) {
+      Connection first = oldestSince(awaitingFirstRequest, now - MIN_FIRST_REQUEST_NANOS);
+      first = first == null ? oldestSince(idle, now - MIN_IDLE_TIMEOUT_NANOS) : first;
       if (first == null) {
         break;
       }
       first.close();
     }
-    server.config().setAutoRead(connections.size() < connectionsMost);
+    server.config().setAutoRead(connections.size() < maxConnections);
   }
 
   /** The first of them if it has been there since then. */
-  private static Connection older(Set<Connection> some, long since) {
+  private static Connection oldestSince(Set<Connection> some, long phaseSinceNanos) {
     Connection first = some.isEmpty() ? null : some.iterator().next();
-    return first != null && first.since - since <= 0 ? first : null;
+    return first != null && first.phaseSinceNanos - phaseSinceNanos <= 0 ? first : null;
   }
 
   /** Ends what takes too long. Guards against descriptors and memory held for nobody. */
   private void sweep() {
-    expired(silent, PATIENCE_NANOS).forEach(Connection::close);
-    expired(kept, pressed() ? KEPT_LEAST_NANOS : KEPT_NANOS).forEach(Connection::close);
-    for (Connection each : expired(begun, PATIENCE_NANOS)) {
-      each.wrong(HttpResponseStatus.REQUEST_TIMEOUT);
-      if (each.at == begun) {
+    olderThan(awaitingFirstRequest, REQUEST_TIMEOUT_NANOS).forEach(Connection::close);
+    olderThan(idle, underPressure() ? MIN_IDLE_TIMEOUT_NANOS : IDLE_TIMEOUT_NANOS)
+        .forEach(Connection::close);
+    for (Connection each : olderThan(readingRequest, REQUEST_TIMEOUT_NANOS)) {
+      each.reject(HttpResponseStatus.REQUEST_TIMEOUT);
+      if (each.phaseSet == readingRequest) {
         each.channel.close(); // it does not read either
       }
     }
-    expired(finishing, FINISH_NANOS).forEach(each -> each.channel.close());
-    expired(ending, LINGER_NANOS).forEach(each -> each.channel.close());
-    makeRoom();
+    olderThan(writingLastResponse, RESPONSE_WRITE_TIMEOUT_NANOS)
+        .forEach(each -> each.channel.close());
+    olderThan(lingering, LINGER_NANOS).forEach(each -> each.channel.close());
+    enforceConnectionLimit();
   }
 
   /**
    * Whether room gets scarce: clients that keep their connections without need then have to dial
    * again.
    */
-  private boolean pressed() {
-    return connections.size() >= PRESSED * connectionsMost;
+  private boolean underPressure() {
+    return connections.size() >= PRESSURE_FRACTION * maxConnections;
   }
 
-  private List<Connection> expired(Set<Connection> some, long nanos) {
-    long since = nanoClock.getAsLong() - nanos;
-    return some.stream().filter(each -> each.since - since <= 0).toList();
+  private List<Connection> olderThan(Set<Connection> some, long nanos) {
+    long phaseSinceNanos = nanoClock.getAsLong() - nanos;
+    return some.stream().filter(each -> each.phaseSinceNanos - phaseSinceNanos <= 0).toList();
   }
 
   /** One request and the answer it is owed. */
@@ -389,7 +391,7 @@
     private final Connection connection;
     private final boolean keepAlive;
     private final int bytes;
-    private boolean answered;
+    private boolean responded;
 
     private Exchange(Connection connection, boolean keepAlive, int bytes) {
       this.connection = connection;
@@ -415,10 +417,10 @@
 
     private void answer(
         HttpResponseStatus status, ServedResponse served, long retryAfterMicros, String version) {
-      if (answered || connection.current != this) {
+      if (responded || connection.reparse != this) {
         return;
       }
-      answered = true;
+      responded = true;
       ByteBuf body = served == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(served.body());
       var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
       HttpHeaders headers = response.headers();
@@ -435,11 +437,11 @@
       if (version != null) {
         headers.set(SETTINGS_VERSION, version);
       }
-      boolean last = !keepAlive || draining || pressed();
+      boolean last = !keepAlive || draining || underPressure();
       if (last) {
         headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       }
-      connection.answered(this, connection.channel.writeAndFlush(response), last);
+      connection.responded(this, connection.channel.writeAndFlush(response), last);
     }
 
     void answer(HttpResponseStatus status) {
@@ -451,15 +453,15 @@
   private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
     private final SocketChannel channel;
     private final StrictHttpDecoders.Requests decoder;
-    private final Deque<ParsedRequest> ahead = new ArrayDeque<>();
+    private final Deque<ParsedRequest> pipelined = new ArrayDeque<>();
 
     /** The exchange that is owed an answer, or null. */
-    private Exchange current;
+    private Exchange reparse;
 
     /** The set that tells what it is at, while it is owed no answer, and since when. */
-    private Set<Connection> at;
+    private Set<Connection> phaseSet;
 
-    private long since;
+    private long phaseSinceNanos;
 
     /**
      * The request whose body is coming in, null for one about health; what has come of the body.
@@ -470,7 +472,7 @@
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
 
     /** What its requests' bodies take. */
-    private int held;
+    private int heldBodyBytes;
 
     /** Nothing more is taken from it: what came was wrong, or it ends. */
     private boolean deaf;
@@ -486,21 +488,21 @@
     }
 
     private void move(Set<Connection> to) {
-      if (at != null) {
-        at.remove(this);
+      if (phaseSet != null) {
+        phaseSet.remove(this);
       }
-      at = to;
-      since = nanoClock.getAsLong();
-      if (at != null) {
-        at.add(this);
+      phaseSet = to;
+      phaseSinceNanos = nanoClock.getAsLong();
+      if (phaseSet != null) {
+        phaseSet.add(this);
       }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       connections.add(this);
-      move(silent);
-      makeRoom();
+      move(awaitingFirstRequest);
+      enforceConnectionLimit();
     }
 
     @Override
@@ -510,14 +512,14 @@
       deaf = true;
       forgetAhead();
       body = Unpooled.EMPTY_BUFFER;
-      bodies -= held;
-      held = 0;
-      Exchange left = current;
-      current = null;
+      bufferedBodyBytes -= heldBodyBytes;
+      heldBodyBytes = 0;
+      Exchange left = reparse;
+      reparse = null;
       if (left != null) {
         listener.clientLeft(left);
       }
-      makeRoom();
+      enforceConnectionLimit();
     }
 
     @Override
@@ -531,7 +533,7 @@
         return;
       }
       if (part.decoderResult().isFailure()) {
-        wrong(HttpResponseStatus.BAD_REQUEST);
+        reject(HttpResponseStatus.BAD_REQUEST);
         return;
       }
       if (part instanceof HttpRequest head) {
@@ -541,23 +543,24 @@
         add(content.content());
       }
       if (part instanceof LastHttpContent && !deaf) {
-        IncomingRequest whole = incoming == null ? null : incoming.with(ByteBufUtil.getBytes(body));
+        IncomingRequest complete =
+            incoming == null ? null : incoming.with(ByteBufUtil.getBytes(body));
         body = Unpooled.EMPTY_BUFFER;
-        ask(new ParsedRequest(whole, null, keepAlive));
+        ask(new ParsedRequest(complete, null, keepAlive));
       }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      if (deaf && ++passedOver >= PASSED_OVER_MOST) {
+      if (deaf && ++passedOver >= MAX_SKIPPED_READS) {
         channel.config().setAutoRead(false);
       }
-      if ((at == silent || at == kept) && decoder.begun()) {
+      if ((phaseSet == awaitingFirstRequest || phaseSet == idle) && decoder.hasStarted()) {
         // Guards against waiting twice for an unknown peer that says nothing and then half a
         // request.
-        long from = at == silent ? since : nanoClock.getAsLong();
-        move(begun);
-        since = from;
+        long from = phaseSet == awaitingFirstRequest ? phaseSinceNanos : nanoClock.getAsLong();
+        move(readingRequest);
+        phaseSinceNanos = from;
       }
     }
 
@@ -576,14 +579,14 @@
         error = incoming == null ? HttpResponseStatus.BAD_REQUEST : null;
       }
       if (error != null) {
-        wrong(error);
+        reject(error);
         return;
       }
       if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
         body =
             Unpooled.buffer(
                 length > 0 ? (int) Math.min(length, 1024) : 256, BackendConnections.BODY_MAX);
-        if (HttpUtil.is100ContinueExpected(head) && current == null && ahead.isEmpty()) {
+        if (HttpUtil.is100ContinueExpected(head) && reparse == null && pipelined.isEmpty()) {
           channel.writeAndFlush(
               new DefaultFullHttpResponse(
                   HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
@@ -594,12 +597,12 @@
     private void add(ByteBuf bytes) {
       int n = bytes.readableBytes();
       if (body.readableBytes() + n > BackendConnections.BODY_MAX) {
-        wrong(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-      } else if (bodies + n > Runtime.getRuntime().maxMemory() / BODIES_PART) {
-        wrong(HttpResponseStatus.SERVICE_UNAVAILABLE); // Guards against running out of memory.
+        reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+      } else if (bufferedBodyBytes + n > Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR) {
+        reject(HttpResponseStatus.SERVICE_UNAVAILABLE); // Guards against running out of memory.
       } else if (n > 0) {
-        held += n;
-        bodies += n;
+        heldBodyBytes += n;
+        bufferedBodyBytes += n;
         body.writeBytes(bytes);
       }
     }
@@ -609,17 +612,19 @@
      * the error for the answer to what it asked before, and against reading on what nobody will
      * use.
      */
-    private void wrong(HttpResponseStatus error) {
+    private void reject(HttpResponseStatus error) {
       deaf = true;
       body = Unpooled.EMPTY_BUFFER;
-      channel.config().setAutoRead(current != null || !ahead.isEmpty()); // to see a close behind it
+      channel
+          .config()
+          .setAutoRead(reparse != null || !pipelined.isEmpty()); // to see a close behind it
       ask(new ParsedRequest(null, error, false));
     }
 
-    private void ask(ParsedRequest asked) {
-      ahead.add(asked);
-      readAhead++;
-      if (current == null) {
+    private void ask(ParsedRequest parsed) {
+      pipelined.add(parsed);
+      pipelinedRequests++;
+      if (reparse == null) {
         move(null); // Guards against the end, or want of room, closing it before that is taken.
       }
       limitReading();
@@ -645,38 +650,38 @@
 
     private void limitReading() {
       if (!deaf) {
-        int most = readAhead < AHEAD_ALL ? AHEAD_MOST : AHEAD_LEAST;
-        channel.config().setAutoRead(ahead.size() < most);
+        int max = pipelinedRequests < MAX_PIPELINED_TOTAL ? MAX_PIPELINED : MIN_PIPELINED;
+        channel.config().setAutoRead(pipelined.size() < max);
       }
     }
 
     private void forgetAhead() {
-      readAhead -= ahead.size();
-      ahead.clear();
+      pipelinedRequests -= pipelined.size();
+      pipelined.clear();
     }
 
     /** What was asked is taken in its turn, and not while answers are still to be read. */
     private void next() {
-      if (current == null && !ahead.isEmpty() && channel.isWritable()) {
-        readAhead--;
-        take(ahead.poll());
+      if (reparse == null && !pipelined.isEmpty() && channel.isWritable()) {
+        pipelinedRequests--;
+        take(pipelined.poll());
       }
       limitReading();
     }
 
-    private void take(ParsedRequest asked) {
+    private void take(ParsedRequest parsed) {
       move(null);
-      IncomingRequest request = asked.request;
+      IncomingRequest request = parsed.request;
       Exchange exchange =
-          new Exchange(this, asked.keepAlive, request == null ? 0 : request.forward.body().length);
-      current = exchange;
+          new Exchange(this, parsed.keepAlive, request == null ? 0 : request.forward.body().length);
+      reparse = exchange;
       try {
-        if (asked.error != null) {
-          boolean refused = asked.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-          exchange.answer(asked.error, null, refused ? Agent.RETRY_AFTER_MICROS : 0);
+        if (parsed.error != null) {
+          boolean refused = parsed.error.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+          exchange.answer(parsed.error, null, refused ? Agent.RETRY_AFTER_MICROS : 0);
         } else if (request == null) {
           exchange.health(
-              ready.getAsBoolean() && !leaving
+              ready.getAsBoolean() && !shuttingDown
                   ? HttpResponseStatus.OK
                   : HttpResponseStatus.SERVICE_UNAVAILABLE);
         } else {
@@ -692,21 +697,21 @@
     /**
      * After an answer: the connection ends or is in no use, or what was asked in advance is next.
      */
-    private void answered(Exchange exchange, ChannelFuture written, boolean last) {
-      current = null;
-      held -= exchange.bytes;
-      bodies -= exchange.bytes;
+    private void responded(Exchange exchange, ChannelFuture written, boolean last) {
+      reparse = null;
+      heldBodyBytes -= exchange.bytes;
+      bufferedBodyBytes -= exchange.bytes;
       if (last) {
-        boolean unread = deaf && decoder.begun();
+        boolean unread = deaf && decoder.hasStarted();
         deaf = true;
         forgetAhead();
-        move(finishing);
+        move(writingLastResponse);
         // Guards against a reset for what was not read, which would overtake the answer.
         written.addListener(unread ? done -> linger() : ChannelFutureListener.CLOSE);
       } else {
         // Guards against the end, or want of room, closing it between this and what is taken next.
-        boolean more = !ahead.isEmpty() && channel.isWritable();
-        move(more ? null : decoder.begun() ? begun : kept);
+        boolean more = !pipelined.isEmpty() && channel.isWritable();
+        move(more ? null : decoder.hasStarted() ? readingRequest : idle);
         if (more) {
           nextLater();
         }
@@ -714,10 +719,10 @@
     }
 
     private void linger() {
-      if (ending.size() >= LINGER_MOST) {
+      if (lingering.size() >= MAX_LINGERING) {
         channel.close();
       } else if (channel.isActive()) {
-        move(ending);
+        move(lingering);
         channel.shutdownOutput();
       }
     }
@@ -725,7 +730,7 @@
     /** Closes it once what it was sent is written. */
     private void close() {
       deaf = true;
-      move(finishing);
+      move(writingLastResponse);
       channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
   }
@@ -767,7 +772,7 @@
     HttpHeaders headers = request.headers();
     if (!visible(request.uri(), '!')
         || !request.uri().startsWith("/")
-        || ONCE.stream().anyMatch(name -> headers.getAll(name).size() > 1)) {
+        || SINGLE_VALUED.stream().anyMatch(name -> headers.getAll(name).size() > 1)) {
       return null;
     }
     for (Map.Entry<String, String> each : headers) {
@@ -803,7 +808,7 @@
     HttpHeaders forwarded = new DefaultHttpHeaders().set(headers);
     for (String option : headers.getAllAsString(HttpHeaderNames.CONNECTION)) {
       for (String name : option.split(",", 0)) {
-        if (ONCE.stream().noneMatch(name.trim()::equalsIgnoreCase)) {
+        if (SINGLE_VALUED.stream().noneMatch(name.trim()::equalsIgnoreCase)) {
           forwarded.remove(name.trim());
         }
       }
@@ -824,10 +829,10 @@
   }
 
   /** Whether a text is of visible characters alone, and from this one on. */
-  private static boolean visible(String text, char least) {
+  private static boolean visible(String text, char min) {
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
-      if ((c < least || c > '~') && c != '\t') {
+      if ((c < min || c > '~') && c != '\t') {
         return false;
       }
     }
--- a/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
+++ b/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
@@ -29,10 +29,10 @@
    */
   private static final int REQUESTS = 400;
 
-  private static final int AT_ONCE = 4;
+  private static final int CONCURRENCY = 4;
 
   /** Every so many a request ends its connection: what dials and accepts is to be compiled, too. */
-  private static final int ENDS_EVERY = 4;
+  private static final int CLOSE_EVERY = 4;
 
   /** Servers and keys that the module chooses by, so that the choice is compiled as it is used. */
   private static final int SERVERS = 12;
@@ -40,7 +40,7 @@
   private static final int KEYS = 40;
 
   /** However slow the machine is, it begins to serve after this. */
-  private static final long MOST_MS = 3_000;
+  private static final long MAX_DURATION_MS = 3_000;
 
   /** No listed server has this id. */
   private static final long SELF = 0;
@@ -51,11 +51,11 @@
   private final ClientServer clients;
   private final IntConsumer then;
   private final LoadBalancer module;
-  private final BackendConnections.OutgoingRequest outgoing;
-  private final BackendConnections.OutgoingRequest ends;
-  private int begun;
-  private int out;
-  private int answered;
+  private final BackendConnections.OutgoingRequest keepAliveRequest;
+  private final BackendConnections.OutgoingRequest closingRequest;
+  private int started;
+  private int inFlight;
+  private int responses;
   private boolean over;
 
   private CodeWarmup(
@@ -70,17 +70,17 @@
     this.clients = clients;
     this.then = then;
     this.module = new DefaultLoadBalancer(config.settings(), config.seed(), micros(), this);
-    this.outgoing =
+    this.keepAliveRequest =
         new BackendConnections.OutgoingRequest(
             HttpMethod.GET,
             "/healthz",
             example().headers().remove("Request-Id"),
             BackendConnections.NO_BODY);
-    this.ends =
+    this.closingRequest =
         new BackendConnections.OutgoingRequest(
             HttpMethod.GET,
             "/healthz",
-            outgoing.headers().copy().set("Connection", "close"),
+            keepAliveRequest.headers().copy().set("Connection", "close"),
             BackendConnections.NO_BODY);
   }
 
@@ -95,7 +95,7 @@
   }
 
   private void start() {
-    loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::end, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
     List<LoadBalancer.Server> servers = new ArrayList<>();
     for (int i = 1;
         i <= SERVERS;
@@ -104,30 +104,30 @@
       servers.add(new LoadBalancer.Server(i, zone, 0, 0, LoadBalancer.Phase.READY, 1, 0));
     }
     InetSocketAddress own = (InetSocketAddress) clients.channel().localAddress();
-    backends.self(SELF, own);
+    backends.addSelf(SELF, own);
     module.servers(micros(), LoadBalancer.ListKind.FULL, servers);
     next();
   }
 
   private void next() {
-    while (!over && out < AT_ONCE && begun < REQUESTS) {
-      begun++;
-      out++;
+    while (!over && inFlight < CONCURRENCY && started < REQUESTS) {
+      started++;
+      inFlight++;
       clients.parse(example());
       long now = micros();
       module.request(
           now,
           new LoadBalancer.Request(
-              begun,
-              begun % config.classes().size(),
+              started,
+              started % config.classes().size(),
               0,
-              begun % KEYS,
+              started % KEYS,
               1,
               now + 1_000_000,
               false,
               false));
     }
-    if (out == 0) {
+    if (inFlight == 0) {
       end();
     }
   }
@@ -135,13 +135,13 @@
   private void end() {
     if (!over) {
       over = true;
-      backends.gone(SELF);
-      then.accept(answered);
+      backends.remove(SELF);
+      then.accept(responses);
     }
   }
 
   private void done() {
-    out--;
+    inFlight--;
     loop.execute(this::next); // not from within the module
   }
 
@@ -175,10 +175,10 @@
     long sentAt = micros();
     backends.send(
         SELF,
-        request % ENDS_EVERY == 0 ? ends : outgoing,
+        request % CLOSE_EVERY == 0 ? closingRequest : keepAliveRequest,
         timeout,
         result -> {
-          answered +=
+          responses +=
               result.outcome() == LoadBalancer.Outcome.ERROR
                   ? 1
                   : 0; // it says that it is not ready
@@ -218,7 +218,7 @@
   public void probe(long server) {}
 
   @Override
-  public void tell(int agent, byte[] message) {}
+  public void sendToPeers(int agent, byte[] message) {}
 
   @Override
   public void closeIdle(long server) {}
--- a/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
+++ b/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
@@ -25,7 +25,7 @@
    * @param config the configuration, or null if it is unusable
    * @param version of its settings; negative if the file does not tell
    * @param unusable why it is unusable, or null
-   * @param asked whether somebody asked for this read; else the file had changed
+   * @param requested whether somebody asked for this read; else the file had changed
    * @param micros how long the reading took
    */
   public record ReadResult(
@@ -33,7 +33,7 @@
       AgentConfig config,
       long version,
       String unusable,
-      boolean asked,
+      boolean requested,
       long micros) {}
 
   /** What tells whether a file has changed. One written a moment before may have changed unseen. */
@@ -47,10 +47,10 @@
       }
     }
 
-    boolean settled() {
+    boolean isOldEnough() {
       boolean fine = modified.toMillis() % 1000 != 0;
       long age = System.currentTimeMillis() - modified.toMillis();
-      return Math.abs(age) > (fine ? SETTLED_FINE_MS : SETTLED_MS);
+      return Math.abs(age) > (fine ? FINE_TIMESTAMP_MS : COARSE_TIMESTAMP_MS);
     }
   }
 
@@ -58,9 +58,9 @@
    * Times of files may be as coarse as this, and where they show parts of a second, as the system's
    * clock.
    */
-  private static final long SETTLED_MS = 2_000;
+  private static final long COARSE_TIMESTAMP_MS = 2_000;
 
-  private static final long SETTLED_FINE_MS = 100;
+  private static final long FINE_TIMESTAMP_MS = 100;
 
   /** How soon an unusable file is looked at again where nobody says how often to look. */
   private static final long UNUSABLE_MS = 1_000;
@@ -70,7 +70,7 @@
   private Path file;
   private boolean reading;
   private boolean wanted;
-  private boolean asked;
+  private boolean requested;
 
   /**
    * The file as last read, or null if that says nothing for now; and whether it could not be used.
@@ -99,7 +99,7 @@
   public void read(Path from) {
     synchronized (this) {
       file = from;
-      asked = true;
+      requested = true;
     }
     read();
   }
@@ -130,7 +130,7 @@
   /** Reads if that is wanted; false if not, and then nobody reads any more. */
   private boolean readOnce() {
     Path from;
-    boolean byOrder;
+    boolean byRequest;
     synchronized (this) {
       if (!wanted || closed) {
         reading = false;
@@ -138,22 +138,22 @@
       }
       wanted = false;
       from = file;
-      byOrder = asked;
-      asked = false;
+      byRequest = requested;
+      requested = false;
     }
     Stamp stamp = Stamp.of(from); // before the read: what changes during it is seen afterwards
-    boolean settled = stamp != null && stamp.settled();
-    ReadResult found = found(from, byOrder);
+    boolean isOldEnough = stamp != null && stamp.isOldEnough();
+    ReadResult readFile = readFile(from, byRequest);
     synchronized (this) {
-      seen = settled ? stamp : null;
-      unusable = found.unusable != null;
-      watchIfNeeded();
+      seen = isOldEnough ? stamp : null;
+      unusable = readFile.unusable != null;
+      startPollingIfNeeded();
     }
-    then.accept(found);
+    then.accept(readFile);
     return true;
   }
 
-  private ReadResult found(Path from, boolean byOrder) {
+  private ReadResult readFile(Path from, boolean byRequest) {
     long start = System.nanoTime();
     InetSocketAddress discovery = null;
     AgentConfig config = null;
@@ -173,13 +173,13 @@
       why = e.getMessage();
     }
     return new ReadResult(
-        discovery, config, version, why, byOrder, (System.nanoTime() - start) / 1000);
+        discovery, config, version, why, byRequest, (System.nanoTime() - start) / 1000);
   }
 
   /** From now on looks whether the file has changed; 0 for no more. */
-  public synchronized void lookEvery(long ms) {
+  public synchronized void pollEvery(long ms) {
     everyMs = ms;
-    watchIfNeeded();
+    startPollingIfNeeded();
   }
 
   /** Reads no more; a read that is under way ends as it may. */
@@ -192,9 +192,9 @@
     return everyMs > 0 ? everyMs : live && unusable ? UNUSABLE_MS : 0;
   }
 
-  private void watchIfNeeded() {
+  private void startPollingIfNeeded() {
     if (watcher == null && file != null && waitMs() > 0) {
-      watcher = new Thread(this::watch, "config");
+      watcher = new Thread(this::poll, "config");
       watcher.setDaemon(true);
       watcher.start();
     } else {
@@ -202,9 +202,9 @@
     }
   }
 
-  private void watch() {
+  private void poll() {
     try {
-      while (waited()) {
+      while (awaitNextPoll()) {
         Stamp last;
         synchronized (this) {
           last = seen;
@@ -219,7 +219,7 @@
   }
 
   /** Waits until it is time for a look; false at the end. */
-  private synchronized boolean waited() throws InterruptedException {
+  private synchronized boolean awaitNextPoll() throws InterruptedException {
     long since = System.nanoTime();
     while (!closed) {
       long ms = waitMs();
--- a/src/main/java/slateslip/loadbalancer/net/Discovery.java
+++ b/src/main/java/slateslip/loadbalancer/net/Discovery.java
@@ -41,7 +41,7 @@
   /** What the agent hears. */
   public interface Listener {
     /** A list has come. */
-    void list(ListKind kind, List<ListedEndpoint> endpoints);
+    void updateServers(ListKind kind, List<ListedEndpoint> endpoints);
 
     /** A call has failed; the next is made after the back-off, or when asked for. */
     void failed(String why);
@@ -61,22 +61,22 @@
    * this, with the time to find out and the module's wait if the next call is refused, has to fit
    * into that.
    */
-  static final long WATCH_MS = 3_000;
+  static final long WATCH_TIMEOUT_MS = 3_000;
 
   /** How long a call for the whole list may take. */
-  private static final long ANSWER_MS = 2_000;
+  private static final long RESPONSE_TIMEOUT_MS = 2_000;
 
   /** How much longer than its wait a watch may take before it has fallen silent. */
-  static final long SILENT_MS = 500;
+  static final long INACTIVITY_TIMEOUT_MS = 500;
 
-  private static final long BACKOFF_LEAST_MS = 50;
-  private static final long BACKOFF_MOST_MS = 1_000;
+  private static final long MIN_BACKOFF_MS = 50;
+  private static final long MAX_BACKOFF_MS = 1_000;
 
   /**
    * Before the next watch when one brought nothing: discovery may answer at once, and would be
    * flooded.
    */
-  private static final long EMPTY_PAUSE_MS = 20;
+  private static final long EMPTY_RESPONSE_DELAY_MS = 20;
 
   private static final int LIST_BYTES_MAX = 4 << 20;
 
@@ -116,12 +116,12 @@
     this.config = config;
     this.address = config.discovery();
     this.listener = listener;
-    this.backoff = new Backoff(BACKOFF_LEAST_MS, BACKOFF_MOST_MS, config.seed());
+    this.backoff = new Backoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS, config.seed());
     this.bootstrap =
         new Bootstrap()
             .group(loop)
             .channelFactory(sockets)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_MS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) RESPONSE_TIMEOUT_MS)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(
                 new ChannelInitializer<Channel>() {
@@ -132,7 +132,7 @@
                             new StrictHttpDecoders.Responses(),
                             new HttpRequestEncoder(),
                             new HttpObjectAggregator(LIST_BYTES_MAX),
-                            new Answers());
+                            new ResponseHandler());
                   }
                 });
   }
@@ -213,8 +213,12 @@
   private void ask(int mine) {
     timeout =
         index < 0
-            ? loop.schedule(() -> failed(mine, "no answer"), ANSWER_MS, TimeUnit.MILLISECONDS)
-            : loop.schedule(() -> silent(mine), WATCH_MS + SILENT_MS, TimeUnit.MILLISECONDS);
+            ? loop.schedule(
+                () -> failed(mine, "no answer"), RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+            : loop.schedule(
+                () -> inactive(mine),
+                WATCH_TIMEOUT_MS + INACTIVITY_TIMEOUT_MS,
+                TimeUnit.MILLISECONDS);
     if (channel != null && channel.isActive()) {
       write(mine);
       return;
@@ -238,7 +242,9 @@
 
   private void write(int mine) {
     String uri =
-        index < 0 ? "/v1/servers" : "/v1/servers?since=" + index + "&timeout_ms=" + WATCH_MS;
+        index < 0
+            ? "/v1/servers"
+            : "/v1/servers?since=" + index + "&timeout_ms=" + WATCH_TIMEOUT_MS;
     var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
     request.headers().set(HttpHeaderNames.HOST, "discovery");
     channel
@@ -256,7 +262,7 @@
    * when. Guards against the wait after a failed call, which would leave the agent with an old list
    * for too long.
    */
-  private void silent(int mine) {
+  private void inactive(int mine) {
     if (mine == call && !closed) {
       Agent.say("discovery: a watch fell silent and is opened anew");
       drop();
@@ -272,7 +278,7 @@
     // Guards against an old list for too long: after a move what is new counts as told 4 s later,
     // and two
     // calls that fail there would cost more than that with the module's waits.
-    if (config.settings().askDiscovery() && !moved) {
+    if (config.settings().pollDiscovery() && !moved) {
       watching = false; // the module decides when to ask again
     } else {
       next(backoff.next());
@@ -284,7 +290,7 @@
     }
   }
 
-  private void answered(FullHttpResponse response) {
+  private void responded(FullHttpResponse response) {
     timeout.cancel(false);
     if (response.decoderResult().isFailure() || response.status().code() != 200) {
       failed(call, "answer " + response.status().code());
@@ -317,10 +323,11 @@
     if (!HttpUtil.isKeepAlive(response) || !channel.isActive()) { // its end may have ended the list
       drop();
     }
-    boolean news = listing.snapshot() || !listing.endpoints().isEmpty();
-    next(news ? 0 : EMPTY_PAUSE_MS);
-    if (news) {
-      listener.list(listing.snapshot() ? ListKind.FULL : ListKind.DELTA, listing.endpoints());
+    boolean update = listing.snapshot() || !listing.endpoints().isEmpty();
+    next(update ? 0 : EMPTY_RESPONSE_DELAY_MS);
+    if (update) {
+      listener.updateServers(
+          listing.snapshot() ? ListKind.FULL : ListKind.DELTA, listing.endpoints());
     }
   }
 
@@ -372,11 +379,11 @@
   }
 
   /** Hands on what arrives on the connection in use. */
-  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
       if (ctx.channel() == channel) {
-        answered(response);
+        responded(response);
       }
     }
 
--- a/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
+++ b/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
@@ -14,7 +14,7 @@
    * Whether it is open with nothing unread. Guards against what has arrived since the loop last
    * looked: a close, or bytes that would be taken for the next answer.
    */
-  public boolean silent() {
+  public boolean isIdle() {
     try {
       return isActive() && javaChannel().read(ByteBuffer.allocate(1)) == 0;
     } catch (IOException e) {
--- a/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
+++ b/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
@@ -14,14 +14,14 @@
  * loop.
  */
 public final class LiveSettings {
-  private int taken;
-  private int refused;
+  private int appliedCount;
+  private int rejectedCount;
 
   /** The line of the last file, if that was refused: one that does not change is told of once. */
   private String last;
 
   /** Whether what was read is to be taken over; if it is refused, that is told. */
-  boolean wants(AgentConfig inForce, ConfigFileWatcher.ReadResult found) {
+  boolean shouldApply(AgentConfig inForce, ConfigFileWatcher.ReadResult found) {
     long version = inForce.live().version();
     AgentConfig next = found.config();
     if (next == null) {
@@ -47,16 +47,16 @@
     String version = found.version() < 0 ? "" : "version " + found.version() + " ";
     String line =
         "settings: " + version + "refused: " + why + "; " + inForce.live().version() + " stays";
-    if (found.asked() || !line.equals(last)) {
-      refused++;
+    if (found.requested() || !line.equals(last)) {
+      rejectedCount++;
       Agent.say(line);
     }
     last = line;
   }
 
   /** Tells that what was read is in force. */
-  void took(AgentConfig before, ConfigFileWatcher.ReadResult found, long micros) {
-    taken++;
+  void applied(AgentConfig before, ConfigFileWatcher.ReadResult found, long micros) {
+    appliedCount++;
     AgentConfig now = found.config();
     String read = found.micros() / 1000 + "." + found.micros() / 100 % 10;
     Agent.say(
@@ -93,13 +93,13 @@
   }
 
   /** What the tally tells of the settings. */
-  String told(AgentConfig config) {
+  String summary(AgentConfig config) {
     return "settings "
         + config.live().version()
         + " (taken "
-        + taken
+        + appliedCount
         + ", refused "
-        + refused
+        + rejectedCount
         + ")";
   }
 
@@ -113,7 +113,7 @@
    * @throws IllegalArgumentException if they are unusable, or cannot follow under way; the message
    *     is one plain line that begins with the key
    */
-  public static SettingsReload takeover(
+  public static SettingsReload reload(
       AgentConfig before, AgentConfig next, Predicate<String> inUse) {
     named("classes", next.classes(), next.settings().classes().size());
     named("realms", next.tenants(), next.settings().tenants().size());
@@ -162,33 +162,37 @@
     for (int i = 0; i < settings.classes().size(); i++) {
       LoadBalancer.RequestClass type = settings.classes().get(i);
       String at = "classes." + i + ".";
-      atLeastZero(at + "worth", type.worth());
-      atLeastZero(at + "aim-stretch", type.aimStretch());
-      share(at + "late-share", type.lateShare());
+      requireNonNegative(at + "worth", type.value());
+      requireNonNegative(at + "aim-stretch", type.latencyTargetPerCost());
+      share(at + "late-share", type.lateValueFraction());
     }
     for (int i = 0; i < settings.tenants().size(); i++) {
-      atLeastZero("realms." + i + ".quota-per-s", settings.tenants().get(i).quotaPerSecond());
+      requireNonNegative(
+          "realms." + i + ".quota-per-s", settings.tenants().get(i).quotaPerSecond());
       share("realms." + i + ".fraction", settings.tenants().get(i).fraction());
     }
-    atLeastZero("caps.max-retry-after-us", (double) settings.permits().maxRetryAfter());
-    atLeastZero("obligations.answer-slack-us", (double) settings.obligations().answerSlack());
-    atLeastZero("obligations.stop-sending-within-us", (double) settings.obligations().drainGrace());
-    atLeastZero("obligations.ask-within-us", (double) settings.obligations().askWithin());
-    atLeastZero("obligations.fall-multiple", settings.obligations().overloadMultiple());
-    share("obligations.cold-from", settings.obligations().coldFrom());
-    atLeastZero("deductions.cross-zone", settings.prices().crossing());
-    atLeastZero("deductions.probe", settings.prices().probe());
-    atLeastZero("deductions.waste", settings.prices().waste());
-    atLeastZero("deductions.late-fail", settings.prices().lateFailure());
-    atLeastZero("deductions.peer", settings.prices().message());
-    atLeastZero("objective-mix.whole", settings.goal().whole());
-    atLeastZero("objective-mix.worst-window", settings.goal().worstWindow());
-    atLeastZero("objective-mix.worst-class", settings.goal().worstClass());
-    atLeastZero("objective-mix.worst-tenant", settings.goal().worstTenant());
-    atLeastZero("over-share-worth", settings.overQuotaWorth());
+    requireNonNegative("caps.max-retry-after-us", (double) settings.permits().maxRetryAfter());
+    requireNonNegative(
+        "obligations.answer-slack-us", (double) settings.obligations().responseSlack());
+    requireNonNegative(
+        "obligations.stop-sending-within-us", (double) settings.obligations().drainGrace());
+    requireNonNegative(
+        "obligations.ask-within-us", (double) settings.obligations().discoveryWithin());
+    requireNonNegative("obligations.fall-multiple", settings.obligations().overloadMultiple());
+    share("obligations.cold-from", settings.obligations().warmupStartFraction());
+    requireNonNegative("deductions.cross-zone", settings.prices().crossZone());
+    requireNonNegative("deductions.probe", settings.prices().probe());
+    requireNonNegative("deductions.waste", settings.prices().waste());
+    requireNonNegative("deductions.late-fail", settings.prices().lateFailure());
+    requireNonNegative("deductions.peer", settings.prices().message());
+    requireNonNegative("objective-mix.whole", settings.goal().overall());
+    requireNonNegative("objective-mix.worst-window", settings.goal().worstWindow());
+    requireNonNegative("objective-mix.worst-class", settings.goal().worstClass());
+    requireNonNegative("objective-mix.worst-tenant", settings.goal().worstTenant());
+    requireNonNegative("over-share-worth", settings.overQuotaValue());
   }
 
-  private static void atLeastZero(String key, double value) {
+  private static void requireNonNegative(String key, double value) {
     check(value >= 0, key + " has an unusable value: " + value);
   }
 
--- a/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
@@ -18,7 +18,7 @@
   static final long PERIOD_SECONDS = 5;
 
   /** Reasons for which answers were spoilt that are told by themselves. */
-  private static final int REASONS_MOST = 4;
+  private static final int MAX_REASONS = 4;
 
   /** How a request ended for its client. */
   enum Disposition {
@@ -28,21 +28,21 @@
     LEFT
   }
 
-  private final Map<Disposition, Integer> answers = new EnumMap<>(Disposition.class);
+  private final Map<Disposition, Integer> dispositions = new EnumMap<>(Disposition.class);
   private final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
   private int unsent;
   private int givenUp;
-  private int dialled;
-  private int dialledAgain;
-  private int brokeAtOnce;
-  private int brokeKept;
-  private int spoilt;
+  private int connectionsDialled;
+  private int connectionsDialledAgain;
+  private int immediateResets;
+  private int reusedConnectionResets;
+  private int malformed;
 
   /** How often for each reason; a few reasons, for they come from outside. */
-  private final Map<String, Integer> spoiltWhy = new TreeMap<>();
+  private final Map<String, Integer> malformedReasons = new TreeMap<>();
 
   private long waitedMicros;
-  private long waitedMostMicros;
+  private long maxWaitedMicros;
 
   /** The first request of the period that was refused or failed, with all that was tried. */
   private String unserved;
@@ -51,14 +51,14 @@
   private String settings = "";
 
   /** The settings in force are to be told with each line. */
-  void settings(String told) {
-    settings = "; " + told;
+  void settings(String description) {
+    settings = "; " + description;
   }
 
   /** A request has its final answer, after so many attempts. */
-  void answered(Disposition answer, int attempts) {
-    answers.merge(answer, 1, Integer::sum);
-    unsent += attempts == 0 && answer != Disposition.LEFT ? 1 : 0;
+  void completed(Disposition disposition, int attempts) {
+    dispositions.merge(disposition, 1, Integer::sum);
+    unsent += attempts == 0 && disposition != Disposition.LEFT ? 1 : 0;
   }
 
   /** The module has left a request without an answer until its last moment. */
@@ -74,7 +74,7 @@
   void unserved(
       String id,
       String requestClass,
-      String answer,
+      String disposition,
       long micros,
       long timeoutMs,
       List<String> attempts) {
@@ -84,7 +84,7 @@
             + " "
             + requestClass
             + " "
-            + answer
+            + disposition
             + " after "
             + micros / 1000
             + " of "
@@ -101,43 +101,43 @@
   /** The first attempt of a request begins so long after it came. */
   void waited(long micros) {
     waitedMicros += micros;
-    waitedMostMicros = Math.max(waitedMostMicros, micros);
+    maxWaitedMicros = Math.max(maxWaitedMicros, micros);
   }
 
   /**
    * A connection has broken under an attempt, at once or later: one kept from before, or a new one.
    */
-  void broke(boolean kept, boolean atOnce) {
-    brokeKept += kept ? 1 : 0;
-    brokeAtOnce += atOnce ? 1 : 0;
+  void connectionReset(boolean reused, boolean immediate) {
+    reusedConnectionResets += reused ? 1 : 0;
+    immediateResets += immediate ? 1 : 0;
   }
 
   /** An answer was not one as the protocol has it; its attempt counts among the resets. */
-  void spoilt(String why) {
-    spoilt++;
-    spoiltWhy.merge(
-        spoiltWhy.containsKey(why) || spoiltWhy.size() < REASONS_MOST ? why : "other",
+  void malformed(String why) {
+    malformed++;
+    malformedReasons.merge(
+        malformedReasons.containsKey(why) || malformedReasons.size() < MAX_REASONS ? why : "other",
         1,
         Integer::sum);
   }
 
   /** A connection to a server is dialled. */
-  void dialled() {
-    dialled++;
+  void connectionsDialled() {
+    connectionsDialled++;
   }
 
   /** One that is late has another dialled beside it. */
-  void dialledAgain() {
-    dialledAgain++;
+  void connectionsDialledAgain() {
+    connectionsDialledAgain++;
   }
 
   /** The lines of the period that ends now; the next begins. */
   List<String> take(int open, int toServers) {
     int total = 0;
     StringBuilder line = new StringBuilder("tally:");
-    for (Disposition answer : Disposition.values()) {
-      int count = answers.getOrDefault(answer, 0);
-      line.append(' ').append(word(answer)).append(' ').append(count);
+    for (Disposition disposition : Disposition.values()) {
+      int count = dispositions.getOrDefault(disposition, 0);
+      line.append(' ').append(word(disposition)).append(' ').append(count);
       total += count;
     }
     line.append(" (unsent ").append(unsent).append("), open ").append(open).append("; attempts:");
@@ -151,22 +151,22 @@
     }
     if (outcomes.getOrDefault(Outcome.RESET, 0) > 0) {
       line.append(" (of the resets on kept connections ")
-          .append(brokeKept)
+          .append(reusedConnectionResets)
           .append(", at once ")
-          .append(brokeAtOnce);
-      if (spoilt > 0) {
-        line.append(", for spoilt answers ").append(spoilt).append(' ').append(spoiltWhy);
+          .append(immediateResets);
+      if (malformed > 0) {
+        line.append(", for spoilt answers ").append(malformed).append(' ').append(malformedReasons);
       }
       line.append(')');
     }
     line.append("; waited ")
         .append(waitedMicros / 1000 / Math.max(1, total))
         .append(" ms, most ")
-        .append(waitedMostMicros / 1000)
+        .append(maxWaitedMicros / 1000)
         .append("; dialled ")
-        .append(dialled);
-    if (dialledAgain > 0) {
-      line.append(" (late ").append(dialledAgain).append(')');
+        .append(connectionsDialled);
+    if (connectionsDialledAgain > 0) {
+      line.append(" (late ").append(connectionsDialledAgain).append(')');
     }
     line.append(", connections ").append(toServers);
     if (givenUp > 0) {
@@ -174,21 +174,21 @@
     }
     line.append(settings);
     List<String> lines =
-        total + attempts + dialled == 0
+        total + attempts + connectionsDialled == 0
             ? List.of()
             : unserved == null ? List.of(line.toString()) : List.of(line.toString(), unserved);
-    answers.clear();
+    dispositions.clear();
     outcomes.clear();
     unsent = 0;
     givenUp = 0;
-    dialled = 0;
-    dialledAgain = 0;
-    brokeKept = 0;
-    brokeAtOnce = 0;
-    spoilt = 0;
-    spoiltWhy.clear();
+    connectionsDialled = 0;
+    connectionsDialledAgain = 0;
+    reusedConnectionResets = 0;
+    immediateResets = 0;
+    malformed = 0;
+    malformedReasons.clear();
     waitedMicros = 0;
-    waitedMostMicros = 0;
+    maxWaitedMicros = 0;
     unserved = null;
     return lines;
   }
--- a/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
+++ b/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
@@ -33,10 +33,10 @@
 
   private StrictHttpDecoders() {}
 
-  private static HttpDecoderConfig strict(int lineMost, int headMost) {
+  private static HttpDecoderConfig strict(int maxLineBytes, int maxHeadBytes) {
     return new HttpDecoderConfig()
-        .setMaxInitialLineLength(lineMost)
-        .setMaxHeaderSize(headMost)
+        .setMaxInitialLineLength(maxLineBytes)
+        .setMaxHeaderSize(maxHeadBytes)
         .setAllowDuplicateContentLengths(false)
         .setStrictLineParsing(true);
   }
@@ -91,12 +91,12 @@
     }
 
     /** With limits on the bytes of the request line and of the headers. */
-    public Requests(int lineMost, int headMost) {
-      super(strict(lineMost, headMost));
+    public Requests(int maxLineBytes, int maxHeadBytes) {
+      super(strict(maxLineBytes, maxHeadBytes));
     }
 
     /** Whether a request has begun to come. */
-    public boolean begun() {
+    public boolean hasStarted() {
       return !atStart;
     }
 
@@ -143,8 +143,8 @@
     }
 
     /** With limits on the bytes of the status line and of the headers. */
-    public Responses(int lineMost, int headMost) {
-      super(strict(lineMost, headMost));
+    public Responses(int maxLineBytes, int maxHeadBytes) {
+      super(strict(maxLineBytes, maxHeadBytes));
     }
 
     /** Whether bytes have come that belong to no message yet. */
--- a/src/main/java/slateslip/loadbalancer/policy/RetryTokenBucket.java
+++ b/src/main/java/slateslip/loadbalancer/policy/RetryTokenBucket.java
@@ -6,24 +6,24 @@
  */
 public final class RetryTokenBucket {
   private final double earned;
-  private final double most;
+  private final double maxTokens;
   private double saved;
 
   /**
    * An allowance that starts full.
    *
    * @param earned further attempts earned by each request
-   * @param most what may be saved up of them
+   * @param maxTokens what may be saved up of them
    */
-  public RetryTokenBucket(double earned, double most) {
+  public RetryTokenBucket(double earned, double maxTokens) {
     this.earned = earned;
-    this.most = most;
-    this.saved = most;
+    this.maxTokens = maxTokens;
+    this.saved = maxTokens;
   }
 
   /** A request has come. */
   public void earn() {
-    saved = Math.min(most, saved + earned);
+    saved = Math.min(maxTokens, saved + earned);
   }
 
   /** Whether a further attempt may be sent. */
--- a/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public void tell(int agent, byte[] message) {
+  public void sendToPeers(int agent, byte[] message) {
     begin(23, 8 + message.length);
     i32(agent);
     i16(message.length);
--- a/src/main/java/slateslip/routing/Admission.java
+++ b/src/main/java/slateslip/routing/Admission.java
@@ -11,17 +11,17 @@
   private static final long MICROS_PER_MILLI = 1_000;
 
   /** Least and most that a client over its quota is asked to wait. */
-  private static final long QUOTA_WAIT_LEAST_MICROS = 100_000;
+  private static final long MIN_QUOTA_WAIT_MICROS = 100_000;
 
-  private static final long QUOTA_WAIT_MOST_MICROS = 2_000_000;
+  private static final long MAX_QUOTA_WAIT_MICROS = 2_000_000;
 
   /** The outcome: a request to be served, or the answer that ends it. */
   sealed interface Verdict {
     /** To be served. */
-    record Admitted(OpenRequest request) implements Verdict {}
+    record Admitted(PendingRequest request) implements Verdict {}
 
     /** Ended. */
-    record Refused(RouterOutput.Answer answer) implements Verdict {}
+    record Refused(RouterOutput.Respond respond) implements Verdict {}
   }
 
   private final TenantQuotas quotas;
@@ -35,48 +35,53 @@
     if (table == null) {
       return refused(arrived, 503, FleetRouter.RETRY_UNKNOWN_MICROS);
     }
-    RequestFacts facts = arrived.facts();
-    Optional<Route> route = table.route(facts.host(), facts.path());
+    RequestAttributes attributes = arrived.attributes();
+    Optional<Route> route = table.route(attributes.host(), attributes.path());
     if (route.isEmpty()) {
       return refused(arrived, 404, 0);
     }
-    Tenant tenant = tenant(table, facts);
+    Tenant tenant = tenant(table, attributes);
     if (tenant == null && table.needsKeys() && !route.get().isPublic()) {
       return refused(arrived, 401, 0);
     }
     long units = 0;
     if (tenant != null) {
-      units = TenantQuotas.units(tenant, facts.promptTokens(), facts.outputTokens());
+      units = TenantQuotas.units(tenant, attributes.promptTokens(), attributes.outputTokens());
       if (!quotas.take(tenant, units, nowMicros)) {
         long wait = quotas.waitMicros(tenant, units, nowMicros);
         return refused(
-            arrived,
-            429,
-            Math.min(QUOTA_WAIT_MOST_MICROS, Math.max(QUOTA_WAIT_LEAST_MICROS, wait)));
+            arrived, 429, Math.min(MAX_QUOTA_WAIT_MICROS, Math.max(MIN_QUOTA_WAIT_MICROS, wait)));
       }
     }
     return new Verdict.Admitted(
-        new OpenRequest(
-            arrived, route.get(), tenant, units, nowMicros, end(nowMicros, route.get(), facts)));
+        new PendingRequest(
+            arrived,
+            route.get(),
+            tenant,
+            units,
+            nowMicros,
+            end(nowMicros, route.get(), attributes)));
   }
 
   /** Whether a configuration still lets a request's key use a route, as before it is sent again. */
-  static boolean stillAllowed(RoutingTable table, Route route, OpenRequest request) {
+  static boolean stillAllowed(RoutingTable table, Route route, PendingRequest request) {
     if (request.tenant == null) {
       return route.isPublic() || !table.needsKeys();
     }
-    Tenant now = tenant(table, request.facts);
+    Tenant now = tenant(table, request.attributes);
     return now != null && now.name().equals(request.tenant.name());
   }
 
-  private static Tenant tenant(RoutingTable table, RequestFacts facts) {
-    return facts.credential() == null ? null : table.tenantByKey(facts.credential()).orElse(null);
+  private static Tenant tenant(RoutingTable table, RequestAttributes attributes) {
+    return attributes.credential() == null
+        ? null
+        : table.tenantByKey(attributes.credential()).orElse(null);
   }
 
-  private static long end(long nowMicros, Route route, RequestFacts facts) {
+  private static long end(long nowMicros, Route route, RequestAttributes attributes) {
     long millis = route.timeoutMillis();
-    if (facts.deadlineMillis() > 0) {
-      millis = Math.min(millis, facts.deadlineMillis());
+    if (attributes.deadlineMillis() > 0) {
+      millis = Math.min(millis, attributes.deadlineMillis());
     }
     return nowMicros + millis * MICROS_PER_MILLI;
   }
@@ -84,6 +89,6 @@
   private static Verdict refused(
       RouterInput.RequestArrived arrived, int status, long retryAfterMicros) {
     return new Verdict.Refused(
-        new RouterOutput.Answer(arrived.request(), status, retryAfterMicros));
+        new RouterOutput.Respond(arrived.request(), status, retryAfterMicros));
   }
 }
--- a/src/main/java/slateslip/routing/Attempt.java
+++ b/src/main/java/slateslip/routing/Attempt.java
@@ -56,7 +56,7 @@
     }
     started = true;
     backend().noLongerAwaiting();
-    backend().watch().heard(nowMicros);
+    backend().healthMonitor().signOfLife(nowMicros);
     if (choice.newTokens() > 0) {
       backend()
           .engine()
--- a/src/main/java/slateslip/routing/BackendTable.java
+++ b/src/main/java/slateslip/routing/BackendTable.java
@@ -11,7 +11,7 @@
 import slateslip.loadbalancer.policy.BackendHealth;
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterInput.ProbeEnded;
-import slateslip.routing.health.BackendWatch;
+import slateslip.routing.health.BackendHealthMonitor;
 import slateslip.routing.placement.Backend;
 
 /** The backends that are known, what is learned of them, and the probes that are due. */
@@ -56,14 +56,14 @@
   List<BackendHealth> peers(Backend backend) {
     return ofService(backend.session().service()).stream()
         .filter(peer -> peer != backend)
-        .map(peer -> peer.watch().health())
+        .map(peer -> peer.healthMonitor().health())
         .toList();
   }
 
   /** Takes what a backend told of its load. */
-  static void told(long nowMicros, Backend backend, BackendLoad load) {
+  static void reported(long nowMicros, Backend backend, BackendLoad load) {
     if (load != null) {
-      backend.told(load.running() + load.waiting(), nowMicros);
+      backend.loadReported(load.running() + load.waiting(), nowMicros);
     }
   }
 
@@ -71,10 +71,10 @@
   List<RouterOutput> probes(long nowMicros) {
     List<RouterOutput> probes = new ArrayList<>();
     for (Backend backend : backends.values()) {
-      BackendWatch watch = backend.watch();
-      watch.checkSilence(nowMicros);
-      if (backend.registered() && watch.probeDue(nowMicros)) {
-        watch.probeSent(nowMicros);
+      BackendHealthMonitor healthMonitor = backend.healthMonitor();
+      healthMonitor.checkProbeTimeout(nowMicros);
+      if (backend.registered() && healthMonitor.probeDue(nowMicros)) {
+        healthMonitor.probeSent(nowMicros);
         probes.add(new RouterOutput.Probe(backend.id()));
       }
     }
@@ -87,13 +87,13 @@
     if (backend == null) {
       return;
     }
-    told(nowMicros, backend, ended.load());
-    BackendWatch watch = backend.watch();
+    reported(nowMicros, backend, ended.load());
+    BackendHealthMonitor healthMonitor = backend.healthMonitor();
     switch (ended.outcome()) {
-      case HEALTHY -> watch.probeSucceeded(nowMicros);
-      case FULL -> watch.probeTurnedAway(nowMicros);
-      case UNHEALTHY, UNREACHABLE -> watch.probeFailed();
-      case TIMEOUT -> watch.probeTimedOut();
+      case HEALTHY -> healthMonitor.probeSucceeded(nowMicros);
+      case FULL -> healthMonitor.probeRejected(nowMicros);
+      case UNHEALTHY, UNREACHABLE -> healthMonitor.probeFailed();
+      case TIMEOUT -> healthMonitor.probeTimedOut();
       case OTHER_INSTANCE -> backend.replaced();
     }
   }
--- a/src/main/java/slateslip/routing/Dispatcher.java
+++ b/src/main/java/slateslip/routing/Dispatcher.java
@@ -23,9 +23,9 @@
   /**
    * A stream is silent for too long after so many of its longest pauses, and this time at least.
    */
-  private static final long SILENCE_GAPS = 4;
+  private static final long IDLE_TIMEOUT_GAPS = 4;
 
-  private static final long SILENCE_LEAST_MICROS = 1_000_000;
+  private static final long MIN_IDLE_TIMEOUT_MICROS = 1_000_000;
 
   private final BackendTable backends;
   private final TenantQuotas quotas;
@@ -49,13 +49,13 @@
   }
 
   /** Chooses the service of a request that has just come, and counts it there. */
-  void admitted(long nowMicros, OpenRequest request) {
+  void admitted(long nowMicros, PendingRequest request) {
     request.service = chooseService(request.route);
     budget(request.service).request(nowMicros);
   }
 
   /** Sends a request to a backend if there is one that it may go to; says whether it was sent. */
-  boolean send(long nowMicros, RoutingTable table, OpenRequest request) {
+  boolean send(long nowMicros, RoutingTable table, PendingRequest request) {
     if (!request.attemptsLeft() || !followConfiguration(table, request)) {
       return false;
     }
@@ -72,7 +72,7 @@
           .backend()
           .engine()
           .sent(
-              request.facts.prompt(),
+              request.attributes.prompt(),
               choice.newTokens(),
               choice.readMicros(),
               service.engine().cacheTokens(),
@@ -86,7 +86,7 @@
             choice.backend().id(),
             Math.max(1, (request.endMicros - nowMicros) / MICROS_PER_MILLI),
             0,
-            silenceTimeoutMicros(request),
+            idleTimeoutMicros(request),
             service.engine() == null ? RouterOutput.NO_PRIORITY : request.priority(),
             request.tenant == null ? null : request.tenant.name(),
             request.lastEventId >= 0 ? request.lastEventId : RouterOutput.AS_SENT));
@@ -94,52 +94,52 @@
   }
 
   /** Whether a request could go on at another backend that nothing speaks against. */
-  boolean hasBetter(long nowMicros, OpenRequest request) {
+  boolean hasBetter(long nowMicros, PendingRequest request) {
     return request.attemptsLeft()
         && backends.ofService(request.service).stream()
             .anyMatch(
                 backend ->
                     backend.registered()
-                        && backend.watch().trusted(nowMicros)
-                        && !request.tried(backend));
+                        && backend.healthMonitor().trusted(nowMicros)
+                        && !request.wasSentTo(backend));
   }
 
   /** Takes a retry's place in the budget of its service, once; says whether there was one. */
-  boolean payRetry(long nowMicros, OpenRequest request) {
-    if (!request.reached || request.retryPaid) {
-      request.retryPaid = false;
+  boolean payRetry(long nowMicros, PendingRequest request) {
+    if (!request.reachedBackend || request.retryCharged) {
+      request.retryCharged = false;
       return true;
     }
     return budget(request.service).spend(nowMicros, quotas.agents());
   }
 
   /** A backend that went dark in the middle of a stream is left in time for another to go on. */
-  private static long silenceTimeoutMicros(OpenRequest request) {
+  private static long idleTimeoutMicros(PendingRequest request) {
     if (!request.resumable()) {
       return 0;
     }
-    long millis = SILENCE_GAPS * request.route.targetGapMillis();
-    return Math.max(SILENCE_LEAST_MICROS, millis * MICROS_PER_MILLI);
+    long millis = IDLE_TIMEOUT_GAPS * request.route.targetGapMillis();
+    return Math.max(MIN_IDLE_TIMEOUT_MICROS, millis * MICROS_PER_MILLI);
   }
 
-  private Placement.Choice choose(long nowMicros, Service service, OpenRequest request) {
+  private Placement.Choice choose(long nowMicros, Service service, PendingRequest request) {
     List<Backend> ofService = backends.ofService(service.name());
     Placement.Demand demand =
         new Placement.Demand(
             service,
-            request.facts.prompt(),
+            request.attributes.prompt(),
             request.promptTokens(),
             request.route.targetLatencyMillis() * MICROS_PER_MILLI,
             quotas.agents());
-    return placement.pick(nowMicros, demand, ofService, backend -> !request.tried(backend));
+    return placement.pick(nowMicros, demand, ofService, backend -> !request.wasSentTo(backend));
   }
 
   /**
    * A request that is sent again goes by the configuration in force now; false if it may not any
    * more.
    */
-  private boolean followConfiguration(RoutingTable table, OpenRequest request) {
-    Optional<Route> route = table.route(request.facts.host(), request.facts.path());
+  private boolean followConfiguration(RoutingTable table, PendingRequest request) {
+    Optional<Route> route = table.route(request.attributes.host(), request.attributes.path());
     if (route.isEmpty() || !Admission.stillAllowed(table, route.get(), request)) {
       return false;
     }
--- a/src/main/java/slateslip/routing/FleetRouter.java
+++ b/src/main/java/slateslip/routing/FleetRouter.java
@@ -9,7 +9,7 @@
 import slateslip.configuration.RoutingTable;
 import slateslip.distribution.TenantDemand;
 import slateslip.routing.RouterInput.AttemptOutcome;
-import slateslip.routing.health.BackendWatch;
+import slateslip.routing.health.BackendHealthMonitor;
 import slateslip.routing.placement.Backend;
 import slateslip.routing.quota.QuotaBounds;
 import slateslip.routing.quota.TenantQuotas;
@@ -41,8 +41,8 @@
 
   private final RouterSettings settings;
   private final BackendTable backends = new BackendTable();
-  private final Map<Long, OpenRequest> open = new HashMap<>();
-  private final PriorityQueue<OpenRequest> byEnd =
+  private final Map<Long, PendingRequest> open = new HashMap<>();
+  private final PriorityQueue<PendingRequest> byEnd =
       new PriorityQueue<>(Comparator.comparingLong(request -> request.endMicros));
   private TenantQuotas quotas;
   private Admission admission;
@@ -97,8 +97,8 @@
       quotas.tenants(table.configuration().tenants());
     } else if (input instanceof RouterInput.BackendsChanged changed) {
       backends.registrations(now, changed.backends());
-    } else if (input instanceof RouterInput.SharesChanged changed) {
-      quotas.shares(changed.shares(), now);
+    } else if (input instanceof RouterInput.QuotaAllocationChanged changed) {
+      quotas.shares(changed.allocation(), now);
     } else if (input instanceof RouterInput.RequestArrived arrived) {
       arrived(now, arrived);
     } else if (input instanceof RouterInput.ClientGone gone) {
@@ -115,10 +115,10 @@
   private void arrived(long now, RouterInput.RequestArrived arrived) {
     Admission.Verdict verdict = admission.judge(now, table, arrived);
     if (verdict instanceof Admission.Verdict.Refused refused) {
-      outputs.add(refused.answer());
+      outputs.add(refused.respond());
       return;
     }
-    OpenRequest request = ((Admission.Verdict.Admitted) verdict).request();
+    PendingRequest request = ((Admission.Verdict.Admitted) verdict).request();
     open.put(request.id, request);
     byEnd.add(request);
     outputs.add(new RouterOutput.WakeAt(request.endMicros));
@@ -126,38 +126,38 @@
     send(now, request);
   }
 
-  private void send(long now, OpenRequest request) {
+  private void send(long now, PendingRequest request) {
     if (!dispatcher.send(now, table, request)) {
       giveUp(request);
     }
   }
 
   /** Nothing more can be tried: a promise if nothing has run, none otherwise. */
-  private void giveUp(OpenRequest request) {
+  private void giveUp(PendingRequest request) {
     if (request.started) {
-      outputs.add(new RouterOutput.Break(request.id));
+      outputs.add(new RouterOutput.AbortConnection(request.id));
     } else if (request.mayHaveRun) {
-      outputs.add(new RouterOutput.Answer(request.id, 502, 0));
+      outputs.add(new RouterOutput.Respond(request.id, 502, 0));
     } else {
       boolean known = backends.serves(request.service);
       long wait = known ? RETRY_AFTER_MICROS : RETRY_UNKNOWN_MICROS;
-      outputs.add(new RouterOutput.Answer(request.id, 503, wait));
+      outputs.add(new RouterOutput.Respond(request.id, 503, wait));
     }
     finish(request);
   }
 
   private void attemptStarted(long now, RouterInput.AttemptStarted started) {
-    OpenRequest request = open.get(started.request());
+    PendingRequest request = open.get(started.request());
     if (request != null) {
       request.started = true;
       Attempt attempt = request.attempts.get(started.attempt());
       attempt.start(now);
-      BackendTable.told(now, attempt.backend(), started.load());
+      BackendTable.reported(now, attempt.backend(), started.load());
     }
   }
 
   private void attemptEnded(long now, RouterInput.AttemptEnded ended) {
-    OpenRequest request = open.get(ended.request());
+    PendingRequest request = open.get(ended.request());
     if (request == null) {
       return;
     }
@@ -166,21 +166,21 @@
     learn(now, attempt, ended);
     AttemptOutcome.Kind kind = ended.outcome().kind();
     request.mayHaveRun |= ended.outcome().mayHaveRun();
-    request.reached |= kind != AttemptOutcome.Kind.NOT_SENT;
+    request.reachedBackend |= kind != AttemptOutcome.Kind.NOT_SENT;
     request.lastEventId = Math.max(request.lastEventId, ended.lastEventId());
     if (kind == AttemptOutcome.Kind.NOT_SENT || kind == AttemptOutcome.Kind.OTHER_INSTANCE) {
       request.countedAttempts--;
     }
-    if (!request.answered) {
+    if (!request.responded) {
       decide(now, request, ended);
     }
     close(request);
   }
 
-  private void decide(long now, OpenRequest request, RouterInput.AttemptEnded ended) {
+  private void decide(long now, PendingRequest request, RouterInput.AttemptEnded ended) {
     switch (ended.outcome().kind()) {
       case SUCCESS -> finish(request);
-      case ERROR_ANSWER -> {
+      case ERROR_RESPONSE -> {
         outputs.add(new RouterOutput.RelayError(request.id, ended.attempt()));
         finish(request);
       }
@@ -200,26 +200,26 @@
 
   private void learn(long now, Attempt attempt, RouterInput.AttemptEnded ended) {
     Backend backend = attempt.backend();
-    BackendWatch watch = backend.watch();
-    BackendTable.told(now, backend, ended.load());
+    BackendHealthMonitor healthMonitor = backend.healthMonitor();
+    BackendTable.reported(now, backend, ended.load());
     switch (ended.outcome().kind()) {
-      case SUCCESS, ERROR_ANSWER -> watch.answered(now);
-      case NOT_EXECUTED -> watch.heard(now);
+      case SUCCESS, ERROR_RESPONSE -> healthMonitor.requestSucceeded(now);
+      case NOT_EXECUTED -> healthMonitor.signOfLife(now);
       case OTHER_INSTANCE -> backend.replaced();
-      case NOT_SENT -> watch.connectFailed(now, backends.peers(backend));
-      case BROKEN -> watch.broke(now, backends.peers(backend));
-      case TIMEOUT -> watch.timedOut(now, attempt.sentMicros(), backends.peers(backend));
+      case NOT_SENT -> healthMonitor.connectFailed(now, backends.peers(backend));
+      case BROKEN -> healthMonitor.requestBroken(now, backends.peers(backend));
+      case TIMEOUT -> healthMonitor.timedOut(now, attempt.sentMicros(), backends.peers(backend));
       case CANCELLED -> {
         if (attempt.abandoned()) {
-          watch.timedOut(now, attempt.sentMicros(), backends.peers(backend));
+          healthMonitor.timedOut(now, attempt.sentMicros(), backends.peers(backend));
         }
       }
     }
   }
 
   private void clientGone(long id) {
-    OpenRequest request = open.get(id);
-    if (request != null && !request.answered) {
+    PendingRequest request = open.get(id);
+    if (request != null && !request.responded) {
       cancelAll(request);
       finish(request);
     }
@@ -227,14 +227,14 @@
 
   /** Ends what has reached its time-out. */
   private void expire(long now) {
-    while (!byEnd.isEmpty() && (byEnd.peek().answered || byEnd.peek().endMicros <= now)) {
-      OpenRequest request = byEnd.poll();
-      if (!request.answered) {
+    while (!byEnd.isEmpty() && (byEnd.peek().responded || byEnd.peek().endMicros <= now)) {
+      PendingRequest request = byEnd.poll();
+      if (!request.responded) {
         cancelAll(request);
         outputs.add(
             request.started
-                ? new RouterOutput.Break(request.id)
-                : new RouterOutput.Answer(request.id, 504, 0));
+                ? new RouterOutput.AbortConnection(request.id)
+                : new RouterOutput.Respond(request.id, 504, 0));
         finish(request);
       }
     }
@@ -243,8 +243,8 @@
   private void tick(long now) {
     nextTick = now + TICK_MICROS;
     outputs.add(new RouterOutput.WakeAt(nextTick));
-    for (OpenRequest request : open.values()) {
-      if (!request.answered) {
+    for (PendingRequest request : open.values()) {
+      if (!request.responded) {
         checkOverdue(now, request);
       }
     }
@@ -254,21 +254,21 @@
   /**
    * Has a silent backend probed, and leaves it with what can go on elsewhere once it seems down.
    */
-  private void checkOverdue(long now, OpenRequest request) {
+  private void checkOverdue(long now, PendingRequest request) {
     for (int number = 0; number < request.attempts.size(); number++) {
       Attempt attempt = request.attempts.get(number);
       if (attempt.ended() || attempt.abandoned()) {
         continue;
       }
-      BackendWatch watch = attempt.backend().watch();
-      long silent = now - Math.max(attempt.sentMicros(), watch.heardMicros());
+      BackendHealthMonitor healthMonitor = attempt.backend().healthMonitor();
+      long unresponsive = now - Math.max(attempt.sentMicros(), healthMonitor.heardMicros());
       long patience =
           attempt.started() ? STREAM_DOUBT_MICROS : OVERDUE_MICROS + attempt.expectedMicros();
-      if (silent < patience) {
+      if (unresponsive < patience) {
         continue;
       }
-      if (!watch.suspected()) {
-        watch.doubt();
+      if (!healthMonitor.suspected()) {
+        healthMonitor.requestProbe();
       } else if (mayMove(now, request)) {
         attempt.abandon();
         outputs.add(new RouterOutput.CancelAttempt(request.id, number));
@@ -276,17 +276,17 @@
     }
   }
 
-  private boolean mayMove(long now, OpenRequest request) {
+  private boolean mayMove(long now, PendingRequest request) {
     if (!request.repeatable() || !dispatcher.hasBetter(now, request)) {
       return false;
     }
-    request.reached = true;
+    request.reachedBackend = true;
     boolean paid = dispatcher.payRetry(now, request);
-    request.retryPaid = paid;
+    request.retryCharged = paid;
     return paid;
   }
 
-  private void cancelAll(OpenRequest request) {
+  private void cancelAll(PendingRequest request) {
     for (int number = 0; number < request.attempts.size(); number++) {
       Attempt attempt = request.attempts.get(number);
       if (!attempt.ended() && !attempt.abandoned()) {
@@ -296,17 +296,17 @@
   }
 
   /** The final answer is given, or no longer owed. */
-  private void finish(OpenRequest request) {
-    request.answered = true;
-    boolean unused = !request.mayHaveRun && !request.attemptOut();
+  private void finish(PendingRequest request) {
+    request.responded = true;
+    boolean unused = !request.mayHaveRun && !request.hasAttemptInFlight();
     if (unused && request.tenant != null) {
       quotas.giveBack(request.tenant, request.units);
     }
     close(request);
   }
 
-  private void close(OpenRequest request) {
-    if (request.answered && !request.attemptOut()) {
+  private void close(PendingRequest request) {
+    if (request.responded && !request.hasAttemptInFlight()) {
       open.remove(request.id);
     }
   }
--- a/src/main/java/slateslip/routing/OpenRequest.java
+++ b/src/main/java/slateslip/routing/PendingRequest.java
@@ -8,14 +8,14 @@
 import slateslip.routing.placement.Backend;
 
 /** A request that is not finished: its final answer is owed, or an attempt of it has not ended. */
-final class OpenRequest {
+final class PendingRequest {
   /** Lowest rank that a backend knows. */
   private static final int PRIORITY_LOWEST = 9;
 
   /** Identifies the request between router and host. */
   final long id;
 
-  final RequestFacts facts;
+  final RequestAttributes attributes;
 
   /** Tenant of the key; null if there is none. */
   final Tenant tenant;
@@ -40,10 +40,10 @@
   int countedAttempts;
 
   /** Whether a backend has received it: whatever follows is a retry. */
-  boolean reached;
+  boolean reachedBackend;
 
   /** Whether a retry's place in the budget is taken already. */
-  boolean retryPaid;
+  boolean retryCharged;
 
   /** Whether an answer has begun to be passed on. */
   boolean started;
@@ -52,12 +52,12 @@
   boolean mayHaveRun;
 
   /** Whether the final answer was given, or is no longer owed. */
-  boolean answered;
+  boolean responded;
 
   /** Id of the last event passed on to the client; -1 if none. */
   long lastEventId = -1;
 
-  OpenRequest(
+  PendingRequest(
       RouterInput.RequestArrived arrived,
       Route route,
       Tenant tenant,
@@ -65,7 +65,7 @@
       long arrivedMicros,
       long endMicros) {
     this.id = arrived.request();
-    this.facts = arrived.facts();
+    this.attributes = arrived.attributes();
     this.route = route;
     this.tenant = tenant;
     this.units = units;
@@ -89,12 +89,12 @@
   }
 
   /** Whether an attempt has not ended yet. */
-  boolean attemptOut() {
+  boolean hasAttemptInFlight() {
     return attempts.stream().anyMatch(attempt -> !attempt.ended());
   }
 
   /** Whether it was sent to a backend before. */
-  boolean tried(Backend backend) {
+  boolean wasSentTo(Backend backend) {
     return attempts.stream().anyMatch(attempt -> attempt.backend() == backend);
   }
 
@@ -106,9 +106,9 @@
 
   /** All tokens of its prompt. */
   long promptTokens() {
-    if (facts.promptTokens() >= 0) {
-      return facts.promptTokens();
+    if (attributes.promptTokens() >= 0) {
+      return attributes.promptTokens();
     }
-    return facts.prompt().stream().mapToLong(RequestFacts.PromptPart::tokens).sum();
+    return attributes.prompt().stream().mapToLong(RequestAttributes.PromptPart::tokens).sum();
   }
 }
--- a/src/main/java/slateslip/routing/RequestFacts.java
+++ b/src/main/java/slateslip/routing/RequestAttributes.java
@@ -17,7 +17,7 @@
  * @param model {@code X-Model}; empty if there is none
  * @param bodyBytes length of the body
  */
-public record RequestFacts(
+public record RequestAttributes(
     String attemptId,
     String host,
     String path,
--- a/src/main/java/slateslip/routing/RouterInput.java
+++ b/src/main/java/slateslip/routing/RouterInput.java
@@ -14,14 +14,14 @@
   record BackendsChanged(List<BackendSession> backends) implements RouterInput {}
 
   /** This data plane's share of the fleet-wide limits. */
-  record SharesChanged(QuotaAllocation shares) implements RouterInput {}
+  record QuotaAllocationChanged(QuotaAllocation allocation) implements RouterInput {}
 
   /**
    * A whole request has been read from a client.
    *
    * @param request identifies it in later inputs and outputs; not in use
    */
-  record RequestArrived(long request, RequestFacts facts) implements RouterInput {}
+  record RequestArrived(long request, RequestAttributes attributes) implements RouterInput {}
 
   /** The client closed its connection before its answer was complete; nothing more is owed. */
   record ClientGone(long request) implements RouterInput {}
@@ -52,7 +52,7 @@
   record Wake() implements RouterInput {}
 
   /** The process is leaving: serve what is open, take what still comes. */
-  record Leaving() implements RouterInput {}
+  record ShutdownStarted() implements RouterInput {}
 
   /** Running, waiting and slots as a backend told them in {@code X-Backend-Load}. */
   record BackendLoad(int running, int waiting, int slots) {}
@@ -85,7 +85,7 @@
       /** A whole, valid success; it has been or is being passed on whole. */
       SUCCESS,
       /** A whole answer with a failure status and a stamp: the request ran. Kept for relaying. */
-      ERROR_ANSWER,
+      ERROR_RESPONSE,
       /** The backend said that it did not run it ({@code X-Not-Executed}). */
       NOT_EXECUTED,
       /** Status 421: another instance has the address; it did not run. */
@@ -104,7 +104,7 @@
     public boolean mayHaveRun() {
       return switch (kind) {
         case NOT_EXECUTED, OTHER_INSTANCE, NOT_SENT -> false;
-        case SUCCESS, ERROR_ANSWER, BROKEN, TIMEOUT, CANCELLED -> true;
+        case SUCCESS, ERROR_RESPONSE, BROKEN, TIMEOUT, CANCELLED -> true;
       };
     }
   }
--- a/src/main/java/slateslip/routing/RouterOutput.java
+++ b/src/main/java/slateslip/routing/RouterOutput.java
@@ -17,7 +17,7 @@
    * @param backendId instance id, also sent as {@code X-Target-Instance}
    * @param deadlineMillis what is sent as {@code X-Deadline-Ms}; 0 leaves it out
    * @param firstEventTimeoutMicros until the first event or whole answer; 0 for none
-   * @param silenceTimeoutMicros longest pause between events after the first; 0 for none
+   * @param idleTimeoutMicros longest pause between events after the first; 0 for none
    * @param priority 0 to 9, or {@link #NO_PRIORITY}
    * @param tenant what is sent as {@code X-Tenant}; null on routes without keys
    * @param resumeAfter event id to go on after ({@code Last-Event-Id}), or {@link #AS_SENT}
@@ -28,7 +28,7 @@
       String backendId,
       long deadlineMillis,
       long firstEventTimeoutMicros,
-      long silenceTimeoutMicros,
+      long idleTimeoutMicros,
       int priority,
       String tenant,
       long resumeAfter)
@@ -40,13 +40,13 @@
    * @param status 401, 404, 408, 413, 429, 502, 503 or 504
    * @param retryAfterMicros what {@code Retry-After} says; 0 leaves it out
    */
-  record Answer(long request, int status, long retryAfterMicros) implements RouterOutput {}
+  record Respond(long request, int status, long retryAfterMicros) implements RouterOutput {}
 
   /** Pass on the failure answer of this attempt ({@code ERROR_ANSWER}) unchanged. */
   record RelayError(long request, int attempt) implements RouterOutput {}
 
   /** Break the client's connection off, so that what it has had cannot look complete. */
-  record Break(long request) implements RouterOutput {}
+  record AbortConnection(long request) implements RouterOutput {}
 
   /** Stop an attempt: close its connection. It ends as {@code CANCELLED}. */
   record CancelAttempt(long request, int attempt) implements RouterOutput {}
--- a/src/main/java/slateslip/routing/health/BackendWatch.java
+++ b/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
@@ -12,7 +12,7 @@
  * leaves a probe without a reply while nothing else comes from it. A suspected backend is no first
  * choice, and is probed often, until anything is heard from it. All times are in microseconds.
  */
-public final class BackendWatch {
+public final class BackendHealthMonitor {
   /**
    * Without traffic a backend is probed this often; a probe costs 0.006 to 0.0082 of a request's
    * worth.
@@ -25,13 +25,13 @@
   /**
    * A probe of a backend with a free slot is answered in some ms; after this its silence is a sign.
    */
-  static final long PROBE_SILENT_MICROS = 250_000;
+  static final long PROBE_SUSPECT_MICROS = 250_000;
 
   /**
    * Broken answers in a row that raise suspicion: in troubled networks one in thirty breaks by
    * itself.
    */
-  private static final int BROKEN_IN_ROW = 2;
+  private static final int MAX_CONSECUTIVE_BROKEN = 2;
 
   /**
    * YARP's defaults but for two. Reactivation: crashes here last about 4 s, and probes find what
@@ -43,13 +43,13 @@
   private final BackendHealth health = new BackendHealth(PARAMETERS);
   private long heardMicros;
   private long probeSentMicros;
-  private boolean probeOut;
-  private boolean probeWanted;
+  private boolean probePending;
+  private boolean probeRequested;
   private boolean suspected;
-  private int brokenInRow;
+  private int consecutiveBroken;
 
   /** Of a backend that was registered at this time. */
-  public BackendWatch(long nowMicros) {
+  public BackendHealthMonitor(long nowMicros) {
     heardMicros = nowMicros;
     probeSentMicros = nowMicros;
   }
@@ -76,15 +76,15 @@
   }
 
   /** Anything came from it: it lives. */
-  public void heard(long nowMicros) {
+  public void signOfLife(long nowMicros) {
     heardMicros = nowMicros;
     suspected = false;
   }
 
   /** A request ended with an answer of its own. */
-  public void answered(long nowMicros) {
-    heard(nowMicros);
-    brokenInRow = 0;
+  public void requestSucceeded(long nowMicros) {
+    signOfLife(nowMicros);
+    consecutiveBroken = 0;
     health.requestEnded(nowMicros, false);
   }
 
@@ -95,12 +95,12 @@
   }
 
   /** A connection broke, or what came was no answer. */
-  public void broke(long nowMicros, Collection<BackendHealth> peers) {
-    brokenInRow++;
-    if (brokenInRow >= BROKEN_IN_ROW) {
+  public void requestBroken(long nowMicros, Collection<BackendHealth> peers) {
+    consecutiveBroken++;
+    if (consecutiveBroken >= MAX_CONSECUTIVE_BROKEN) {
       suspect();
     }
-    probeWanted = true;
+    probeRequested = true;
     failed(nowMicros, peers);
   }
 
@@ -116,17 +116,17 @@
    * A request has waited long with nothing heard since; a probe tells a slow backend from a dead
    * one.
    */
-  public void doubt() {
-    probeWanted = true;
+  public void requestProbe() {
+    probeRequested = true;
   }
 
   /** Whether it is to be probed now. */
   public boolean probeDue(long nowMicros) {
-    if (probeOut) {
+    if (probePending) {
       return false;
     }
     long sinceProbe = nowMicros - probeSentMicros;
-    if (suspected || probeWanted || !health.available()) {
+    if (suspected || probeRequested || !health.available()) {
       return sinceProbe >= SUSPECT_PROBE_MICROS;
     }
     return sinceProbe >= IDLE_PROBE_MICROS && nowMicros - heardMicros >= IDLE_PROBE_MICROS;
@@ -134,18 +134,18 @@
 
   /** A probe goes out. */
   public void probeSent(long nowMicros) {
-    probeOut = true;
-    probeWanted = false;
+    probePending = true;
+    probeRequested = false;
     probeSentMicros = nowMicros;
   }
 
   /** Looks whether a probe stays without reply, and says whether suspicion is new. */
-  public boolean checkSilence(long nowMicros) {
-    boolean silent =
-        probeOut
-            && nowMicros - probeSentMicros >= PROBE_SILENT_MICROS
+  public boolean checkProbeTimeout(long nowMicros) {
+    boolean unanswered =
+        probePending
+            && nowMicros - probeSentMicros >= PROBE_SUSPECT_MICROS
             && heardMicros <= probeSentMicros;
-    if (!silent || suspected) {
+    if (!unanswered || suspected) {
       return false;
     }
     suspect();
@@ -154,22 +154,22 @@
 
   /** A probe was answered well. */
   public void probeSucceeded(long nowMicros) {
-    probeOut = false;
-    brokenInRow = 0;
-    heard(nowMicros);
+    probePending = false;
+    consecutiveBroken = 0;
+    signOfLife(nowMicros);
     health.probeSucceeded();
   }
 
   /** A probe was turned away because the backend is full: it lives. */
-  public void probeTurnedAway(long nowMicros) {
-    probeOut = false;
-    heard(nowMicros);
+  public void probeRejected(long nowMicros) {
+    probePending = false;
+    signOfLife(nowMicros);
     health.probeInconclusive();
   }
 
   /** A probe was answered badly, or its connection failed. */
   public void probeFailed() {
-    probeOut = false;
+    probePending = false;
     suspect();
     health.probeFailed();
   }
@@ -179,7 +179,7 @@
    * busy.
    */
   public void probeTimedOut() {
-    probeOut = false;
+    probePending = false;
     if (heardMicros > probeSentMicros) {
       health.probeInconclusive();
     } else {
@@ -195,7 +195,7 @@
 
   private void suspect() {
     suspected = true;
-    probeWanted = true;
+    probeRequested = true;
   }
 
   private void failed(long nowMicros, Collection<BackendHealth> peers) {
--- a/src/main/java/slateslip/routing/placement/Backend.java
+++ b/src/main/java/slateslip/routing/placement/Backend.java
@@ -2,7 +2,7 @@
 
 import slateslip.distribution.BackendSession;
 import slateslip.loadbalancer.policy.RendezvousHash;
-import slateslip.routing.health.BackendWatch;
+import slateslip.routing.health.BackendHealthMonitor;
 
 /** What this data plane knows of one incarnation of a backend. */
 public final class Backend {
@@ -10,20 +10,20 @@
   private static final double LOAD_FADE_MICROS = 300_000;
 
   private final long hash;
-  private final BackendWatch watch;
+  private final BackendHealthMonitor healthMonitor;
   private final EngineModel engine = new EngineModel();
   private BackendSession session;
   private boolean listed = true;
   private boolean replaced;
   private int inFlight;
   private int awaiting;
-  private int toldRequests;
-  private long toldMicros;
+  private int reportedRequests;
+  private long reportedMicros;
 
   /** A backend that was registered at this time. */
   public Backend(BackendSession session, long nowMicros) {
     this.session = session;
-    this.watch = new BackendWatch(nowMicros);
+    this.healthMonitor = new BackendHealthMonitor(nowMicros);
     long seed = 0;
     for (int i = 0; i < session.id().length(); i++) {
       seed = seed * 31 + session.id().charAt(i);
@@ -73,8 +73,8 @@
   }
 
   /** Its health. */
-  public BackendWatch watch() {
-    return watch;
+  public BackendHealthMonitor healthMonitor() {
+    return healthMonitor;
   }
 
   /** What is believed of its engine; of use only for model services. */
@@ -114,14 +114,14 @@
   }
 
   /** It told how many requests run and wait there. */
-  public void told(int requests, long nowMicros) {
-    toldRequests = requests;
-    toldMicros = nowMicros;
+  public void loadReported(int requests, long nowMicros) {
+    reportedRequests = requests;
+    reportedMicros = nowMicros;
   }
 
   /** Requests there as far as known: own ones, and what it told while that is fresh. */
   public double load(long nowMicros) {
-    double fade = Math.exp((toldMicros - nowMicros) / LOAD_FADE_MICROS);
-    return Math.max(inFlight, toldRequests * fade);
+    double fade = Math.exp((reportedMicros - nowMicros) / LOAD_FADE_MICROS);
+    return Math.max(inFlight, reportedRequests * fade);
   }
 }
--- a/src/main/java/slateslip/routing/placement/EngineModel.java
+++ b/src/main/java/slateslip/routing/placement/EngineModel.java
@@ -1,7 +1,7 @@
 package slateslip.routing.placement;
 
 import java.util.List;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /**
  * What this data plane believes of one model backend: the parts of prompts it keeps, and when it
@@ -25,20 +25,20 @@
   /** Time in which such a delay falls to 1/e: what others have sent is read by then. */
   private static final double DELAY_FADE_MICROS = 700_000;
 
-  private final KeptParts keptParts = new KeptParts();
-  private long readUntilMicros;
+  private final PrefixCacheModel prefixCache = new PrefixCacheModel();
+  private long prefillUntilMicros;
   private double delayMicros;
   private long delayMeasuredMicros;
 
   /** Tokens of the prompt that the engine probably keeps. */
-  public long kept(List<PromptPart> prompt, long memoryTokens, int agents) {
-    return keptParts.kept(prompt, memoryTokens, agents);
+  public long cachedTokens(List<PromptPart> prompt, long memoryTokens, int agents) {
+    return prefixCache.cachedTokens(prompt, memoryTokens, agents);
   }
 
   /** Time to read the rest of a prompt of which some tokens are kept. */
-  public static long readMicros(long promptTokens, long keptTokens) {
-    double fresh = Math.max(0, promptTokens - keptTokens);
-    double pairs = fresh * (keptTokens + fresh / 2) / 1e6;
+  public static long prefillMicros(long promptTokens, long cachedTokens) {
+    double fresh = Math.max(0, promptTokens - cachedTokens);
+    double pairs = fresh * (cachedTokens + fresh / 2) / 1e6;
     double millis = fresh / TOKENS_PER_MILLI + pairs * MILLIS_PER_MILLION_PAIRS;
     return (long) (1_000 * (BASE_MILLIS + millis));
   }
@@ -46,19 +46,19 @@
   /** Time that a request would wait before its prompt is read. */
   public long queueMicros(long nowMicros) {
     double fade = Math.exp((delayMeasuredMicros - nowMicros) / DELAY_FADE_MICROS);
-    return Math.max(0, readUntilMicros - nowMicros) + (long) (delayMicros * fade);
+    return Math.max(0, prefillUntilMicros - nowMicros) + (long) (delayMicros * fade);
   }
 
   /** Notes a prompt that is sent now. */
   public void sent(
       List<PromptPart> prompt,
       long newTokens,
-      long readMicros,
+      long prefillMicros,
       long memoryTokens,
       int agents,
       long nowMicros) {
-    keptParts.sent(prompt, newTokens, memoryTokens, agents);
-    readUntilMicros = Math.max(readUntilMicros, nowMicros) + readMicros;
+    prefixCache.sent(prompt, newTokens, memoryTokens, agents);
+    prefillUntilMicros = Math.max(prefillUntilMicros, nowMicros) + prefillMicros;
   }
 
   /**
@@ -73,12 +73,13 @@
     delayMicros = delayMicros * fade + DELAY_BLEND * (measured - delayMicros * fade);
     delayMeasuredMicros = nowMicros;
     if (noneWaits) {
-      readUntilMicros = nowMicros;
+      prefillUntilMicros = nowMicros;
     }
   }
 
   /** An own request will not be read any more. */
-  public void givenUp(long readMicros, boolean noneWaits, long nowMicros) {
-    readUntilMicros = noneWaits ? nowMicros : Math.max(nowMicros, readUntilMicros - readMicros);
+  public void givenUp(long prefillMicros, boolean noneWaits, long nowMicros) {
+    prefillUntilMicros =
+        noneWaits ? nowMicros : Math.max(nowMicros, prefillUntilMicros - prefillMicros);
   }
 }
--- a/src/main/java/slateslip/routing/placement/Placement.java
+++ b/src/main/java/slateslip/routing/placement/Placement.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import slateslip.configuration.Service;
 import slateslip.loadbalancer.policy.PowerOfTwoChoices;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /**
  * Picks the backend of a request.
@@ -30,7 +30,7 @@
    * Part of the shared tokens that a key's first backend is taken to keep though this data plane
    * has not sent them there: the others have.
    */
-  private static final double KEPT_BY_OTHERS = 0.95;
+  private static final double CACHED_BY_PEERS = 0.95;
 
   /**
    * Time that staying in the zone is worth: 17 KB at 1,400 per GB cost 0.024, of a worth of 1 to 3.
@@ -38,7 +38,7 @@
   private static final long OWN_ZONE_MICROS = 8_000;
 
   /** Part of its slots in use above which a backend of the own zone is full. */
-  private static final double ROOM_PART = 0.8;
+  private static final double SPARE_SLOT_FRACTION = 0.8;
 
   private final String zone;
   private final RandomGenerator random;
@@ -109,11 +109,11 @@
    * then.
    */
   private static List<Backend> healthiest(long nowMicros, List<Backend> open) {
-    List<Backend> trusted = filter(open, backend -> backend.watch().trusted(nowMicros));
+    List<Backend> trusted = filter(open, backend -> backend.healthMonitor().trusted(nowMicros));
     if (!trusted.isEmpty()) {
       return trusted;
     }
-    List<Backend> available = filter(open, backend -> backend.watch().available(nowMicros));
+    List<Backend> available = filter(open, backend -> backend.healthMonitor().available(nowMicros));
     return available.isEmpty() ? open : available;
   }
 
@@ -123,9 +123,9 @@
 
   private Backend draw(long nowMicros, List<Backend> candidates) {
     List<Backend> near =
-        filter(candidates, backend -> near(backend) && hasRoom(backend, nowMicros));
+        filter(candidates, backend -> near(backend) && hasCapacity(backend, nowMicros));
     List<Backend> roomy =
-        near.isEmpty() ? filter(candidates, backend -> hasRoom(backend, nowMicros)) : near;
+        near.isEmpty() ? filter(candidates, backend -> hasCapacity(backend, nowMicros)) : near;
     return PowerOfTwoChoices.pick(
         roomy.isEmpty() ? candidates : roomy,
         Backend::inFlight,
@@ -137,9 +137,9 @@
     return backend.session().zone().equals(zone);
   }
 
-  private static boolean hasRoom(Backend backend, long nowMicros) {
+  private static boolean hasCapacity(Backend backend, long nowMicros) {
     int slots = backend.session().slots();
-    return slots <= 0 || backend.load(nowMicros) < ROOM_PART * slots;
+    return slots <= 0 || backend.load(nowMicros) < SPARE_SLOT_FRACTION * slots;
   }
 
   private Choice byPrompt(long nowMicros, Demand demand, List<Backend> candidates) {
@@ -167,14 +167,15 @@
 
   private Choice reckon(long nowMicros, Demand demand, Backend backend, int rank) {
     EngineModel engine = backend.engine();
-    long kept = engine.kept(demand.prompt(), demand.memoryTokens(), demand.agents());
+    long cachedTokens =
+        engine.cachedTokens(demand.prompt(), demand.memoryTokens(), demand.agents());
     if (rank == 0) {
       int last = demand.prompt().size() - 1;
       long shared = demand.promptTokens() - demand.prompt().get(last).tokens();
-      kept = Math.max(kept, (long) (KEPT_BY_OTHERS * shared));
+      cachedTokens = Math.max(cachedTokens, (long) (CACHED_BY_PEERS * shared));
     }
-    long read = EngineModel.readMicros(demand.promptTokens(), kept);
-    long newTokens = Math.max(0, demand.promptTokens() - kept);
+    long read = EngineModel.prefillMicros(demand.promptTokens(), cachedTokens);
+    long newTokens = Math.max(0, demand.promptTokens() - cachedTokens);
     return new Choice(backend, newTokens, read, engine.queueMicros(nowMicros) + read);
   }
 
--- a/src/main/java/slateslip/routing/placement/KeptParts.java
+++ b/src/main/java/slateslip/routing/placement/PrefixCacheModel.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /**
  * What a backend probably keeps of the prompts that this data plane sent to it.
@@ -12,27 +12,27 @@
  * much each; so a part counts as kept while the tokens sent since its last use, times the data
  * planes, fit into the backend's memory.
  */
-final class KeptParts {
+final class PrefixCacheModel {
   /** Part of the memory that kept parts have beside running requests. */
-  private static final double KEPT_SHARE = 0.8;
+  private static final double CACHE_MEMORY_FRACTION = 0.8;
 
   /** Entries at which those that are dropped by now are cleared out. */
-  private static final int CLEAR_AT = 4_096;
+  private static final int CLEANUP_THRESHOLD = 4_096;
 
   private final Map<Long, Long> sentAtUse = new HashMap<>();
   private long sentTokens;
 
   /** Tokens at the beginning of the prompt that need not be read. */
-  long kept(List<PromptPart> prompt, long memoryTokens, int agents) {
-    long kept = 0;
+  long cachedTokens(List<PromptPart> prompt, long memoryTokens, int agents) {
+    long cachedTokens = 0;
     for (PromptPart part : prompt) {
       Long at = sentAtUse.get(part.id());
-      if (at == null || dropped(at, memoryTokens, agents)) {
+      if (at == null || isEvicted(at, memoryTokens, agents)) {
         break;
       }
-      kept += part.tokens();
+      cachedTokens += part.tokens();
     }
-    return kept;
+    return cachedTokens;
   }
 
   /** Notes a prompt that was sent. */
@@ -41,12 +41,12 @@
     for (PromptPart part : prompt) {
       sentAtUse.put(part.id(), sentTokens);
     }
-    if (sentAtUse.size() > CLEAR_AT) {
-      sentAtUse.values().removeIf(at -> dropped(at, memoryTokens, agents));
+    if (sentAtUse.size() > CLEANUP_THRESHOLD) {
+      sentAtUse.values().removeIf(at -> isEvicted(at, memoryTokens, agents));
     }
   }
 
-  private boolean dropped(long at, long memoryTokens, int agents) {
-    return (sentTokens - at) * (double) agents > KEPT_SHARE * memoryTokens;
+  private boolean isEvicted(long at, long memoryTokens, int agents) {
+    return (sentTokens - at) * (double) agents > CACHE_MEMORY_FRACTION * memoryTokens;
   }
 }
--- a/src/main/java/slateslip/routing/quota/TenantQuotas.java
+++ b/src/main/java/slateslip/routing/quota/TenantQuotas.java
@@ -45,8 +45,8 @@
     if (!tenant.countsTokens()) {
       return 1;
     }
-    boolean told = promptTokens >= 0 && outputTokens >= 0;
-    return told ? promptTokens + outputTokens : tenant.uncachedTokens();
+    boolean allocated = promptTokens >= 0 && outputTokens >= 0;
+    return allocated ? promptTokens + outputTokens : tenant.uncachedTokens();
   }
 
   /** Takes the tenants of another configuration. */
--- a/src/main/java/slateslip/simulation/dataplane/BackendCall.java
+++ b/src/main/java/slateslip/simulation/dataplane/BackendCall.java
@@ -3,7 +3,7 @@
 /** One attempt on its way: what a data plane sends to a backend over one connection. */
 final class BackendCall {
   private final DataPlaneHost host;
-  private final ClientTry content;
+  private final ClientAttempt content;
   private final long request;
   private final int attempt;
   private final String backendId;
@@ -15,7 +15,7 @@
 
   BackendCall(
       DataPlaneHost host,
-      ClientTry content,
+      ClientAttempt content,
       slateslip.routing.RouterOutput.SendAttempt sent,
       long resumeAfter,
       long deadlineMicros) {
@@ -34,7 +34,7 @@
     return host;
   }
 
-  ClientTry content() {
+  ClientAttempt content() {
     return content;
   }
 
--- a/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
+++ b/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import slateslip.configuration.RouteKind;
-import slateslip.routing.RequestFacts;
+import slateslip.routing.RequestAttributes;
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** A client's request over all of its tries; it retries as the protocol allows. */
 @SuppressWarnings("ReferenceEquality") // each try is an object of its own
 final class ClientRequest {
-  private static final long SILENCE_FLOOR_MICROS = 2_000_000;
+  private static final long MIN_IDLE_TIMEOUT_MICROS = 2_000_000;
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
-  private static final long PAUSE_MICROS = 100_000;
+  private static final long BACKOFF_MICROS = 100_000;
 
   /** How a request ended for its client. */
   enum Outcome {
@@ -27,7 +27,7 @@
   private final long beganMicros;
   private final long deadlineMicros;
   private int retriesLeft;
-  private ClientTry current;
+  private ClientAttempt current;
   private DataPlaneHost host;
   private long lastEventId = -1;
   private long heardMicros;
@@ -55,7 +55,7 @@
   record RequestDraw(
       int zone,
       int tenant,
-      List<RequestFacts.PromptPart> prompt,
+      List<RequestAttributes.PromptPart> prompt,
       int outputTokens,
       long totalEvents,
       long workMicros,
@@ -80,19 +80,20 @@
     heardMicros = loop.nowMicros();
     current = newTry();
     world.checker().sent(current);
-    ClientTry sent = current;
+    ClientAttempt sent = current;
     DataPlaneHost target = host;
     loop.after(world.plan().network().client(), () -> connect(target, sent));
     if (requestClass.kind() == RouteKind.STREAMING) {
-      loop.after(silenceMicros(), () -> checkSilence(sent));
+      loop.after(idleTimeoutMicros(), () -> checkIdleTimeout(sent));
     }
   }
 
-  private ClientTry newTry() {
+  private ClientAttempt newTry() {
     boolean engine = requestClass.kind() == RouteKind.STREAMING;
-    long promptTokens = draw.prompt().stream().mapToLong(RequestFacts.PromptPart::tokens).sum();
-    RequestFacts facts =
-        new RequestFacts(
+    long promptTokens =
+        draw.prompt().stream().mapToLong(RequestAttributes.PromptPart::tokens).sum();
+    RequestAttributes attributes =
+        new RequestAttributes(
             world.nextAttemptId(),
             WorldPlans.HOST,
             WorldPlans.path(requestClass),
@@ -104,17 +105,17 @@
             lastEventId,
             engine ? "m" : "",
             engine ? (int) promptTokens : 600);
-    return new ClientTry(
+    return new ClientAttempt(
         this,
         requestClass,
         WorldPlans.tenantName(draw.tenant()),
         draw.tenant(),
-        facts,
+        attributes,
         draw.workMicros(),
         draw.failsAtBackend());
   }
 
-  private void connect(DataPlaneHost target, ClientTry sent) {
+  private void connect(DataPlaneHost target, ClientAttempt sent) {
     switch (target.condition()) {
       case UP, FROZEN -> target.accept(sent);
       case DOWN -> loop.after(world.plan().network().client(), () -> unread(sent));
@@ -123,19 +124,20 @@
     }
   }
 
-  private long silenceMicros() {
+  private long idleTimeoutMicros() {
     return Math.max(
-        SILENCE_FLOOR_MICROS,
-        1_000 * Math.max(4 * requestClass.targetLatencyMillis(), 8 * requestClass.gapAimMillis()));
+        MIN_IDLE_TIMEOUT_MICROS,
+        1_000
+            * Math.max(4 * requestClass.targetLatencyMillis(), 8 * requestClass.targetGapMillis()));
   }
 
-  private void checkSilence(ClientTry of) {
+  private void checkIdleTimeout(ClientAttempt of) {
     if (done || current != of) {
       return;
     }
-    long due = heardMicros + silenceMicros();
+    long due = heardMicros + idleTimeoutMicros();
     if (loop.nowMicros() < due) {
-      loop.at(due, () -> checkSilence(of));
+      loop.at(due, () -> checkIdleTimeout(of));
       return;
     }
     leave();
@@ -143,7 +145,7 @@
   }
 
   private void leave() {
-    ClientTry left = current;
+    ClientAttempt left = current;
     DataPlaneHost target = host;
     loop.after(world.plan().network().client(), () -> target.clientGone(left));
     current = null;
@@ -159,7 +161,7 @@
   }
 
   /** The connection never came up. */
-  private void unread(ClientTry of) {
+  private void unread(ClientAttempt of) {
     if (!done && current == of) {
       current = null;
       retryOrEnd(true, 0, Outcome.FAILED);
@@ -167,7 +169,7 @@
   }
 
   /** An event has come. */
-  void event(ClientTry of, long id, boolean last) {
+  void event(ClientAttempt of, long id, boolean last) {
     if (done || current != of) {
       return;
     }
@@ -192,7 +194,7 @@
   }
 
   /** A whole answer with success has come. */
-  void whole(ClientTry of) {
+  void whole(ClientAttempt of) {
     if (!done && current == of) {
       firstMicros = loop.nowMicros();
       endServed();
@@ -200,7 +202,7 @@
   }
 
   /** A failure has come. */
-  void answered(ClientTry of, int status, long retryAfterMicros) {
+  void answered(ClientAttempt of, int status, long retryAfterMicros) {
     if (done || current != of) {
       return;
     }
@@ -211,7 +213,7 @@
   }
 
   /** The connection has ended before the answer was whole. */
-  void broken(ClientTry of) {
+  void broken(ClientAttempt of) {
     if (!done && current == of) {
       current = null;
       retryOrEnd(requestClass.repeatable(), 0, Outcome.FAILED);
@@ -225,7 +227,7 @@
     }
     retriesLeft--;
     long left = deadlineMicros - loop.nowMicros();
-    long wait = retryAfterMicros > 0 ? Math.min(retryAfterMicros, left / 3) : PAUSE_MICROS;
+    long wait = retryAfterMicros > 0 ? Math.min(retryAfterMicros, left / 3) : BACKOFF_MICROS;
     loop.after(
         draw.patient() ? wait : 0,
         () -> {
@@ -238,8 +240,8 @@
   private void endServed() {
     boolean inTime =
         firstMicros - beganMicros <= requestClass.targetLatencyMillis() * 1_000
-            && (requestClass.gapAimMillis() == 0
-                || longestGapMicros <= requestClass.gapAimMillis() * 1_000);
+            && (requestClass.targetGapMillis() == 0
+                || longestGapMicros <= requestClass.targetGapMillis() * 1_000);
     end(inTime ? Outcome.IN_TIME : Outcome.LATE);
   }
 
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -43,7 +43,7 @@
   private final int index;
   private final int zone;
   private final Map<Long, Exchange> exchanges = new TreeMap<>();
-  private final Deque<Runnable> heldInbound = new ArrayDeque<>();
+  private final Deque<Runnable> pausedInbound = new ArrayDeque<>();
   private final Deque<RouterInput> pendingInputs = new ArrayDeque<>();
   private RequestRouter router;
   private Condition condition = Condition.DOWN;
@@ -112,7 +112,7 @@
       }
     }
     exchanges.clear();
-    heldInbound.clear();
+    pausedInbound.clear();
     pendingInputs.clear();
   }
 
@@ -124,18 +124,18 @@
   void thaw() {
     troubledMicros = loop.nowMicros();
     condition = Condition.UP;
-    while (!heldInbound.isEmpty()) {
-      heldInbound.poll().run();
+    while (!pausedInbound.isEmpty()) {
+      pausedInbound.poll().run();
     }
   }
 
   /** A client's whole request has come. */
-  void accept(ClientTry content) {
+  void accept(ClientAttempt content) {
     inbound(() -> read(content));
   }
 
   /** A client has closed its connection. */
-  void clientGone(ClientTry content) {
+  void clientGone(ClientAttempt content) {
     inbound(
         () -> {
           for (Exchange exchange : List.copyOf(exchanges.values())) {
@@ -167,23 +167,23 @@
   private void inbound(Runnable action) {
     switch (condition) {
       case UP -> action.run();
-      case FROZEN -> heldInbound.add(action);
+      case FROZEN -> pausedInbound.add(action);
       default -> {
         // nobody is there
       }
     }
   }
 
-  private void read(ClientTry content) {
+  private void read(ClientAttempt content) {
     Exchange exchange = new Exchange(nextRequest++, content, loop.nowMicros());
     exchanges.put(exchange.id, exchange);
     long holdMillis =
-        Math.min(content.requestClass().timeoutMillis(), content.facts().deadlineMillis());
-    loop.after(holdMillis * 1_000 + HELD_SLACK_MICROS, () -> checkHeld(exchange));
-    feed(new RouterInput.RequestArrived(exchange.id, content.facts()));
+        Math.min(content.requestClass().timeoutMillis(), content.attributes().deadlineMillis());
+    loop.after(holdMillis * 1_000 + HELD_SLACK_MICROS, () -> checkPendingRequests(exchange));
+    feed(new RouterInput.RequestArrived(exchange.id, content.attributes()));
   }
 
-  private void checkHeld(Exchange exchange) {
+  private void checkPendingRequests(Exchange exchange) {
     boolean stillOpen = exchanges.get(exchange.id) == exchange && !exchange.over;
     if (stillOpen && condition == Condition.UP && troubledMicros < exchange.acceptedMicros) {
       world.checker().broken(Rule.HELD, exchange.content.attemptId());
@@ -200,7 +200,7 @@
       end(exchange, call, Kind.SUCCESS, 200, load);
     } else if (reply instanceof BackendReply.Failure failure) {
       exchange.failures.put(call.attempt(), failure.status());
-      end(exchange, call, Kind.ERROR_ANSWER, failure.status(), load);
+      end(exchange, call, Kind.ERROR_RESPONSE, failure.status(), load);
     } else if (reply instanceof BackendReply.NotExecuted) {
       end(exchange, call, Kind.NOT_EXECUTED, 503, load);
     } else if (reply instanceof BackendReply.OtherInstance) {
@@ -219,7 +219,7 @@
     }
     begin(exchange, call);
     exchange.lastEventId = event.id();
-    watchSilence(exchange, call);
+    startIdleTimer(exchange, call);
     exchange.over = event.last();
     toClient(() -> exchange.content.client().event(exchange.content, event.id(), event.last()));
     if (event.last()) {
@@ -228,7 +228,7 @@
   }
 
   private void begin(Exchange exchange, BackendCall call) {
-    if (exchange.begun.add(call.attempt())) {
+    if (exchange.started.add(call.attempt())) {
       feed(new RouterInput.AttemptStarted(exchange.id, call.attempt(), null));
     }
   }
@@ -268,12 +268,12 @@
   private void perform(RouterOutput output) {
     if (output instanceof RouterOutput.SendAttempt send) {
       send(send);
-    } else if (output instanceof RouterOutput.Answer answer) {
-      answer(answer);
+    } else if (output instanceof RouterOutput.Respond response) {
+      answer(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       relay(relay);
-    } else if (output instanceof RouterOutput.Break breakOff) {
-      Exchange exchange = finalAnswer(breakOff.request());
+    } else if (output instanceof RouterOutput.AbortConnection breakOff) {
+      Exchange exchange = finalResponse(breakOff.request());
       if (exchange != null) {
         toClient(() -> exchange.content.client().broken(exchange.content));
       }
@@ -301,14 +301,14 @@
     }
     long deadlineMicros =
         send.deadlineMillis() == 0
-            ? exchange.acceptedMicros + exchange.content.facts().deadlineMillis() * 1_000
+            ? exchange.acceptedMicros + exchange.content.attributes().deadlineMillis() * 1_000
             : loop.nowMicros() + send.deadlineMillis() * 1_000;
-    long clientHas = exchange.content.facts().lastEventId();
+    long clientHas = exchange.content.attributes().lastEventId();
     long resumeAfter = send.resumeAfter() == RouterOutput.AS_SENT ? clientHas : send.resumeAfter();
     BackendCall call =
         new BackendCall(this, exchange.content, send, Math.max(0, resumeAfter), deadlineMicros);
     exchange.live.put(send.attempt(), call);
-    exchange.silenceMicros.put(send.attempt(), send.silenceTimeoutMicros());
+    exchange.idleMicros.put(send.attempt(), send.idleTimeoutMicros());
     SimulatedBackend backend = world.control().backend(send.backendId());
     world.measurements().called(backend.zone() != zone);
     world.network().send(call, backend);
@@ -317,21 +317,21 @@
     }
   }
 
-  private void watchSilence(Exchange exchange, BackendCall call) {
-    long limit = exchange.silenceMicros.get(call.attempt());
+  private void startIdleTimer(Exchange exchange, BackendCall call) {
+    long limit = exchange.idleMicros.get(call.attempt());
     boolean first = exchange.heardMicros.put(call.attempt(), loop.nowMicros()) == null;
     if (limit > 0 && first) {
-      loop.after(limit, () -> inbound(() -> checkSilence(exchange, call, limit)));
+      loop.after(limit, () -> inbound(() -> checkIdleTimeout(exchange, call, limit)));
     }
   }
 
-  private void checkSilence(Exchange exchange, BackendCall call, long limit) {
+  private void checkIdleTimeout(Exchange exchange, BackendCall call, long limit) {
     if (exchange.live.get(call.attempt()) != call) {
       return;
     }
     long due = exchange.heardMicros.get(call.attempt()) + limit;
     if (loop.nowMicros() < due) {
-      loop.at(due, () -> inbound(() -> checkSilence(exchange, call, limit)));
+      loop.at(due, () -> inbound(() -> checkIdleTimeout(exchange, call, limit)));
       return;
     }
     world.network().hostClosed(call, world.control().backend(call.backendId()));
@@ -339,22 +339,22 @@
   }
 
   private void timeOut(Exchange exchange, BackendCall call) {
-    boolean silent = !exchange.begun.contains(call.attempt());
+    boolean silent = !exchange.started.contains(call.attempt());
     if (exchange.live.get(call.attempt()) == call && silent) {
       world.network().hostClosed(call, world.control().backend(call.backendId()));
       end(exchange, call, Kind.TIMEOUT, 0, null);
     }
   }
 
-  private void answer(RouterOutput.Answer answer) {
-    Exchange exchange = finalAnswer(answer.request());
+  private void answer(RouterOutput.Respond response) {
+    Exchange exchange = finalResponse(response.request());
     if (exchange == null) {
       return;
     }
-    if (!exchange.begun.isEmpty()) {
+    if (!exchange.started.isEmpty()) {
       world.checker().broken(Rule.ANSWERS, exchange.content.attemptId() + " was begun");
     }
-    if (PROMISES.contains(answer.status())) {
+    if (PROMISES.contains(response.status())) {
       world.checker().promised(exchange.content.attemptId());
     }
     toClient(
@@ -362,11 +362,11 @@
             exchange
                 .content
                 .client()
-                .answered(exchange.content, answer.status(), answer.retryAfterMicros()));
+                .answered(exchange.content, response.status(), response.retryAfterMicros()));
   }
 
   private void relay(RouterOutput.RelayError relay) {
-    Exchange exchange = finalAnswer(relay.request());
+    Exchange exchange = finalResponse(relay.request());
     if (exchange == null) {
       return;
     }
@@ -379,7 +379,7 @@
   }
 
   /** Marks a request as answered; null, with the rule noted, if it was already. */
-  private Exchange finalAnswer(long request) {
+  private Exchange finalResponse(long request) {
     Exchange exchange = exchanges.get(request);
     if (exchange == null || exchange.over) {
       world.checker().broken(Rule.ANSWERS, "request " + request + " answered again");
@@ -411,10 +411,10 @@
   private void probeArrived(SimulatedBackend backend, String id, long delay, int ofIncarnation) {
     RouterInput.ProbeOutcome seen = backend.probe();
     boolean silent = seen == RouterInput.ProbeOutcome.TIMEOUT;
-    boolean answers = seen != RouterInput.ProbeOutcome.UNREACHABLE && !silent;
+    boolean responses = seen != RouterInput.ProbeOutcome.UNREACHABLE && !silent;
     RouterInput.ProbeOutcome outcome =
-        answers && !backend.id().equals(id) ? RouterInput.ProbeOutcome.OTHER_INSTANCE : seen;
-    BackendLoad load = answers ? backend.load() : null;
+        responses && !backend.id().equals(id) ? RouterInput.ProbeOutcome.OTHER_INSTANCE : seen;
+    BackendLoad load = responses ? backend.load() : null;
     loop.after(
         silent ? PROBE_TIMEOUT_MICROS : delay,
         () -> {
@@ -431,18 +431,18 @@
   /** One client request inside the data plane. */
   private static final class Exchange {
     private final long id;
-    private final ClientTry content;
+    private final ClientAttempt content;
     private final long acceptedMicros;
     private final Map<Integer, BackendCall> live = new TreeMap<>();
     private final Set<Integer> numbers = new HashSet<>();
-    private final Set<Integer> begun = new HashSet<>();
-    private final Map<Integer, Long> silenceMicros = new HashMap<>();
+    private final Set<Integer> started = new HashSet<>();
+    private final Map<Integer, Long> idleMicros = new HashMap<>();
     private final Map<Integer, Long> heardMicros = new HashMap<>();
     private final Map<Integer, Integer> failures = new HashMap<>();
     private long lastEventId = -1;
     private boolean over;
 
-    Exchange(long id, ClientTry content, long acceptedMicros) {
+    Exchange(long id, ClientAttempt content, long acceptedMicros) {
       this.id = id;
       this.content = content;
       this.acceptedMicros = acceptedMicros;
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneWorld.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneWorld.java
@@ -12,7 +12,7 @@
 /** One run: real routers against emulated backends and clients, under a schedule of faults. */
 public final class DataPlaneWorld {
   /** How long after the last request everything must have ended. */
-  private static final long SETTLE_MICROS = 15_000_000;
+  private static final long DRAIN_MICROS = 15_000_000;
 
   private static final long RELEASE_SERVES_MICROS = 2_500_000;
   private static final long RELEASE_CHECK_MICROS = 100_000;
@@ -66,7 +66,7 @@
     world.build();
     new Traffic(world, world.windows).begin();
     plan.faults().forEach(fault -> world.loop.at(fault.atMicros(), () -> world.strike(fault)));
-    world.loop.runUntil(plan.durationMicros() + SETTLE_MICROS);
+    world.loop.runUntil(plan.durationMicros() + DRAIN_MICROS);
     world.checkEnd();
     return new Result(
         world.checker.violations(), world.measurements, world.digest, world.requests.size());
@@ -81,7 +81,7 @@
     for (int i = 0; i < plan.dataPlanes(); i++) {
       addHost();
     }
-    control.beginSharing(plan.durationMicros() + SETTLE_MICROS);
+    control.beginSharing(plan.durationMicros() + DRAIN_MICROS);
   }
 
   private SimulatedBackend backend(WorldPlan.BackendGroup group, int index) {
--- a/src/main/java/slateslip/simulation/dataplane/EngineBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/EngineBackend.java
@@ -46,8 +46,8 @@
         new EngineInput.Submit(
             new EngineRequest(
                 id,
-                call.content().facts().prompt(),
-                (int) call.content().facts().outputTokens(),
+                call.content().attributes().prompt(),
+                (int) call.content().attributes().outputTokens(),
                 priority,
                 call.resumeAfter(),
                 call.deadlineMicros())));
@@ -114,12 +114,12 @@
     } else if (output instanceof EngineOutput.Admitted admitted) {
       BackendCall call = calls.get(admitted.request());
       measurements.admitted(
-          call.content(), id(), loop.nowMicros(), admitted.keptTokens(), admitted.readTokens());
+          call.content(), id(), loop.nowMicros(), admitted.cachedTokens(), admitted.readTokens());
     } else if (output instanceof EngineOutput.Rejected rejected) {
       finish(forget(rejected.request()), new BackendReply.NotExecuted());
     } else if (output instanceof EngineOutput.DeadlineExceeded exceeded) {
-      boolean begun = streamed.containsKey(exceeded.request());
-      BackendReply reply = begun ? new BackendReply.Reset() : new BackendReply.Failure(504);
+      boolean started = streamed.containsKey(exceeded.request());
+      BackendReply reply = started ? new BackendReply.Reset() : new BackendReply.Failure(504);
       finish(forget(exceeded.request()), reply);
     }
   }
--- a/src/main/java/slateslip/simulation/dataplane/Measurements.java
+++ b/src/main/java/slateslip/simulation/dataplane/Measurements.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.simulation.dataplane.ClientRequest.Outcome;
 
 /** What clients and engines saw, by class and tenant. */
@@ -40,11 +40,11 @@
     private final Histogram firstMicros = new Histogram(HIGHEST_MICROS, DIGITS);
     private final Histogram gapMicros = new Histogram(HIGHEST_MICROS, DIGITS);
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-    private long keptTokens;
+    private long cachedTokens;
     private long readTokens;
     private long sharedTokensReadAgain;
-    private double worthOwed;
-    private double worthEarned;
+    private double valueOwed;
+    private double valueEarned;
 
     /** Time to the first event or the whole answer, of requests that had one. */
     public Histogram firstMicros() {
@@ -82,8 +82,8 @@
     }
 
     /** Fraction of prompt tokens that engines had kept; NaN if there were none. */
-    public double keptShare() {
-      return (double) keptTokens / (keptTokens + readTokens);
+    public double cachedFraction() {
+      return (double) cachedTokens / (cachedTokens + readTokens);
     }
 
     /** Shared tokens that were read although some engine had used them a moment before. */
@@ -92,8 +92,8 @@
     }
 
     /** Worth earned by worth owed. */
-    public double worthShare() {
-      return worthEarned / worthOwed;
+    public double valueFraction() {
+      return valueEarned / valueOwed;
     }
 
     private long count(Outcome outcome) {
@@ -104,11 +104,11 @@
       firstMicros.add(other.firstMicros);
       gapMicros.add(other.gapMicros);
       other.outcomes.forEach((outcome, count) -> outcomes.merge(outcome, count, Long::sum));
-      keptTokens += other.keptTokens;
+      cachedTokens += other.cachedTokens;
       readTokens += other.readTokens;
       sharedTokensReadAgain += other.sharedTokensReadAgain;
-      worthOwed += other.worthOwed;
-      worthEarned += other.worthEarned;
+      valueOwed += other.valueOwed;
+      valueEarned += other.valueEarned;
     }
   }
 
@@ -168,15 +168,15 @@
     probes++;
   }
 
-  void admitted(ClientTry content, String backend, long nowMicros, long kept, long read) {
+  void admitted(ClientAttempt content, String backend, long nowMicros, long retained, long read) {
     Group group = group(content.requestClass(), content.tenantIndex());
-    group.keptTokens += kept;
+    group.cachedTokens += retained;
     group.readTokens += read;
-    List<PromptPart> prompt = content.facts().prompt();
+    List<PromptPart> prompt = content.attributes().prompt();
     long before = 0;
     for (PromptPart part : prompt.subList(0, Math.max(0, prompt.size() - 1))) {
       Long lastUse = lastUseByPart.put(part.id(), nowMicros);
-      boolean missing = before >= kept;
+      boolean missing = before >= retained;
       if (missing && lastUse != null && nowMicros - lastUse <= READ_AGAIN_MICROS) {
         group.sharedTokensReadAgain += part.tokens();
       }
@@ -189,12 +189,12 @@
     RequestClass requestClass = request.requestClass();
     Group group = group(requestClass, request.draw().tenant());
     group.outcomes.merge(outcome, 1L, Long::sum);
-    double worth = requestClass.worth() * sizeFactor(request);
-    group.worthOwed += worth;
+    double value = requestClass.value() * sizeFactor(request);
+    group.valueOwed += value;
     if (outcome == Outcome.IN_TIME) {
-      group.worthEarned += worth;
+      group.valueEarned += value;
     } else if (outcome == Outcome.LATE) {
-      group.worthEarned += worth * requestClass.lateWorth() / requestClass.worth();
+      group.valueEarned += value * requestClass.lateValue() / requestClass.value();
     }
     if (firstMicros >= 0) {
       group.firstMicros.recordValue(Math.min(HIGHEST_MICROS, firstMicros));
--- a/src/main/java/slateslip/simulation/dataplane/RequestClass.java
+++ b/src/main/java/slateslip/simulation/dataplane/RequestClass.java
@@ -11,15 +11,15 @@
  * @param kind what may be repeated
  * @param resumable whether a stream may be taken up at another backend
  * @param targetLatencyMillis until the first event or the whole answer
- * @param gapAimMillis longest pause between events that keeps a stream in time
+ * @param targetGapMillis longest pause between events that keeps a stream in time
  * @param deadlineMillis how long the client waits in all
  * @param timeoutMillis how long the route lets a request be held
  * @param priority rank, 0 highest
  * @param maxAttempts backends that one try may be sent to
  * @param retries further tries of a client
  * @param share of all requests, relative to the other classes
- * @param worth of an answer in time
- * @param lateWorth of a later answer
+ * @param value of an answer in time
+ * @param lateValue of a later answer
  * @param sharedParts parts of prompts that requests share, in order
  * @param ownTokens the last part of a prompt, the request's own
  * @param outputEvents events of an answer
@@ -32,15 +32,15 @@
     RouteKind kind,
     boolean resumable,
     long targetLatencyMillis,
-    long gapAimMillis,
+    long targetGapMillis,
     long deadlineMillis,
     long timeoutMillis,
     int priority,
     int maxAttempts,
     int retries,
     double share,
-    double worth,
-    double lateWorth,
+    double value,
+    double lateValue,
     List<SharedPart> sharedParts,
     Size ownTokens,
     Size outputEvents,
--- a/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
+++ b/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
@@ -14,7 +14,7 @@
   private final WorldPlan plan;
   private final EventLoop loop;
   private final List<Violation> violations = new ArrayList<>();
-  private final Map<String, TryRecord> tries = new HashMap<>();
+  private final Map<String, TryRecord> attempts = new HashMap<>();
   private final Map<String, Series> runTokensByTenant = new TreeMap<>();
   private final Map<String, Series> requestsByService = new TreeMap<>();
   private final Map<String, Series> repeatsByService = new TreeMap<>();
@@ -33,14 +33,15 @@
   }
 
   /** A client has sent a try. */
-  void sent(ClientTry sent) {
-    tries.put(sent.attemptId(), new TryRecord(sent.requestClass(), sent.tenant(), sent.tokens()));
+  void sent(ClientAttempt sent) {
+    attempts.put(
+        sent.attemptId(), new TryRecord(sent.requestClass(), sent.tenant(), sent.tokens()));
     series(requestsByService, sent.requestClass().service()).add(loop.nowMicros(), 1);
   }
 
   /** A try has reached a backend, which may yet reject it. */
   void reached(BackendCall call, SimulatedBackend backend) {
-    TryRecord record = tries.get(call.attemptId());
+    TryRecord record = attempts.get(call.attemptId());
     record.arrivals++;
     if (record.arrivals > 1) {
       series(repeatsByService, backend.service()).add(loop.nowMicros(), 1);
@@ -56,7 +57,7 @@
 
   /** A backend has begun to work on a try. */
   void ran(BackendCall call, SimulatedBackend backend) {
-    TryRecord record = tries.get(call.attemptId());
+    TryRecord record = attempts.get(call.attemptId());
     record.runs++;
     record.ranAt.add(backend.id());
     if (record.runs == 1) {
@@ -82,12 +83,12 @@
 
   /** A backend crashed while it worked on a try: it does not count as one of its backends. */
   void crashedDuring(BackendCall call, SimulatedBackend backend) {
-    tries.get(call.attemptId()).crashed.add(backend.id());
+    attempts.get(call.attemptId()).crashed.add(backend.id());
   }
 
   /** A data plane has promised that a try has not run. */
   void promised(String attemptId) {
-    TryRecord record = tries.get(attemptId);
+    TryRecord record = attempts.get(attemptId);
     record.promised = true;
     if (!record.requestClass.repeatable() && record.runs > 0) {
       broken(Rule.PROMISE_BROKEN, attemptId + " had run at " + record.ranAt);
@@ -125,13 +126,13 @@
     long window = bounds.retryWindowMicros();
     for (int i = 0; i < repeats.size(); i++) {
       long end = repeats.time(i);
-      double most =
+      double max =
           Math.max(
               requests.sum(end - window, end),
               Math.max(
                   requests.sum(end - 2 * window, end - window),
                   requests.sum(end - window * 3 / 2, end - window / 2)));
-      double limit = bounds.retryBudgetRatio() * most + bounds.retryBudgetSlack();
+      double limit = bounds.retryBudgetRatio() * max + bounds.retryBudgetSlack();
       double sum = repeats.sum(end - window, end);
       if (sum > limit) {
         broken(Rule.RETRY_BUDGET, service + " had " + sum + " repeats, limit " + limit);
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
@@ -103,7 +103,7 @@
     for (DataPlaneHost host : hosts) {
       QuotaAllocation shares = byName.get(name(host));
       if (shares != null) {
-        deliver(host, new RouterInput.SharesChanged(shares), none -> {});
+        deliver(host, new RouterInput.QuotaAllocationChanged(shares), none -> {});
       }
     }
   }
--- a/src/main/java/slateslip/simulation/dataplane/Traffic.java
+++ b/src/main/java/slateslip/simulation/dataplane/Traffic.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import slateslip.configuration.RouteKind;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.simulation.dataplane.ClientRequest.RequestDraw;
 
 /** Draws the clients' requests: when they come, of which class and tenant, and how large. */
--- a/src/main/java/slateslip/simulation/dataplane/WorldPlans.java
+++ b/src/main/java/slateslip/simulation/dataplane/WorldPlans.java
@@ -26,7 +26,7 @@
   private static final String LEDGER = "ledger";
   private static final long SECOND = 1_000_000;
   private static final long DURATION_MICROS = 10 * SECOND;
-  private static final int MOST_FAULTS = 8;
+  private static final int MAX_FAULTS = 8;
 
   /** Kinds that random schedules draw from. */
   private static final Fault.Kind[] KINDS = Fault.Kind.values();
@@ -76,7 +76,7 @@
         false,
         requestClass.kind() == RouteKind.STREAMING,
         requestClass.resumable(),
-        requestClass.gapAimMillis());
+        requestClass.targetGapMillis());
   }
 
   private static Service service(BackendGroup group) {
@@ -95,11 +95,11 @@
     SplittableRandom random = new SplittableRandom(seed);
     int dataPlanes = 1 + random.nextInt(4);
     List<Fault> faults = new ArrayList<>();
-    int count = 1 + random.nextInt(MOST_FAULTS);
+    int count = 1 + random.nextInt(MAX_FAULTS);
     for (int i = 0; i < count; i++) {
       faults.add(fault(random));
     }
-    EngineParameters small = EngineParameters.DENSE_70B.withRoom(8, 16, 60_000);
+    EngineParameters small = EngineParameters.DENSE_70B.withCapacity(8, 16, 60_000);
     return new WorldPlan(
         seed,
         DURATION_MICROS,
--- a/src/main/java/slateslip/simulation/engine/EngineJob.java
+++ b/src/main/java/slateslip/simulation/engine/EngineJob.java
@@ -1,7 +1,7 @@
 package slateslip.simulation.engine;
 
 import java.util.Comparator;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /** One request inside an engine: how far it was read and put out, and the memory that it holds. */
 final class EngineJob {
@@ -15,7 +15,7 @@
   private final int tokensPerEvent;
   private long outputTokens;
   private boolean started;
-  private int partsHeld;
+  private int cachedParts;
   private long readTokens;
   private long tokensToRead;
   private long contextTokens;
@@ -56,21 +56,21 @@
   }
 
   /** Takes the memory that the prompt needs; false changes nothing. */
-  boolean admit(PromptMemory memory) {
-    int kept = memory.keptPrefix(request.prompt());
-    request.prompt().subList(0, kept).forEach(memory::pin);
+  boolean admit(PrefixCache memory) {
+    int retained = memory.cachedPrefixTokens(request.prompt());
+    request.prompt().subList(0, retained).forEach(memory::pin);
     long missingInBlocks = 0;
     long missing = 0;
-    for (PromptPart part : request.prompt().subList(kept, request.prompt().size())) {
+    for (PromptPart part : request.prompt().subList(retained, request.prompt().size())) {
       missingInBlocks += memory.inBlocks(part.tokens());
       missing += part.tokens();
     }
     long generated = memory.inBlocks(outputTokens);
     if (!memory.reserve(missingInBlocks + generated)) {
-      request.prompt().subList(0, kept).forEach(memory::unpin);
+      request.prompt().subList(0, retained).forEach(memory::unpin);
       return false;
     }
-    partsHeld = kept;
+    cachedParts = retained;
     readTokens = 0;
     reservedTokens = missingInBlocks + generated;
     generatedReserved = generated;
@@ -80,27 +80,27 @@
   }
 
   /** Prompt tokens that were kept when it was admitted and not yet extended by reading. */
-  long keptTokens() {
-    return request.prompt().subList(0, partsHeld).stream().mapToLong(PromptPart::tokens).sum();
+  long cachedTokens() {
+    return request.prompt().subList(0, cachedParts).stream().mapToLong(PromptPart::tokens).sum();
   }
 
   /** Reads on; parts that are whole are kept for others. */
-  void read(long tokens, PromptMemory memory) {
+  void read(long tokens, PrefixCache memory) {
     tokensToRead -= tokens;
     contextTokens += tokens;
     readTokens += tokens;
-    while (partsHeld < request.prompt().size()
-        && readTokens >= request.prompt().get(partsHeld).tokens()) {
-      PromptPart part = request.prompt().get(partsHeld);
+    while (cachedParts < request.prompt().size()
+        && readTokens >= request.prompt().get(cachedParts).tokens()) {
+      PromptPart part = request.prompt().get(cachedParts);
       readTokens -= part.tokens();
       reservedTokens -= memory.inBlocks(part.tokens());
       memory.publish(part);
-      partsHeld++;
+      cachedParts++;
     }
   }
 
   /** Memory missing for one more token; 0 if it has room. */
-  long tokensNeededForNext(PromptMemory memory) {
+  long tokensNeededForNext(PrefixCache memory) {
     return memory.inBlocks(outputTokens + 1) - generatedReserved;
   }
 
@@ -127,10 +127,10 @@
   }
 
   /** Gives back all memory; what was put out stays known. */
-  void leave(PromptMemory memory) {
-    request.prompt().subList(0, partsHeld).forEach(memory::unpin);
+  void leave(PrefixCache memory) {
+    request.prompt().subList(0, cachedParts).forEach(memory::unpin);
     memory.release(reservedTokens);
-    partsHeld = 0;
+    cachedParts = 0;
     reservedTokens = 0;
     generatedReserved = 0;
     tokensToRead = 0;
--- a/src/main/java/slateslip/simulation/engine/EngineModel.java
+++ b/src/main/java/slateslip/simulation/engine/EngineModel.java
@@ -18,12 +18,12 @@
   private static final long IDLE = Long.MAX_VALUE;
   private static final double MICROS_PER_MILLI = 1_000;
 
-  private static final Comparator<EngineJob> NEWEST_LEAST_URGENT =
+  private static final Comparator<EngineJob> NEWEST_LOWEST_PRIORITY =
       Comparator.comparingInt((EngineJob job) -> job.request().priority())
           .thenComparingLong(EngineJob::arrival);
 
   private final EngineParameters parameters;
-  private final PromptMemory memory;
+  private final PrefixCache memory;
   private final Map<Long, EngineJob> jobs = new HashMap<>();
   private final TreeSet<EngineJob> waiting = new TreeSet<>(EngineJob.URGENCY);
   private final TreeSet<EngineJob> running = new TreeSet<>(EngineJob.URGENCY);
@@ -36,7 +36,7 @@
   /** An idle engine with an empty cache. */
   public EngineModel(EngineParameters parameters) {
     this.parameters = parameters;
-    this.memory = new PromptMemory(parameters.memoryTokens(), parameters.blockTokens());
+    this.memory = new PrefixCache(parameters.memoryTokens(), parameters.blockTokens());
   }
 
   /**
@@ -88,7 +88,7 @@
   }
 
   private void submit(EngineRequest request) {
-    boolean tooLarge = wholeNeed(request) > parameters.memoryTokens();
+    boolean tooLarge = totalNeed(request) > parameters.memoryTokens();
     if (tooLarge || waiting.size() >= parameters.queueLimit() + freeSlots()) {
       outputs.add(new EngineOutput.Rejected(request.id(), EngineOutput.Reason.FULL));
       return;
@@ -102,7 +102,7 @@
     return parameters.slots() - running.size();
   }
 
-  private long wholeNeed(EngineRequest request) {
+  private long totalNeed(EngineRequest request) {
     long need = memory.inBlocks(request.outputTokens());
     for (var part : request.prompt()) {
       need += memory.inBlocks(part.tokens());
@@ -153,7 +153,8 @@
         waiting.remove(next);
         running.add(next);
         outputs.add(
-            new EngineOutput.Admitted(next.request().id(), next.keptTokens(), next.tokensToRead()));
+            new EngineOutput.Admitted(
+                next.request().id(), next.cachedTokens(), next.tokensToRead()));
         continue;
       }
       EngineJob victim = running.isEmpty() ? null : running.last();
@@ -224,7 +225,7 @@
   }
 
   private void putOutToken(EngineJob job) {
-    if (!makeRoom(job)) {
+    if (!evictForCapacity(job)) {
       return;
     }
     if (!job.started()) {
@@ -240,10 +241,10 @@
   }
 
   /** Takes a block if the next token needs one; false if the request itself had to give way. */
-  private boolean makeRoom(EngineJob job) {
+  private boolean evictForCapacity(EngineJob job) {
     long tokens = job.tokensNeededForNext(memory);
     while (tokens > 0 && !memory.reserve(tokens)) {
-      EngineJob victim = running.stream().max(NEWEST_LEAST_URGENT).orElseThrow();
+      EngineJob victim = running.stream().max(NEWEST_LOWEST_PRIORITY).orElseThrow();
       preempt(victim);
       if (victim == job) {
         return false;
--- a/src/main/java/slateslip/simulation/engine/EngineOutput.java
+++ b/src/main/java/slateslip/simulation/engine/EngineOutput.java
@@ -16,10 +16,10 @@
   /**
    * The request was given a slot, perhaps not for the first time.
    *
-   * @param keptTokens prompt tokens found in the cache
+   * @param cachedTokens prompt tokens found in the cache
    * @param readTokens prompt tokens to be read, those put out before a preemption included
    */
-  record Admitted(long request, long keptTokens, long readTokens) implements EngineOutput {}
+  record Admitted(long request, long cachedTokens, long readTokens) implements EngineOutput {}
 
   /** The request has put out its first token here: from now on it has run. */
   record Started(long request) implements EngineOutput {}
--- a/src/main/java/slateslip/simulation/engine/EngineParameters.java
+++ b/src/main/java/slateslip/simulation/engine/EngineParameters.java
@@ -35,7 +35,7 @@
       new EngineParameters(64, 192, 577_468, 16, 3.7, 0.0193, 0.0102, 63.9, 0.367, 1.0, 2_048, 5);
 
   /** The same engine with other room. */
-  public EngineParameters withRoom(int newSlots, int newQueueLimit, long newMemoryTokens) {
+  public EngineParameters withCapacity(int newSlots, int newQueueLimit, long newMemoryTokens) {
     return new EngineParameters(
         newSlots,
         newQueueLimit,
--- a/src/main/java/slateslip/simulation/engine/EngineRequest.java
+++ b/src/main/java/slateslip/simulation/engine/EngineRequest.java
@@ -1,7 +1,7 @@
 package slateslip.simulation.engine;
 
 import java.util.List;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /**
  * A request as an engine sees it.
--- a/src/main/java/slateslip/simulation/engine/PromptMemory.java
+++ b/src/main/java/slateslip/simulation/engine/PrefixCache.java
@@ -4,22 +4,22 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /**
  * An engine's memory in blocks, shared by running requests and kept prompt parts.
  *
  * <p>A kept part that no running request uses gives way to others, the one unused longest first.
  */
-final class PromptMemory {
+final class PrefixCache {
   private final long capacityTokens;
   private final int blockTokens;
-  private final Map<Long, KeptPart> keptParts = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<Long, CachedPart> cachedParts = new LinkedHashMap<>(16, 0.75f, true);
   private long usedTokens;
-  private long pinnedTokens;
+  private long lockedTokens;
   private long privateTokens;
 
-  PromptMemory(long capacityTokens, int blockTokens) {
+  PrefixCache(long capacityTokens, int blockTokens) {
     this.capacityTokens = capacityTokens;
     this.blockTokens = blockTokens;
   }
@@ -30,10 +30,10 @@
   }
 
   /** How many parts from the start of a prompt are kept without a gap; each counts as used now. */
-  int keptPrefix(List<PromptPart> prompt) {
+  int cachedPrefixTokens(List<PromptPart> prompt) {
     int count = 0;
     for (PromptPart part : prompt) {
-      if (keptParts.get(part.id()) == null) {
+      if (cachedParts.get(part.id()) == null) {
         break;
       }
       count++;
@@ -43,35 +43,35 @@
 
   /** Whether a part is kept; does not count as a use. */
   boolean keeps(long partId) {
-    return keptParts.containsKey(partId);
+    return cachedParts.containsKey(partId);
   }
 
   /** Protects a kept part while a running request uses it. */
   void pin(PromptPart part) {
-    KeptPart kept = keptParts.get(part.id());
-    if (kept.pins == 0) {
-      pinnedTokens += kept.tokens;
+    CachedPart retained = cachedParts.get(part.id());
+    if (retained.pins == 0) {
+      lockedTokens += retained.tokens;
     }
-    kept.pins++;
+    retained.pins++;
   }
 
   /** Ends one {@link #pin}. */
   void unpin(PromptPart part) {
-    KeptPart kept = keptParts.get(part.id());
-    kept.pins--;
-    if (kept.pins == 0) {
-      pinnedTokens -= kept.tokens;
+    CachedPart retained = cachedParts.get(part.id());
+    retained.pins--;
+    if (retained.pins == 0) {
+      lockedTokens -= retained.tokens;
     }
   }
 
   /** Takes memory for one request alone, evicting unused parts; false changes nothing. */
   boolean reserve(long tokens) {
-    if (pinnedTokens + privateTokens + tokens > capacityTokens) {
+    if (lockedTokens + privateTokens + tokens > capacityTokens) {
       return false;
     }
-    Iterator<KeptPart> leastRecentFirst = keptParts.values().iterator();
+    Iterator<CachedPart> leastRecentFirst = cachedParts.values().iterator();
     while (usedTokens + tokens > capacityTokens) {
-      KeptPart candidate = leastRecentFirst.next();
+      CachedPart candidate = leastRecentFirst.next();
       if (candidate.pins == 0) {
         usedTokens -= candidate.tokens;
         leastRecentFirst.remove();
@@ -92,9 +92,9 @@
   void publish(PromptPart part) {
     long tokens = inBlocks(part.tokens());
     release(tokens);
-    KeptPart kept = keptParts.get(part.id());
-    if (kept == null) {
-      keptParts.put(part.id(), new KeptPart(tokens));
+    CachedPart retained = cachedParts.get(part.id());
+    if (retained == null) {
+      cachedParts.put(part.id(), new CachedPart(tokens));
       usedTokens += tokens;
     }
     pin(part);
@@ -102,14 +102,14 @@
 
   /** Tokens that cannot give way. */
   long lockedTokens() {
-    return pinnedTokens + privateTokens;
+    return lockedTokens + privateTokens;
   }
 
-  private static final class KeptPart {
+  private static final class CachedPart {
     private final long tokens;
     private int pins;
 
-    KeptPart(long tokens) {
+    CachedPart(long tokens) {
       this.tokens = tokens;
     }
   }
--- a/src/main/java/slateslip/standin/LedgerServer.java
+++ b/src/main/java/slateslip/standin/AppendLogServer.java
@@ -6,11 +6,11 @@
 import slateslip.routing.RouterInput.BackendLoad;
 
 /** An application backend: it numbers the entries that it is sent, a few at a time. */
-final class LedgerServer extends StandInServer {
+final class AppendLogServer extends StandInServer {
   private final Semaphore slots;
   private final AtomicLong entries = new AtomicLong();
 
-  LedgerServer(BackendDescription description) {
+  AppendLogServer(BackendDescription description) {
     super(description);
     slots = new Semaphore(description.slots());
   }
@@ -33,7 +33,7 @@
       return;
     }
     try {
-      answerHead(context, 200);
+      responseHead(context, 200);
       context.contentType("application/json");
       context.result("{\"entry\":" + entries.incrementAndGet() + "}\n");
     } finally {
--- a/src/main/java/slateslip/standin/Pause.java
+++ b/src/main/java/slateslip/standin/Delay.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Spaces repeated questions and ends them at a deadline. */
-final class Pause {
+final class Delay {
   private static final long STEP_MILLIS = 50;
 
   private final long endNanos;
   private boolean first = true;
 
-  Pause(long timeoutSeconds) {
+  Delay(long timeoutSeconds) {
     endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
   }
 
--- a/src/main/java/slateslip/standin/EngineServer.java
+++ b/src/main/java/slateslip/standin/EngineServer.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 import org.eclipse.jetty.server.HttpConnection;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.simulation.engine.EngineOutput.Reason;
 import slateslip.simulation.engine.EngineParameters;
@@ -65,10 +65,10 @@
   @Override
   void serve(Context context) {
     long id = requests.incrementAndGet();
-    BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-    engine.submit(engineRequest(id, context), new Queueing(told));
+    BlockingQueue<Told> reported = new LinkedBlockingQueue<>();
+    engine.submit(engineRequest(id, context), new Queueing(reported));
     try {
-      answer(context, told);
+      answer(context, reported);
     } catch (IOException gone) {
       engine.cancel(id); // the caller has closed the connection: nothing more is owed
     } catch (InterruptedException stopped) {
@@ -77,18 +77,18 @@
     }
   }
 
-  private void answer(Context context, BlockingQueue<Told> told)
+  private void answer(Context context, BlockingQueue<Told> reported)
       throws IOException, InterruptedException {
-    Told first = told.take();
+    Told first = reported.take();
     if (first.kind() == Told.Kind.REJECTED) {
       reject(context, 503, "full");
       return;
     }
     if (first.kind() == Told.Kind.EXPIRED) {
-      answerHead(context, 504);
+      responseHead(context, 504);
       return;
     }
-    HttpServletResponse response = answerHead(context, 200);
+    HttpServletResponse response = responseHead(context, 200);
     response.setContentType("text/event-stream");
     response.setHeader("Versions", "1");
     OutputStream output = response.getOutputStream();
@@ -99,7 +99,7 @@
       if (next.last()) {
         return;
       }
-      next = told.take();
+      next = reported.take();
     }
     breakOff();
   }
@@ -170,20 +170,20 @@
     }
   }
 
-  private record Queueing(BlockingQueue<Told> told) implements EngineListener {
+  private record Queueing(BlockingQueue<Told> reported) implements EngineListener {
     @Override
     public void rejected(Reason reason) {
-      told.add(new Told(Told.Kind.REJECTED, 0, true));
+      reported.add(new Told(Told.Kind.REJECTED, 0, true));
     }
 
     @Override
     public void event(long id, boolean last) {
-      told.add(new Told(Told.Kind.EVENT, id, last));
+      reported.add(new Told(Told.Kind.EVENT, id, last));
     }
 
     @Override
     public void deadlineExceeded() {
-      told.add(new Told(Told.Kind.EXPIRED, 0, true));
+      reported.add(new Told(Told.Kind.EXPIRED, 0, true));
     }
   }
 }
--- a/src/main/java/slateslip/standin/Heartbeats.java
+++ b/src/main/java/slateslip/standin/Heartbeats.java
@@ -36,11 +36,11 @@
   }
 
   void start() {
-    thread.scheduleAtFixedRate(this::beat, 0, periodMillis, TimeUnit.MILLISECONDS);
+    thread.scheduleAtFixedRate(this::sendHeartbeat, 0, periodMillis, TimeUnit.MILLISECONDS);
   }
 
   /** Tries one agent after the other until one acknowledges. */
-  private void beat() {
+  private void sendHeartbeat() {
     for (int i = 0; i < controlAddresses.size(); i++) {
       if (call(request().put(RequestBody.create(body(), JSON)).build())) {
         return;
--- a/src/main/java/slateslip/standin/LocalFleet.java
+++ b/src/main/java/slateslip/standin/LocalFleet.java
@@ -20,7 +20,7 @@
 final class LocalFleet {
   private static final int ENGINES = 3;
   private static final int LEDGERS = 2;
-  private static final int LEDGER_SLOTS = 6;
+  private static final int LOG_SLOTS = 6;
   private static final long START_SECONDS = 120;
   private static final String CONFIGURATION = "configuration.json";
 
@@ -71,7 +71,7 @@
     }
     startBackends();
     Operator operator =
-        new Operator(client, addresses.controlAddresses(), new Pause(START_SECONDS));
+        new Operator(client, addresses.controlAddresses(), new Delay(START_SECONDS));
     if (operator.put(configuration()) instanceof Operator.Outcome.Refused refused) {
       return new Outcome.Failed("the configuration was not taken: " + refused.reason());
     }
@@ -87,18 +87,18 @@
               engine ? "engines" : "ledger",
               addresses.backend(i),
               LocalSettings.zone(i % FleetAddresses.DATA_PLANES),
-              engine ? EngineParameters.DENSE_70B.slots() : LEDGER_SLOTS);
+              engine ? EngineParameters.DENSE_70B.slots() : LOG_SLOTS);
       StandInServer backend =
           engine
               ? new EngineServer(description, EngineParameters.DENSE_70B)
-              : new LedgerServer(description);
+              : new AppendLogServer(description);
       backend.start();
       backends.add(backend);
-      Heartbeats beats =
+      Heartbeats sender =
           new Heartbeats(
               client, backend, addresses.controlAddresses(), LocalSettings.HEARTBEAT_MILLIS);
-      beats.start();
-      heartbeats.add(beats);
+      sender.start();
+      heartbeats.add(sender);
     }
   }
 
@@ -109,7 +109,7 @@
   }
 
   private Outcome awaitReady() throws InterruptedException {
-    Pause pause = new Pause(START_SECONDS);
+    Delay pause = new Delay(START_SECONDS);
     for (int i = 0; i < FleetAddresses.DATA_PLANES; i++) {
       while (!isReady(i)) {
         if (!pause.another()) {
