--- a/src/test/java/slateslip/loadbalancer/MechanismTest.java
+++ b/src/test/java/slateslip/loadbalancer/LoadBalancerMechanismTest.java
@@ -23,7 +23,7 @@
 import slateslip.loadbalancer.LoadBalancer.Server;
 
 /** The mechanism: probes, window, reactivation, pick, spill, fallback; and its departures. */
-class MechanismTest {
+class LoadBalancerMechanismTest {
   private static final long SECOND = FakeHost.SECOND;
   private static final double[] NO_LOAD = new double[0];
 
@@ -36,16 +36,16 @@
             FakeHost.server(4, 1));
   }
 
-  private static void failProbes(FakeHost hand, long server, int times) {
+  private static void failProbes(FakeHost host, long server, int times) {
     for (int i = 0; i < times; i++) {
-      hand.balancer.probed(hand.now, server, Outcome.TIMEOUT, SECOND, NO_LOAD);
+      host.balancer.probed(host.now, server, Outcome.TIMEOUT, SECOND, NO_LOAD);
     }
   }
 
   @Test
   void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
     // A single agent, so that the whole interval is its own.
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(
                 FakeHost.settings(
                     List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
@@ -59,14 +59,14 @@
                 FakeHost.server(4, 0),
                 FakeHost.server(5, 1));
     for (int i = 0; i < 1000; i++) {
-      hand.pass(FakeHost.TICK);
-      for (FakeHost.Act probe : List.copyOf(hand.all("probe"))) {
-        if (probe.value() == hand.now) {
-          hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
+      host.pass(FakeHost.TICK);
+      for (FakeHost.Act probe : List.copyOf(host.all("probe"))) {
+        if (probe.value() == host.now) {
+          host.balancer.probed(host.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
         }
       }
     }
-    List<FakeHost.Act> probes = hand.all("probe");
+    List<FakeHost.Act> probes = host.all("probe");
     assertEquals(4, probes.stream().map(FakeHost.Act::server).distinct().count());
     assertTrue(probes.size() >= 16 && probes.size() <= 24, "probes in 5 s: " + probes.size());
     assertEquals(probes.size(), probes.stream().map(FakeHost.Act::value).distinct().count());
@@ -80,7 +80,7 @@
     for (int agents : new int[] {5, 50, 500}) {
       int probes = 0;
       for (int seed = 0; seed < agents; seed++) {
-        FakeHost hand =
+        FakeHost host =
             new FakeHost(
                     FakeHost.settings(
                         List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
@@ -94,13 +94,13 @@
                     FakeHost.server(3, 0),
                     FakeHost.server(4, 0));
         for (int i = 0; i < 1000; i++) {
-          int before = hand.all("probe").size();
-          hand.pass(2 * FakeHost.TICK);
-          for (FakeHost.Act probe : hand.all("probe").subList(before, hand.all("probe").size())) {
-            hand.balancer.probed(hand.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
+          int before = host.all("probe").size();
+          host.pass(2 * FakeHost.TICK);
+          for (FakeHost.Act probe : host.all("probe").subList(before, host.all("probe").size())) {
+            host.balancer.probed(host.now, probe.server(), Outcome.OK, 1000, NO_LOAD);
           }
         }
-        probes += hand.all("probe").size();
+        probes += host.all("probe").size();
       }
       // 4 servers over 10 s, each once a second by all agents together: 40.
       assertTrue(probes >= 20 && probes <= 80, agents + " agents: " + probes);
@@ -109,7 +109,7 @@
 
   @Test
   void noProbesWhereTheHostPermitsNone() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(
                 FakeHost.settings(
                     List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
@@ -117,157 +117,157 @@
                     1,
                     1))
             .full(FakeHost.server(1, 0));
-    hand.pass(5 * SECOND);
-    assertTrue(hand.all("probe").isEmpty());
+    host.pass(5 * SECOND);
+    assertTrue(host.all("probe").isEmpty());
   }
 
   @Test
   void failedProbesInARowMakeUnhealthyAndOneSuccessHealthy() {
-    FakeHost hand = four();
-    failProbes(hand, 1, 1);
-    assertFalse(hand.logged("active Unhealthy"));
-    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
-    failProbes(hand, 1, 1);
-    assertFalse(hand.logged("active Unhealthy"), "the success in between resets the count");
-    failProbes(hand, 1, 1);
-    assertTrue(hand.logged("server 1 active Unhealthy"));
+    FakeHost host = four();
+    failProbes(host, 1, 1);
+    assertFalse(host.logged("active Unhealthy"));
+    host.balancer.probed(host.now, 1, Outcome.OK, 1000, NO_LOAD);
+    failProbes(host, 1, 1);
+    assertFalse(host.logged("active Unhealthy"), "the success in between resets the count");
+    failProbes(host, 1, 1);
+    assertTrue(host.logged("server 1 active Unhealthy"));
     for (int i = 0; i < 30; i++) {
-      assertNotEquals(1, hand.target(hand.request()));
+      assertNotEquals(1, host.target(host.request()));
     }
-    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
-    assertTrue(hand.logged("server 1 active Healthy"));
+    host.balancer.probed(host.now, 1, Outcome.OK, 1000, NO_LOAD);
+    assertTrue(host.logged("server 1 active Healthy"));
   }
 
   @Test
   void aLateProbeOfAServerThatAnswersRealRequestsDoesNotCount() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 4; i++) {
-      hand.serve(10_000);
-      failProbes(hand, 1, 1);
+      host.serve(10_000);
+      failProbes(host, 1, 1);
     }
-    assertFalse(hand.logged("active Unhealthy"));
+    assertFalse(host.logged("active Unhealthy"));
   }
 
   /** Serves requests; those that go to server 1 end with the given outcome, the first so many. */
-  private static void failOnServerOne(FakeHost hand, int failures, Outcome outcome) {
+  private static void failOnServerOne(FakeHost host, int failures, Outcome outcome) {
     int failed = 0;
     for (int i = 0; i < 400 && failed < failures; i++) {
-      long id = hand.request();
-      boolean fails = hand.target(id) == 1;
+      long id = host.request();
+      boolean fails = host.target(id) == 1;
       failed += fails ? 1 : 0;
-      hand.end(id, 0, fails ? outcome : Outcome.OK, 10_000);
-      if (fails && hand.sends(id).size() > 1) {
-        hand.end(id, 1, Outcome.OK, 10_000);
+      host.end(id, 0, fails ? outcome : Outcome.OK, 10_000);
+      if (fails && host.sends(id).size() > 1) {
+        host.end(id, 1, Outcome.OK, 10_000);
       }
-      hand.pass(20_000);
+      host.pass(20_000);
     }
     assertEquals(failures, failed, "server 1 drew too little");
   }
 
   @Test
   void failuresOverTheLimitMakeThePassiveStateUnhealthyUntilReactivation() {
-    FakeHost hand = four();
-    failOnServerOne(hand, 4, Outcome.TIMEOUT);
-    assertFalse(hand.logged("passive Unhealthy"), "below the minimum count");
-    failOnServerOne(hand, 1, Outcome.TIMEOUT);
-    assertTrue(hand.logged("server 1 passive Unhealthy: 5 of 5 failed"));
+    FakeHost host = four();
+    failOnServerOne(host, 4, Outcome.TIMEOUT);
+    assertFalse(host.logged("passive Unhealthy"), "below the minimum count");
+    failOnServerOne(host, 1, Outcome.TIMEOUT);
+    assertTrue(host.logged("server 1 passive Unhealthy: 5 of 5 failed"));
     for (int i = 0; i < 20; i++) {
-      long id = hand.request();
-      assertNotEquals(1, hand.target(id));
-      hand.end(id, 0, Outcome.OK, 10_000);
+      long id = host.request();
+      assertNotEquals(1, host.target(id));
+      host.end(id, 0, Outcome.OK, 10_000);
     }
-    hand.pass(6 * SECOND);
+    host.pass(6 * SECOND);
     Set<Long> seen = new HashSet<>();
     for (int i = 0; i < 20; i++) {
-      seen.add(hand.target(hand.request()));
+      seen.add(host.target(host.request()));
     }
     assertTrue(seen.contains(1L));
-    assertTrue(hand.logged("server 1 passive Unknown: reactivated"));
+    assertTrue(host.logged("server 1 passive Unknown: reactivated"));
   }
 
   @Test
   void aShareBelowTheLimitDoesNotCount() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 40; i++) {
-      long id = hand.request();
-      hand.end(id, 0, i % 4 == 3 ? Outcome.TIMEOUT : Outcome.OK, 10_000);
-      hand.pass(50_000);
+      long id = host.request();
+      host.end(id, 0, i % 4 == 3 ? Outcome.TIMEOUT : Outcome.OK, 10_000);
+      host.pass(50_000);
     }
-    assertFalse(hand.logged("passive Unhealthy"));
+    assertFalse(host.logged("passive Unhealthy"));
   }
 
   @Test
   void whatFailsEverywhereAlikeRemovesNobody() {
-    FakeHost hand = four();
+    FakeHost host = four();
     for (int i = 0; i < 100; i++) {
-      long id = hand.request();
-      if (hand.target(id) > 0) {
-        hand.pass(20_000);
-        hand.end(id, 0, i % 2 == 0 ? Outcome.TIMEOUT : Outcome.OK, 20_000);
+      long id = host.request();
+      if (host.target(id) > 0) {
+        host.pass(20_000);
+        host.end(id, 0, i % 2 == 0 ? Outcome.TIMEOUT : Outcome.OK, 20_000);
       }
-      hand.pass(100_000);
+      host.pass(100_000);
     }
-    long removed = hand.lines.stream().filter(l -> l.contains("passive Unhealthy")).count();
+    long removed = host.lines.stream().filter(l -> l.contains("passive Unhealthy")).count();
     assertTrue(removed <= 2, "removed " + removed);
   }
 
   @Test
   void ofTwoTheOneWithFewerInFlightIsTaken() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
-    long first = hand.target(hand.request());
-    assertNotEquals(first, hand.target(hand.request()));
+    long first = host.target(host.request());
+    assertNotEquals(first, host.target(host.request()));
   }
 
   @Test
   void theOwnZoneIsTakenWhileItHasRoomAndOthersOnceTheWaitIsWorthTheCrossing() {
-    FakeHost hand = four();
+    FakeHost host = four();
     List<Long> ids = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      ids.add(hand.request());
+      ids.add(host.request());
     }
     assertTrue(
-        ids.stream().noneMatch(id -> hand.target(id) == 4), "first the own zone, and then wait");
-    assertTrue(ids.stream().anyMatch(id -> hand.target(id) == -1));
-    hand.pass(250_000);
+        ids.stream().noneMatch(id -> host.target(id) == 4), "first the own zone, and then wait");
+    assertTrue(ids.stream().anyMatch(id -> host.target(id) == -1));
+    host.pass(250_000);
     assertTrue(
-        ids.stream().anyMatch(id -> hand.target(id) == 4), "the wait has cost as much as crossing");
+        ids.stream().anyMatch(id -> host.target(id) == 4), "the wait has cost as much as crossing");
   }
 
   @Test
   void otherZonesAreTakenAtOnceWhenNoneIsAvailableHere() {
-    FakeHost hand = four();
+    FakeHost host = four();
     for (long server = 1; server <= 3; server++) {
-      failProbes(hand, server, 2);
+      failProbes(host, server, 2);
     }
-    assertEquals(4, hand.target(hand.request()));
+    assertEquals(4, host.target(host.request()));
   }
 
   @Test
   void allAreEligibleWhenNoneIsAvailableAnywhere() {
-    FakeHost hand = four();
+    FakeHost host = four();
     for (long server = 1; server <= 4; server++) {
-      failProbes(hand, server, 2);
+      failProbes(host, server, 2);
     }
-    assertTrue(hand.target(hand.request()) > 0);
+    assertTrue(host.target(host.request()) > 0);
   }
 
   @Test
   void aServerThatFailsAtOnceRestsAndDoesNotDrawEverything() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 20; i++) {
-      hand.serve(50_000);
+      host.serve(50_000);
     }
     int toOne = 0;
     for (int i = 0; i < 40; i++) {
-      long id = hand.request();
-      for (int a = 0; a < hand.sends(id).size(); a++) {
-        boolean one = hand.sends(id).get(a).server() == 1;
+      long id = host.request();
+      for (int a = 0; a < host.sends(id).size(); a++) {
+        boolean one = host.sends(id).get(a).server() == 1;
         toOne += one ? 1 : 0;
-        hand.end(id, a, one ? Outcome.FULL : Outcome.OK, one ? 4_000 : 50_000);
+        host.end(id, a, one ? Outcome.FULL : Outcome.OK, one ? 4_000 : 50_000);
       }
-      hand.pass(10_000);
+      host.pass(10_000);
     }
     assertTrue(toOne <= 6, "sent " + toOne);
   }
@@ -280,24 +280,24 @@
       value = Outcome.class,
       names = {"RESET", "FULL", "CONNECT_FAILED", "ERROR"})
   void aSingleFailureBetweenAnswersIsNoReasonToRestAndASecondInARowIs(Outcome outcome) {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 20; i++) {
-      hand.serve(50_000);
+      host.serve(50_000);
     }
-    hand.end(hand.request(), 0, outcome, 1000);
-    long next = hand.request();
-    assertEquals(1, hand.target(next));
-    hand.end(next, 0, outcome, 1000);
-    assertEquals(-1, hand.target(hand.request()));
+    host.end(host.request(), 0, outcome, 1000);
+    long next = host.request();
+    assertEquals(1, host.target(next));
+    host.end(next, 0, outcome, 1000);
+    assertEquals(-1, host.target(host.request()));
   }
 
   @Test
   void aServerThatTimesOutAndAnswersNothingElseRestsButOneHeavyRequestAmongOthersDoesNotMatter() {
-    FakeHost silent = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
-    long lost = silent.request();
-    silent.pass(SECOND / 2);
-    silent.end(lost, 0, Outcome.TIMEOUT, SECOND / 2);
-    assertEquals(0, silent.sends(silent.request()).size());
+    FakeHost unresponsive = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    long lost = unresponsive.request();
+    unresponsive.pass(SECOND / 2);
+    unresponsive.end(lost, 0, Outcome.TIMEOUT, SECOND / 2);
+    assertEquals(0, unresponsive.sends(unresponsive.request()).size());
 
     FakeHost busy = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     long heavy = busy.request();
@@ -316,97 +316,97 @@
     var dear =
         new LoadBalancer.RequestClass(
             SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 8, 0, false);
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(
                 FakeHost.settings(
                     List.of(cheap, dear), new Permits(3, false, true, true, false, 0), 1, 2))
             .full(FakeHost.server(1, 0));
     List<Long> first = new ArrayList<>();
-    while (first.isEmpty() || hand.target(first.get(first.size() - 1)) == 1) {
-      first.add(hand.request(0, 0));
+    while (first.isEmpty() || host.target(first.get(first.size() - 1)) == 1) {
+      first.add(host.request(0, 0));
     }
     long waiting = first.get(first.size() - 1);
-    long valuable = hand.request(1, 0);
-    hand.pass(100_000);
-    assertEquals(-1, hand.target(valuable));
-    hand.end(first.get(0), 0, Outcome.OK, 100_000);
-    assertEquals(1, hand.target(valuable));
-    assertEquals(-1, hand.target(waiting));
+    long valuable = host.request(1, 0);
+    host.pass(100_000);
+    assertEquals(-1, host.target(valuable));
+    host.end(first.get(0), 0, Outcome.OK, 100_000);
+    assertEquals(1, host.target(valuable));
+    assertEquals(-1, host.target(waiting));
   }
 
   @Test
   void aMarkedRepeatWhoseTimeIsAlreadySpentIsRefusedAtOnceAndNotWorkedFor() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 60; i++) {
-      hand.serve(300_000);
+      host.serve(300_000);
     }
     for (int i = 0; i < 60; i++) {
-      hand.request(); // more than one server can take: most wait and are refused
+      host.request(); // more than one server can take: most wait and are refused
     }
-    hand.pass(SECOND);
-    hand.balancer.request(
-        hand.now, new LoadBalancer.Request(9999, 0, 0, 0, 0, hand.now + 3 * SECOND, true, false));
-    assertEquals(1, hand.of("refuse", 9999).size());
-    assertTrue(hand.sends(9999).isEmpty());
+    host.pass(SECOND);
+    host.balancer.request(
+        host.now, new LoadBalancer.Request(9999, 0, 0, 0, 0, host.now + 3 * SECOND, true, false));
+    assertEquals(1, host.of("refuse", 9999).size());
+    assertTrue(host.sends(9999).isEmpty());
   }
 
   @Test
   void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
-    FakeHost hand = four();
+    FakeHost host = four();
     for (int i = 0; i < 40; i++) {
-      hand.request();
+      host.request();
     }
-    hand.pass(100_000);
+    host.pass(100_000);
     List<Long> newer = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      newer.add(hand.request());
+      newer.add(host.request());
     }
-    hand.pass(200_000); // the old may cross since 200 ms of waiting, and have filled the other zone
-    assertTrue(newer.stream().noneMatch(id -> hand.target(id) == 4));
-    hand.pass(30_000); // now the newer may, too
-    hand.acts.stream()
+    host.pass(200_000); // the old may cross since 200 ms of waiting, and have filled the other zone
+    assertTrue(newer.stream().noneMatch(id -> host.target(id) == 4));
+    host.pass(30_000); // now the newer may, too
+    host.acts.stream()
         .filter(a -> a.what().equals("send") && a.server() == 4)
         .toList()
-        .forEach(a -> hand.end(a.id(), 0, Outcome.OK, 200_000));
-    assertTrue(newer.stream().anyMatch(id -> hand.target(id) == 4));
+        .forEach(a -> host.end(a.id(), 0, Outcome.OK, 200_000));
+    assertTrue(newer.stream().anyMatch(id -> host.target(id) == 4));
   }
 
   @Test
   void aColdServerGetsNothingThatItCannotBeExpectedToAnswerInTime() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 40; i++) {
-      hand.serve(400_000);
+      host.serve(400_000);
     }
-    hand.list(
-        LoadBalancer.ListKind.FULL, FakeHost.server(3, 0, LoadBalancer.Phase.READY, hand.now));
+    host.list(
+        LoadBalancer.ListKind.FULL, FakeHost.server(3, 0, LoadBalancer.Phase.READY, host.now));
     long early =
-        hand.request(); // a fifth of its capacity: two seconds for a request wanted within one
-    assertEquals(-1, hand.target(early));
-    hand.pass(15 * SECOND);
-    assertEquals(3, hand.target(hand.request()));
+        host.request(); // a fifth of its capacity: two seconds for a request wanted within one
+    assertEquals(-1, host.target(early));
+    host.pass(15 * SECOND);
+    assertEquals(3, host.target(host.request()));
   }
 
   @Test
   void aSuspectedRestartIsDroppedUnlessTheListConfirmsIt() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 20; i++) {
-      hand.serve(50_000);
-    }
-    failProbes(hand, 1, 3); // the first is excused by the answers before it
-    hand.pass(SECOND);
-    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, NO_LOAD);
-    hand.serve(50_000); // the one request a cold server may have at once
-    assertEquals(-1, hand.target(hand.request()));
-    hand.pass(6 * SECOND);
+      host.serve(50_000);
+    }
+    failProbes(host, 1, 3); // the first is excused by the answers before it
+    host.pass(SECOND);
+    host.balancer.probed(host.now, 1, Outcome.OK, 1000, NO_LOAD);
+    host.serve(50_000); // the one request a cold server may have at once
+    assertEquals(-1, host.target(host.request()));
+    host.pass(6 * SECOND);
     for (int i = 0; i < 3; i++) {
-      assertEquals(1, hand.target(hand.request()));
+      assertEquals(1, host.target(host.request()));
     }
   }
 
   @Test
   void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(
                 FakeHost.settings(
                     List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
@@ -415,20 +415,20 @@
                     13))
             .full(FakeHost.server(1, 0));
     for (int i = 0; i < 10; i++) {
-      hand.serve(900_000); // slow
-      hand.pass(2 * SECOND);
+      host.serve(900_000); // slow
+      host.pass(2 * SECOND);
     }
-    hand.serve(20_000);
-    long paused = hand.request();
+    host.serve(20_000);
+    long paused = host.request();
     assertEquals(
-        -1, hand.target(paused), "thirteen agents with one request each would be too much");
-    hand.pass(100_000);
-    assertEquals(1, hand.target(paused));
-    hand.end(paused, 0, Outcome.OK, 100_000);
-    hand.pass(SECOND);
-    hand.serve(20_000);
+        -1, host.target(paused), "thirteen agents with one request each would be too much");
+    host.pass(100_000);
+    assertEquals(1, host.target(paused));
+    host.end(paused, 0, Outcome.OK, 100_000);
+    host.pass(SECOND);
+    host.serve(20_000);
     assertEquals(
-        1, hand.target(hand.request()), "three fast answers have lifted the limit over one");
+        1, host.target(host.request()), "three fast answers have lifted the limit over one");
   }
 
   /**
@@ -436,21 +436,21 @@
    * held.
    */
   private static FakeHost afterManyFirstTries(boolean busy) {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 60; i++) {
-      hand.serve(100_000);
+      host.serve(100_000);
     }
     for (int i = 0; busy && i < 30; i++) {
-      hand.request();
+      host.request();
     }
-    return hand;
+    return host;
   }
 
-  private static FakeHost.Act bring(FakeHost hand, long left) {
-    int before = hand.acts.size();
-    hand.balancer.request(
-        hand.now, new LoadBalancer.Request(777, 0, 0, 0, 0, hand.now + left, false, false));
-    return hand.acts.subList(before, hand.acts.size()).stream()
+  private static FakeHost.Act bring(FakeHost host, long left) {
+    int before = host.acts.size();
+    host.balancer.request(
+        host.now, new LoadBalancer.Request(777, 0, 0, 0, 0, host.now + left, false, false));
+    return host.acts.subList(before, host.acts.size()).stream()
         .filter(a -> a.id() == 777 && !a.what().equals("timer"))
         .findFirst()
         .orElse(null);
@@ -475,18 +475,18 @@
 
   @Test
   void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
-    FakeHost hand = afterManyFirstTries(false);
+    FakeHost host = afterManyFirstTries(false);
     for (int i = 0; i < 3; i++) {
-      hand.balancer.request(
-          hand.now,
+      host.balancer.request(
+          host.now,
           new LoadBalancer.Request(
-              900 + i, 0, 0, 0, 0, hand.now + 3 * SECOND + 900_000, false, false));
-      hand.end(900 + i, 0, Outcome.OK, 1000);
+              900 + i, 0, 0, 0, 0, host.now + 3 * SECOND + 900_000, false, false));
+      host.end(900 + i, 0, Outcome.OK, 1000);
     }
     for (int i = 0; i < 30; i++) {
-      hand.request();
+      host.request();
     }
-    assertEquals(null, bring(hand, 3 * SECOND), "held, not refused");
+    assertEquals(null, bring(host, 3 * SECOND), "held, not refused");
   }
 
   @Test
@@ -502,8 +502,8 @@
             List.of());
     FakeHost one = new FakeHost(settings, 1);
     FakeHost other = new FakeHost(settings, 2);
-    for (FakeHost hand : List.of(one, other)) {
-      hand.full(
+    for (FakeHost host : List.of(one, other)) {
+      host.full(
           FakeHost.server(1, 0),
           FakeHost.server(2, 0),
           FakeHost.server(3, 0),
@@ -531,12 +531,12 @@
 
   @Test
   void aMuchAskedKeySpreadsBeforeItsServersAreFull() {
-    FakeHost hand = new FakeHost(keyed(1), 1);
-    hand.full(
+    FakeHost host = new FakeHost(keyed(1), 1);
+    host.full(
         FakeHost.server(1, 0), FakeHost.server(2, 0), FakeHost.server(3, 0), FakeHost.server(4, 0));
     Map<Long, Integer> sent = new HashMap<>();
     for (int i = 0; i < 12; i++) {
-      sent.merge(hand.target(hand.request(0, 42)), 1, Integer::sum);
+      sent.merge(host.target(host.request(0, 42)), 1, Integer::sum);
     }
     assertTrue(sent.size() >= 3, sent.toString());
     assertTrue(Collections.max(sent.values()) <= 5, sent.toString());
@@ -544,11 +544,11 @@
 
   @Test
   void ofAKeysTwoServersTheLessBusyIsTakenAndTheFirstWhenEven() {
-    FakeHost hand = new FakeHost(keyed(1), 1);
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    FakeHost host = new FakeHost(keyed(1), 1);
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     List<Long> sent = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      sent.add(hand.target(hand.request(0, 42)));
+      sent.add(host.target(host.request(0, 42)));
     }
     long home = sent.get(0);
     assertEquals(List.of(home, 3 - home, home, 3 - home), sent);
@@ -556,56 +556,56 @@
 
   @Test
   void whenRequestsMustWaitOutThePriceTheSameKeysCrossAtOnce() {
-    FakeHost hand = new FakeHost(keyed(2), 1);
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
-    Set<Long> early = crossers(hand);
+    FakeHost host = new FakeHost(keyed(2), 1);
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+    Set<Long> early = crossers(host);
     assertEquals(Set.of(), early);
     for (int round = 0; round < 20; round++) {
       List<Long> out = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        out.add(hand.request(0, 1000 + i));
+        out.add(host.request(0, 1000 + i));
       }
-      hand.pass(SECOND / 4);
+      host.pass(SECOND / 4);
       while (!out.isEmpty()) {
-        List<Long> sent = out.stream().filter(r -> !hand.sends(r).isEmpty()).toList();
-        sent.forEach(r -> hand.end(r, 0, Outcome.OK, SECOND / 4));
+        List<Long> sent = out.stream().filter(r -> !host.sends(r).isEmpty()).toList();
+        sent.forEach(r -> host.end(r, 0, Outcome.OK, SECOND / 4));
         out.removeAll(sent);
-        out.removeIf(r -> !hand.of("refuse", r).isEmpty());
-        hand.pass(FakeHost.TICK);
+        out.removeIf(r -> !host.of("refuse", r).isEmpty());
+        host.pass(FakeHost.TICK);
       }
-      hand.pass(2 * SECOND);
+      host.pass(2 * SECOND);
     }
-    Set<Long> some = crossers(hand);
+    Set<Long> some = crossers(host);
     assertTrue(!some.isEmpty() && some.size() < 100, some.size() + " of 100 keys cross");
-    assertTrue(some.containsAll(crossers(hand)), "the same keys, fewer as the zone is quiet");
+    assertTrue(some.containsAll(crossers(host)), "the same keys, fewer as the zone is quiet");
   }
 
   /** Which of a hundred keys, asked for one at a time, are sent to zone 1 at once. */
-  private static Set<Long> crossers(FakeHost hand) {
+  private static Set<Long> crossers(FakeHost host) {
     Set<Long> crossed = new TreeSet<>();
     for (long key = 1; key <= 100; key++) {
-      long id = hand.request(0, key);
-      if (hand.target(id) == 2) {
+      long id = host.request(0, key);
+      if (host.target(id) == 2) {
         crossed.add(key);
       }
-      hand.end(id, 0, Outcome.OK, SECOND / 4);
+      host.end(id, 0, Outcome.OK, SECOND / 4);
     }
     return crossed;
   }
 
   @Test
   void aServerThatLeftAndComesBackWithARequestOutIsListedOnceAndLeavesWhole() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
-    long out = hand.request();
-    hand.full(FakeHost.server(2, 0));
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0))
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    long out = host.request();
+    host.full(FakeHost.server(2, 0));
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0))
         .full(FakeHost.server(1, 0), FakeHost.server(2, 0));
-    hand.full(FakeHost.server(2, 0));
-    hand.end(out, 0, Outcome.OK, 1000);
+    host.full(FakeHost.server(2, 0));
+    host.end(out, 0, Outcome.OK, 1000);
     for (int i = 0; i < 5; i++) {
-      assertEquals(2, hand.target(hand.serve(1000)));
+      assertEquals(2, host.target(host.serve(1000)));
     }
-    assertEquals(2, hand.lines.stream().filter(each -> each.contains("server 1 gone")).count());
+    assertEquals(2, host.lines.stream().filter(each -> each.contains("server 1 gone")).count());
   }
 
   private static FakeHost oneOfMany(int agents, int servers) {
@@ -622,8 +622,8 @@
         .full(list);
   }
 
-  private static long used(FakeHost hand) {
-    return hand.all("send").stream().map(FakeHost.Act::server).distinct().count();
+  private static long used(FakeHost host) {
+    return host.all("send").stream().map(FakeHost.Act::server).distinct().count();
   }
 
   /** Failed before: a light agent among hundreds opened a connection to every server there was. */
@@ -662,40 +662,40 @@
    */
   @Test
   void aJamDoesNotWidenTheSubset() {
-    FakeHost hand = oneOfMany(400, 40);
+    FakeHost host = oneOfMany(400, 40);
     for (int i = 0; i < 20; i++) {
-      hand.serve(50_000);
-      hand.pass(SECOND / 2);
+      host.serve(50_000);
+      host.pass(SECOND / 2);
     }
     for (int i = 0; i < 60; i++) {
-      long id = hand.request();
-      hand.pass(2 * SECOND);
-      if (!hand.sends(id).isEmpty()) {
-        hand.end(id, 0, Outcome.OK, 2 * SECOND);
+      long id = host.request();
+      host.pass(2 * SECOND);
+      if (!host.sends(id).isEmpty()) {
+        host.end(id, 0, Outcome.OK, 2 * SECOND);
       }
     }
-    assertTrue(used(hand) <= 4, "used " + used(hand));
+    assertTrue(used(host) <= 4, "used " + used(host));
   }
 
   @Test
   void aSubsetGivesWayWhenItsMembersFail() {
-    FakeHost hand = oneOfMany(400, 40);
+    FakeHost host = oneOfMany(400, 40);
     for (int i = 0; i < 20; i++) {
-      hand.serve(50_000);
+      host.serve(50_000);
     }
-    List<Long> first = hand.all("send").stream().map(FakeHost.Act::server).distinct().toList();
+    List<Long> first = host.all("send").stream().map(FakeHost.Act::server).distinct().toList();
     for (long server : first) {
-      hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
-      hand.pass(SECOND);
-      hand.balancer.probed(hand.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
+      host.balancer.probed(host.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
+      host.pass(SECOND);
+      host.balancer.probed(host.now, server, Outcome.CONNECT_FAILED, SECOND, NO_LOAD);
     }
-    long id = hand.request();
-    assertTrue(!first.contains(hand.target(id)) && hand.target(id) > 0);
+    long id = host.request();
+    assertTrue(!first.contains(host.target(id)) && host.target(id) > 0);
   }
 
   @Test
   void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(
                 FakeHost.settings(
                     List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
@@ -705,11 +705,11 @@
             .full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     int toFast = 0;
     for (int i = 0; i < 100; i++) {
-      long id = hand.request();
-      long spent = hand.target(id) == 1 ? 40_000 : 120_000;
-      hand.pass(spent);
-      hand.end(id, 0, Outcome.OK, spent);
-      toFast += hand.target(id) == 1 ? 1 : 0;
+      long id = host.request();
+      long spent = host.target(id) == 1 ? 40_000 : 120_000;
+      host.pass(spent);
+      host.end(id, 0, Outcome.OK, spent);
+      toFast += host.target(id) == 1 ? 1 : 0;
     }
     assertTrue(toFast >= 85, "to the faster " + toFast);
   }
@@ -720,11 +720,11 @@
    */
   @Test
   void manyAgentsStartWithFewRequestsOutInAll() {
-    FakeHost hand = oneOfMany(400, 40);
+    FakeHost host = oneOfMany(400, 40);
     for (int i = 0; i < 10; i++) {
-      hand.request();
+      host.request();
     }
-    assertEquals(1, hand.all("send").size());
+    assertEquals(1, host.all("send").size());
     FakeHost few = oneOfMany(2, 3);
     for (int i = 0; i < 10; i++) {
       few.request();
@@ -737,22 +737,22 @@
   void anAnswerPastTheAimPausesAServerForALightAgentForLonger() {
     long[] sentAgainAfter = new long[2];
     for (int late = 0; late < 2; late++) {
-      FakeHost hand = oneOfMany(100, 1);
+      FakeHost host = oneOfMany(100, 1);
       for (int i = 0; i < 5; i++) {
-        hand.serve(50_000);
-        hand.pass(SECOND);
+        host.serve(50_000);
+        host.pass(SECOND);
       }
-      long slow = hand.request();
+      long slow = host.request();
       long spent = late == 0 ? 900_000 : 1_100_000; // the aim is one second
-      hand.pass(spent);
-      hand.balancer.outcome(hand.now, slow, 0, hand.target(slow), Outcome.OK, spent, true, NO_LOAD);
-      long began = hand.now;
-      int sends = hand.all("send").size();
-      while (hand.all("send").size() == sends && hand.now < began + 60 * SECOND) {
-        hand.request();
-        hand.pass(SECOND / 10);
+      host.pass(spent);
+      host.balancer.outcome(host.now, slow, 0, host.target(slow), Outcome.OK, spent, true, NO_LOAD);
+      long began = host.now;
+      int sends = host.all("send").size();
+      while (host.all("send").size() == sends && host.now < began + 60 * SECOND) {
+        host.request();
+        host.pass(SECOND / 10);
       }
-      sentAgainAfter[late] = hand.now - began;
+      sentAgainAfter[late] = host.now - began;
     }
     assertTrue(
         sentAgainAfter[1] >= 2 * sentAgainAfter[0],
@@ -763,25 +763,25 @@
    * How many of eight requests go out at once to one server after many answers of these times, in
    * turn.
    */
-  private static int roomAfter(long... spent) {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
-    int answers = 0;
+  private static int capacityAfter(long... spent) {
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    int responses = 0;
     for (int round = 0; round < 60; round++) {
       List<Long> ids = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
-        ids.add(hand.request());
+        ids.add(host.request());
       }
-      hand.pass(50_000);
+      host.pass(50_000);
       while (!ids.isEmpty()) { // what was held goes out as room comes
         long id =
-            ids.stream().filter(each -> !hand.sends(each).isEmpty()).findFirst().orElseThrow();
+            ids.stream().filter(each -> !host.sends(each).isEmpty()).findFirst().orElseThrow();
         ids.remove(id);
-        hand.end(id, 0, Outcome.OK, spent[answers++ % spent.length]);
+        host.end(id, 0, Outcome.OK, spent[responses++ % spent.length]);
       }
     }
     int sent = 0;
     for (int i = 0; i < 8; i++) {
-      sent += hand.sends(hand.request()).size();
+      sent += host.sends(host.request()).size();
     }
     return sent;
   }
@@ -792,7 +792,7 @@
    */
   @Test
   void oneSlowAnswerInSevenLeavesAnIdleServerItsRoom() {
-    int sent = roomAfter(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 300_000);
+    int sent = capacityAfter(50_000, 50_000, 50_000, 50_000, 50_000, 50_000, 300_000);
     assertTrue(sent >= 4, "sent " + sent);
   }
 
@@ -803,7 +803,8 @@
   @Test
   void workThatOftenTakesHalfTheAimLeavesAnIdleServerItsRoom() {
     int sent =
-        roomAfter(300_000, 550_000, 400_000, 600_000, 350_000, 500_000, 680_000, 450_000, 630_000);
+        capacityAfter(
+            300_000, 550_000, 400_000, 600_000, 350_000, 500_000, 680_000, 450_000, 630_000);
     assertTrue(sent >= 4, "sent " + sent);
   }
 
@@ -814,7 +815,7 @@
   @Test
   void beforeAnyClassIsKnownAnswersSlowerThanTheFirstOfAllClassesCloseAServer() {
     var type = FakeHost.type(Semantics.SAFE, Scope.ALL);
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(
                 FakeHost.settings(
                     List.of(type, type, type, type),
@@ -823,15 +824,15 @@
                     2))
             .full(FakeHost.server(1, 0));
     for (int i = 0; i < 120; i++) {
-      long id = hand.request(i % 4, 0);
+      long id = host.request(i % 4, 0);
       long spent =
           i < 60 ? 30_000 : 300_000; // an aim of a second, and thirty answers of each class
-      hand.pass(spent);
-      hand.end(id, 0, Outcome.OK, spent);
+      host.pass(spent);
+      host.end(id, 0, Outcome.OK, spent);
     }
     int sent = 0;
     for (int i = 0; i < 8; i++) {
-      sent += hand.sends(hand.request(i % 4, 0)).size();
+      sent += host.sends(host.request(i % 4, 0)).size();
     }
     assertTrue(sent <= 2, "sent " + sent);
   }
@@ -839,26 +840,27 @@
   /** Else the limit would hold back nothing. */
   @Test
   void answersOfWhichEverySecondIsSlowCloseAServer() {
-    assertEquals(1, roomAfter(50_000, 700_000));
+    assertEquals(1, capacityAfter(50_000, 700_000));
   }
 
   /** Failed before: every refused client was told the longest wait that it might be told. */
   @Test
   void aRefusedClientIsToldToComeBackWhenThereWillBeRoom() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 100; i++) {
-      hand.serve(50_000);
+      host.serve(50_000);
     }
     for (int i = 0; i < 40; i++) {
-      hand.request();
+      host.request();
     }
-    hand.pass(SECOND);
-    List<Long> told = hand.all("refuse").stream().map(FakeHost.Act::value).toList();
-    assertTrue(told.size() >= 20, "refused " + told.size());
-    for (long wait : told) {
+    host.pass(SECOND);
+    List<Long> notified = host.all("refuse").stream().map(FakeHost.Act::value).toList();
+    assertTrue(notified.size() >= 20, "refused " + notified.size());
+    for (long wait : notified) {
       assertTrue(wait >= 50_000 && wait <= SECOND, "told " + wait);
     }
-    assertTrue(told.get(told.size() - 1) < SECOND / 2, "the last of the queue: " + told);
+    assertTrue(
+        notified.get(notified.size() - 1) < SECOND / 2, "the last of the queue: " + notified);
   }
 
   /**
@@ -866,32 +868,32 @@
    */
   @Test
   void timeOutsWhileTheServerAnswersOthersLeaveItItsRoom() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int round = 0; round < 60; round++) {
       List<Long> ids = new ArrayList<>();
       for (int i = 0; i < 7; i++) {
-        ids.add(hand.request());
+        ids.add(host.request());
       }
-      hand.pass(50_000);
+      host.pass(50_000);
       List<Long> heavy =
-          ids.subList(0, 2).stream().filter(id -> !hand.sends(id).isEmpty()).toList();
+          ids.subList(0, 2).stream().filter(id -> !host.sends(id).isEmpty()).toList();
       for (long id : ids) {
-        if (!heavy.contains(id) && !hand.sends(id).isEmpty()) {
-          hand.end(id, 0, Outcome.OK, 50_000);
+        if (!heavy.contains(id) && !host.sends(id).isEmpty()) {
+          host.end(id, 0, Outcome.OK, 50_000);
         }
       }
-      hand.pass(300_000);
-      heavy.forEach(id -> hand.end(id, 0, Outcome.TIMEOUT, 350_000));
+      host.pass(300_000);
+      heavy.forEach(id -> host.end(id, 0, Outcome.TIMEOUT, 350_000));
       for (long id : ids) { // what has been sent again, or late
-        int attempts = hand.sends(id).size();
+        int attempts = host.sends(id).size();
         if (attempts > (heavy.contains(id) ? 1 : 0)) {
-          hand.end(id, attempts - 1, Outcome.OK, 50_000);
+          host.end(id, attempts - 1, Outcome.OK, 50_000);
         }
       }
     }
     int sent = 0;
     for (int i = 0; i < 8; i++) {
-      sent += hand.sends(hand.request()).size();
+      sent += host.sends(host.request()).size();
     }
     assertTrue(sent >= 4, "sent " + sent);
   }
--- a/src/test/java/slateslip/loadbalancer/LogLinesTest.java
+++ b/src/test/java/slateslip/loadbalancer/LogLinesTest.java
@@ -24,31 +24,31 @@
 
   /** Every change of state there is, brought about once. */
   private static Set<String> printed() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 2; i++) {
-      hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
+      host.balancer.probed(host.now, 1, Outcome.TIMEOUT, SECOND, new double[0]);
     }
-    hand.pass(SECOND);
-    hand.balancer.probed(hand.now, 1, Outcome.OK, 1000, new double[0]);
-    hand.pass(10 * SECOND);
+    host.pass(SECOND);
+    host.balancer.probed(host.now, 1, Outcome.OK, 1000, new double[0]);
+    host.pass(10 * SECOND);
     for (int i = 0; i < 40; i++) {
-      long id = hand.request();
-      hand.pass(20_000);
-      if (!hand.sends(id).isEmpty()) {
-        hand.end(id, 0, hand.target(id) == 1 ? Outcome.ERROR : Outcome.OK, 20_000);
-        if (hand.sends(id).size() > 1) {
-          hand.end(id, 1, Outcome.OK, 20_000);
+      long id = host.request();
+      host.pass(20_000);
+      if (!host.sends(id).isEmpty()) {
+        host.end(id, 0, host.target(id) == 1 ? Outcome.ERROR : Outcome.OK, 20_000);
+        if (host.sends(id).size() > 1) {
+          host.end(id, 1, Outcome.OK, 20_000);
         }
       }
-      hand.pass(SECOND / 4);
+      host.pass(SECOND / 4);
     }
-    hand.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.DRAINING, 0));
-    hand.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.READY, 0));
-    hand.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.GONE, 0));
-    hand.list(ListKind.DELTA, FakeHost.server(3, 0, Phase.READY, hand.now));
+    host.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.DRAINING, 0));
+    host.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.READY, 0));
+    host.list(ListKind.DELTA, FakeHost.server(2, 0, Phase.GONE, 0));
+    host.list(ListKind.DELTA, FakeHost.server(3, 0, Phase.READY, host.now));
     Set<String> lines = new TreeSet<>();
-    for (String line : hand.lines) {
+    for (String line : host.lines) {
       if (line.startsWith("waiting: ")) {
         continue; // its figures vary; it is no change of a server's state
       }
--- a/src/test/java/slateslip/loadbalancer/RandomRunTest.java
+++ b/src/test/java/slateslip/loadbalancer/RandomRunTest.java
@@ -38,7 +38,7 @@
     final List<Long> servers = new ArrayList<>();
     final List<Long> sentAt = new ArrayList<>();
     final List<Outcome> outcomes = new ArrayList<>();
-    int answers;
+    int responses;
     boolean left;
 
     Known(RequestClass type, long deadline) {
@@ -53,7 +53,7 @@
 
   private final Map<Long, Known> requests = new HashMap<>();
   private final Map<Long, Server> listed = new HashMap<>();
-  private FakeHost hand;
+  private FakeHost host;
   private Permits permits;
   private int seen;
 
@@ -96,7 +96,7 @@
             random.nextBoolean(),
             random.nextBoolean() ? SECOND : 0);
     int zones = 1 + random.nextInt(5);
-    hand =
+    host =
         new FakeHost(
             FakeHost.settings(
                 classes,
@@ -110,21 +110,21 @@
     for (int step = 0; step < 4000; step++) {
       step(random, classes, zones);
       check();
-      hand.pass(FakeHost.TICK);
+      host.pass(FakeHost.TICK);
       check();
     }
-    for (long end = hand.now + 7 * SECOND; hand.now < end; ) {
-      hand.pass(FakeHost.TICK);
+    for (long end = host.now + 7 * SECOND; host.now < end; ) {
+      host.pass(FakeHost.TICK);
       check();
     }
     for (Map.Entry<Long, Known> e : requests.entrySet()) {
       Known known = e.getValue();
       boolean served = known.outcomes.contains(Outcome.OK);
       assertTrue(
-          known.left || (served && known.answers == 0) || known.answers == 1,
+          known.left || (served && known.responses == 0) || known.responses == 1,
           "request " + e.getKey());
     }
-    return List.copyOf(hand.acts);
+    return List.copyOf(host.acts);
   }
 
   private void step(SplittableRandom random, List<RequestClass> classes, int zones) {
@@ -138,7 +138,7 @@
               0,
               PHASES.get(Math.max(0, random.nextInt(8) - 5)),
               1,
-              random.nextInt(9) == 0 ? hand.now : 0);
+              random.nextInt(9) == 0 ? host.now : 0);
       Server before = listed.get(server.id());
       if (before != null) { // a server keeps its place
         server =
@@ -152,23 +152,23 @@
                 server.startedAt());
       }
       listed.put(server.id(), server);
-      hand.list(ListKind.DELTA, server);
+      host.list(ListKind.DELTA, server);
     } else if (what == 1) {
-      hand.balancer.probed(
-          hand.now,
+      host.balancer.probed(
+          host.now,
           1 + random.nextInt(8),
           OUTCOMES.get(Math.max(0, random.nextInt(20) - 16)),
           1000,
           new double[0]);
     } else if (what == 2) {
-      hand.list(ListKind.FAILED);
+      host.list(ListKind.FAILED);
     } else if (what < 10) {
       int c = random.nextInt(classes.size());
-      long deadline = hand.now + 300_000 + random.nextLong(3 * SECOND);
+      long deadline = host.now + 300_000 + random.nextLong(3 * SECOND);
       long id = 1_000_000L + requests.size();
       requests.put(id, new Known(classes.get(c), deadline));
-      hand.balancer.request(
-          hand.now,
+      host.balancer.request(
+          host.now,
           new LoadBalancer.Request(
               id,
               c,
@@ -190,18 +190,18 @@
   private void end(SplittableRandom random, long id) {
     Known known = requests.get(id);
     int roll = random.nextInt(60);
-    if (roll == 0 && known.answers == 0 && !known.outcomes.contains(Outcome.OK)) {
+    if (roll == 0 && known.responses == 0 && !known.outcomes.contains(Outcome.OK)) {
       known.left = true;
-      hand.balancer.clientLeft(hand.now, id);
+      host.balancer.clientLeft(host.now, id);
       check();
     }
     for (int a = 0; a < known.outcomes.size(); a++) {
       if (known.outcomes.get(a) == null && roll < 20) {
         Outcome outcome = OUTCOMES.get(Math.max(0, random.nextInt(40) - 32));
-        boolean closed = known.left || known.answers > 0 || outcome == Outcome.OK;
+        boolean closed = known.left || known.responses > 0 || outcome == Outcome.OK;
         known.outcomes.set(a, outcome);
-        hand.balancer.outcome(
-            hand.now, id, a, known.servers.get(a), outcome, 1000, closed, new double[0]);
+        host.balancer.outcome(
+            host.now, id, a, known.servers.get(a), outcome, 1000, closed, new double[0]);
         check();
       }
     }
@@ -209,16 +209,16 @@
 
   /** Looks at the actions not seen yet. */
   private void check() {
-    for (; seen < hand.acts.size(); seen++) {
-      FakeHost.Act act = hand.acts.get(seen);
+    for (; seen < host.acts.size(); seen++) {
+      FakeHost.Act act = host.acts.get(seen);
       Known known = requests.get(act.id());
       switch (act.what()) {
         case "send" -> checkSend(act, known);
         case "refuse", "fail" -> {
-          assertEquals(0, known.answers, "one final answer");
+          assertEquals(0, known.responses, "one final answer");
           assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is owed");
-          assertTrue(hand.now <= known.deadline + 20_000, "in time");
-          known.answers++;
+          assertTrue(host.now <= known.deadline + 20_000, "in time");
+          known.responses++;
           for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
             boolean harmless =
                 known.type.semantics() == Semantics.SAFE
@@ -236,7 +236,7 @@
   }
 
   private void checkSend(FakeHost.Act act, Known known) {
-    assertEquals(0, known.answers, "nothing is sent after the answer");
+    assertEquals(0, known.responses, "nothing is sent after the answer");
     assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
     assertEquals(Phase.READY, listed.get(act.server()).phase());
     assertTrue(known.outcomes.size() < permits.maxAttempts(), "attempts");
@@ -247,7 +247,7 @@
       if (known.mayHaveRun(a)) {
         assertTrue(known.type.semantics() != Semantics.UNSAFE, "unsafe may have run");
         if (known.type.semantics() == Semantics.KEYED) {
-          assertTrue(hand.now < known.sentAt.get(a) + known.type.window(), "window");
+          assertTrue(host.now < known.sentAt.get(a) + known.type.window(), "window");
           Server old = listed.get(known.servers.get(a));
           Server next = listed.get(act.server());
           assertTrue(
@@ -259,7 +259,7 @@
       }
     }
     known.servers.add(act.server());
-    known.sentAt.add(hand.now);
+    known.sentAt.add(host.now);
     known.outcomes.add(null);
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
@@ -76,8 +76,8 @@
     return IntStream.range(0, n).boxed().toList();
   }
 
-  private static void take(FakeHost hand, Settings next, List<Integer> classes) {
-    hand.balancer.settings(hand.now, new SettingsReload(next, classes, same(2), same(1)));
+  private static void take(FakeHost host, Settings next, List<Integer> classes) {
+    host.balancer.settings(host.now, new SettingsReload(next, classes, same(2), same(1)));
   }
 
   /**
@@ -97,21 +97,21 @@
   })
   void anOpenRequestIsSentAgainOnlyWhereTheOldAndTheNewClassPermitIt(
       String taken, String then, Outcome outcome, int tenths, boolean again) {
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
-    long id = hand.request(1, 0);
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    long id = host.request(1, 0);
     if (then == null) {
-      take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0, SettingsReload.REMOVED));
+      take(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0, SettingsReload.REMOVED));
     } else { // its place is taken by another
-      take(hand, settings(0, 2, PERMITS, type(then), type("SAFE")), List.of(1, 0));
+      take(host, settings(0, 2, PERMITS, type(then), type("SAFE")), List.of(1, 0));
     }
-    hand.pass(tenths * SECOND / 10);
-    hand.end(id, 0, outcome, tenths * SECOND / 10);
-    hand.pass(SECOND / 10);
-    assertEquals(again ? 2 : 1, hand.sends(id).size());
-    hand.pass(4 * SECOND);
+    host.pass(tenths * SECOND / 10);
+    host.end(id, 0, outcome, tenths * SECOND / 10);
+    host.pass(SECOND / 10);
+    assertEquals(again ? 2 : 1, host.sends(id).size());
+    host.pass(4 * SECOND);
     assertEquals(
-        1, hand.of("fail", id).size() + hand.of("refuse", id).size(), "one answer, in time");
+        1, host.of("fail", id).size() + host.of("refuse", id).size(), "one answer, in time");
     if (again) {
       return;
     }
@@ -120,35 +120,35 @@
             && !taken.contains("ZONE")
             && then != null
             && !then.equals("UNSAFE"); // by every server, so a client's repeat is harmless
-    assertEquals(dropped ? 0 : 1, hand.of("fail", id).size(), "a refusal would ask for a repeat");
+    assertEquals(dropped ? 0 : 1, host.of("fail", id).size(), "a refusal would ask for a repeat");
   }
 
   /** Guards against its standing before others in the queue until its time is up. */
   @Test
   void aRequestHeldThatMayNotGoAgainAnyMoreIsAnsweredAtOnce() {
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(FakeHost.server(1, 0));
-    long id = hand.request();
-    hand.end(id, 0, Outcome.RESET, 1000);
-    assertEquals(0, hand.of("fail", id).size(), "held: there is no other server");
-    take(hand, settings(0, 2, PERMITS, type("UNSAFE")), List.of(0));
-    assertEquals(1, hand.of("fail", id).size());
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    host.full(FakeHost.server(1, 0));
+    long id = host.request();
+    host.end(id, 0, Outcome.RESET, 1000);
+    assertEquals(0, host.of("fail", id).size(), "held: there is no other server");
+    take(host, settings(0, 2, PERMITS, type("UNSAFE")), List.of(0));
+    assertEquals(1, host.of("fail", id).size());
   }
 
   @Test
   void deadlinesGivenStayAndRequestsOfARemovedClassThatAreHeldAreServed() {
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
-    long held = hand.request(1, 0);
-    long late = hand.request(1, 0);
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
+    long queued = host.request(1, 0);
+    long late = host.request(1, 0);
     RequestClass hasty = new RequestClass(1000, 0, 1000, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
-    take(hand, settings(0, 2, PERMITS, hasty), List.of(0, SettingsReload.REMOVED));
-    hand.pass(SECOND);
-    assertEquals(0, hand.of("refuse", held).size());
-    hand.full(FakeHost.server(1, 0));
-    assertEquals(2, hand.sends(held).size() + hand.sends(late).size());
-    hand.end(held, 0, Outcome.OK, 1000);
-    hand.pass(2 * SECOND);
-    assertEquals(1, hand.of("fail", late).size(), "at its own time");
+    take(host, settings(0, 2, PERMITS, hasty), List.of(0, SettingsReload.REMOVED));
+    host.pass(SECOND);
+    assertEquals(0, host.of("refuse", queued).size());
+    host.full(FakeHost.server(1, 0));
+    assertEquals(2, host.sends(queued).size() + host.sends(late).size());
+    host.end(queued, 0, Outcome.OK, 1000);
+    host.pass(2 * SECOND);
+    assertEquals(1, host.of("fail", late).size(), "at its own time");
   }
 
   /**
@@ -158,24 +158,24 @@
   @Test
   void whatIsLearntOfAClassStaysWithItWhenItsPlaceChanges() {
     for (boolean swapped : new boolean[] {false, true}) {
-      FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
-      hand.full(FakeHost.server(1, 0));
+      FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
+      host.full(FakeHost.server(1, 0));
       for (int i = 0; i < 60; i++) {
-        hand.serve(SECOND); // of class 0
+        host.serve(SECOND); // of class 0
       }
       take(
-          hand,
+          host,
           settings(0, 2, PERMITS, type("SAFE"), type("SAFE")),
           swapped ? List.of(1, 0) : List.of(0, 1));
       long[] sent = new long[2];
       for (int c = 0; c < 2; c++) {
         long id = 900L + c; // held for a moment, then too late for a second's work
-        hand.full();
-        hand.balancer.request(
-            hand.now, new Request(id, c, 0, 0, 0, hand.now + SECOND + SECOND / 2, false, false));
-        hand.pass(SECOND * 7 / 10);
-        hand.full(FakeHost.server(2 + c, 0));
-        sent[c] = hand.sends(id).size();
+        host.full();
+        host.balancer.request(
+            host.now, new Request(id, c, 0, 0, 0, host.now + SECOND + SECOND / 2, false, false));
+        host.pass(SECOND * 7 / 10);
+        host.full(FakeHost.server(2 + c, 0));
+        sent[c] = host.sends(id).size();
       }
       assertEquals(swapped ? List.of(1L, 0L) : List.of(0L, 1L), List.of(sent[0], sent[1]));
     }
@@ -188,39 +188,39 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void zonesThatChangePlacesKeepTheirServers(boolean forgotten) {
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
-    hand.full(FakeHost.server(1, 0));
-    long id = hand.request();
-    hand.end(id, 0, Outcome.RESET, 1000);
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
+    host.full(FakeHost.server(1, 0));
+    long id = host.request();
+    host.end(id, 0, Outcome.RESET, 1000);
     if (forgotten) {
-      hand.full();
+      host.full();
     }
-    hand.balancer.settings(
-        hand.now,
+    host.balancer.settings(
+        host.now,
         new SettingsReload(
             settings(1, 2, PERMITS, type("KEYED-ZONE-4")), List.of(0), List.of(1, 0), List.of(0)));
-    hand.list(ListKind.DELTA, FakeHost.server(2, 0));
-    hand.pass(SECOND);
-    assertEquals(1, hand.sends(id).size(), "server 2 is in the other zone");
-    hand.list(ListKind.DELTA, FakeHost.server(3, 1));
-    assertEquals(3, hand.target(id));
-    hand.list(ListKind.DELTA, FakeHost.server(3, 1, Phase.GONE, 0));
+    host.list(ListKind.DELTA, FakeHost.server(2, 0));
+    host.pass(SECOND);
+    assertEquals(1, host.sends(id).size(), "server 2 is in the other zone");
+    host.list(ListKind.DELTA, FakeHost.server(3, 1));
+    assertEquals(3, host.target(id));
+    host.list(ListKind.DELTA, FakeHost.server(3, 1, Phase.GONE, 0));
     assertEquals(
-        forgotten ? 2 : 1, hand.target(hand.request()), "the own zone is where server 1 is");
+        forgotten ? 2 : 1, host.target(host.request()), "the own zone is where server 1 is");
   }
 
   @Test
   void aChangeEarnsAColdServerNothing() {
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(FakeHost.server(1, 0, Phase.READY, hand.now));
-    hand.pass(3 * SECOND);
-    int sent = sentOf(30, hand);
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    host.full(FakeHost.server(1, 0, Phase.READY, host.now));
+    host.pass(3 * SECOND);
+    int sent = sentOf(30, host);
     assertTrue(sent > 0 && sent <= 2, "it is cold: " + sent);
     for (int i = 0; i < 50; i++) {
-      take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
+      take(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
     }
-    assertEquals(0, sentOf(30, hand));
-    assertEquals(sent, hand.all("send").size(), "nor of those held");
+    assertEquals(0, sentOf(30, host));
+    assertEquals(sent, host.all("send").size(), "nor of those held");
   }
 
   @Test
@@ -246,62 +246,62 @@
             List.of(),
             List.of());
     for (Settings next : List.of(s, slow)) {
-      FakeHost hand =
+      FakeHost host =
           new FakeHost(s).full(FakeHost.server(1, 0, Phase.READY, FakeHost.SECOND * 100));
-      take(hand, next, List.of(0));
-      hand.pass(22 * SECOND);
-      assertEquals(next.equals(s), sentOf(30, hand) > 3, "warm after 20 s or 60 s");
+      take(host, next, List.of(0));
+      host.pass(22 * SECOND);
+      assertEquals(next.equals(s), sentOf(30, host) > 3, "warm after 20 s or 60 s");
     }
   }
 
-  private static int sentOf(int requests, FakeHost hand) {
-    int before = hand.all("send").size();
+  private static int sentOf(int requests, FakeHost host) {
+    int before = host.all("send").size();
     for (int i = 0; i < requests; i++) {
-      hand.request();
+      host.request();
     }
-    return hand.all("send").size() - before;
+    return host.all("send").size() - before;
   }
 
   /** Guards against a server that only a probe could have made available again. */
   @Test
   void probesThatAreNotPermittedAnyMoreLeaveNoServerShutAndBeginWhereTheyAre() {
     Permits none = new Permits(4, false, true, false, false, SECOND);
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     for (int i = 0; i < 3; i++) {
-      hand.balancer.probed(hand.now, 1, Outcome.TIMEOUT, 1000, new double[0]);
+      host.balancer.probed(host.now, 1, Outcome.TIMEOUT, 1000, new double[0]);
     }
-    assertEquals(2, hand.target(hand.request()));
-    take(hand, settings(0, 2, none, type("SAFE")), List.of(0));
-    assertEquals(1, hand.target(hand.request()));
-    hand.pass(2 * SECOND);
-    int before = hand.all("probe").size();
-    hand.pass(9 * SECOND);
-    assertEquals(before, hand.all("probe").size());
-    take(hand, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
-    hand.pass(9 * SECOND);
-    assertTrue(hand.all("probe").size() > before);
+    assertEquals(2, host.target(host.request()));
+    take(host, settings(0, 2, none, type("SAFE")), List.of(0));
+    assertEquals(1, host.target(host.request()));
+    host.pass(2 * SECOND);
+    int before = host.all("probe").size();
+    host.pass(9 * SECOND);
+    assertEquals(before, host.all("probe").size());
+    take(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
+    host.pass(9 * SECOND);
+    assertTrue(host.all("probe").size() > before);
   }
 
   @Test
   void fewerAttemptsHoldForRequestsThatAreOpen() {
-    FakeHost hand = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
-    long id = hand.request();
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    long id = host.request();
     take(
-        hand,
+        host,
         settings(0, 2, new Permits(1, false, true, true, false, SECOND), type("SAFE")),
         List.of(0));
-    hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-    assertEquals(1, hand.sends(id).size());
-    assertEquals(1, hand.of("refuse", id).size());
+    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
+    assertEquals(1, host.sends(id).size());
+    assertEquals(1, host.of("refuse", id).size());
   }
 
   @Test
   void settingsThatDoNotFitAreNamed() {
     Settings one = settings(0, 2, PERMITS, type("SAFE"));
-    FakeHost hand = new FakeHost(one);
-    LoadBalancer checked = new ValidatingLoadBalancer(one, 1, hand.now, hand);
+    FakeHost host = new FakeHost(one);
+    LoadBalancer checked = new ValidatingLoadBalancer(one, 1, host.now, host);
     for (String[] wrong :
         new String[][] {
           {"0,0", "0,1", "classes: position 0"}, {"1", "0,1", "classes: position 1"},
@@ -314,23 +314,23 @@
                   IllegalArgumentException.class,
                   () ->
                       checked.settings(
-                          hand.now,
+                          host.now,
                           new SettingsReload(one, numbers(wrong[0]), numbers(wrong[1]), List.of())))
               .getMessage());
     }
     assertThrows(
         IllegalArgumentException.class,
         () -> new SettingsReload(settings(0, 2, PERMITS), List.of(), same(2), List.of()));
-    assertThrows(NullPointerException.class, () -> checked.settings(hand.now, null));
+    assertThrows(NullPointerException.class, () -> checked.settings(host.now, null));
     checked.settings(
-        hand.now,
+        host.now,
         new SettingsReload(
             settings(0, 2, PERMITS, type("SAFE"), type("SAFE")), List.of(1), same(2), List.of()));
-    checked.request(hand.now, new Request(5, 1, 0, 0, 0, hand.now + SECOND, false, false));
+    checked.request(host.now, new Request(5, 1, 0, 0, 0, host.now + SECOND, false, false));
     assertThrows(
         IndexOutOfBoundsException.class,
         () ->
-            checked.request(hand.now, new Request(6, 2, 0, 0, 0, hand.now + SECOND, false, false)));
+            checked.request(host.now, new Request(6, 2, 0, 0, 0, host.now + SECOND, false, false)));
   }
 
   private static List<Integer> numbers(String text) {
@@ -347,7 +347,7 @@
     final List<Long> servers = new ArrayList<>();
     final List<Long> sentAt = new ArrayList<>();
     final List<Outcome> outcomes = new ArrayList<>();
-    int answers;
+    int responses;
 
     Known(String name, long deadline) {
       this.name = name;
@@ -398,14 +398,14 @@
 
   private List<FakeHost.Act> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    FakeHost hand = new FakeHost(drawn(random), seed);
+    FakeHost host = new FakeHost(drawn(random), seed);
     for (int step = 0; step < 3000; step++) {
       int what = step < 8 ? 0 : random.nextInt(20);
       if (what == 0) {
         long id = 1L + random.nextInt(8);
         String zone =
             zoneOf.computeIfAbsent(id, any -> List.of("x", "y", "z").get(random.nextInt(3)));
-        hand.list(
+        host.list(
             ListKind.DELTA,
             new Server(
                 id,
@@ -432,8 +432,8 @@
                   each.name = each.name != null && classes.contains(each.name) ? each.name : null;
                   each.types.add(each.name == null ? null : types.get(each.name));
                 });
-        hand.balancer.settings(
-            hand.now,
+        host.balancer.settings(
+            host.now,
             new SettingsReload(
                 next,
                 SettingsReload.positions(before, classes),
@@ -441,32 +441,34 @@
                 List.of(0)));
       } else if (what < 12) {
         int c = random.nextInt(classes.size());
-        Known known = new Known(classes.get(c), hand.now + 300_000 + random.nextLong(3 * SECOND));
+        Known known = new Known(classes.get(c), host.now + 300_000 + random.nextLong(3 * SECOND));
         known.types.add(types.get(classes.get(c)));
         requests.put((long) step, known);
-        hand.balancer.request(
-            hand.now, new Request(step, c, 0, 0, 0, known.deadline, false, false));
+        host.balancer.request(
+            host.now, new Request(step, c, 0, 0, 0, known.deadline, false, false));
       } else {
         for (long id = Math.max(0, step - 60); id < step; id++) {
-          end(hand, random, id);
+          end(host, random, id);
         }
       }
-      check(hand);
-      hand.pass(FakeHost.TICK);
-      check(hand);
+      check(host);
+      host.pass(FakeHost.TICK);
+      check(host);
     }
     for (int i = 0; i < 5 * SECOND / FakeHost.TICK; i++) {
-      hand.pass(FakeHost.TICK);
-      check(hand);
+      host.pass(FakeHost.TICK);
+      check(host);
     }
     requests.forEach(
         (id, known) ->
             assertEquals(
-                1, known.answers + (known.outcomes.contains(Outcome.OK) ? 1 : 0), "request " + id));
-    return List.copyOf(hand.acts);
+                1,
+                known.responses + (known.outcomes.contains(Outcome.OK) ? 1 : 0),
+                "request " + id));
+    return List.copyOf(host.acts);
   }
 
-  private void end(FakeHost hand, SplittableRandom random, long id) {
+  private void end(FakeHost host, SplittableRandom random, long id) {
     Known known = requests.get(id);
     for (int a = 0; known != null && a < known.outcomes.size(); a++) {
       if (known.outcomes.get(a) == null && random.nextInt(3) == 0) {
@@ -475,29 +477,29 @@
                 ? Outcome.OK
                 : random.nextBoolean() ? Outcome.RESET : Outcome.CONNECT_FAILED;
         known.outcomes.set(a, outcome);
-        hand.balancer.outcome(
-            hand.now,
+        host.balancer.outcome(
+            host.now,
             id,
             a,
             known.servers.get(a),
             outcome,
             1000,
-            known.answers > 0 || outcome == Outcome.OK,
+            known.responses > 0 || outcome == Outcome.OK,
             new double[0]);
-        check(hand);
+        check(host);
       }
     }
   }
 
-  private void check(FakeHost hand) {
-    for (; seen < hand.acts.size(); seen++) {
-      FakeHost.Act act = hand.acts.get(seen);
+  private void check(FakeHost host) {
+    for (; seen < host.acts.size(); seen++) {
+      FakeHost.Act act = host.acts.get(seen);
       Known known = requests.get(act.id());
       if (act.what().equals("refuse") || act.what().equals("fail")) {
-        assertEquals(0, known.answers);
+        assertEquals(0, known.responses);
         assertFalse(known.outcomes.contains(Outcome.OK));
-        assertTrue(hand.now <= known.deadline + 20_000, "in time");
-        known.answers++;
+        assertTrue(host.now <= known.deadline + 20_000, "in time");
+        known.responses++;
         for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
           boolean ran = known.outcomes.get(a) == null || !known.outcomes.get(a).neverRan();
           assertTrue(
@@ -513,17 +515,17 @@
               "harmless");
         }
       } else if (act.what().equals("send")) {
-        assertEquals(0, known.answers);
+        assertEquals(0, known.responses);
         assertFalse(known.outcomes.contains(Outcome.OK));
         for (int a = 0; a < known.outcomes.size(); a++) {
           assertTrue(known.outcomes.get(a) != null, "one at a time");
           for (RequestClass type : known.types) {
             assertTrue(
-                known.outcomes.get(a).neverRan() || permits(hand, known, a, type, act), "repeat");
+                known.outcomes.get(a).neverRan() || permits(host, known, a, type, act), "repeat");
           }
         }
         known.servers.add(act.server());
-        known.sentAt.add(hand.now);
+        known.sentAt.add(host.now);
         known.outcomes.add(null);
       }
     }
@@ -531,7 +533,7 @@
 
   /** Whether a class that the request has been under permits a repeat of what may have run. */
   private boolean permits(
-      FakeHost hand, Known known, int attempt, RequestClass type, FakeHost.Act act) {
+      FakeHost host, Known known, int attempt, RequestClass type, FakeHost.Act act) {
     long old = known.servers.get(attempt);
     boolean group =
         type == null
@@ -545,6 +547,6 @@
             || (type.semantics() == Semantics.KEYED
                 && keyed
                 && group
-                && hand.now < known.sentAt.get(attempt) + type.window());
+                && host.now < known.sentAt.get(attempt) + type.window());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsTest.java
@@ -29,11 +29,11 @@
         s.zone(),
         s.zones(),
         s.tick(),
-        s.askDiscovery(),
-        s.warmKeys(),
+        s.pollDiscovery(),
+        s.keyAffinity(),
         s.listedWeights(),
-        s.worthByWork(),
-        s.overQuotaWorth(),
+        s.valueByWork(),
+        s.overQuotaValue(),
         s.permits(),
         s.obligations(),
         prices,
@@ -43,47 +43,47 @@
         s.loadFields());
   }
 
-  private static FakeHost hand(RequestClass type, Permits permits, int zones) {
+  private static FakeHost host(RequestClass type, Permits permits, int zones) {
     return new FakeHost(FakeHost.settings(List.of(type), permits, zones, 2));
   }
 
   @Test
   void anEmptyListForAWhileHoldsRequestsAndServesThemOnceServersCome() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full();
-    long id = hand.request();
-    hand.pass(SECOND / 10);
-    assertEquals(0, hand.sends(id).size());
-    hand.full(FakeHost.server(1, 0));
-    assertEquals(1, hand.sends(id).size());
+    FakeHost host = new FakeHost(FakeHost.safe()).full();
+    long id = host.request();
+    host.pass(SECOND / 10);
+    assertEquals(0, host.sends(id).size());
+    host.full(FakeHost.server(1, 0));
+    assertEquals(1, host.sends(id).size());
   }
 
   @Test
   void withoutAnyServerEachRequestIsRefusedOnceAndInTime() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full();
-    long id = hand.request();
-    hand.pass(2 * SECOND);
-    assertEquals(1, hand.of("refuse", id).size());
-    assertEquals(0, hand.of("fail", id).size());
+    FakeHost host = new FakeHost(FakeHost.safe()).full();
+    long id = host.request();
+    host.pass(2 * SECOND);
+    assertEquals(1, host.of("refuse", id).size());
+    assertEquals(0, host.of("fail", id).size());
   }
 
   @Test
   void aSingleServerIsUsedThoughItsProbesFail() {
-    FakeHost hand = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 3; i++) {
-      hand.balancer.probed(hand.now, 1, Outcome.CONNECT_FAILED, 1000, new double[0]);
+      host.balancer.probed(host.now, 1, Outcome.CONNECT_FAILED, 1000, new double[0]);
     }
-    assertTrue(hand.logged("active Unhealthy"));
-    assertEquals(1, hand.sends(hand.request()).size());
+    assertTrue(host.logged("active Unhealthy"));
+    assertEquals(1, host.sends(host.request()).size());
   }
 
   @Test
   void zeroPricesCrossZonesAsSoonAsTheOwnOneIsFull() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(with(FakeHost.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
             .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     List<Long> targets = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      targets.add(hand.target(hand.request()));
+      targets.add(host.target(host.request()));
     }
     assertEquals(1, targets.get(0));
     assertEquals(2, targets.get(9));
@@ -91,111 +91,111 @@
 
   @Test
   void aPriceOverOneNeverCrossesWhileTheOwnZoneIsAvailable() {
-    FakeHost hand =
+    FakeHost host =
         new FakeHost(with(FakeHost.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
             .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     for (int i = 0; i < 20; i++) {
-      hand.request();
+      host.request();
     }
-    hand.pass(2 * SECOND);
-    assertTrue(hand.all("send").stream().allMatch(a -> a.server() == 1));
+    host.pass(2 * SECOND);
+    assertTrue(host.all("send").stream().allMatch(a -> a.server() == 1));
   }
 
   @Test
   void withFiveZonesTheOwnOneIsTakenFirstAndAnyOtherWhenItIsGone() {
-    FakeHost hand = hand(FakeHost.type(Semantics.SAFE, Scope.ALL), ALL, 5);
+    FakeHost host = host(FakeHost.type(Semantics.SAFE, Scope.ALL), ALL, 5);
     List<Server> servers = new ArrayList<>();
     for (int zone = 0; zone < 5; zone++) {
       servers.add(FakeHost.server(10 + zone, zone));
     }
-    hand.full(servers.toArray(Server[]::new));
-    assertEquals(10, hand.target(hand.request()));
-    hand.full(servers.subList(1, 5).toArray(Server[]::new));
-    assertTrue(hand.target(hand.request()) > 10);
+    host.full(servers.toArray(Server[]::new));
+    assertEquals(10, host.target(host.request()));
+    host.full(servers.subList(1, 5).toArray(Server[]::new));
+    assertTrue(host.target(host.request()) > 10);
   }
 
   @Test
   void withoutCancelARequestOutOfTimeIsAnsweredOnceAndItsAttemptLeftAlone() {
-    FakeHost hand =
-        hand(
+    FakeHost host =
+        host(
             FakeHost.type(Semantics.SAFE, Scope.ALL),
             new Permits(1, false, false, false, false, 0),
             1);
-    hand.full(FakeHost.server(1, 0));
-    long id = hand.request();
-    hand.pass(5 * SECOND);
-    assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
-    assertEquals(0, hand.all("cancel").size());
-    assertEquals(0, hand.all("probe").size());
-    hand.end(id, 0, Outcome.OK, 5 * SECOND);
-    assertEquals(1, hand.sends(id).size());
+    host.full(FakeHost.server(1, 0));
+    long id = host.request();
+    host.pass(5 * SECOND);
+    assertEquals(1, host.of("refuse", id).size() + host.of("fail", id).size());
+    assertEquals(0, host.all("cancel").size());
+    assertEquals(0, host.all("probe").size());
+    host.end(id, 0, Outcome.OK, 5 * SECOND);
+    assertEquals(1, host.sends(id).size());
   }
 
   @Test
   void oneAttemptPermittedIsOneAttemptMade() {
-    FakeHost hand =
-        hand(
+    FakeHost host =
+        host(
             FakeHost.type(Semantics.SAFE, Scope.ALL),
             new Permits(1, false, true, true, false, 0),
             1);
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
-    long id = hand.request();
-    hand.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-    assertEquals(1, hand.sends(id).size());
-    assertEquals(1, hand.of("refuse", id).size());
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    long id = host.request();
+    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
+    assertEquals(1, host.sends(id).size());
+    assertEquals(1, host.of("refuse", id).size());
   }
 
   @Test
   void aStreamedAnswerThatHasBegunIsLeftToEndAndIsNotAnsweredAgain() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-    FakeHost hand = hand(streamed, ALL, 1);
-    hand.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
-    long id = hand.request();
-    assertEquals(0, hand.sends(id).get(0).value(), "no time-out");
-    hand.balancer.streamStarted(hand.now, id, 0, hand.target(id), 1000);
-    hand.pass(8 * SECOND);
+    FakeHost host = host(streamed, ALL, 1);
+    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    long id = host.request();
+    assertEquals(0, host.sends(id).get(0).value(), "no time-out");
+    host.balancer.streamStarted(host.now, id, 0, host.target(id), 1000);
+    host.pass(8 * SECOND);
     assertEquals(
         0,
-        hand.of("refuse", id).size() + hand.of("fail", id).size() + hand.of("cancel", id).size());
-    hand.end(id, 0, Outcome.OK, 8 * SECOND);
-    assertEquals(1, hand.sends(id).size());
+        host.of("refuse", id).size() + host.of("fail", id).size() + host.of("cancel", id).size());
+    host.end(id, 0, Outcome.OK, 8 * SECOND);
+    assertEquals(1, host.sends(id).size());
   }
 
   @Test
   void aStreamThatNeverBeginsIsEndedInTime() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
-    FakeHost hand = hand(streamed, ALL, 1);
-    hand.full(FakeHost.server(1, 0));
-    long id = hand.request();
-    hand.pass(4 * SECOND);
-    assertEquals(1, hand.of("refuse", id).size() + hand.of("fail", id).size());
-    assertEquals(1, hand.of("cancel", id).size());
+    FakeHost host = host(streamed, ALL, 1);
+    host.full(FakeHost.server(1, 0));
+    long id = host.request();
+    host.pass(4 * SECOND);
+    assertEquals(1, host.of("refuse", id).size() + host.of("fail", id).size());
+    assertEquals(1, host.of("cancel", id).size());
   }
 
   @Test
   void aRequestKeyedByCellThatMayHaveRunStaysInItsCell() {
-    FakeHost hand = hand(FakeHost.type(Semantics.KEYED, Scope.CELL), ALL, 1);
-    hand.full(
+    FakeHost host = host(FakeHost.type(Semantics.KEYED, Scope.CELL), ALL, 1);
+    host.full(
         new Server(1, 0, 5, 0, LoadBalancer.Phase.READY, 1, 0),
         new Server(2, 0, 6, 0, LoadBalancer.Phase.READY, 1, 0),
         new Server(3, 0, 6, 0, LoadBalancer.Phase.READY, 1, 0));
     int resent = 0;
     for (int i = 0; i < 12; i++) {
-      long id = hand.request(0, 9);
-      long first = hand.target(id);
-      hand.pass(FakeHost.TICK);
-      hand.end(id, 0, Outcome.RESET, FakeHost.TICK);
-      hand.pass(SECOND);
-      for (FakeHost.Act send : hand.sends(id)) {
+      long id = host.request(0, 9);
+      long first = host.target(id);
+      host.pass(FakeHost.TICK);
+      host.end(id, 0, Outcome.RESET, FakeHost.TICK);
+      host.pass(SECOND);
+      for (FakeHost.Act send : host.sends(id)) {
         assertEquals(first == 1, send.server() == 1);
       }
-      if (hand.sends(id).size() > 1) {
+      if (host.sends(id).size() > 1) {
         resent++;
-        hand.end(id, 1, Outcome.OK, SECOND);
+        host.end(id, 1, Outcome.OK, SECOND);
       }
-      hand.pass(4 * SECOND);
+      host.pass(4 * SECOND);
     }
     assertTrue(resent > 0, "some were sent again");
   }
@@ -207,13 +207,13 @@
       tenants.add(new Tenant(1, 0.02));
     }
     for (List<Tenant> some : List.of(tenants, List.<Tenant>of())) {
-      FakeHost hand =
+      FakeHost host =
           new FakeHost(with(FakeHost.safe(), FakeHost.safe().prices(), some))
               .full(FakeHost.server(1, 0));
-      hand.balancer.request(
-          hand.now,
-          new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, hand.now + SECOND, false, false));
-      assertEquals(1, hand.sends(900).size());
+      host.balancer.request(
+          host.now,
+          new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, host.now + SECOND, false, false));
+      assertEquals(1, host.sends(900).size());
     }
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
+++ b/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
@@ -24,7 +24,7 @@
   private static final long SECOND = FakeHost.SECOND;
   private static final long STEP = 4 * FakeHost.TICK;
   private static final int WARM = 4;
-  private static final long COLD = 99;
+  private static final long WARMING_UP = 99;
 
   /**
    * What a warm server answers a second while all is steady: it is taken for the capacity of each.
@@ -34,18 +34,18 @@
   private static final LoadBalancer.Obligations OBLIGATIONS = FakeHost.safe().obligations();
 
   /** A request out: when it will be answered. */
-  private record Out(FakeHost hand, long id, long until) {}
+  private record Out(FakeHost host, long id, long until) {}
 
   private final List<FakeHost> hands = new ArrayList<>();
   private final List<Out> outs = new ArrayList<>();
-  private final List<Long> sentToCold = new ArrayList<>();
+  private final List<Long> sentWhileWarmingUp = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(5);
   private long now;
-  private long coldSince = Long.MAX_VALUE;
+  private long warmupStart = Long.MAX_VALUE;
 
   private double warmth(long at) {
-    double share = Math.min(1, (double) (at - coldSince) / OBLIGATIONS.coldTime());
-    return OBLIGATIONS.coldFrom() + (1 - OBLIGATIONS.coldFrom()) * share;
+    double share = Math.min(1, (double) (at - warmupStart) / OBLIGATIONS.warmupTime());
+    return OBLIGATIONS.warmupStartFraction() + (1 - OBLIGATIONS.warmupStartFraction()) * share;
   }
 
   private void start(int agents) {
@@ -71,37 +71,39 @@
   }
 
   private void join() {
-    coldSince = now;
-    hands.forEach(each -> each.list(ListKind.DELTA, FakeHost.server(COLD, 0, Phase.READY, now)));
+    warmupStart = now;
+    hands.forEach(
+        each -> each.list(ListKind.DELTA, FakeHost.server(WARMING_UP, 0, Phase.READY, now)));
   }
 
-  private void request(FakeHost hand, long work) {
+  private void request(FakeHost host, long work) {
     long id =
-        hand.request(0, 1 + random.nextLong(1000)); // by their keys requests go to servers of all
-    if (hand.target(id) == COLD) {
-      sentToCold.add(now);
+        host.request(0, 1 + random.nextLong(1000)); // by their keys requests go to servers of all
+    if (host.target(id) == WARMING_UP) {
+      sentWhileWarmingUp.add(now);
     }
-    if (hand.target(id) >= 0) {
+    if (host.target(id) >= 0) {
       outs.add(
-          new Out(hand, id, now + (long) (hand.target(id) == COLD ? work / warmth(now) : work)));
+          new Out(
+              host, id, now + (long) (host.target(id) == WARMING_UP ? work / warmth(now) : work)));
     }
   }
 
   /** All agents go on for so long, each request in the hands of a server for its work. */
   private void pass(long micros, double perSecond, long work) {
     for (long end = now + micros; now < end; ) {
-      for (FakeHost hand : hands) {
+      for (FakeHost host : hands) {
         if (random.nextDouble() < perSecond / hands.size() * STEP / SECOND) {
-          request(hand, work);
+          request(host, work);
         }
-        hand.pass(STEP);
+        host.pass(STEP);
       }
       now += STEP;
       outs.removeIf(
           out -> {
             boolean over = out.until() <= now;
             if (over) {
-              out.hand().end(out.id(), 0, Outcome.OK, work);
+              out.host().end(out.id(), 0, Outcome.OK, work);
             }
             return over;
           });
@@ -109,10 +111,10 @@
   }
 
   private void assertBudgetKept() {
-    for (int first = 0; first < sentToCold.size(); first++) {
-      long from = sentToCold.get(first);
+    for (int first = 0; first < sentWhileWarmingUp.size(); first++) {
+      long from = sentWhileWarmingUp.get(first);
       long sent =
-          sentToCold.stream()
+          sentWhileWarmingUp.stream()
               .filter(at -> at >= from && at < from + OBLIGATIONS.overloadTime())
               .count();
       double budget =
@@ -123,7 +125,7 @@
               / SECOND;
       assertTrue(
           sent <= budget + 2 * Math.sqrt(budget) + 2,
-          sent + " sent from " + (from - coldSince) / 1000 + " ms on, budget " + budget);
+          sent + " sent from " + (from - warmupStart) / 1000 + " ms on, budget " + budget);
     }
   }
 
@@ -135,7 +137,7 @@
     join();
     pass(15 * SECOND, WARM * CAPACITY, work);
     assertBudgetKept();
-    assertTrue(sentToCold.size() > CAPACITY, "it is starved: " + sentToCold.size());
+    assertTrue(sentWhileWarmingUp.size() > CAPACITY, "it is starved: " + sentWhileWarmingUp.size());
   }
 
   @ParameterizedTest
--- a/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
@@ -18,17 +18,17 @@
  */
 class ValidatingLoadBalancerTest {
   private static final double[] NO_LOAD = new double[0];
-  private final FakeHost hand = new FakeHost(FakeHost.safe());
+  private final FakeHost host = new FakeHost(FakeHost.safe());
   private final LoadBalancer checked =
-      new ValidatingLoadBalancer(FakeHost.safe(), 1, hand.now, hand);
+      new ValidatingLoadBalancer(FakeHost.safe(), 1, host.now, host);
 
   private Request request(long id, int requestClass) {
-    return new Request(id, requestClass, 0, 0, 0, hand.now + FakeHost.SECOND, false, false);
+    return new Request(id, requestClass, 0, 0, 0, host.now + FakeHost.SECOND, false, false);
   }
 
   private void listTwo(LoadBalancer balancer) {
     balancer.servers(
-        hand.now, ListKind.FULL, List.of(FakeHost.server(1, 0), FakeHost.server(2, 0)));
+        host.now, ListKind.FULL, List.of(FakeHost.server(1, 0), FakeHost.server(2, 0)));
   }
 
   private static String message(
@@ -39,62 +39,62 @@
   @Test
   void rightUseIsHandedOn() {
     listTwo(checked);
-    checked.request(hand.now, request(5, 0));
-    assertEquals(1, hand.sends(5).size());
-    checked.outcome(hand.now, 5, 0, hand.target(5), Outcome.OK, 100, true, NO_LOAD);
-    checked.request(hand.now, request(5, 0));
-    assertEquals(2, hand.sends(5).size(), "an id may come again once its request has ended");
+    checked.request(host.now, request(5, 0));
+    assertEquals(1, host.sends(5).size());
+    checked.outcome(host.now, 5, 0, host.target(5), Outcome.OK, 100, true, NO_LOAD);
+    checked.request(host.now, request(5, 0));
+    assertEquals(2, host.sends(5).size(), "an id may come again once its request has ended");
   }
 
   @Test
   void nullsAreNamed() {
     assertEquals(
         "settings",
-        message(NullPointerException.class, () -> new ValidatingLoadBalancer(null, 1, 0, hand)));
+        message(NullPointerException.class, () -> new ValidatingLoadBalancer(null, 1, 0, host)));
     assertEquals(
         "actions",
         message(
             NullPointerException.class,
             () -> new ValidatingLoadBalancer(FakeHost.safe(), 1, 0, null)));
     assertEquals(
-        "request", message(NullPointerException.class, () -> checked.request(hand.now, null)));
+        "request", message(NullPointerException.class, () -> checked.request(host.now, null)));
     assertEquals(
         "entries",
-        message(NullPointerException.class, () -> checked.servers(hand.now, ListKind.FULL, null)));
+        message(NullPointerException.class, () -> checked.servers(host.now, ListKind.FULL, null)));
     assertEquals(
         "an entry",
         message(
             NullPointerException.class,
-            () -> checked.servers(hand.now, ListKind.FULL, Collections.singletonList(null))));
+            () -> checked.servers(host.now, ListKind.FULL, Collections.singletonList(null))));
     assertEquals(
         "kind",
-        message(NullPointerException.class, () -> checked.servers(hand.now, null, List.of())));
+        message(NullPointerException.class, () -> checked.servers(host.now, null, List.of())));
     assertEquals(
         "outcome",
-        message(NullPointerException.class, () -> checked.probed(hand.now, 1, null, 0, NO_LOAD)));
+        message(NullPointerException.class, () -> checked.probed(host.now, 1, null, 0, NO_LOAD)));
     assertEquals(
         "load",
         message(
-            NullPointerException.class, () -> checked.probed(hand.now, 1, Outcome.OK, 0, null)));
+            NullPointerException.class, () -> checked.probed(host.now, 1, Outcome.OK, 0, null)));
     assertEquals(
-        "message", message(NullPointerException.class, () -> checked.message(hand.now, 1, null)));
+        "message", message(NullPointerException.class, () -> checked.message(host.now, 1, null)));
   }
 
   @Test
   void timeThatRunsBackwardsIsNamed() {
-    checked.timer(hand.now + 10, 99);
+    checked.timer(host.now + 10, 99);
     assertEquals(
-        "time runs backwards: " + (hand.now + 9) + " after " + (hand.now + 10),
-        message(IllegalArgumentException.class, () -> checked.timer(hand.now + 9, 99)));
+        "time runs backwards: " + (host.now + 9) + " after " + (host.now + 10),
+        message(IllegalArgumentException.class, () -> checked.timer(host.now + 9, 99)));
   }
 
   @Test
   void idsUsedTwiceAndUnknownClassesAreNamed() {
-    checked.request(hand.now, request(5, 0));
+    checked.request(host.now, request(5, 0));
     assertEquals(
         "request 5 has come before",
-        message(IllegalArgumentException.class, () -> checked.request(hand.now, request(5, 0))));
-    assertThrows(IndexOutOfBoundsException.class, () -> checked.request(hand.now, request(6, 1)));
+        message(IllegalArgumentException.class, () -> checked.request(host.now, request(5, 0))));
+    assertThrows(IndexOutOfBoundsException.class, () -> checked.request(host.now, request(6, 1)));
   }
 
   @Test
@@ -104,17 +104,17 @@
         "request 4 is not known, or has ended",
         message(
             IllegalArgumentException.class,
-            () -> checked.outcome(hand.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
-    checked.request(hand.now, request(5, 0));
+            () -> checked.outcome(host.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
+    checked.request(host.now, request(5, 0));
     assertThrows(
         IndexOutOfBoundsException.class,
-        () -> checked.outcome(hand.now, 5, 1, 1, Outcome.OK, 1, true, NO_LOAD));
-    checked.outcome(hand.now, 5, 0, hand.target(5), Outcome.ERROR, 1, false, NO_LOAD);
+        () -> checked.outcome(host.now, 5, 1, 1, Outcome.OK, 1, true, NO_LOAD));
+    checked.outcome(host.now, 5, 0, host.target(5), Outcome.ERROR, 1, false, NO_LOAD);
     assertEquals(
         "attempt 0 of request 5 has ended",
         message(
             IllegalArgumentException.class,
-            () -> checked.outcome(hand.now, 5, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
+            () -> checked.outcome(host.now, 5, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
   }
 
   @Test
@@ -136,32 +136,32 @@
 
   @Test
   void theModuleAloneDisregardsWhatItCannotPlace() {
-    listTwo(hand.balancer);
-    long id = hand.request();
-    long server = hand.target(id);
-    hand.end(id, 0, Outcome.OK, 100);
-    List<FakeHost.Act> before = List.copyOf(hand.acts);
-    hand.balancer.outcome(hand.now, id, 0, server, Outcome.TIMEOUT, 100, false, NO_LOAD);
-    hand.balancer.outcome(hand.now, 777, 0, server, Outcome.OK, 100, true, NO_LOAD);
-    hand.balancer.clientLeft(hand.now, 777);
-    hand.balancer.streamStarted(hand.now, 777, 0, server, 1);
-    hand.balancer.probed(hand.now, 777, Outcome.TIMEOUT, 1, NO_LOAD);
-    hand.balancer.timer(hand.now, 777);
-    hand.balancer.message(hand.now, 3, new byte[] {1});
-    assertEquals(before, hand.acts);
+    listTwo(host.balancer);
+    long id = host.request();
+    long server = host.target(id);
+    host.end(id, 0, Outcome.OK, 100);
+    List<FakeHost.Act> before = List.copyOf(host.acts);
+    host.balancer.outcome(host.now, id, 0, server, Outcome.TIMEOUT, 100, false, NO_LOAD);
+    host.balancer.outcome(host.now, 777, 0, server, Outcome.OK, 100, true, NO_LOAD);
+    host.balancer.clientLeft(host.now, 777);
+    host.balancer.streamStarted(host.now, 777, 0, server, 1);
+    host.balancer.probed(host.now, 777, Outcome.TIMEOUT, 1, NO_LOAD);
+    host.balancer.timer(host.now, 777);
+    host.balancer.message(host.now, 3, new byte[] {1});
+    assertEquals(before, host.acts);
   }
 
   @Test
   void theModuleAloneBearsAClockThatStepsBack() {
-    listTwo(hand.balancer);
-    hand.serve(1000);
-    hand.now -= 30 * FakeHost.SECOND;
+    listTwo(host.balancer);
+    host.serve(1000);
+    host.now -= 30 * FakeHost.SECOND;
     for (int i = 0; i < 20; i++) {
-      hand.serve(1000);
+      host.serve(1000);
     }
-    hand.pass(60 * FakeHost.SECOND);
-    hand.serve(1000);
-    assertEquals(22, hand.all("send").size());
-    assertTrue(Arrays.asList("refuse", "fail").stream().allMatch(w -> hand.all(w).isEmpty()));
+    host.pass(60 * FakeHost.SECOND);
+    host.serve(1000);
+    assertEquals(22, host.all("send").size());
+    assertTrue(Arrays.asList("refuse", "fail").stream().allMatch(w -> host.all(w).isEmpty()));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/example/Embedding.java
+++ b/src/test/java/slateslip/loadbalancer/example/Embedding.java
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void tell(int agent, byte[] message) {
+  public void sendToPeers(int agent, byte[] message) {
     did.add("tell " + agent);
   }
 
--- a/src/test/java/slateslip/loadbalancer/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -42,16 +42,16 @@
         socket.close();
       };
 
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
+    fixture = new LoopbackCluster();
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
   }
 
   /**
@@ -61,10 +61,10 @@
   private void twoServersThatFirst(ScriptedPeer.Script script) throws IOException {
     AtomicBoolean first = new AtomicBoolean(true);
     for (int i = 0; i < 2; i++) {
-      stage.server(
+      fixture.server(
           (message, socket) -> (first.getAndSet(false) ? script : SERVES).handle(message, socket));
     }
-    stage.start();
+    fixture.start();
   }
 
   // ---- Passing on ----
@@ -73,28 +73,28 @@
   void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() throws IOException {
     String body = "b\u0000\u00ff".repeat(20_000);
     ScriptedPeer server =
-        stage.server(
+        fixture.server(
             (message, socket) -> ScriptedPeer.answer(socket, 200, "Content-Type: x/y\r\n", body));
-    stage.start();
-    ScriptedPeer.Message answer =
-        LoopbackCluster.exchange(stage.dial(), stage.request("pay", 5000, body));
-    assertEquals(200, answer.status());
-    assertEquals(body, answer.text());
-    assertEquals("x/y", answer.header("Content-Type"));
+    fixture.start();
+    ScriptedPeer.Message response =
+        LoopbackCluster.exchange(fixture.dial(), fixture.request("pay", 5000, body));
+    assertEquals(200, response.status());
+    assertEquals(body, response.text());
+    assertEquals("x/y", response.header("Content-Type"));
     ScriptedPeer.Message sent = server.requests.get(0);
     assertEquals("POST /pay?q=1 HTTP/1.1", sent.first());
     assertEquals(body, sent.text());
     assertEquals("id1", sent.header("Request-Id"));
     assertEquals("k1", sent.header("Idempotency-Key"));
-    int told = Integer.parseInt(sent.header("Request-Timeout-Ms"));
-    assertTrue(told > 0 && told <= 3000, "it waits no longer than the aim: " + told);
+    int notified = Integer.parseInt(sent.header("Request-Timeout-Ms"));
+    assertTrue(notified > 0 && notified <= 3000, "it waits no longer than the aim: " + notified);
   }
 
   @Test
   void splitAndChunkedMessagesAndBodiesOf64KiBPass() throws Exception {
     String chunk = "c".repeat(32 << 10);
     ScriptedPeer server =
-        stage.server(
+        fixture.server(
             (message, socket) -> {
               for (String part :
                   List.of(
@@ -110,8 +110,8 @@
                 Thread.sleep(2);
               }
             });
-    stage.start();
-    Socket client = stage.dial();
+    fixture.start();
+    Socket client = fixture.dial();
     String head =
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Id: x\r\nRequest-Class: order\r\n"
             + "Request-Timeout-Ms: 8000\r\n";
@@ -130,12 +130,12 @@
 
   @Test
   void connectionsAreKeptOnBothSides() throws Exception {
-    ScriptedPeer server = stage.server(SERVES);
-    stage.start();
-    Socket client = stage.dial();
+    ScriptedPeer server = fixture.server(SERVES);
+    fixture.start();
+    Socket client = fixture.dial();
     for (int i = 0; i < 5; i++) {
       assertEquals(
-          200, LoopbackCluster.exchange(client, stage.request("lookup", 8000, "")).status());
+          200, LoopbackCluster.exchange(client, fixture.request("lookup", 8000, "")).status());
       Thread.sleep(100); // a connection rests a moment before it is used again
     }
     assertEquals(5, server.requests.size());
@@ -144,13 +144,13 @@
 
   @Test
   void requestsSentInAdvanceAreAnsweredInTheirOrder() throws IOException {
-    stage.server(
+    fixture.server(
         (message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
-    stage.start();
-    Socket client = stage.dial();
+    fixture.start();
+    Socket client = fixture.dial();
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 12; i++) {
-      all.append(stage.request("lookup", 8000, ""));
+      all.append(fixture.request("lookup", 8000, ""));
     }
     ScriptedPeer.write(client, all.toString());
     for (int i = 1; i <= 12; i++) {
@@ -161,11 +161,11 @@
   /** Guards against the first requests meeting code that is not even loaded. */
   @Test
   void thePathIsRunOverSocketsBeforeTheAgentIsReadyAndLeavesNothingBehind() throws Exception {
-    stage.start();
+    fixture.start();
     // Failed before: 150 were too few, and the first seconds of service went to the compiler.
-    assertTrue(stage.agent.warmedBy() > 200, "warmed by " + stage.agent.warmedBy());
-    assertEquals(0, stage.agent.kept());
-    assertEquals(503, stage.call("lookup").status(), "it is no server of its own");
+    assertTrue(fixture.agent.warmedBy() > 200, "warmed by " + fixture.agent.warmedBy());
+    assertEquals(0, fixture.agent.trackedServers());
+    assertEquals(503, fixture.call("lookup").status(), "it is no server of its own");
   }
 
   // ---- Outcomes ----
@@ -175,16 +175,16 @@
   void whatWasTurnedAwayUnseenIsSentAgain(String type) throws IOException {
     twoServersThatFirst(
         (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
-    assertEquals(200, stage.call(type).status());
-    assertEquals(2, stage.arrived());
+    assertEquals(200, fixture.call(type).status());
+    assertEquals(2, fixture.arrived());
   }
 
   /** Guards against an effect twice: only Not-Started proves that a 503 has not run. */
   @Test
   void aBare503MayHaveRun() throws IOException {
     twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
-    assertEquals(502, stage.call("order").status());
-    assertEquals(1, stage.arrived());
+    assertEquals(502, fixture.call("order").status());
+    assertEquals(1, fixture.arrived());
   }
 
   /**
@@ -194,16 +194,16 @@
   @Test
   void anUnsafeRequestIsNotSentAgainAfterAReset() throws IOException {
     twoServersThatFirst(RESETS);
-    assertEquals(502, stage.call("order").status());
-    assertEquals(1, stage.arrived());
+    assertEquals(502, fixture.call("order").status());
+    assertEquals(1, fixture.arrived());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"lookup", "pay"})
   void aSafeOrKeyedRequestIsSentAgainAfterAReset(String type) throws IOException {
     twoServersThatFirst(RESETS);
-    assertEquals(200, stage.call(type).status());
-    assertEquals(2, stage.arrived());
+    assertEquals(200, fixture.call(type).status());
+    assertEquals(2, fixture.arrived());
   }
 
   /**
@@ -213,11 +213,11 @@
   @Test
   void aKeyedRequestIsNotSentAgainWhereItsWindowMayBeOverOnceTheConnectionIsUp()
       throws IOException {
-    stage.settings("caps", caps -> caps.put("dial-timeout-us", 400_000));
-    ((ObjectNode) stage.config.get("settings").get("classes").get(1)).put("window-us", 400_000);
+    fixture.settings("caps", caps -> caps.put("dial-timeout-us", 400_000));
+    ((ObjectNode) fixture.config.get("settings").get("classes").get(1)).put("window-us", 400_000);
     twoServersThatFirst(RESETS);
-    assertEquals(503, stage.call("pay").status());
-    assertEquals(1, stage.arrived());
+    assertEquals(503, fixture.call("pay").status());
+    assertEquals(1, fixture.arrived());
   }
 
   /**
@@ -226,23 +226,23 @@
    */
   @Test
   void aRequestWithNoTimeLeftIsRefusedByTheModuleAndNotFailedByTheGuard() throws IOException {
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.start();
     for (int i = 0; i < 20; i++) {
-      ScriptedPeer.Message answer =
-          LoopbackCluster.exchange(stage.dial(), stage.request("order", 10, "body"));
-      assertEquals(503, answer.status());
+      ScriptedPeer.Message response =
+          LoopbackCluster.exchange(fixture.dial(), fixture.request("order", 10, "body"));
+      assertEquals(503, response.status());
     }
-    assertEquals(0, stage.arrived());
+    assertEquals(0, fixture.arrived());
   }
 
   /** Guards against half an answer being served as a whole one. */
   @Test
   void anAnswerCutOffIsNotServed() throws IOException {
     twoServersThatFirst(CUTS_OFF);
-    ScriptedPeer.Message answer = stage.call("lookup");
-    assertEquals(200, answer.status());
-    assertEquals("served", answer.text());
+    ScriptedPeer.Message response = fixture.call("lookup");
+    assertEquals(200, response.status());
+    assertEquals("served", response.text());
   }
 
   @ParameterizedTest
@@ -254,15 +254,15 @@
               socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
           socket.close();
         });
-    assertEquals(502, stage.call("order").status());
-    assertEquals(1, stage.arrived());
+    assertEquals(502, fixture.call("order").status());
+    assertEquals(1, fixture.arrived());
   }
 
   @Test
   void anAnswerThatIsNotHttpOrTooLargeFailsItsAttemptOnly() throws IOException {
     AtomicInteger turn = new AtomicInteger();
     for (int i = 0; i < 3; i++) {
-      stage.server(
+      fixture.server(
           (message, socket) -> {
             switch (turn.getAndIncrement()) {
               case 0 -> ScriptedPeer.write(socket, "I am not HTTP\r\n\r\n");
@@ -271,37 +271,38 @@
             }
           });
     }
-    stage.start();
-    assertEquals("served", stage.call("lookup").text());
+    fixture.start();
+    assertEquals("served", fixture.call("lookup").text());
     assertEquals(3, turn.get());
   }
 
   @Test
   void aServerThatRefusesConnectionsCostsAnUnsafeRequestNothing() throws IOException {
-    stage.server(SERVES).listener.close();
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES).listener.close();
+    fixture.server(SERVES);
+    fixture.start();
     for (int i = 0; i < 6; i++) {
-      assertEquals(200, stage.call("order").status());
+      assertEquals(200, fixture.call("order").status());
     }
-    assertEquals(6, stage.arrived());
+    assertEquals(6, fixture.arrived());
   }
 
   @Test
   void aRequestWithNowhereToGoIsRefusedWithAdvice() throws IOException {
-    stage.start();
-    ScriptedPeer.Message answer = stage.call("order");
-    assertEquals(503, answer.status());
-    assertEquals("1.0", answer.header("Retry-After"));
+    fixture.start();
+    ScriptedPeer.Message response = fixture.call("order");
+    assertEquals(503, response.status());
+    assertEquals("1.0", response.header("Retry-After"));
   }
 
   @Test
   void aSilentServerIsGivenUpInTimeAndItsConnectionClosed() throws IOException {
-    stage.settings("caps", caps -> caps.put("probes", false));
-    ScriptedPeer server = stage.server(SILENT);
-    stage.start();
+    fixture.settings("caps", caps -> caps.put("probes", false));
+    ScriptedPeer server = fixture.server(SILENT);
+    fixture.start();
     assertEquals(
-        502, LoopbackCluster.exchange(stage.dial(), stage.request("order", 1000, "body")).status());
+        502,
+        LoopbackCluster.exchange(fixture.dial(), fixture.request("order", 1000, "body")).status());
     LoopbackCluster.await(() -> server.ended.size() == server.sockets.size());
     assertEquals(1, server.requests.size());
   }
@@ -309,18 +310,18 @@
   /** Guards against work and sockets spent on a client that has gone. */
   @Test
   void theAttemptOfAClientThatLeavesIsGivenUp() throws Exception {
-    stage.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
-    ScriptedPeer server = stage.server(SILENT);
+    fixture.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
+    ScriptedPeer server = fixture.server(SILENT);
     CompletableFuture<Object> outcome = new CompletableFuture<>();
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("outcome")) {
                 outcome.complete(details[4]);
               }
             }));
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     LoopbackCluster.await(() -> server.requests.size() == 1);
     client.close();
     assertEquals(
@@ -331,12 +332,12 @@
   /** Guards against writing to a connection that the server is about to close as idle. */
   @Test
   void connectionsAreClosedBeforeTheServerWouldCloseThem() throws IOException {
-    stage.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
-    ScriptedPeer server = stage.server(SERVES);
-    stage.start();
-    assertEquals(200, stage.call("lookup").status());
+    fixture.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
+    ScriptedPeer server = fixture.server(SERVES);
+    fixture.start();
+    assertEquals(200, fixture.call("lookup").status());
     LoopbackCluster.await(() -> server.ended.size() == 1);
-    assertEquals(200, stage.call("lookup").status());
+    assertEquals(200, fixture.call("lookup").status());
   }
 
   /**
@@ -346,11 +347,11 @@
    */
   @Test
   void aConnectionThatEndedUnseenIsNotUsed() throws Exception {
-    stage.settings("caps", caps -> caps.put("probes", false));
-    ScriptedPeer server = stage.server(SERVES);
+    fixture.settings("caps", caps -> caps.put("probes", false));
+    ScriptedPeer server = fixture.server(SERVES);
     AtomicBoolean second = new AtomicBoolean();
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("request") && second.get()) {
                 second.set(false);
@@ -362,9 +363,9 @@
                 }
               }
             }));
-    assertEquals(200, stage.call("order").status());
+    assertEquals(200, fixture.call("order").status());
     second.set(true);
-    assertEquals(200, stage.call("order").status());
+    assertEquals(200, fixture.call("order").status());
     assertEquals(
         List.of("id1", "id2"),
         server.requests.stream().map(each -> each.header("Request-Id")).toList());
@@ -374,22 +375,23 @@
 
   @Test
   void changesAreAppliedAndADrainedServerGetsNothingNew() throws Exception {
-    ScriptedPeer first = stage.server(SERVES);
+    ScriptedPeer first = fixture.server(SERVES);
     ScriptedPeer second = new ScriptedPeer(SERVES);
-    stage.servers.add(second);
-    stage.start();
-    assertEquals(200, stage.call("lookup").status());
-    stage.news.add(
+    fixture.servers.add(second);
+    fixture.start();
+    assertEquals(200, fixture.call("lookup").status());
+    fixture.update.add(
         LoopbackCluster.delta(
             1,
             LoopbackCluster.endpoint(2, second.address(), "Ready"),
             LoopbackCluster.endpoint(1, first.address(), "Terminating")));
     LoopbackCluster.await(
         () ->
-            stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
+            fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=1&")));
     int before = first.requests.size();
     for (int i = 0; i < 5; i++) {
-      assertEquals(200, stage.call("lookup").status());
+      assertEquals(200, fixture.call("lookup").status());
     }
     assertEquals(before, first.requests.size());
     assertEquals(5, second.requests.size());
@@ -401,29 +403,30 @@
    */
   @Test
   void aDrainToldWhileConnectingStopsTheRequest() throws Exception {
-    stage.settings("caps", caps -> caps.put("dial-timeout-us", 6_000_000).put("probes", false));
+    fixture.settings("caps", caps -> caps.put("dial-timeout-us", 6_000_000).put("probes", false));
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String address = "127.0.0.1:" + full.getLocalPort();
-      ((ObjectNode) stage.config.get("known"))
+      ((ObjectNode) fixture.config.get("known"))
           .putArray("endpoints")
           .add(LoopbackCluster.endpoint(1, address, "Ready"));
       CountDownLatch came = new CountDownLatch(1);
-      stage.start(
-          stage.overheard(
+      fixture.start(
+          fixture.overheard(
               (event, details) -> {
                 if (event.equals("request")) {
                   came.countDown();
                 }
               }));
       List<Socket> filling = LoopbackCluster.fill(full);
-      Socket client = stage.dial();
-      ScriptedPeer.write(client, stage.request("order", 8000, "body"));
+      Socket client = fixture.dial();
+      ScriptedPeer.write(client, fixture.request("order", 8000, "body"));
       assertTrue(came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       assertEquals(200, health()); // what it answers after the request: the dial has begun
-      stage.news.add(LoopbackCluster.delta(1, LoopbackCluster.endpoint(1, address, "Terminating")));
+      fixture.update.add(
+          LoopbackCluster.delta(1, LoopbackCluster.endpoint(1, address, "Terminating")));
       LoopbackCluster.await(
           () ->
-              stage.discovery.requests.stream()
+              fixture.discovery.requests.stream()
                   .anyMatch(each -> each.target().contains("since=1&")));
       AtomicInteger written = LoopbackCluster.accept(full);
       assertEquals(503, ScriptedPeer.read(client.getInputStream()).status());
@@ -444,51 +447,52 @@
         "{\"index\":9,\"snapshot\":true,\"endpoints\":[7]}"
       })
   void anUnusableListLeavesTheOldOneAndTheWholeIsAskedForAgain(String body) throws Exception {
-    stage.server(SERVES);
-    stage.start();
-    int before = stage.discovery.requests.size();
-    stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 200, "", body));
+    fixture.server(SERVES);
+    fixture.start();
+    int before = fixture.discovery.requests.size();
+    fixture.update.add((message, socket) -> ScriptedPeer.answer(socket, 200, "", body));
     LoopbackCluster.await(
         () ->
-            stage.discovery.requests.stream()
+            fixture.discovery.requests.stream()
                 .skip(before)
                 .anyMatch(each -> each.target().equals("/v1/servers")));
-    assertEquals(200, stage.call("lookup").status());
+    assertEquals(200, fixture.call("lookup").status());
   }
 
   @Test
   void afterAFailedOrBrokenCallTheListIsFollowedOn() throws Exception {
     ScriptedPeer server = new ScriptedPeer(SERVES);
-    stage.servers.add(server);
-    stage.start();
-    stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
-    stage.news.add(RESETS);
-    stage.news.add((message, socket) -> socket.close());
-    stage.news.add(
+    fixture.servers.add(server);
+    fixture.start();
+    fixture.update.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+    fixture.update.add(RESETS);
+    fixture.update.add((message, socket) -> socket.close());
+    fixture.update.add(
         (message, socket) ->
             ScriptedPeer.answer(
                 socket,
                 200,
                 "Connection: close\r\n",
                 "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
-    stage.news.add(
+    fixture.update.add(
         LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
-    assertEquals(200, stage.call("lookup").status());
+    assertEquals(200, fixture.call("lookup").status());
   }
 
   @Test
   void whereDiscoveryIsAskedTheModuleSaysWhenAfterAFailure() throws Exception {
-    ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
+    ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
     ScriptedPeer server = new ScriptedPeer(SERVES);
-    stage.servers.add(server);
-    stage.start();
-    stage.news.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
-    stage.news.add(
+    fixture.servers.add(server);
+    fixture.start();
+    fixture.update.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+    fixture.update.add(
         LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
     LoopbackCluster.await(
         () ->
-            stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=4&")));
-    assertEquals(200, stage.call("lookup").status());
+            fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=4&")));
+    assertEquals(200, fixture.call("lookup").status());
   }
 
   /**
@@ -497,37 +501,38 @@
    */
   @Test
   void aWatchThatFellSilentIsOpenedAnewAtOnce() throws Exception {
-    ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    ScriptedPeer drained = stage.server(SERVES);
+    ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
+    ScriptedPeer drained = fixture.server(SERVES);
     ScriptedPeer other =
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
+        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
     AtomicInteger failures = new AtomicInteger();
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("servers") && details[1] == LoadBalancer.ListKind.FAILED) {
                 failures.incrementAndGet();
               }
             }));
-    stage.news.add(SILENT);
-    stage.news.add(
+    fixture.update.add(SILENT);
+    fixture.update.add(
         LoopbackCluster.delta(5, LoopbackCluster.endpoint(1, drained.address(), "Terminating")));
     LoopbackCluster.await(
         () ->
-            stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=5&")));
+            fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=5&")));
     assertEquals(0, failures.get(), "and not after the wait that follows a failed call");
     for (int i = 0; i < 5; i++) {
-      assertEquals("other", stage.call("lookup").text());
+      assertEquals("other", fixture.call("lookup").text());
     }
     assertTrue(other.requests.size() >= 5);
   }
 
   @Test
   void whileDiscoveryIsDownTheKnownListHasToDo() throws Exception {
-    stage.server(SERVES);
-    stage.discovery.close();
-    stage.start();
-    assertEquals(200, stage.call("order").status());
+    fixture.server(SERVES);
+    fixture.discovery.close();
+    fixture.start();
+    assertEquals(200, fixture.call("order").status());
   }
 
   /**
@@ -538,34 +543,36 @@
   @ValueSource(booleans = {false, true})
   void readinessWaitsForNeitherDiscoveryNorServers(boolean asks) throws Exception {
     CountDownLatch ready = new CountDownLatch(1);
-    stage.config.put(
+    fixture.config.put(
         "discovery",
-        stage
+        fixture
             .peer(
                 (message, socket) -> {
                   ready.await();
-                  ScriptedPeer.answer(socket, 200, "", stage.config.get("known").toString());
+                  ScriptedPeer.answer(socket, 200, "", fixture.config.get("known").toString());
                 })
             .address());
-    ((ObjectNode) stage.config.get("settings")).put("discovery", asks ? "subscribe" : "automatic");
+    ((ObjectNode) fixture.config.get("settings"))
+        .put("discovery", asks ? "subscribe" : "automatic");
     for (int i = 0; i < 3; i++) {
-      silentUntil(ready);
+      unresponsiveUntil(ready);
     }
-    stage.start();
+    fixture.start();
     ready.countDown();
-    assertEquals("served", stage.call("order").text());
+    assertEquals("served", fixture.call("order").text());
   }
 
   /** A listed server that does not even answer for its health before that. */
-  private void silentUntil(CountDownLatch ready) throws IOException {
-    ScriptedPeer behind = stage.server(SERVES);
-    ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    ArrayNode known = (ArrayNode) stage.config.get("known").get("endpoints");
-    ((ObjectNode) known.get(known.size() - 1)).put("address", "127.0.0.1:" + silent.getLocalPort());
+  private void unresponsiveUntil(CountDownLatch ready) throws IOException {
+    ScriptedPeer behind = fixture.server(SERVES);
+    ServerSocket unresponsive = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    ArrayNode known = (ArrayNode) fixture.config.get("known").get("endpoints");
+    ((ObjectNode) known.get(known.size() - 1))
+        .put("address", "127.0.0.1:" + unresponsive.getLocalPort());
     ScriptedPeer.daemon(
         () -> {
           while (true) {
-            Socket accepted = silent.accept();
+            Socket accepted = unresponsive.accept();
             ScriptedPeer.daemon(
                 () -> {
                   ready.await();
@@ -578,13 +585,13 @@
   @Test
   void theListGivesTimesAndNamesAsTheModuleNeedsThem() throws Exception {
     ObjectNode entry = LoopbackCluster.endpoint(1, "127.0.0.1:9", "Ready");
-    ((ObjectNode) stage.config.get("known"))
+    ((ObjectNode) fixture.config.get("known"))
         .putArray("endpoints")
         .add(entry)
         .add(LoopbackCluster.endpoint(2, "127.0.0.1:9", "Gone"));
     entry.put("since_ms", 1_700_000_000_123L);
     List<Discovery.ListedEndpoint> list =
-        Discovery.decode(stage.config.get("known"), AgentConfig.of(stage.config)).endpoints();
+        Discovery.decode(fixture.config.get("known"), AgentConfig.of(fixture.config)).endpoints();
     assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
     assertEquals(0, list.get(1).server().startedAt());
     assertEquals(LoadBalancer.Phase.GONE, list.get(1).server().phase());
@@ -595,17 +602,17 @@
   @ParameterizedTest
   @ValueSource(strings = {"request", "outcome"})
   void aFaultOfTheModuleStillGivesOneFinalAnswer(String where) throws IOException {
-    stage.server(SERVES);
+    fixture.server(SERVES);
     AtomicBoolean faulty = new AtomicBoolean(true);
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals(where) && faulty.getAndSet(false)) {
                 throw new IllegalStateException("a test's fault");
               }
             }));
-    assertEquals(where.equals("request") ? 500 : 200, stage.call("lookup").status());
-    assertEquals(200, stage.call("lookup").status());
+    assertEquals(where.equals("request") ? 500 : 200, fixture.call("lookup").status());
+    assertEquals(200, fixture.call("lookup").status());
   }
 
   // ---- Limits and the end ----
@@ -613,29 +620,29 @@
   /** Guards against running out of descriptors, on either side. */
   @Test
   void atTheLimitOnSocketsNothingIsLost() throws Exception {
-    ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * 12);
+    ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
     CountDownLatch open = new CountDownLatch(1);
-    stage.server(
+    fixture.server(
         (message, socket) -> {
           open.await();
           ScriptedPeer.answer(socket, 200, "", "served");
         });
-    stage.start();
-    List<CompletableFuture<Integer>> answers = new ArrayList<>();
+    fixture.start();
+    List<CompletableFuture<Integer>> responses = new ArrayList<>();
     for (int i = 0; i < 36; i++) {
-      Socket client = stage.dial();
-      String request = stage.request("order", 8000, "body");
-      CompletableFuture<Integer> answer = new CompletableFuture<>();
-      answers.add(answer);
+      Socket client = fixture.dial();
+      String request = fixture.request("order", 8000, "body");
+      CompletableFuture<Integer> response = new CompletableFuture<>();
+      responses.add(response);
       ScriptedPeer.daemon(
-          () -> answer.complete(LoopbackCluster.exchange(client, request).status()));
+          () -> response.complete(LoopbackCluster.exchange(client, request).status()));
     }
-    LoopbackCluster.await(() -> stage.arrived() > 0);
+    LoopbackCluster.await(() -> fixture.arrived() > 0);
     open.countDown();
-    for (CompletableFuture<Integer> answer : answers) {
-      assertTrue(List.of(200, 503).contains(answer.get(20, TimeUnit.SECONDS)));
+    for (CompletableFuture<Integer> response : responses) {
+      assertTrue(List.of(200, 503).contains(response.get(20, TimeUnit.SECONDS)));
     }
-    assertEquals(200, stage.call("order").status());
+    assertEquals(200, fixture.call("order").status());
   }
 
   /**
@@ -644,90 +651,90 @@
    */
   @Test
   void atTheLimitOnSocketsKeptConnectionsAreNotClosedUnannounced() throws Exception {
-    ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * 12);
-    stage.server(SERVES);
-    stage.start();
-    List<Socket> kept = new ArrayList<>();
+    ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
+    fixture.server(SERVES);
+    fixture.start();
+    List<Socket> retained = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
-      Socket client = stage.dial();
-      if (LoopbackCluster.exchange(client, stage.request("lookup", 8000, "")).header("Connection")
+      Socket client = fixture.dial();
+      if (LoopbackCluster.exchange(client, fixture.request("lookup", 8000, "")).header("Connection")
           == null) {
-        kept.add(client);
+        retained.add(client);
       }
     }
     List<CompletableFuture<Integer>> more = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      Socket client = stage.dial();
-      String request = stage.request("lookup", 8000, "");
-      CompletableFuture<Integer> answer = new CompletableFuture<>();
-      more.add(answer);
+      Socket client = fixture.dial();
+      String request = fixture.request("lookup", 8000, "");
+      CompletableFuture<Integer> response = new CompletableFuture<>();
+      more.add(response);
       ScriptedPeer.daemon(
-          () -> answer.complete(LoopbackCluster.exchange(client, request).status()));
+          () -> response.complete(LoopbackCluster.exchange(client, request).status()));
     }
-    int told = 0;
-    for (Socket client : kept) {
-      ScriptedPeer.Message answer =
-          LoopbackCluster.exchange(client, stage.request("lookup", 8000, ""));
-      assertTrue(List.of(200, 503).contains(answer.status()));
-      told += "close".equals(answer.header("Connection")) ? 1 : 0;
+    int notified = 0;
+    for (Socket client : retained) {
+      ScriptedPeer.Message response =
+          LoopbackCluster.exchange(client, fixture.request("lookup", 8000, ""));
+      assertTrue(List.of(200, 503).contains(response.status()));
+      notified += "close".equals(response.header("Connection")) ? 1 : 0;
     }
-    assertTrue(told > 0, "some made room");
-    for (CompletableFuture<Integer> answer : more) {
-      assertTrue(List.of(200, 503).contains(answer.get(20, TimeUnit.SECONDS)));
+    assertTrue(notified > 0, "some made room");
+    for (CompletableFuture<Integer> response : more) {
+      assertTrue(List.of(200, 503).contains(response.get(20, TimeUnit.SECONDS)));
     }
   }
 
   @Test
   void anAgentToldToEndServesOnForAMomentAndFinishesWhatItHolds() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    stage.server(
+    fixture.server(
         (message, socket) -> {
           if (message.target().startsWith("/order")) {
             go.await();
           }
           ScriptedPeer.answer(socket, 200, "", "served");
         });
-    stage.start();
-    Socket held = stage.dial();
-    Socket idle = stage.dial();
-    assertEquals(200, LoopbackCluster.exchange(idle, stage.request("lookup", 8000, "")).status());
-    ScriptedPeer.write(held, stage.request("order", 8000, "body"));
-    LoopbackCluster.await(() -> stage.arrived() == 2);
-    Thread ending = ScriptedPeer.daemon(stage.agent::stop);
+    fixture.start();
+    Socket queued = fixture.dial();
+    Socket idle = fixture.dial();
+    assertEquals(200, LoopbackCluster.exchange(idle, fixture.request("lookup", 8000, "")).status());
+    ScriptedPeer.write(queued, fixture.request("order", 8000, "body"));
+    LoopbackCluster.await(() -> fixture.arrived() == 2);
+    Thread connectionEnd = ScriptedPeer.daemon(fixture.agent::stop);
     // It says so, and serves on, on connections old and new, without ending them.
     LoopbackCluster.await(() -> health() == 503);
-    for (Socket each : List.of(idle, stage.dial())) {
-      ScriptedPeer.Message answer =
-          LoopbackCluster.exchange(each, stage.request("lookup", 8000, ""));
-      assertEquals(200, answer.status());
-      assertNull(answer.header("Connection"));
+    for (Socket each : List.of(idle, fixture.dial())) {
+      ScriptedPeer.Message response =
+          LoopbackCluster.exchange(each, fixture.request("lookup", 8000, ""));
+      assertEquals(200, response.status());
+      assertNull(response.header("Connection"));
     }
     assertThrows(EOFException.class, () -> ScriptedPeer.read(idle.getInputStream()));
     LoopbackCluster.await(
         () -> { // it no longer listens, but still owes an answer
           try {
-            return !stage.dial().isBound();
+            return !fixture.dial().isBound();
           } catch (IOException e) {
             return true;
           }
         });
-    assertTrue(ending.isAlive());
+    assertTrue(connectionEnd.isAlive());
     go.countDown();
-    ScriptedPeer.Message answer = ScriptedPeer.read(held.getInputStream());
-    assertEquals(200, answer.status());
-    assertEquals("close", answer.header("Connection"));
-    ending.join(LoopbackCluster.GENEROUS_MS);
-    assertFalse(ending.isAlive());
+    ScriptedPeer.Message response = ScriptedPeer.read(queued.getInputStream());
+    assertEquals(200, response.status());
+    assertEquals("close", response.header("Connection"));
+    connectionEnd.join(LoopbackCluster.GENEROUS_MS);
+    assertFalse(connectionEnd.isAlive());
   }
 
   @Test
   void anAgentToldToEndThatNobodyUsesEndsBeforeOneInUse() throws Exception {
     try (LoopbackCluster used = new LoopbackCluster()) {
       used.start();
-      stage.start();
-      stage.hangUp();
+      fixture.start();
+      fixture.hangUp();
       used.dial();
-      Thread unusedEnds = ScriptedPeer.daemon(stage.agent::stop);
+      Thread unusedEnds = ScriptedPeer.daemon(fixture.agent::stop);
       Thread usedEnds = ScriptedPeer.daemon(used.agent::stop);
       unusedEnds.join(LoopbackCluster.GENEROUS_MS);
       assertFalse(unusedEnds.isAlive());
@@ -740,14 +747,14 @@
    */
   @Test
   void anAgentToldToEndGivesItsLastAnswersBeforeItIsKilled() throws Exception {
-    for (JsonNode each : stage.config.get("settings").get("classes")) {
+    for (JsonNode each : fixture.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
     }
-    stage.start(AgentTest::neverAnswers); // and a client that waits for longer than the test
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("order", 2 * LoopbackCluster.GENEROUS_MS, "body"));
+    fixture.start(AgentTest::neverAnswers); // and a client that waits for longer than the test
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("order", 2 * LoopbackCluster.GENEROUS_MS, "body"));
     Thread.sleep(100);
-    ScriptedPeer.daemon(stage.agent::stop);
+    ScriptedPeer.daemon(fixture.agent::stop);
     assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
     assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
   }
@@ -758,13 +765,13 @@
    */
   @Test
   void anAgentToldToEndAnswersBeforeTheKillHoweverLongTheDeadlinesAre() throws Exception {
-    for (JsonNode each : stage.config.get("settings").get("classes")) {
+    for (JsonNode each : fixture.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("give-up-us", 3_000 * LoopbackCluster.GENEROUS_MS);
     }
-    stage.start(AgentTest::neverAnswers);
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("order", 3 * LoopbackCluster.GENEROUS_MS, "body"));
-    ScriptedPeer.daemon(stage.agent::stop);
+    fixture.start(AgentTest::neverAnswers);
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("order", 3 * LoopbackCluster.GENEROUS_MS, "body"));
+    ScriptedPeer.daemon(fixture.agent::stop);
     assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
     assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
   }
@@ -779,7 +786,7 @@
   }
 
   private int health() {
-    try (Socket socket = stage.dial()) {
+    try (Socket socket = fixture.dial()) {
       return LoopbackCluster.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
     } catch (IOException e) {
       return 0;
@@ -788,35 +795,35 @@
 
   @Test
   void reportsAreReadInTheSettingsOrder() throws Exception {
-    stage.server(
+    fixture.server(
         (message, socket) ->
             ScriptedPeer.answer(
                 socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("outcome")) {
                 load.complete((double[]) details[7]);
               }
             }));
-    stage.call("lookup");
+    fixture.call("lookup");
     assertEquals(List.of(2.0, 7.0), Arrays.stream(load.get()).boxed().toList());
   }
 
   @Test
   void anUnusableConfigurationIsSaidInOneLine() {
-    stage.config.put("seed", "not hex");
+    fixture.config.put("seed", "not hex");
     assertEquals(
         "config: seed has an unusable value: not hex",
-        assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(stage.config))
+        assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(fixture.config))
             .getMessage());
-    stage.config.put("seed", "1").put("listen", "somewhere");
+    fixture.config.put("seed", "1").put("listen", "somewhere");
     assertEquals(
         "unusable address: somewhere",
-        assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(stage.config))
+        assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(fixture.config))
             .getMessage());
-    stage.config.remove("settings");
-    assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(stage.config));
+    fixture.config.remove("settings");
+    assertThrows(IllegalArgumentException.class, () -> AgentConfig.of(fixture.config));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
@@ -26,26 +26,26 @@
   private static final ScriptedPeer.Script SERVES =
       (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
 
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
+    fixture = new LoopbackCluster();
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
   }
 
   private void assertTurnedAway(int status, String bytes) throws IOException {
-    Socket client = stage.dial();
-    ScriptedPeer.Message answer = LoopbackCluster.exchange(client, bytes);
-    assertEquals(status, answer.status());
-    assertEquals("close", answer.header("Connection"));
+    Socket client = fixture.dial();
+    ScriptedPeer.Message response = LoopbackCluster.exchange(client, bytes);
+    assertEquals(status, response.status());
+    assertEquals("close", response.header("Connection"));
     assertEquals(-1, client.getInputStream().read());
-    assertEquals(200, stage.call("lookup").status(), "the agent lives on");
-    assertEquals(1, stage.arrived(), "and the server has only that one");
+    assertEquals(200, fixture.call("lookup").status(), "the agent lives on");
+    assertEquals(1, fixture.arrived(), "and the server has only that one");
   }
 
   @ParameterizedTest
@@ -79,8 +79,8 @@
         "{\"not\": \"http\"}\r\n"
       })
   void whatIsNoRequestIsAnswered400(String head) throws IOException {
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.start();
     assertTurnedAway(400, head + "\r\n");
   }
 
@@ -103,23 +103,23 @@
         "Content-Length: 4\nX: y"
       })
   void aBodyWhoseEndIsUnclearIsAnswered400(String framing) throws IOException {
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.start();
     assertTurnedAway(
         400,
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
             + "Request-Timeout-Ms: 8000\r\n"
             + framing
             + "\r\n\r\n0\r\n\r\n"
-            + stage.request("order", 8000, "b"));
+            + fixture.request("order", 8000, "b"));
   }
 
   @Test
   void aBodyThatIsTooLongIsNotReadOn() throws Exception {
-    stage.server(SERVES);
-    stage.start();
-    assertTurnedAway(413, stage.request("order", 500, "x".repeat(65_537)));
-    Socket client = stage.dial(); // one that goes on sending for ever, in chunks
+    fixture.server(SERVES);
+    fixture.start();
+    assertTurnedAway(413, fixture.request("order", 500, "x".repeat(65_537)));
+    Socket client = fixture.dial(); // one that goes on sending for ever, in chunks
     ScriptedPeer.write(
         client,
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
@@ -148,20 +148,20 @@
   @Test
   void anErrorWaitsItsTurn() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    stage.server(
+    fixture.server(
         (message, socket) -> {
           go.await();
           ScriptedPeer.answer(socket, 200, "", "served");
         });
-    stage.start();
-    Socket client = stage.dial();
+    fixture.start();
+    Socket client = fixture.dial();
     ScriptedPeer.write(
         client,
-        stage.request("order", 8000, "b")
-            + stage
+        fixture.request("order", 8000, "b")
+            + fixture
                 .request("order", 8000, "x")
                 .replace("Content-Length: 1", "Content-Length: 60000000"));
-    LoopbackCluster.await(() -> stage.arrived() == 1);
+    LoopbackCluster.await(() -> fixture.arrived() == 1);
     Thread.sleep(100);
     go.countDown();
     assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
@@ -173,21 +173,22 @@
   @Test
   void theIdOfAnOpenRequestIsRefusedAndThatRequestUnharmed() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    stage.server(
+    fixture.server(
         (message, socket) -> {
           go.await();
           ScriptedPeer.answer(socket, 200, "", "served");
         });
-    stage.start();
-    Socket first = stage.dial();
-    String request = stage.request("pay", 8000, "body");
+    fixture.start();
+    Socket first = fixture.dial();
+    String request = fixture.request("pay", 8000, "body");
     ScriptedPeer.write(first, request);
-    LoopbackCluster.await(() -> stage.arrived() == 1);
-    assertEquals(409, LoopbackCluster.exchange(stage.dial(), request).status());
+    LoopbackCluster.await(() -> fixture.arrived() == 1);
+    assertEquals(409, LoopbackCluster.exchange(fixture.dial(), request).status());
     go.countDown();
     assertEquals(200, ScriptedPeer.read(first.getInputStream()).status());
-    assertEquals(1, stage.arrived());
-    assertEquals(200, LoopbackCluster.exchange(first, stage.request("pay", 8000, "body")).status());
+    assertEquals(1, fixture.arrived());
+    assertEquals(
+        200, LoopbackCluster.exchange(first, fixture.request("pay", 8000, "body")).status());
   }
 
   /** Guards against descriptors held for those who say nothing, or never come to the end. */
@@ -200,8 +201,8 @@
             + "Request-Id: 1\r\nRequest-Timeout-Ms: 8000\r\nContent-Length: 100\r\n\r\nhalf"
       })
   void halfARequestIsNotWaitedForForEver(String half) throws IOException {
-    stage.start();
-    Socket client = stage.dial();
+    fixture.start();
+    Socket client = fixture.dial();
     ScriptedPeer.write(client, half);
     if (half.isEmpty()) {
       assertEquals(-1, client.getInputStream().read());
@@ -215,19 +216,19 @@
    */
   @Test
   void silentConnectionsMakeRoom() throws Exception {
-    ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * 12);
-    stage.server(SERVES);
-    stage.start();
-    List<Socket> silent = new ArrayList<>();
+    ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
+    fixture.server(SERVES);
+    fixture.start();
+    List<Socket> unresponsive = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      silent.add(stage.dial());
+      unresponsive.add(fixture.dial());
     }
-    long begun = System.nanoTime();
-    assertEquals(200, stage.call("lookup").status());
+    long started = System.nanoTime();
+    assertEquals(200, fixture.call("lookup").status());
     assertTrue(
-        System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(8),
+        System.nanoTime() - started < TimeUnit.SECONDS.toNanos(8),
         "60 of them by twelve, each for 2 s");
-    for (Socket each : silent) {
+    for (Socket each : unresponsive) {
       assertEquals(-1, each.getInputStream().read());
     }
   }
@@ -235,23 +236,23 @@
   /** Guards against the end being delayed by those who say nothing or stop half-way. */
   @Test
   void theEndDoesNotWaitForSilentOrHalfSentRequests() throws Exception {
-    stage.start();
-    Socket half = stage.dial();
+    fixture.start();
+    Socket half = fixture.dial();
     ScriptedPeer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
-    Socket silent = stage.dial();
+    Socket unresponsive = fixture.dial();
     Thread.sleep(100);
-    CompletableFuture<Void> ended = CompletableFuture.runAsync(stage.agent::stop);
+    CompletableFuture<Void> ended = CompletableFuture.runAsync(fixture.agent::stop);
     ended.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
-    assertEquals(-1, silent.getInputStream().read());
+    assertEquals(-1, unresponsive.getInputStream().read());
     half.getInputStream().readAllBytes(); // an error perhaps, and the end
   }
 
   @Test
   void aClientThatAsksFirstWhetherToSendItsBodyIsToldToGoOn() throws IOException {
-    stage.server(SERVES);
-    stage.start();
-    Socket client = stage.dial();
-    String[] parts = stage.request("order", 8000, "body").split("\r\n\r\n", -1);
+    fixture.server(SERVES);
+    fixture.start();
+    Socket client = fixture.dial();
+    String[] parts = fixture.request("order", 8000, "body").split("\r\n\r\n", -1);
     assertEquals(
         100,
         LoopbackCluster.exchange(client, parts[0] + "\r\nExpect: 100-continue\r\n\r\n").status());
--- a/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
@@ -20,26 +20,26 @@
  * has run.
  */
 class BadServersTest {
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
   private final AtomicInteger turn = new AtomicInteger();
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
-    stage.settings("caps", caps -> caps.put("probes", false));
+    fixture = new LoopbackCluster();
+    fixture.settings("caps", caps -> caps.put("probes", false));
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
   }
 
   /**
    * Two servers; the first request gets this, with its connection left open, the others are served.
    */
-  private void firstAnswer(String bytes) throws IOException {
+  private void firstResponse(String bytes) throws IOException {
     for (int i = 0; i < 2; i++) {
-      stage.server(
+      fixture.server(
           (message, socket) -> {
             if (turn.getAndIncrement() == 0) {
               ScriptedPeer.write(socket, bytes);
@@ -48,7 +48,7 @@
             }
           });
     }
-    stage.start();
+    fixture.start();
   }
 
   @ParameterizedTest
@@ -70,16 +70,16 @@
         "HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"
       })
   void aSpoiltAnswerIsNotServedAndMayHaveRun(String bytes) throws IOException {
-    firstAnswer(bytes);
-    assertEquals(502, stage.call("order").status());
+    firstResponse(bytes);
+    assertEquals(502, fixture.call("order").status());
     assertEquals(1, turn.get(), "it may have run");
-    assertEquals("served", stage.call("order").text());
+    assertEquals("served", fixture.call("order").text());
   }
 
   @Test
   void aSafeRequestIsSentAgainAfterASpoiltAnswer() throws IOException {
-    firstAnswer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad");
-    assertEquals("served", stage.call("lookup").text());
+    firstResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad");
+    assertEquals("served", fixture.call("lookup").text());
     assertEquals(2, turn.get());
   }
 
@@ -90,8 +90,8 @@
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 200 all is well "})
   void aStatusLineNeedsNoReason(String line) throws IOException {
-    firstAnswer(line + "\r\nContent-Length: 4\r\n\r\ngood");
-    assertEquals("good", stage.call("order").text());
+    firstResponse(line + "\r\nContent-Length: 4\r\n\r\ngood");
+    assertEquals("good", fixture.call("order").text());
     assertEquals(1, turn.get());
   }
 
@@ -103,14 +103,14 @@
   @ValueSource(strings = {"ended by close", ""})
   void anAnswerWithNoLengthEndsWithItsConnection(String body) throws IOException {
     ScriptedPeer server =
-        stage.server(
+        fixture.server(
             (message, socket) -> {
               ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
               socket.close();
             });
-    stage.start();
+    fixture.start();
     for (int i = 0; i < 3; i++) {
-      assertEquals(body, stage.call("order").text());
+      assertEquals(body, fixture.call("order").text());
     }
     assertEquals(3, server.requests.size());
   }
@@ -121,57 +121,58 @@
    */
   @Test
   void anAnswerWithNoLengthThatIsResetOnTheWayIsNotServedAndMayHaveRun() throws IOException {
-    answersBegun("x".repeat(100), ScriptedPeer::reset);
-    assertEquals(502, stage.call("order").status());
-    assertEquals("served", stage.call("lookup").text());
+    responsesStarted("x".repeat(100), ScriptedPeer::reset);
+    assertEquals(502, fixture.call("order").status());
+    assertEquals("served", fixture.call("lookup").text());
     assertEquals(3, turn.get());
   }
 
   @Test
   void anAnswerWithNoLengthThatNeverEndsIsGivenUpInTime() throws IOException {
-    answersBegun("x".repeat(100), socket -> {});
+    responsesStarted("x".repeat(100), socket -> {});
     assertEquals(
-        502, LoopbackCluster.exchange(stage.dial(), stage.request("order", 400, "body")).status());
+        502,
+        LoopbackCluster.exchange(fixture.dial(), fixture.request("order", 400, "body")).status());
     assertEquals(1, turn.get(), "it may have run");
   }
 
   @Test
   void anAnswerWithNoLengthIsNotReadForEver() throws IOException {
-    answersBegun("x".repeat(BackendConnections.BODY_MAX + 1), socket -> {});
-    assertEquals(502, stage.call("order").status());
+    responsesStarted("x".repeat(BackendConnections.BODY_MAX + 1), socket -> {});
+    assertEquals(502, fixture.call("order").status());
   }
 
   /**
    * Two servers; the first two requests get an answer with no length, of which the body has begun,
    * and this.
    */
-  private void answersBegun(String body, Ending ending) throws IOException {
+  private void responsesStarted(String body, ConnectionEnd connectionEnd) throws IOException {
     for (int i = 0; i < 2; i++) {
-      stage.server(
+      fixture.server(
           (message, socket) -> {
             if (turn.getAndIncrement() < 2) {
               ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
-              ending.of(socket);
+              connectionEnd.of(socket);
             } else {
               ScriptedPeer.answer(socket, 200, "", "served");
             }
           });
     }
-    stage.start();
+    fixture.start();
   }
 
-  private interface Ending {
+  private interface ConnectionEnd {
     void of(Socket socket) throws IOException;
   }
 
   @Test
   void anAnswerInChunksThatNeverEndIsGivenUp() throws IOException {
-    firstAnswer(
+    firstResponse(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8000\r\n"
             + "x".repeat(0x8000)
             + "\r\n8001\r\n"
             + "x".repeat(0x8001));
-    assertEquals(502, stage.call("order").status());
+    assertEquals(502, fixture.call("order").status());
   }
 
   @ParameterizedTest
@@ -182,34 +183,34 @@
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"
       })
   void whatGoesAheadOfAnAnswerIsPassedOver(String ahead) throws IOException {
-    firstAnswer(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
-    assertEquals("good", stage.call("order").text());
+    firstResponse(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
+    assertEquals("good", fixture.call("order").text());
     assertEquals(1, turn.get());
   }
 
   /** Guards against what comes right behind an answer being served as the next answer. */
   @Test
   void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
-    stage.server(
+    fixture.server(
         (message, socket) -> {
           String id = message.header("Request-Id");
           ScriptedPeer.write(
               socket,
               ("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id).repeat(2));
         });
-    stage.start();
-    Socket client = stage.dial();
+    fixture.start();
+    Socket client = fixture.dial();
     for (int i = 1; i <= 20; i++) {
       assertEquals(
-          "id" + i, LoopbackCluster.exchange(client, stage.request("order", 8000, "b")).text());
+          "id" + i, LoopbackCluster.exchange(client, fixture.request("order", 8000, "b")).text());
     }
   }
 
   /** Guards against a request that every server is asked because one has found it no good. */
   @Test
   void aRequestThatAServerFindsBadIsNotSentAgain() throws IOException {
-    firstAnswer("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    assertEquals(404, stage.call("lookup").status());
+    firstResponse("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+    assertEquals(404, fixture.call("lookup").status());
     assertEquals(1, turn.get());
   }
 
@@ -228,18 +229,18 @@
         "queue=1"
       })
   void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
-    stage.server(
+    fixture.server(
         (message, socket) ->
             ScriptedPeer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("outcome")) {
                 load.complete((double[]) details[7]);
               }
             }));
-    assertEquals("good", stage.call("order").text());
+    assertEquals("good", fixture.call("order").text());
     assertEquals(0, load.get(20, TimeUnit.SECONDS).length);
   }
 
@@ -250,11 +251,11 @@
   @Test
   void nothingIsKeptForServersThatAreGone() throws Exception {
     ScriptedPeer first =
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
-    stage.start();
-    assertEquals(200, stage.call("order").status());
+        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    fixture.start();
+    assertEquals(200, fixture.call("order").status());
     for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
-      stage.news.add(
+      fixture.update.add(
           LoopbackCluster.delta(
               i,
               LoopbackCluster.endpoint(i - 1, first.address(), "Gone"),
@@ -263,10 +264,10 @@
     }
     LoopbackCluster.await(
         () ->
-            stage.discovery.requests.stream()
+            fixture.discovery.requests.stream()
                 .anyMatch(each -> each.target().contains("since=40&")));
-    assertEquals(200, stage.call("order").status());
-    assertEquals(1, stage.agent.kept(), "of the last one alone");
+    assertEquals(200, fixture.call("order").status());
+    assertEquals(1, fixture.agent.trackedServers(), "of the last one alone");
     LoopbackCluster.await(() -> first.ended.size() >= 1);
   }
 
@@ -277,7 +278,7 @@
   @Test
   void connectionsThatBreakNowAndThenCostNoRoom() throws Exception {
     AtomicInteger resets = new AtomicInteger();
-    stage.server(
+    fixture.server(
         (message, socket) -> {
           if (resets.getAndDecrement() > 0) {
             ScriptedPeer.reset(socket);
@@ -285,30 +286,30 @@
             ScriptedPeer.answer(socket, 200, "", "served");
           }
         });
-    stage.start();
+    fixture.start();
     for (int i = 0; i < 20; i++) {
-      long begun = System.nanoTime();
+      long started = System.nanoTime();
       resets.set(2);
-      assertEquals(502, stage.call("order").status());
-      assertEquals(502, stage.call("order").status());
-      assertEquals(200, stage.call("order").status());
-      if (System.nanoTime() - begun < TimeUnit.MILLISECONDS.toNanos(300)) {
+      assertEquals(502, fixture.call("order").status());
+      assertEquals(502, fixture.call("order").status());
+      assertEquals(200, fixture.call("order").status());
+      if (System.nanoTime() - started < TimeUnit.MILLISECONDS.toNanos(300)) {
         break; // else this machine was held up for so long that it may have been a restart: once
         // more
       }
       Thread.sleep(6_000);
     }
-    List<CompletableFuture<Integer>> answers = new ArrayList<>();
+    List<CompletableFuture<Integer>> responses = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      Socket client = stage.dial();
-      String request = stage.request("order", 8000, "body");
-      CompletableFuture<Integer> answer = new CompletableFuture<>();
-      answers.add(answer);
+      Socket client = fixture.dial();
+      String request = fixture.request("order", 8000, "body");
+      CompletableFuture<Integer> response = new CompletableFuture<>();
+      responses.add(response);
       ScriptedPeer.daemon(
-          () -> answer.complete(LoopbackCluster.exchange(client, request).status()));
+          () -> response.complete(LoopbackCluster.exchange(client, request).status()));
     }
-    for (CompletableFuture<Integer> answer : answers) {
-      assertEquals(200, answer.get(20, TimeUnit.SECONDS));
+    for (CompletableFuture<Integer> response : responses) {
+      assertEquals(200, response.get(20, TimeUnit.SECONDS));
     }
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
@@ -113,14 +113,14 @@
           public void clientLeft(ClientServer.Exchange exchange) {}
         };
     try (Socket client = dial();
-        Socket silent = dial()) {
+        Socket unresponsive = dial()) {
       LoopbackCluster.await(
           () -> group.next().submit(clients::size).syncUninterruptibly().getNow() == 2);
       group.next().submit(clients::stopListening).syncUninterruptibly();
-      ScriptedPeer.Message answer = LoopbackCluster.exchange(client, request("a"));
-      assertEquals(200, answer.status());
-      assertEquals("close", answer.header("Connection"));
-      assertEquals(-1, silent.getInputStream().read());
+      ScriptedPeer.Message response = LoopbackCluster.exchange(client, request("a"));
+      assertEquals(200, response.status());
+      assertEquals("close", response.header("Connection"));
+      assertEquals(-1, unresponsive.getInputStream().read());
     }
   }
 
--- a/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
@@ -40,26 +40,26 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
   private volatile boolean over;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
-    ((ObjectNode) stage.config.get("limits")).put("sockets", 40 + 2 * EACH);
+    fixture = new LoopbackCluster();
+    ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * EACH);
   }
 
   @AfterEach
   void strike() throws IOException {
     over = true;
-    stage.close();
+    fixture.close();
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
   /** Failed before: the attempt never ended, and the connection it never had counted for ever. */
   @Test
   void anAttemptForWhichNoSocketCanBeOpenedWasNeverSent() throws Exception {
-    ScriptedPeer server = stage.peer(SERVES);
+    ScriptedPeer server = fixture.peer(SERVES);
     AtomicInteger left = new AtomicInteger(-2 * EACH);
     BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     BackendConnections backends =
@@ -67,7 +67,7 @@
                 () ->
                     new BackendConnections(
                         loop,
-                        AgentConfig.of(stage.config),
+                        AgentConfig.of(fixture.config),
                         EACH,
                         new RequestStatistics(),
                         () -> {
@@ -81,7 +81,7 @@
     for (int i = 0; i <= 2 * EACH; i++) {
       loop.submit(
               () -> {
-                backends.self(
+                backends.addSelf(
                     1,
                     new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), server.listener.getLocalPort()));
@@ -106,17 +106,17 @@
   /** Failed before: the call was forgotten, and discovery not asked again. */
   @Test
   void aCallForWhichNoSocketCanBeOpenedIsMadeAgain() throws Exception {
-    stage.server(SERVES);
+    fixture.server(SERVES);
     AtomicInteger left = new AtomicInteger(-2);
     List<String> failures = new ArrayList<>();
     CountDownLatch listed = new CountDownLatch(1);
     Discovery discovery =
         new Discovery(
             loop,
-            AgentConfig.of(stage.config),
+            AgentConfig.of(fixture.config),
             new Discovery.Listener() {
               @Override
-              public void list(
+              public void updateServers(
                   LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
                 listed.countDown();
               }
@@ -146,21 +146,21 @@
    */
   @Test
   void idleClientsThatFillTheDescriptorsKeepNobodyFromServersAndDiscovery() throws Exception {
-    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
     ScriptedPeer replacement =
-        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
-    int port = stage.discovery.listener.getLocalPort();
-    stage.discovery.close();
-    stage.agent = Agent.start(AgentConfig.of(stage.config));
+        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+    int port = fixture.discovery.listener.getLocalPort();
+    fixture.discovery.close();
+    fixture.agent = Agent.start(AgentConfig.of(fixture.config));
     AtomicInteger idle = new AtomicInteger();
     for (int i = 0; i < 4 * EACH; i++) {
       boolean asks = i % 2 == 0;
       ScriptedPeer.daemon(() -> idle(asks, idle));
     }
-    stage.awaitReady();
+    fixture.awaitReady();
     LoopbackCluster.await(
         () -> idle.get() > 4 * EACH); // some have been closed for room, and come again
-    assertEquals("old", stage.call("order").text());
+    assertEquals("old", fixture.call("order").text());
     String list =
         "{\"index\":7,\"snapshot\":true,\"endpoints\":["
             + LoopbackCluster.endpoint(2, replacement.address(), "Ready")
@@ -175,14 +175,14 @@
                 ScriptedPeer.answer(socket, 200, "", list);
               }
             });
-    stage.peers.add(back);
+    fixture.peers.add(back);
     LoopbackCluster.await(() -> !back.requests.isEmpty());
     LoopbackCluster.await(
         () -> back.requests.stream().anyMatch(each -> each.target().contains("since=7")));
     for (int i = 0; i < 10; i++) {
-      assertEquals("new", stage.call("order").text());
+      assertEquals("new", fixture.call("order").text());
       assertTrue(
-          stage.agent.connections() <= 2 * EACH + 16,
+          fixture.agent.connections() <= 2 * EACH + 16,
           "as many as are accepted at once above the limit");
     }
   }
@@ -194,7 +194,7 @@
   private void idle(boolean asks, AtomicInteger dialled) {
     while (!over) {
       try (Socket client =
-          new Socket(InetAddress.getLoopbackAddress(), stage.agent.address().getPort())) {
+          new Socket(InetAddress.getLoopbackAddress(), fixture.agent.address().getPort())) {
         dialled.incrementAndGet();
         if (asks) {
           ScriptedPeer.write(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
--- a/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
@@ -28,7 +28,7 @@
   private static final long TIMER_ASK = -3;
 
   /** So long after discovery had it and could be reached, a change counts as told. */
-  private static final long TOLD_MICROS = 6_000_000;
+  private static final long NOTIFIED_MICROS = 6_000_000;
 
   private static final ScriptedPeer.Script REFUSES =
       (message, socket) -> ScriptedPeer.answer(socket, 503, "", "");
@@ -37,21 +37,21 @@
   /** The module's waits before each call, microseconds. */
   private final List<Long> waits = new CopyOnWriteArrayList<>();
 
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
   private ScriptedPeer drained;
   private ScriptedPeer other;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
-    ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    drained = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "drained"));
-    other = stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
+    fixture = new LoopbackCluster();
+    ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
+    drained = fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "drained"));
+    other = fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
   }
 
   /** The usual module, whose waits before it asks discovery are noted and over at once. */
@@ -69,10 +69,10 @@
                   }
                   return method.invoke(agent, details);
                 });
-    return new DefaultLoadBalancer(AgentConfig.of(stage.config).settings(), 1, 0, actions);
+    return new DefaultLoadBalancer(AgentConfig.of(fixture.config).settings(), 1, 0, actions);
   }
 
-  private List<String> asked(ScriptedPeer discovery) {
+  private List<String> requested(ScriptedPeer discovery) {
     return discovery.requests.stream().map(ScriptedPeer.Message::target).toList();
   }
 
@@ -82,10 +82,10 @@
 
   private void assertDrainKnown(ScriptedPeer discovery) throws IOException {
     LoopbackCluster.await(
-        () -> asked(discovery).stream().anyMatch(each -> each.contains("since=5&")));
+        () -> requested(discovery).stream().anyMatch(each -> each.contains("since=5&")));
     int before = drained.requests.size();
     for (int i = 0; i < 5; i++) {
-      assertEquals("other", stage.call("lookup").text());
+      assertEquals("other", fixture.call("lookup").text());
     }
     assertEquals(before, drained.requests.size());
   }
@@ -94,7 +94,7 @@
   private void assertWaitsInTime() {
     for (int i = 1; i + 1 < waits.size(); i++) { // the first is before the first call of all
       long both = waits.get(i) + waits.get(i + 1);
-      assertTrue(both <= TOLD_MICROS - TimeUnit.SECONDS.toMicros(1), waits.toString());
+      assertTrue(both <= NOTIFIED_MICROS - TimeUnit.SECONDS.toMicros(1), waits.toString());
     }
   }
 
@@ -104,40 +104,41 @@
    */
   @Test
   void theFirstCallIsAWatchForWhatIsNewerThanTheKnownList() throws Exception {
-    ((ObjectNode) stage.config.get("known")).put("index", 3);
-    stage.start(this::hurried);
-    stage.news.add(drain());
-    assertDrainKnown(stage.discovery);
+    ((ObjectNode) fixture.config.get("known")).put("index", 3);
+    fixture.start(this::hurried);
+    fixture.update.add(drain());
+    assertDrainKnown(fixture.discovery);
     assertTrue(
-        asked(stage.discovery).get(0).contains("since=3&"), asked(stage.discovery).toString());
-    assertTrue(asked(stage.discovery).stream().noneMatch(each -> each.equals("/v1/servers")));
+        requested(fixture.discovery).get(0).contains("since=3&"),
+        requested(fixture.discovery).toString());
+    assertTrue(requested(fixture.discovery).stream().noneMatch(each -> each.equals("/v1/servers")));
   }
 
   @Test
   void anAgentThatKnowsNoServersFetchesTheWholeListFirst() throws Exception {
-    ((ObjectNode) stage.config.get("known")).putArray("endpoints");
-    stage.start(this::hurried);
+    ((ObjectNode) fixture.config.get("known")).putArray("endpoints");
+    fixture.start(this::hurried);
     LoopbackCluster.await(
-        () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
-    assertEquals("/v1/servers", asked(stage.discovery).get(0));
+        () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
+    assertEquals("/v1/servers", requested(fixture.discovery).get(0));
   }
 
   /** Guards against changes missed for ever where discovery's versions have begun anew. */
   @Test
   void aVersionBeforeTheOneHeldMakesItFetchTheWholeList() throws Exception {
-    ((ObjectNode) stage.config.get("known")).put("index", 7);
-    stage.news.add(LoopbackCluster.delta(4));
-    stage.start(this::hurried);
-    LoopbackCluster.await(() -> asked(stage.discovery).size() >= 3);
-    assertTrue(asked(stage.discovery).get(0).contains("since=7&"));
-    assertEquals("/v1/servers", asked(stage.discovery).get(1));
+    ((ObjectNode) fixture.config.get("known")).put("index", 7);
+    fixture.update.add(LoopbackCluster.delta(4));
+    fixture.start(this::hurried);
+    LoopbackCluster.await(() -> requested(fixture.discovery).size() >= 3);
+    assertTrue(requested(fixture.discovery).get(0).contains("since=7&"));
+    assertEquals("/v1/servers", requested(fixture.discovery).get(1));
   }
 
   @Test
   void aChangeIsKnownAfterARefusedFirstCallAndRefusedRepeats() throws Exception {
-    stage.news.addAll(List.of(REFUSES, REFUSES, RESETS, REFUSES, drain()));
-    stage.start(this::hurried);
-    assertDrainKnown(stage.discovery);
+    fixture.update.addAll(List.of(REFUSES, REFUSES, RESETS, REFUSES, drain()));
+    fixture.start(this::hurried);
+    assertDrainKnown(fixture.discovery);
     assertEquals(1 + 4, waits.size(), "one before the first call and one after each that failed");
     assertWaitsInTime();
   }
@@ -148,12 +149,14 @@
    */
   @Test
   void aChangeIsKnownAfterACallThatHungAndARefusedOne() throws Exception {
-    stage.news.addAll(List.of((message, socket) -> {}, REFUSES, drain()));
-    stage.start(this::hurried);
-    assertDrainKnown(stage.discovery);
+    fixture.update.addAll(List.of((message, socket) -> {}, REFUSES, drain()));
+    fixture.start(this::hurried);
+    assertDrainKnown(fixture.discovery);
     assertEquals(2, waits.size(), "the call that hung is made again with no wait of the module's");
-    long found = TimeUnit.MILLISECONDS.toMicros(Discovery.WATCH_MS + Discovery.SILENT_MS);
-    assertTrue(found + waits.get(1) <= TOLD_MICROS, found + " and " + waits);
+    long found =
+        TimeUnit.MILLISECONDS.toMicros(
+            Discovery.WATCH_TIMEOUT_MS + Discovery.INACTIVITY_TIMEOUT_MS);
+    assertTrue(found + waits.get(1) <= NOTIFIED_MICROS, found + " and " + waits);
   }
 
   /**
@@ -164,33 +167,33 @@
   void theKnownListComesBeforeDiscoverysAlsoWhereTheModuleAsksAtOnce() throws Exception {
     List<Object> lists = new CopyOnWriteArrayList<>();
     Function<Agent, LoadBalancer> overheard =
-        stage.overheard(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("servers")) {
                 lists.add(details[1]);
               }
             });
-    stage.agent =
+    fixture.agent =
         Agent.made(
-            AgentConfig.of(stage.config),
+            AgentConfig.of(fixture.config),
             agent -> {
               agent.watchServers();
               return overheard.apply(agent);
             });
     for (int i = 0; i < 100; i++) {
-      stage.agent.kept(); // a turn of the loop each: time enough for a call
+      fixture.agent.trackedServers(); // a turn of the loop each: time enough for a call
     }
-    assertEquals(List.of(), asked(stage.discovery));
-    stage.news.add(drain());
-    stage.agent.beginSoon();
-    assertDrainKnown(stage.discovery);
+    assertEquals(List.of(), requested(fixture.discovery));
+    fixture.update.add(drain());
+    fixture.agent.beginSoon();
+    assertDrainKnown(fixture.discovery);
     assertEquals(List.of(LoadBalancer.ListKind.CACHED, LoadBalancer.ListKind.DELTA), lists);
   }
 
   /** Failed before: it was told as a closed connection, each time it was asked for again. */
   @Test
   void aListThatCannotBeTakenIsToldWithItsCause() throws Exception {
-    stage.news.addAll(
+    fixture.update.addAll(
         List.of(
             (message, socket) ->
                 ScriptedPeer.write(
@@ -200,8 +203,8 @@
     var log = new ByteArrayOutputStream();
     System.setErr(new PrintStream(log, true));
     try {
-      stage.start(this::hurried);
-      assertDrainKnown(stage.discovery);
+      fixture.start(this::hurried);
+      assertDrainKnown(fixture.discovery);
     } finally {
       System.setErr(usual);
     }
@@ -219,7 +222,7 @@
   /** Failed before: the end of the connection that ended the list counted as a call that failed. */
   @Test
   void aListWithNoLengthEndsWithItsConnectionAndIsNoFailure() throws Exception {
-    stage.news.add(
+    fixture.update.add(
         (message, socket) -> {
           ScriptedPeer.write(
               socket,
@@ -228,16 +231,16 @@
                   + "]}");
           socket.close();
         });
-    stage.start(this::hurried);
-    assertDrainKnown(stage.discovery);
+    fixture.start(this::hurried);
+    assertDrainKnown(fixture.discovery);
     assertEquals(1, waits.size(), "before the first call alone");
   }
 
   @Test
   void aChangeIsKnownOnceDiscoveryIsBack() throws Exception {
-    int port = stage.discovery.listener.getLocalPort();
-    stage.discovery.close();
-    stage.start(this::hurried);
+    int port = fixture.discovery.listener.getLocalPort();
+    fixture.discovery.close();
+    fixture.start(this::hurried);
     LoopbackCluster.await(() -> waits.size() >= 8);
     ScriptedPeer back =
         new ScriptedPeer(
@@ -247,7 +250,7 @@
                 drain().handle(message, socket);
               }
             });
-    stage.peers.add(back);
+    fixture.peers.add(back);
     assertDrainKnown(back);
     assertTrue(other.requests.size() >= 5);
     assertWaitsInTime();
--- a/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
@@ -32,22 +32,22 @@
   private final AtomicInteger taken = new AtomicInteger();
 
   private final CompletableFuture<Object> outcome = new CompletableFuture<>();
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
-    stage.settings("caps", caps -> caps.put("probes", false));
+    fixture = new LoopbackCluster();
+    fixture.settings("caps", caps -> caps.put("probes", false));
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
   }
 
   private void start() throws IOException {
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               switch (event) {
                 case "request" -> {
@@ -63,7 +63,7 @@
 
   /** What the loop was at is done: it has answered this. */
   private void passTheLoop() throws IOException {
-    try (Socket socket = stage.dial()) {
+    try (Socket socket = fixture.dial()) {
       assertEquals(
           200,
           LoopbackCluster.exchange(socket, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
@@ -83,19 +83,20 @@
    */
   private void assertOnlyTheNextIsSent(String firstAddress) throws Exception {
     ScriptedPeer fresh =
-        stage.peer(
+        fixture.peer(
             (message, socket) ->
                 ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
-    stage.news.add(
+    fixture.update.add(
         LoopbackCluster.delta(
             1,
             LoopbackCluster.endpoint(9, fresh.address(), "Ready"),
             LoopbackCluster.endpoint(1, firstAddress, "Gone")));
     LoopbackCluster.await(
         () ->
-            stage.discovery.requests.stream().anyMatch(each -> each.target().contains("since=1&")));
-    String next = stage.request("lookup", 8000, "");
-    assertEquals("id2", LoopbackCluster.exchange(stage.dial(), next).text());
+            fixture.discovery.requests.stream()
+                .anyMatch(each -> each.target().contains("since=1&")));
+    String next = fixture.request("lookup", 8000, "");
+    assertEquals("id2", LoopbackCluster.exchange(fixture.dial(), next).text());
     assertEquals(
         List.of("id2"), fresh.requests.stream().map(each -> each.header("Request-Id")).toList());
   }
@@ -103,8 +104,8 @@
   @Test
   void aRequestThatWaitsForRoomIsNotSentOnceItsClientLeft() throws Exception {
     start();
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     leave(client);
     assertOnlyTheNextIsSent("127.0.0.1:9");
@@ -113,11 +114,11 @@
   @Test
   void aRequestThatWaitsForItsRepeatIsNotSentOnceItsClientLeft() throws Exception {
     ScriptedPeer full =
-        stage.server(
+        fixture.server(
             (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
     start();
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     assertEquals(
         LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     passTheLoop();
@@ -128,16 +129,17 @@
 
   @Test
   void aRequestThatWaitsForItsDialIsNotSentOnceItsClientLeft() throws Exception {
-    stage.settings("caps", caps -> caps.put("dial-timeout-us", 1000 * LoopbackCluster.GENEROUS_MS));
+    fixture.settings(
+        "caps", caps -> caps.put("dial-timeout-us", 1000 * LoopbackCluster.GENEROUS_MS));
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String address = "127.0.0.1:" + full.getLocalPort();
-      ((ObjectNode) stage.config.get("known"))
+      ((ObjectNode) fixture.config.get("known"))
           .putArray("endpoints")
           .add(LoopbackCluster.endpoint(1, address, "Ready"));
       List<Socket> filling = LoopbackCluster.fill(full);
       start();
-      Socket client = stage.dial();
-      ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+      Socket client = fixture.dial();
+      ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
       came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
       passTheLoop();
       leave(client);
@@ -158,8 +160,8 @@
   @ValueSource(strings = {"close", "reset", "end of its sending"})
   void aClientHasGoneHoweverItEndsItsConnection(String how) throws Exception {
     start();
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
     switch (how) {
       case "close" -> client.close();
@@ -173,8 +175,8 @@
   /** Holds the loop in the event of the first request until this is counted down. */
   private CountDownLatch holdTheLoop() throws IOException {
     CountDownLatch go = new CountDownLatch(1);
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("request")) {
                 came.countDown();
@@ -193,7 +195,7 @@
   }
 
   private List<String> arrived() {
-    return stage.servers.get(0).requests.stream().map(each -> each.header("Request-Id")).toList();
+    return fixture.servers.get(0).requests.stream().map(each -> each.header("Request-Id")).toList();
   }
 
   /**
@@ -204,27 +206,28 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aRequestIsNotSentWhoseClientLeftBeforeItWasRead(boolean onANewConnection) throws Exception {
-    stage.server(
+    fixture.server(
         (message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
     CountDownLatch go = holdTheLoop();
-    Socket client = onANewConnection ? null : stage.dial();
+    Socket client = onANewConnection ? null : fixture.dial();
     if (client != null) {
       assertEquals(
           200,
           LoopbackCluster.exchange(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
     }
-    Socket first = stage.dial();
-    ScriptedPeer.write(first, stage.request("lookup", 8000, ""));
+    Socket first = fixture.dial();
+    ScriptedPeer.write(first, fixture.request("lookup", 8000, ""));
     assertTrue(came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
-    client = client == null ? stage.dial() : client;
-    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+    client = client == null ? fixture.dial() : client;
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     client.close();
     go.countDown();
     assertEquals("id1", ScriptedPeer.read(first.getInputStream()).text());
     passTheLoop();
     passTheLoop();
     assertEquals(
-        "id3", LoopbackCluster.exchange(stage.dial(), stage.request("lookup", 8000, "")).text());
+        "id3",
+        LoopbackCluster.exchange(fixture.dial(), fixture.request("lookup", 8000, "")).text());
     assertEquals(List.of("id1", "id3"), arrived());
   }
 
@@ -234,7 +237,7 @@
   void ofManyRequestsAskedAtOnceNoneIsSentOnceTheirClientLeft(int ahead) throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     ScriptedPeer server =
-        stage.server(
+        fixture.server(
             (message, socket) -> {
               if (message.header("Request-Id").equals("id1")) {
                 hold(go);
@@ -242,10 +245,10 @@
               ScriptedPeer.answer(socket, 200, "", message.header("Request-Id"));
             });
     start();
-    Socket client = stage.dial();
-    StringBuilder all = new StringBuilder(stage.request("lookup", 8000, ""));
+    Socket client = fixture.dial();
+    StringBuilder all = new StringBuilder(fixture.request("lookup", 8000, ""));
     for (int i = 0; i < ahead; i++) {
-      all.append(stage.request("lookup", 8000, ""));
+      all.append(fixture.request("lookup", 8000, ""));
     }
     ScriptedPeer.write(client, all.toString());
     LoopbackCluster.await(() -> server.requests.size() == 1);
@@ -256,7 +259,7 @@
     go.countDown();
     String next = "id" + (ahead + 2);
     assertEquals(
-        next, LoopbackCluster.exchange(stage.dial(), stage.request("lookup", 8000, "")).text());
+        next, LoopbackCluster.exchange(fixture.dial(), fixture.request("lookup", 8000, "")).text());
     assertEquals(List.of("id1", next), arrived());
   }
 
@@ -270,11 +273,11 @@
       })
   void aCloseBehindWhatIsNoRequestIsSeen(String noise) throws Exception {
     ScriptedPeer full =
-        stage.server(
+        fixture.server(
             (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
     start();
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("lookup", 8000, "") + noise);
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, "") + noise);
     assertEquals(
         LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     passTheLoop();
@@ -290,21 +293,21 @@
   void noneIsSentForAClientThatReadsNoAnswersOnceItLeft(int ahead) throws Exception {
     String large = "x".repeat(60_000);
     ScriptedPeer server =
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", large));
+        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", large));
     start();
     Socket client = new Socket();
     client.setReceiveBufferSize(2048);
     client.connect(
-        new InetSocketAddress(InetAddress.getLoopbackAddress(), stage.agent.address().getPort()));
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), fixture.agent.address().getPort()));
     for (int i = 0; i <= ahead; i++) {
-      ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
+      ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     }
     LoopbackCluster.await(() -> server.requests.size() >= 2);
     ScriptedPeer.reset(client);
     passTheLoop();
     int before = taken.get();
-    assertEquals(large, stage.call("lookup").text());
-    assertEquals(large, stage.call("lookup").text());
+    assertEquals(large, fixture.call("lookup").text());
+    assertEquals(large, fixture.call("lookup").text());
     assertEquals(before + 2, taken.get(), "none of those that are left is taken");
     assertTrue(ahead < 60 || before < ahead, before + " were taken before it left: none was left");
   }
--- a/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
@@ -11,12 +11,12 @@
  */
 class IdleConnectionTimeoutTest {
   private static final long MS = 1_000_000;
-  private static final long MOST = 3_750 * MS;
-  private final IdleConnectionTimeout age = new IdleConnectionTimeout(MOST, 0);
+  private static final long MAX = 3_750 * MS;
+  private final IdleConnectionTimeout age = new IdleConnectionTimeout(MAX, 0);
 
   private void use(int times, long idleMs, int everyBreaks, long atMs) {
     for (int i = 1; i <= times; i++) {
-      age.used(idleMs * MS, everyBreaks > 0 && i % everyBreaks == 0, atMs * MS);
+      age.recordUse(idleMs * MS, everyBreaks > 0 && i % everyBreaks == 0, atMs * MS);
     }
   }
 
@@ -35,22 +35,22 @@
     for (long idle : new long[] {30, 70, 150, 300, 700, 1500}) {
       use(40, idle, 8, 1000);
     }
-    assertEquals(MOST, age.limitNanos());
+    assertEquals(MAX, age.limitNanos());
   }
 
   @Test
   void aFewUsesProveNothing() {
     use(3, 150, 1, 1000);
-    assertEquals(MOST, age.limitNanos());
+    assertEquals(MAX, age.limitNanos());
   }
 
   @Test
   void theYoungestAreAlwaysUsedAndTheRestIsTriedAgainInTime() {
     use(40, 30, 1, 1000);
-    assertEquals(MOST, age.limitNanos());
+    assertEquals(MAX, age.limitNanos());
     use(8, 150, 1, 1000);
     assertTrue(age.limitNanos() <= 150 * MS);
-    age.fade(9_000 * MS);
-    assertEquals(MOST, age.limitNanos());
+    age.decay(9_000 * MS);
+    assertEquals(MAX, age.limitNanos());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
@@ -32,7 +32,7 @@
   private static final long DIAL_MICROS = 400_000;
 
   /** A socket that connects only when the test says so. */
-  private static final class Held extends InspectableSocketChannel {
+  private static final class DelayedChannel extends InspectableSocketChannel {
     private SocketAddress to;
 
     @Override
@@ -51,7 +51,7 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-  private final List<Held> held = new ArrayList<>();
+  private final List<DelayedChannel> queued = new ArrayList<>();
   private int dials;
 
   /** So many of the first connections are held. */
@@ -84,12 +84,13 @@
                           if (dials++ >= late) {
                             return new InspectableSocketChannel();
                           }
-                          held.add(new Held());
-                          return held.get(held.size() - 1);
+                          queued.add(new DelayedChannel());
+                          return queued.get(queued.size() - 1);
                         }))
             .sync()
             .getNow();
-    loop.submit(() -> backends.self(1, (InetSocketAddress) server.listener.getLocalSocketAddress()))
+    loop.submit(
+            () -> backends.addSelf(1, (InetSocketAddress) server.listener.getLocalSocketAddress()))
         .sync();
   }
 
@@ -128,12 +129,12 @@
     start(DIAL_MICROS);
     late = 2;
     assertEquals(Outcome.CONNECT_FAILED, send(0));
-    for (Held each : held) {
+    for (DelayedChannel each : queued) {
       assertTrue(each.config().getConnectTimeoutMillis() <= DIAL_MICROS / 1000);
     }
     int both =
-        held.get(0).config().getConnectTimeoutMillis()
-            - held.get(1).config().getConnectTimeoutMillis();
+        queued.get(0).config().getConnectTimeoutMillis()
+            - queued.get(1).config().getConnectTimeoutMillis();
     assertEquals(DIAL_MICROS / 1000 / 8, both, "the second is given as much less as it is later");
     assertEquals(2, dials);
     assertEquals(0, loop.submit(backends::connections).sync().getNow());
@@ -148,7 +149,7 @@
     assertEquals(Outcome.TIMEOUT, send(1_000));
     loop.submit(
             () -> {
-              held.get(0).comeUp();
+              queued.get(0).comeUp();
               return null;
             })
         .sync();
@@ -162,12 +163,12 @@
     late = 1;
     loop.submit(() -> backends.send(1, outgoing(), 0, result -> outcomes.add(result.outcome())))
         .sync();
-    loop.submit(() -> backends.gone(1)).sync();
+    loop.submit(() -> backends.remove(1)).sync();
     assertEquals(
         Outcome.NEVER_SENT, outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
     loop.submit(
             () -> {
-              held.get(0).comeUp();
+              queued.get(0).comeUp();
               return null;
             })
         .sync();
