--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
@@ -40,26 +40,26 @@
   @TempDir private Path dir;
   private final PrintStream usualLog = System.err;
   private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
   private Path file;
 
   @BeforeEach
   void set() throws IOException {
     System.setErr(new PrintStream(log, true));
-    stage = new LoopbackCluster();
-    stage.config.putObject("live_settings").put("version", 41);
+    fixture = new LoopbackCluster();
+    fixture.config.putObject("live_settings").put("version", 41);
     file = dir.resolve("config.json");
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
     System.setErr(usualLog);
   }
 
   /** The configuration under another version and otherwise changed; replaced in one step. */
   private void write(long version, Consumer<ObjectNode> change) throws IOException {
-    ObjectNode copy = stage.config.deepCopy();
+    ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", version);
     change.accept(copy);
     Path fresh = Files.writeString(dir.resolve("fresh"), copy.toString());
@@ -68,7 +68,7 @@
 
   private void take(long version, Consumer<ObjectNode> change) throws IOException {
     write(version, change);
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     LoopbackCluster.await(() -> version == inForce());
   }
 
@@ -87,7 +87,7 @@
 
   private ScriptedPeer.Message health() throws IOException {
     return LoopbackCluster.exchange(
-        stage.dial(), "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+        fixture.dial(), "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   }
 
   private long inForce() {
@@ -107,26 +107,26 @@
   }
 
   private int status(String type) throws IOException {
-    String request = stage.request("lookup", 8000, "").replace("lookup", type);
-    return LoopbackCluster.exchange(stage.dial(), request).status();
+    String request = fixture.request("lookup", 8000, "").replace("lookup", type);
+    return LoopbackCluster.exchange(fixture.dial(), request).status();
   }
 
   // ---- Taken ----
 
   @Test
   void classesAreAddedMovedAndRemovedByNameAndTheVersionIsShown() throws Exception {
-    ScriptedPeer server = stage.server(SERVES);
-    stage.start();
+    ScriptedPeer server = fixture.server(SERVES);
+    fixture.start();
     assertEquals(400, status("extra"));
     assertEquals("settings: version 41\n", health().text());
     take(42, config -> addFirst(config, "extra"));
     assertEquals(200, status("extra"));
     for (String type : List.of("lookup", "pay", "order")) {
-      assertEquals(200, stage.call(type).status(), "each is what it was: " + type);
+      assertEquals(200, fixture.call(type).status(), "each is what it was: " + type);
     }
     take(43, config -> classes(config).remove(0));
     assertEquals(400, status("lookup"));
-    assertEquals(200, stage.call("pay").status());
+    assertEquals(200, fixture.call("pay").status());
     assertEquals(5, server.requests.size());
     assertTrue(
         logged()
@@ -139,13 +139,13 @@
   /** Guards against the class of one list being taken for what has its place in the next. */
   @Test
   void aRequestWhoseBodyComesAfterTheChangeIsOfTheClassThatItNames() throws Exception {
-    ScriptedPeer server = stage.server(SERVES);
-    stage.start();
+    ScriptedPeer server = fixture.server(SERVES);
+    fixture.start();
     Socket[] halves = new Socket[2];
     for (int i = 0; i < 2; i++) {
-      halves[i] = stage.dial();
-      String whole = stage.request(i == 0 ? "pay" : "order", 8000, "body");
-      ScriptedPeer.write(halves[i], whole.substring(0, whole.length() - 4));
+      halves[i] = fixture.dial();
+      String complete = fixture.request(i == 0 ? "pay" : "order", 8000, "body");
+      ScriptedPeer.write(halves[i], complete.substring(0, complete.length() - 4));
     }
     LoopbackCluster.await(() -> inForce() == 41); // the heads have been read before this
     take(42, config -> classes(config).remove(1));
@@ -158,30 +158,30 @@
 
   @Test
   void underLoadNoRequestIsLostOverChangesInTurn() throws Exception {
-    stage.server(SERVES);
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.server(SERVES);
+    fixture.start();
     AtomicBoolean over = new AtomicBoolean();
     AtomicInteger served = new AtomicInteger();
     Object requests = new Object();
     List<String> others = new ArrayList<>();
     List<Thread> clients = new ArrayList<>();
     for (String type : List.of("lookup", "pay", "order")) {
-      Socket socket = stage.dial();
+      Socket socket = fixture.dial();
       clients.add(
           ScriptedPeer.daemon(
               () -> {
                 while (!over.get()) {
                   String request;
                   synchronized (requests) {
-                    request = stage.request(type, 8000, type.equals("lookup") ? "" : "body");
+                    request = fixture.request(type, 8000, type.equals("lookup") ? "" : "body");
                   }
-                  ScriptedPeer.Message answer = LoopbackCluster.exchange(socket, request);
-                  if (answer.status() == 200) {
+                  ScriptedPeer.Message response = LoopbackCluster.exchange(socket, request);
+                  if (response.status() == 200) {
                     served.incrementAndGet();
                   } else {
                     synchronized (others) {
-                      others.add(type + " " + answer.first());
+                      others.add(type + " " + response.first());
                     }
                   }
                 }
@@ -214,7 +214,7 @@
     CountDownLatch go = new CountDownLatch(1);
     AtomicBoolean first = new AtomicBoolean(true);
     for (int i = 0; i < 2; i++) {
-      stage.server(
+      fixture.server(
           (message, socket) -> {
             if (first.getAndSet(false)) {
               go.await();
@@ -224,39 +224,39 @@
             }
           });
     }
-    stage.start();
-    Socket client = stage.dial();
-    ScriptedPeer.write(client, stage.request("lookup", 8000, ""));
-    LoopbackCluster.await(() -> stage.arrived() == 1);
+    fixture.start();
+    Socket client = fixture.dial();
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
+    LoopbackCluster.await(() -> fixture.arrived() == 1);
     if (changed) {
       take(42, config -> ((ObjectNode) classes(config).get(0)).put("semantics", "unsafe"));
     }
     go.countDown();
     assertEquals(changed ? 502 : 200, ScriptedPeer.read(client.getInputStream()).status());
-    assertEquals(changed ? 1 : 2, stage.arrived());
+    assertEquals(changed ? 1 : 2, fixture.arrived());
   }
 
   @Test
   void connectionsAreKeptAndDialledByTheNewSettings() throws Exception {
-    ((ObjectNode) settings(stage.config).get("caps")).put("probes", false); // they dial, too
-    ScriptedPeer server = stage.server(SERVES);
-    stage.start();
+    ((ObjectNode) settings(fixture.config).get("caps")).put("probes", false); // they dial, too
+    ScriptedPeer server = fixture.server(SERVES);
+    fixture.start();
     for (int i = 0; i < 3; i++) {
-      assertEquals(200, stage.call("lookup").status());
+      assertEquals(200, fixture.call("lookup").status());
       Thread.sleep(60); // over the rest of a connection
     }
-    int kept = server.sockets.size();
+    int retained = server.sockets.size();
     take(42, config -> ((ObjectNode) settings(config).get("caps")).put("idle-close-us", 1000));
     for (int i = 0; i < 3; i++) {
-      assertEquals(200, stage.call("lookup").status());
+      assertEquals(200, fixture.call("lookup").status());
       Thread.sleep(60);
     }
-    assertEquals(kept + 3, server.sockets.size(), "none is kept for a millisecond");
+    assertEquals(retained + 3, server.sockets.size(), "none is kept for a millisecond");
     take(43, config -> ((ObjectNode) config.get("limits")).put("sockets", 64));
     List<Socket> many = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      many.add(stage.dial());
-      ScriptedPeer.write(many.get(i), stage.request("order", 8000, "body"));
+      many.add(fixture.dial());
+      ScriptedPeer.write(many.get(i), fixture.request("order", 8000, "body"));
     }
     for (Socket each : many) {
       assertEquals(200, ScriptedPeer.read(each.getInputStream()).status(), "in their turn");
@@ -265,10 +265,10 @@
 
   @Test
   void listsAreReadByTheNamesOfTheNewZones() throws Exception {
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.start();
     ScriptedPeer other =
-        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
+        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
     take(
         42,
         config -> {
@@ -282,23 +282,23 @@
           settings(config).put("locality", 1);
         });
     take(44, config -> settings(config).putArray("zones").add("a").add("new"));
-    stage.news.add(
+    fixture.update.add(
         LoopbackCluster.delta(
             1,
-            LoopbackCluster.endpoint(1, stage.servers.get(0).address(), "Gone"),
+            LoopbackCluster.endpoint(1, fixture.servers.get(0).address(), "Gone"),
             LoopbackCluster.endpoint(2, other.address(), "Ready")
                 .put("zone", "new"))); // unknown before
-    LoopbackCluster.await(() -> stage.news.isEmpty());
+    LoopbackCluster.await(() -> fixture.update.isEmpty());
     LoopbackCluster.await(
         () -> {
           try {
-            return "other".equals(stage.call("lookup").text());
+            return "other".equals(fixture.call("lookup").text());
           } catch (IOException e) {
             return false;
           }
         });
     write(45, config -> settings(config).putArray("zones").add("a"));
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     awaitLogged("settings: version 45 refused: zones lacks new, which has servers; 44 stays");
   }
 
@@ -329,15 +329,15 @@
       })
   void whatIsUnusableChangesNothingButDiscoveryAndTheNextGoodOneIsTaken(String what, String line)
       throws Exception {
-    stage.server(SERVES);
+    fixture.server(SERVES);
     ScriptedPeer elsewhere =
-        stage.peer(
+        fixture.peer(
             (message, socket) -> {
               if (!message.target().contains("since")) {
-                ScriptedPeer.answer(socket, 200, "", stage.config.get("known").toString());
+                ScriptedPeer.answer(socket, 200, "", fixture.config.get("known").toString());
               }
             });
-    stage.start();
+    fixture.start();
     write(
         what.equals("lower") ? 40 : what.equals("same") ? 41 : 42,
         config -> {
@@ -366,7 +366,7 @@
       case "", "{", "{}" -> Files.writeString(file, what);
       default -> {}
     }
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     if (what.equals("zones")) { // the own zone has gone with it: its name is another
       awaitLogged("settings: version 42 refused: locality cannot change while the agent runs");
     } else {
@@ -375,7 +375,7 @@
     assertEquals(41, inForce());
     assertEquals(400, status("extra"));
     for (String type : List.of("lookup", "pay", "order")) {
-      assertEquals(200, stage.call(type).status(), type);
+      assertEquals(200, fixture.call(type).status(), type);
     }
     if (text.equals(Files.readString(file))) { // else discovery's address is not there to read
       LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
@@ -389,31 +389,31 @@
 
   @Test
   void theSameVersionWithTheSameContentIsNothingNewButDiscoveryMoves() throws Exception {
-    ScriptedPeer server = stage.server(SERVES);
-    ScriptedPeer elsewhere = stage.peer((message, socket) -> {});
-    stage.start();
+    ScriptedPeer server = fixture.server(SERVES);
+    ScriptedPeer elsewhere = fixture.peer((message, socket) -> {});
+    fixture.start();
     write(41, config -> config.put("discovery", elsewhere.address()).put("seed", "77"));
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
-    assertEquals(200, stage.call("lookup").status());
+    assertEquals(200, fixture.call("lookup").status());
     assertEquals(1, server.requests.size());
     assertFalse(logged().contains("refused: "), logged());
   }
 
   @Test
   void withoutLiveSettingsOnlyDiscoveryIsTakenAndNoVersionIsShown() throws Exception {
-    stage.config.remove("live_settings");
-    stage.server(SERVES);
-    ScriptedPeer elsewhere = stage.peer((message, socket) -> {});
-    stage.start();
-    stage.config.putObject("live_settings").put("check_ms", 10);
+    fixture.config.remove("live_settings");
+    fixture.server(SERVES);
+    ScriptedPeer elsewhere = fixture.peer((message, socket) -> {});
+    fixture.start();
+    fixture.config.putObject("live_settings").put("check_ms", 10);
     write(
         42,
         config -> {
           addFirst(config, "extra");
           config.put("discovery", elsewhere.address());
         });
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
     assertEquals(400, status("extra"));
     assertNull(health().header("Settings-Version"));
@@ -437,7 +437,7 @@
         "7"
       })
   void unusableLiveSettingsEndTheStart(String live) throws Exception {
-    Files.writeString(file, stage.config.toString().replace("{\"version\":41}", live));
+    Files.writeString(file, fixture.config.toString().replace("{\"version\":41}", live));
     String why =
         assertThrows(IllegalArgumentException.class, () -> AgentConfig.read(file)).getMessage();
     assertTrue(why.matches("config: live_settings\\.\\S+ has an unusable value: .*"), why);
@@ -449,29 +449,29 @@
   @ParameterizedTest
   @ValueSource(ints = {10, 0})
   void aFileThatChangesIsTakenWithoutASignal(int checkMs) throws Exception {
-    stage.server(SERVES);
-    ((ObjectNode) stage.config.get("live_settings")).put("check_ms", checkMs);
+    fixture.server(SERVES);
+    ((ObjectNode) fixture.config.get("live_settings")).put("check_ms", checkMs);
     write(41, config -> {});
-    stage.agent = Agent.start(file);
+    fixture.agent = Agent.start(file);
     LoopbackCluster.await(() -> logged().contains("settings: version 41 in force from the start"));
     if (checkMs > 0) {
       write(42, config -> addFirst(config, "extra"));
       LoopbackCluster.await(() -> inForce() == 42);
     }
     write(43, config -> {});
-    String whole = Files.readString(file);
-    Files.writeString(file, whole.substring(0, whole.length() - 9));
+    String complete = Files.readString(file);
+    Files.writeString(file, complete.substring(0, complete.length() - 9));
     if (checkMs == 0) {
-      stage.agent.reload(file); // nobody looks otherwise, but then until it is whole
+      fixture.agent.reload(file); // nobody looks otherwise, but then until it is whole
     }
     awaitLogged("settings: refused: cannot read");
-    Files.writeString(file, whole);
+    Files.writeString(file, complete);
     LoopbackCluster.await(() -> inForce() == 43);
     assertEquals(400, status("extra"));
     long refused = logged().lines().filter(each -> each.contains("refused")).count();
     assertTrue(refused <= 2, "an unusable file is told of once: " + logged());
-    stage.hangUp();
-    stage.agent.stop(); // it would tell the next test that its file has gone
+    fixture.hangUp();
+    fixture.agent.stop(); // it would tell the next test that its file has gone
   }
 
   private Path pipe() throws Exception {
@@ -485,21 +485,21 @@
    */
   @Test
   void whatIsAskedForDuringAReadIsOneMoreReadAndTheLastWins() throws Exception {
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.start();
     Path pipe = pipe();
-    Thread reader = ScriptedPeer.daemon(() -> stage.agent.reload(pipe));
+    Thread reader = ScriptedPeer.daemon(() -> fixture.agent.reload(pipe));
     LoopbackCluster.await(
         () ->
             reader.getState() == Thread.State.RUNNABLE
                 && LoopbackCluster.inside(reader, "readAgain"));
     for (int version = 43; version <= 45; version++) {
       write(version, config -> addFirst(config, "extra"));
-      stage.agent.reload(file);
+      fixture.agent.reload(file);
     }
     assertEquals(41, inForce(), "requests are served while a read waits");
-    assertEquals(200, stage.call("lookup").status());
-    ObjectNode copy = stage.config.deepCopy();
+    assertEquals(200, fixture.call("lookup").status());
+    ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", 42);
     Files.writeString(pipe, copy.toString());
     reader.join();
@@ -518,14 +518,14 @@
 
   @Test
   void aBurstOfVersionsEndsAtTheLastEachWholeOrSkipped() throws Exception {
-    stage.server(SERVES);
-    stage.start();
+    fixture.server(SERVES);
+    fixture.start();
     for (int i = 0; i < 100; i++) {
       String name = "extra" + i;
       write(42 + i, config -> addFirst(config, name));
-      ScriptedPeer.daemon(() -> stage.agent.reload(file));
+      ScriptedPeer.daemon(() -> fixture.agent.reload(file));
     }
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     LoopbackCluster.await(() -> inForce() == 141);
     assertEquals(200, status("extra99"));
     assertEquals(400, status("extra98"));
@@ -540,13 +540,13 @@
 
   @Test
   void theEndDoesNotWaitForAReadThatIsUnderWay() throws Exception {
-    stage.start();
+    fixture.start();
     Path pipe = pipe();
-    Thread reader = ScriptedPeer.daemon(() -> stage.agent.reload(pipe));
+    Thread reader = ScriptedPeer.daemon(() -> fixture.agent.reload(pipe));
     LoopbackCluster.await(() -> LoopbackCluster.inside(reader, "readAgain"));
-    stage.hangUp();
-    stage.agent.stop();
-    ObjectNode copy = stage.config.deepCopy();
+    fixture.hangUp();
+    fixture.agent.stop();
+    ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", 42);
     Files.writeString(pipe, copy.toString());
     reader.join();
@@ -557,18 +557,18 @@
 
   @Test
   void theTallyNamesTheVersionAndThePageShowsTheLines() throws Exception {
-    RequestStatistics tally = new RequestStatistics();
-    tally.settings(new LiveSettings().told(AgentConfig.of(stage.config)));
-    tally.answered(RequestStatistics.Disposition.SERVED, 1);
-    String told = "settings 41 (taken 0, refused 0)";
-    assertTrue(tally.take(0, 0).get(0).endsWith("; " + told));
-    stage.start();
+    RequestStatistics statistics = new RequestStatistics();
+    statistics.settings(new LiveSettings().summary(AgentConfig.of(fixture.config)));
+    statistics.completed(RequestStatistics.Disposition.SERVED, 1);
+    String notified = "settings 41 (taken 0, refused 0)";
+    assertTrue(statistics.take(0, 0).get(0).endsWith("; " + notified));
+    fixture.start();
     take(42, config -> {});
     write(40, config -> {});
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     awaitLogged("settings: version 40 refused");
     String page = figures(Files.readString(Path.of("README.md")).replaceAll("\\s+", " "));
-    assertTrue(page.contains(figures(told)));
+    assertTrue(page.contains(figures(notified)));
     List<String> lines = logged().lines().filter(each -> each.startsWith("settings: ")).toList();
     assertEquals(3, lines.size());
     for (String line : lines) {
--- a/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
+++ b/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
@@ -39,7 +39,7 @@
   /**
    * What discovery answers to the calls after the first, one each; it waits while there is none.
    */
-  final BlockingQueue<ScriptedPeer.Script> news = new LinkedBlockingQueue<>();
+  final BlockingQueue<ScriptedPeer.Script> update = new LinkedBlockingQueue<>();
 
   final ScriptedPeer discovery;
   Agent agent;
@@ -53,7 +53,7 @@
         new ScriptedPeer(
             (message, socket) -> {
               if (message.target().contains("since")) {
-                news.take().handle(message, socket);
+                update.take().handle(message, socket);
               } else {
                 ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
               }
--- a/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
@@ -25,29 +25,29 @@
 /** A new configuration under way, over loopback sockets. */
 class ReloadTest {
   @TempDir private Path dir;
-  private LoopbackCluster stage;
+  private LoopbackCluster fixture;
   private Path file;
 
   @BeforeEach
   void set() throws IOException {
-    stage = new LoopbackCluster();
+    fixture = new LoopbackCluster();
     file = dir.resolve("config.json");
   }
 
   @AfterEach
   void strike() throws IOException {
-    stage.close();
+    fixture.close();
   }
 
   /** The file as it is, but with discovery elsewhere. */
   private void write(String discovery) throws IOException {
-    ObjectNode copy = stage.config.deepCopy();
+    ObjectNode copy = fixture.config.deepCopy();
     Files.writeString(file, copy.put("discovery", discovery).toString());
   }
 
   /** Another discovery that lists this one server and then has no news; it notes the calls. */
   private ScriptedPeer discoveryOf(ScriptedPeer server) throws IOException {
-    return stage.peer(
+    return fixture.peer(
         (message, socket) -> {
           if (!message.target().contains("since")) {
             ScriptedPeer.answer(
@@ -61,7 +61,7 @@
         });
   }
 
-  private static List<String> asked(ScriptedPeer discovery) {
+  private static List<String> requested(ScriptedPeer discovery) {
     return discovery.requests.stream().map(ScriptedPeer.Message::target).toList();
   }
 
@@ -69,49 +69,50 @@
   void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     ScriptedPeer old =
-        stage.server(
+        fixture.server(
             (message, socket) -> {
               go.await();
               ScriptedPeer.answer(socket, 200, "", "old");
             });
     ScriptedPeer fresh =
-        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
     ScriptedPeer other = discoveryOf(fresh);
-    stage.start();
-    Socket held = stage.dial();
-    ScriptedPeer.write(held, stage.request("order", 8000, "body"));
+    fixture.start();
+    Socket queued = fixture.dial();
+    ScriptedPeer.write(queued, fixture.request("order", 8000, "body"));
     LoopbackCluster.await(() -> old.requests.size() == 1);
     write(other.address());
     for (int i = 0; i < 5; i++) { // several in a row do no more than one
-      stage.agent.reload(file);
+      fixture.agent.reload(file);
     }
-    LoopbackCluster.await(() -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
-    assertEquals("/v1/servers", asked(other).get(0));
-    assertEquals(1, asked(other).stream().filter(each -> each.equals("/v1/servers")).count());
+    LoopbackCluster.await(
+        () -> requested(other).stream().anyMatch(each -> each.contains("since=1&")));
+    assertEquals("/v1/servers", requested(other).get(0));
+    assertEquals(1, requested(other).stream().filter(each -> each.equals("/v1/servers")).count());
     for (int i = 0; i < 5; i++) {
-      assertEquals("new", stage.call("order").text(), "the new list is the whole list");
+      assertEquals("new", fixture.call("order").text(), "the new list is the whole list");
     }
     go.countDown();
-    assertEquals("old", ScriptedPeer.read(held.getInputStream()).text());
+    assertEquals("old", ScriptedPeer.read(queued.getInputStream()).text());
   }
 
   /** Guards against an agent without servers while the new discovery is not up yet. */
   @Test
   void theOldListStaysUntilTheNewOneComes() throws Exception {
-    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
     ScriptedPeer fresh =
-        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
     ScriptedPeer up = discoveryOf(fresh);
-    ScriptedPeer down = stage.peer((message, socket) -> ScriptedPeer.reset(socket));
-    stage.start();
+    ScriptedPeer down = fixture.peer((message, socket) -> ScriptedPeer.reset(socket));
+    fixture.start();
     write(down.address());
-    stage.agent.reload(file);
+    fixture.agent.reload(file);
     LoopbackCluster.await(() -> down.requests.size() >= 2);
-    assertEquals("old", stage.call("lookup").text());
+    assertEquals("old", fixture.call("lookup").text());
     write(up.address());
-    stage.agent.reload(file);
-    LoopbackCluster.await(() -> asked(up).stream().anyMatch(each -> each.contains("since=1&")));
-    assertEquals("new", stage.call("lookup").text());
+    fixture.agent.reload(file);
+    LoopbackCluster.await(() -> requested(up).stream().anyMatch(each -> each.contains("since=1&")));
+    assertEquals("new", fixture.call("lookup").text());
   }
 
   /**
@@ -120,17 +121,17 @@
    */
   @Test
   void callsThatFailAfterAMoveAreMadeAgainWithoutTheWaitOfOthers() throws Exception {
-    ((ObjectNode) stage.config.get("settings")).put("discovery", "subscribe");
-    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
+    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
     ScriptedPeer fresh =
-        stage.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
     ScriptedPeer busy =
-        stage.peer(
+        fixture.peer(
             (message, socket) -> {
               if (message.target().contains("since")) {
                 return;
               }
-              if (asked(stage.peers.get(1)).size() <= 3) {
+              if (requested(fixture.peers.get(1)).size() <= 3) {
                 ScriptedPeer.answer(socket, 503, "", "");
               } else {
                 ScriptedPeer.answer(
@@ -143,34 +144,35 @@
               }
             });
     AtomicInteger waits = new AtomicInteger();
-    stage.start(
-        stage.overheard(
+    fixture.start(
+        fixture.overheard(
             (event, details) -> {
               if (event.equals("servers") && details[1] == LoadBalancer.ListKind.FAILED) {
                 waits.incrementAndGet();
               }
             }));
     write(busy.address());
-    stage.agent.reload(file);
-    LoopbackCluster.await(() -> asked(busy).stream().anyMatch(each -> each.contains("since=1&")));
+    fixture.agent.reload(file);
+    LoopbackCluster.await(
+        () -> requested(busy).stream().anyMatch(each -> each.contains("since=1&")));
     assertEquals(0, waits.get());
-    assertEquals("new", stage.call("lookup").text());
+    assertEquals("new", fixture.call("lookup").text());
   }
 
   @Test
   void anUnusableFileChangesNothing() throws Exception {
-    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
-    stage.start();
+    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    fixture.start();
     for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
       Files.writeString(file, text);
-      stage.agent.reload(file);
+      fixture.agent.reload(file);
     }
-    stage.agent.reload(dir.resolve("missing"));
-    int before = stage.discovery.requests.size();
-    stage.news.add(
+    fixture.agent.reload(dir.resolve("missing"));
+    int before = fixture.discovery.requests.size();
+    fixture.update.add(
         LoopbackCluster.delta(1, LoopbackCluster.endpoint(2, "127.0.0.1:9", "Terminating")));
-    LoopbackCluster.await(() -> stage.discovery.requests.size() > before);
-    assertEquals("old", stage.call("lookup").text());
+    LoopbackCluster.await(() -> fixture.discovery.requests.size() > before);
+    assertEquals("old", fixture.call("lookup").text());
   }
 
   /**
@@ -180,17 +182,17 @@
   @Test
   void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
     ScriptedPeer old =
-        stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
     ScriptedPeer other = discoveryOf(old);
-    write(stage.discovery.address());
+    write(fixture.discovery.address());
     Process process = program("-Xmx48m");
     try {
       LoopbackCluster.await(
-          () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+          () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
       write(other.address());
       signal(process, "HUP");
       LoopbackCluster.await(
-          () -> asked(other).stream().anyMatch(each -> each.contains("since=1&")));
+          () -> requested(other).stream().anyMatch(each -> each.contains("since=1&")));
       assertTrue(process.isAlive());
       signal(process, "TERM");
       for (int i = 0; i < 3; i++) {
@@ -210,13 +212,13 @@
    */
   @Test
   void aStartThatIgnoresSighupSaysSo() throws Exception {
-    write(stage.discovery.address());
+    write(fixture.discovery.address());
     ProcessBuilder program = builder("-Xmx48m");
     program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
     Process process = program.start();
     try {
       LoopbackCluster.await(
-          () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+          () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
       signal(process, "TERM");
       assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       assertTrue(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
@@ -232,12 +234,12 @@
    */
   @Test
   void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
-    stage.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
-    write(stage.discovery.address());
+    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
+    write(fixture.discovery.address());
     Process process = program("-Xlog:class+load");
     try {
       LoopbackCluster.await(
-          () -> asked(stage.discovery).stream().anyMatch(each -> each.contains("since")));
+          () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
       signal(process, "TERM");
       assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       String loaded = Files.readString(dir.resolve("log"));
--- a/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
@@ -10,47 +10,47 @@
 
 /** What the agent counts for those on call. */
 class RequestStatisticsTest {
-  private final RequestStatistics tally = new RequestStatistics();
+  private final RequestStatistics statistics = new RequestStatistics();
 
   @Test
   void aPeriodIsToldOnceWithOneUnservedRequest() {
-    tally.dialled();
-    tally.waited(4_000);
-    tally.ended(Outcome.RESET);
-    tally.broke(true, false);
-    tally.ended(Outcome.OK);
-    tally.answered(RequestStatistics.Disposition.SERVED, 2);
-    tally.answered(RequestStatistics.Disposition.REFUSED, 0);
-    assertTrue(tally.wantsUnserved());
-    tally.unserved("a1", "lookup", "refused", 51_000, 424, List.of());
-    assertFalse(tally.wantsUnserved(), "one a period");
+    statistics.connectionsDialled();
+    statistics.waited(4_000);
+    statistics.ended(Outcome.RESET);
+    statistics.connectionReset(true, false);
+    statistics.ended(Outcome.OK);
+    statistics.completed(RequestStatistics.Disposition.SERVED, 2);
+    statistics.completed(RequestStatistics.Disposition.REFUSED, 0);
+    assertTrue(statistics.wantsUnserved());
+    statistics.unserved("a1", "lookup", "refused", 51_000, 424, List.of());
+    assertFalse(statistics.wantsUnserved(), "one a period");
     assertEquals(
         List.of(
             "tally: served 1 refused 1 failed 0 left 0 (unsent 1), open 3; attempts: ok 1 reset 1 "
                 + "(of the resets on kept connections 1, at once 0); waited 2 ms, most 4; dialled 1, connections 2",
             "unserved: a1 lookup refused after 51 of 424 ms, attempts: none"),
-        tally.take(3, 2));
-    assertEquals(List.of(), tally.take(0, 0), "nothing has happened since");
+        statistics.take(3, 2));
+    assertEquals(List.of(), statistics.take(0, 0), "nothing has happened since");
   }
 
   @Test
   void theAttemptsOfAnUnservedRequestAreTold() {
-    tally.answered(RequestStatistics.Disposition.FAILED, 2);
-    tally.unserved(
+    statistics.completed(RequestStatistics.Disposition.FAILED, 2);
+    statistics.unserved(
         "b2", "pay", "failed", 9_000, 100, List.of("s-1 reset after 1 ms", "s-2 out after 2 ms"));
     assertEquals(
         "unserved: b2 pay failed after 9 of 100 ms, attempts: s-1 reset after 1 ms; s-2 out after 2 ms",
-        tally.take(0, 0).get(1));
+        statistics.take(0, 0).get(1));
   }
 
   /** Failed before: each request that the guard answered had a line of its own. */
   @Test
   void whatTheGuardAnsweredIsCountedOnTheSameLine() {
     for (int i = 0; i < 30; i++) {
-      tally.answered(RequestStatistics.Disposition.FAILED, 0);
-      tally.givenUp();
+      statistics.completed(RequestStatistics.Disposition.FAILED, 0);
+      statistics.givenUp();
     }
-    List<String> lines = tally.take(0, 0);
+    List<String> lines = statistics.take(0, 0);
     assertEquals(1, lines.size());
     assertTrue(lines.get(0).endsWith("; given up by the guard 30"), lines.get(0));
   }
@@ -62,16 +62,16 @@
   @Test
   void spoiltAnswersAreToldByReasonAndOnlySoMany() {
     for (int i = 0; i < 10; i++) {
-      tally.ended(Outcome.RESET);
-      tally.spoilt("reason " + i / 2);
+      statistics.ended(Outcome.RESET);
+      statistics.malformed("reason " + i / 2);
     }
-    String line = tally.take(0, 0).get(0);
+    String line = statistics.take(0, 0).get(0);
     assertTrue(
         line.contains(
             "reset 10 (of the resets on kept connections 0, at once 0, for spoilt answers 10 "
                 + "{other=2, reason 0=2, reason 1=2, reason 2=2, reason 3=2})"),
         line);
-    tally.ended(Outcome.RESET);
-    assertFalse(tally.take(0, 0).get(0).contains("spoilt"));
+    statistics.ended(Outcome.RESET);
+    assertFalse(statistics.take(0, 0).get(0).contains("spoilt"));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
@@ -58,16 +58,18 @@
           served.get(Outcome.SERVED), served.values().stream().mapToLong(each -> each).sum());
       assertEquals(served.get(Outcome.SERVED), backend.counts().calls());
 
-      backend.set(Mode.DRAINS);
+      backend.set(Mode.DRAINING);
       var refused = load(backend.address(), 5, KINDS);
       assertEquals(refused.get(Outcome.REFUSED), backend.counts().turnedAway());
       assertEquals(0, refused.get(Outcome.SERVED));
 
       backend.set(Mode.HANGS);
-      var silent = load(backend.address(), 5, List.of(new Kind("lookup", Semantics.SAFE, 1, 20)));
-      assertTrue(silent.get(Outcome.TIMED_OUT) >= 5, silent::toString);
+      var unresponsive =
+          load(backend.address(), 5, List.of(new Kind("lookup", Semantics.SAFE, 1, 20)));
+      assertTrue(unresponsive.get(Outcome.TIMED_OUT) >= 5, unresponsive::toString);
       assertEquals(
-          silent.get(Outcome.TIMED_OUT), silent.values().stream().mapToLong(each -> each).sum());
+          unresponsive.get(Outcome.TIMED_OUT),
+          unresponsive.values().stream().mapToLong(each -> each).sum());
     }
     var unreached = load(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), 3, KINDS);
     assertTrue(unreached.get(Outcome.UNREACHED) >= 3, unreached::toString);
--- a/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
@@ -49,8 +49,8 @@
     return new ServerEntry(name, "127.0.0.1:3000", "a", "small", 0, status, 1, 0);
   }
 
-  private void assertTold(String told, String query) {
-    assertEquals(told, told(ask(query).join()));
+  private void assertTold(String notified, String query) {
+    assertEquals(notified, notified(ask(query).join()));
   }
 
   private CompletableFuture<JsonNode> ask(String query) {
@@ -58,21 +58,22 @@
         URI.create("http://127.0.0.1:" + discovery.address().getPort() + "/v1/servers" + query);
     return client
         .sendAsync(HttpRequest.newBuilder(at).build(), BodyHandlers.ofString())
-        .thenApply(answer -> Json.read(answer.body()));
+        .thenApply(response -> Json.read(response.body()));
   }
 
-  private static String told(JsonNode list) {
-    StringBuilder told =
+  private static String notified(JsonNode list) {
+    StringBuilder notified =
         new StringBuilder(list.get("index").asText())
             .append(list.get("snapshot").asBoolean() ? " whole" : " changes");
     list.get("endpoints")
         .forEach(
             each ->
-                told.append(' ')
+                notified
+                    .append(' ')
                     .append(each.get("name").asText())
                     .append('=')
                     .append(each.get("status").asText()));
-    return told.toString();
+    return notified.toString();
   }
 
   @Test
@@ -96,7 +97,7 @@
     var watch = ask("?since=7&timeout_ms=60000");
     assertEquals(7, has.take());
     assertEquals(8, discovery.change(List.of(entry("a", Status.READY), entry("b", Status.READY))));
-    assertEquals("8 changes a=Ready b=Ready", told(watch.join()));
+    assertEquals("8 changes a=Ready b=Ready", notified(watch.join()));
     ask("?since=8&timeout_ms=1").join();
     assertEquals(8, has.take());
     var counts = discovery.counts();
@@ -138,7 +139,7 @@
       String call = "GET /v1/servers?since=7&timeout_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n";
       watch.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
       has.take();
-      discovery.cutOff();
+      discovery.disconnect();
       discovery.change(List.of(entry("a", Status.READY)));
       discovery.reachable();
       assertThrows(
@@ -175,10 +176,10 @@
     List<String> did = new ArrayList<>();
     EmbeddedChannel host = new EmbeddedChannel();
     host.freezeTime();
-    AnswerQueue queue = new AnswerQueue(host.eventLoop(), 3, 25, () -> now[0]);
+    DelayedResponseQueue queue = new DelayedResponseQueue(host.eventLoop(), 3, 25, () -> now[0]);
     for (String name : List.of("a", "b", "c", "d")) {
       queue.add(
-          new AnswerQueue.Call() {
+          new DelayedResponseQueue.Call() {
             @Override
             public long costNanos() {
               return 20;
--- a/src/test/java/slateslip/loadbalancer/scale/DrainWatchTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DrainMonitorTest.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class DrainWatchTest {
+class DrainMonitorTest {
   private final Map<String, Long> sends = new HashMap<>(Map.of("a", 10L, "b", 20L));
-  private final DrainWatch watch = new DrainWatch(500, sends::get);
+  private final DrainMonitor watch = new DrainMonitor(500, sends::get);
 
   @Test
   void whatComesAfterTheGraceIsLateUntilTheServerIsBack() {
-    watch.leaves("a", 7);
+    watch.drainStartedAt("a", 7);
     assertEquals(7, watch.waitsFor());
-    watch.told(7, 1_000);
+    watch.notified(7, 1_000);
     assertEquals(0, watch.waitsFor());
     sends.put("a", 13L);
     watch.pass(1_500); // the grace has just passed and no more
@@ -23,7 +23,7 @@
     assertEquals(0, watch.late());
     sends.put("a", 16L);
     assertEquals(2, watch.late());
-    watch.leaves("a", 8); // it has gone meanwhile: the grace counts from the first telling
+    watch.drainStartedAt("a", 8); // it has gone meanwhile: the grace counts from the first telling
     watch.returns("a");
     sends.put("a", 99L);
     assertEquals(2, watch.late());
@@ -32,9 +32,9 @@
 
   @Test
   void whatWasNotToldToAllIsNotJudged() {
-    watch.leaves("a", 7);
-    watch.leaves("b", 9);
-    watch.told(8, 1_000);
+    watch.drainStartedAt("a", 7);
+    watch.drainStartedAt("b", 9);
+    watch.notified(8, 1_000);
     watch.pass(5_000);
     sends.put("b", 30L);
     watch.returns("b");
--- a/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
@@ -20,11 +20,11 @@
 
 /** One hollow agent on a clock that only the test moves. */
 class HollowAgentTest {
-  private static final long ANSWER_MICROS = 3_000;
+  private static final long RESPONSE_MICROS = 3_000;
   private static final int LOOKUP = 0;
 
   private final EmbeddedChannel clock = new EmbeddedChannel();
-  private final ServerTruth truth = new ServerTruth();
+  private final ServerGroundTruth truth = new ServerGroundTruth();
   private final List<Long> applied = new ArrayList<>();
   private long micros = 1_000_000;
   private final HollowAgent agent =
@@ -32,7 +32,7 @@
           clock.eventLoop(),
           AgentConfig.read(Path.of("src/test/resources/config.json")),
           truth,
-          new HollowLoad(0, ANSWER_MICROS, 0),
+          new HollowLoad(0, RESPONSE_MICROS, 0),
           () -> micros,
           applied::add);
 
@@ -68,34 +68,34 @@
   @Test
   void aSendThatItWasNotToldToStopIsCountedByTheTruth() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
-    truth.leaves(1, micros, false);
+    truth.drainStartedAt(1, micros, false);
     pass(6_400_000); // the limit for telling, and less than the grace
     agent.request(LOOKUP);
     assertEquals(0, agent.counts().lateAfterMade);
     pass(200_000);
     agent.request(LOOKUP);
     assertEquals(1, agent.counts().lateAfterMade);
-    assertEquals(0, agent.counts().lateAfterTold);
+    assertEquals(0, agent.counts().lateAfterNotified);
   }
 
   @Test
   void nothingIsSentToAServerThatDrains() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
     agent.list(ListKind.DELTA, List.of(server(1, Phase.DRAINING)));
-    truth.leaves(1, micros, true);
+    truth.drainStartedAt(1, micros, true);
     pass(7_000_000);
     for (int i = 0; i < 100; i++) {
       agent.request(LOOKUP);
       pass(5_000);
     }
     assertEquals(100, agent.counts().served);
-    assertEquals(0, agent.counts().lateAfterTold + agent.counts().lateAfterMade);
+    assertEquals(0, agent.counts().lateAfterNotified + agent.counts().lateAfterMade);
   }
 
   @Test
   void aRequestThatNobodyListensForIsAnsweredAndNotLost() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
-    truth.leaves(1, micros, true);
+    truth.drainStartedAt(1, micros, true);
     agent.request(LOOKUP);
     pass(9_000_000);
     HollowCounts counts = agent.counts();
--- a/src/test/java/slateslip/loadbalancer/scale/SpreadTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/SpreadTest.java
@@ -21,6 +21,6 @@
     spread.has("d", 2, 11 * MILLI);
     assertEquals(new Spread.Times(4, 4, 4, 8, 8), spread.of(2, 3 * MILLI));
     spread.forgetBefore(3);
-    assertEquals(4, spread.held());
+    assertEquals(4, spread.pending());
   }
 }
--- a/src/test/java/slateslip/protocol/coordination/ReplicaMessageCodecTest.java
+++ b/src/test/java/slateslip/protocol/coordination/ReplicaMessageCodecTest.java
@@ -107,8 +107,8 @@
   void whatIsCutOffIsMalformed() {
     for (byte[] bytes : allEncoded()) {
       for (int length = 0; length < bytes.length; length++) {
-        byte[] cut = Arrays.copyOf(bytes, length);
-        assertThat(ReplicaMessageCodec.decode(cut), instanceOf(Decoded.Malformed.class));
+        byte[] truncated = Arrays.copyOf(bytes, length);
+        assertThat(ReplicaMessageCodec.decode(truncated), instanceOf(Decoded.Malformed.class));
       }
     }
   }
--- a/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
@@ -21,7 +21,7 @@
 
 /** This version and a later one, with fields and data added, read each other. */
 final class SchemaVersionsTest {
-  private static final long NOTE = 77;
+  private static final long ADDED_VALUE = 77;
 
   private final ExpandableArrayBuffer buffer = new ExpandableArrayBuffer();
 
@@ -36,8 +36,8 @@
         new ViewBlockEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     view.epoch(7).primary().ipv4(5).diskId(6);
     ViewBlockEncoder.MembersEncoder members = view.membersCount(2);
-    members.next().sinceEpoch(3).addedNote(NOTE).node().ipv4(5).diskId(6);
-    members.next().sinceEpoch(4).addedNote(NOTE).node().ipv4(8).diskId(9);
+    members.next().sinceEpoch(3).addedNote(ADDED_VALUE).node().ipv4(5).diskId(6);
+    members.next().sinceEpoch(4).addedNote(ADDED_VALUE).node().ipv4(8).diskId(9);
     view.witnessesCount(1).next().node().ipv4(5).diskId(6);
     return copy(view.limit());
   }
@@ -49,7 +49,7 @@
         new HeartbeatEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder.sender().ipv4(5).diskId(6);
     encoder.term().epoch(7).incarnation(2);
-    encoder.round(11).committedSequence(12).active(Flag.YES).addedNote(NOTE);
+    encoder.round(11).committedSequence(12).active(Flag.YES).addedNote(ADDED_VALUE);
     encoder.putView(view, 0, view.length);
     ReplicaMessage.Heartbeat heartbeat =
         (ReplicaMessage.Heartbeat) ReplicaMessageCodecTest.decoded(copy(encoder.limit()));
@@ -63,7 +63,7 @@
   void aLaterRecordOnDiskIsRead() {
     EntryRecordEncoder encoder =
         new EntryRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
-    encoder.sequence(3).committedSequence(2).addedNote(NOTE);
+    encoder.sequence(3).committedSequence(2).addedNote(ADDED_VALUE);
     encoder.putRecord(new byte[] {1, 2}, 0, 2);
     Decoded<DurableRecord> decoded = DurableRecordCodec.decode(copy(encoder.limit()));
     assertThat(decoded, instanceOf(Decoded.Message.class));
--- a/src/test/java/slateslip/routing/Fixtures.java
+++ b/src/test/java/slateslip/routing/Fixtures.java
@@ -10,20 +10,20 @@
 import slateslip.configuration.Service;
 import slateslip.configuration.Tenant;
 import slateslip.distribution.BackendSession;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 /** Configurations, backends and requests for tests of routing. */
 public final class Fixtures {
   static final String HOST = "a.example";
   static final String KEY = "key-1";
   static final String MODEL_SERVICE = "model";
-  static final String LEDGER_SERVICE = "ledger";
+  static final String LOG_SERVICE = "ledger";
 
   /** A service as the small deployments have it. */
   public static final Service MODEL =
       new Service(MODEL_SERVICE, "/health", 360, new Service.Engine(64, 577_468, 5));
 
-  public static final Service LEDGER = new Service(LEDGER_SERVICE, "/health", 96, null);
+  public static final Service LOG = new Service(LOG_SERVICE, "/health", 96, null);
 
   static final Tenant TENANT = new Tenant("t", List.of(KEY), 1, true, 200, 0, 0);
 
@@ -50,11 +50,7 @@
   static RoutingTable table(long version, Tenant tenant, Route... routes) {
     return new RoutingTable(
         new FleetConfiguration(
-            version,
-            List.of(routes),
-            List.of(MODEL, LEDGER),
-            IngressLimits.DEFAULT,
-            List.of(tenant)));
+            version, List.of(routes), List.of(MODEL, LOG), IngressLimits.DEFAULT, List.of(tenant)));
   }
 
   /**
@@ -66,8 +62,8 @@
         TENANT,
         route("/s/", RouteKind.STREAMING, MODEL_SERVICE, 2, true),
         route("/n/", RouteKind.STREAMING, MODEL_SERVICE, 1, false),
-        route("/w/", RouteKind.NON_IDEMPOTENT, LEDGER_SERVICE, 2, false),
-        route("/i/", RouteKind.IDEMPOTENT, LEDGER_SERVICE, 2, false));
+        route("/w/", RouteKind.NON_IDEMPOTENT, LOG_SERVICE, 2, false),
+        route("/i/", RouteKind.IDEMPOTENT, LOG_SERVICE, 2, false));
   }
 
   /** A registered backend. */
@@ -88,13 +84,13 @@
         session.sequence() + 1);
   }
 
-  static RequestFacts facts(String path) {
-    return facts(path, KEY, List.of());
+  static RequestAttributes attributes(String path) {
+    return attributes(path, KEY, List.of());
   }
 
-  static RequestFacts facts(String path, String key, List<PromptPart> prompt) {
+  static RequestAttributes attributes(String path, String key, List<PromptPart> prompt) {
     long tokens = prompt.stream().mapToLong(PromptPart::tokens).sum();
-    return new RequestFacts(
+    return new RequestAttributes(
         "id", HOST, path, key, 8_000, prompt.isEmpty() ? -1 : tokens, 100, prompt, -1, "m", 800);
   }
 }
--- a/src/test/java/slateslip/routing/RandomHost.java
+++ b/src/test/java/slateslip/routing/RandomHost.java
@@ -61,10 +61,10 @@
     router = new FleetRouter("z0", seed);
     for (int i = 0; i < 6; i++) {
       add(Fixtures.backend("m" + i, Fixtures.MODEL_SERVICE, "z" + i % 3));
-      add(Fixtures.backend("l" + i, Fixtures.LEDGER_SERVICE, "z" + i % 3));
+      add(Fixtures.backend("l" + i, Fixtures.LOG_SERVICE, "z" + i % 3));
     }
     feed(new RouterInput.TableChanged(table));
-    feed(new RouterInput.SharesChanged(new QuotaAllocation(agents, List.of())));
+    feed(new RouterInput.QuotaAllocationChanged(new QuotaAllocation(agents, List.of())));
     tellBackends();
   }
 
@@ -130,13 +130,13 @@
     requests.put(id, seen);
     String service = seen.route.targets().get(0).service();
     firstArrivals.computeIfAbsent(service, name -> new ArrayList<>()).add(now);
-    List<RequestFacts.PromptPart> prompt =
+    List<RequestAttributes.PromptPart> prompt =
         path.startsWith("/s/")
             ? List.of(
-                new RequestFacts.PromptPart(random.nextInt(20), 10_000),
-                new RequestFacts.PromptPart(1_000 + id, 3_000))
+                new RequestAttributes.PromptPart(random.nextInt(20), 10_000),
+                new RequestAttributes.PromptPart(1_000 + id, 3_000))
             : List.of();
-    feed(new RouterInput.RequestArrived(id, Fixtures.facts(path, Fixtures.KEY, prompt)));
+    feed(new RouterInput.RequestArrived(id, Fixtures.attributes(path, Fixtures.KEY, prompt)));
     if (random.nextInt(50) == 0) {
       schedule(random.nextInt(300_000), new RouterInput.ClientGone(id));
     }
@@ -184,12 +184,12 @@
   private void carryOut(RouterOutput output) {
     if (output instanceof RouterOutput.SendAttempt send) {
       sendAttempt(send);
-    } else if (output instanceof RouterOutput.Answer answer) {
-      answer(answer);
+    } else if (output instanceof RouterOutput.Respond response) {
+      answer(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       finalAnswer(relay.request(), requests.get(relay.request()));
-    } else if (output instanceof RouterOutput.Break cut) {
-      finalAnswer(cut.request(), requests.get(cut.request()));
+    } else if (output instanceof RouterOutput.AbortConnection truncated) {
+      finalAnswer(truncated.request(), requests.get(truncated.request()));
     } else if (output instanceof RouterOutput.CancelAttempt cancel) {
       schedule(0, ended(cancel.request(), cancel.attempt(), Kind.CANCELLED));
     } else if (output instanceof RouterOutput.Probe probe) {
@@ -227,13 +227,13 @@
     if (drawn < 85) {
       return Kind.SUCCESS;
     }
-    return List.of(Kind.ERROR_ANSWER, Kind.NOT_EXECUTED, Kind.NOT_SENT, Kind.BROKEN, Kind.TIMEOUT)
+    return List.of(Kind.ERROR_RESPONSE, Kind.NOT_EXECUTED, Kind.NOT_SENT, Kind.BROKEN, Kind.TIMEOUT)
         .get(drawn % 5);
   }
 
   private void play(RouterOutput.SendAttempt send, Kind kind) {
     long first = 20_000L + random.nextInt(300_000);
-    long whole = first + random.nextInt(900_000);
+    long complete = first + random.nextInt(900_000);
     boolean starts = kind == Kind.SUCCESS || (kind == Kind.BROKEN && random.nextBoolean());
     switch (kind) {
       case NOT_SENT, NOT_EXECUTED, OTHER_INSTANCE ->
@@ -243,7 +243,7 @@
         if (starts) {
           schedule(first, new RouterInput.AttemptStarted(send.request(), send.attempt(), null));
         }
-        schedule(whole, ended(send.request(), send.attempt(), kind));
+        schedule(complete, ended(send.request(), send.attempt(), kind));
       }
     }
   }
@@ -258,32 +258,32 @@
     }
   }
 
-  private void answer(RouterOutput.Answer answer) {
-    Seen seen = requests.get(answer.request());
-    statuses.add(answer.status());
-    boolean promise = answer.status() == 503 || answer.status() == 429;
+  private void answer(RouterOutput.Respond response) {
+    Seen seen = requests.get(response.request());
+    statuses.add(response.status());
+    boolean promise = response.status() == 503 || response.status() == 429;
     boolean once = seen.route.kind() != RouteKind.IDEMPOTENT && !seen.route.resumable();
     if (promise && once) {
       assertThat("promised after it may have run", seen.mayHaveRun, is(false));
       assertThat("promised while it is out", seen.out.size(), is(0));
     }
     if (promise) {
-      assertThat("a promise says when to come back", answer.retryAfterMicros() > 0, is(true));
+      assertThat("a promise says when to come back", response.retryAfterMicros() > 0, is(true));
     }
     assertThat("answered after its answer began", seen.started, is(false));
-    finalAnswer(answer.request(), seen);
+    finalAnswer(response.request(), seen);
   }
 
   private void finalAnswer(long id, Seen seen) {
     assertThat("nothing is owed to a client that left", seen.clientGone, is(false));
     seen.finals++;
     assertThat("final answers of request " + id, seen.finals, is(1));
-    long held = now - seen.arrivedMicros;
-    assertThat("held past the time-out", held, lessThanOrEqualTo(8 * SECOND + 50_000));
+    long queued = now - seen.arrivedMicros;
+    assertThat("held past the time-out", queued, lessThanOrEqualTo(8 * SECOND + 50_000));
   }
 
   private static RouterInput ended(long request, int attempt, Kind kind) {
-    int status = kind == Kind.SUCCESS ? 200 : kind == Kind.ERROR_ANSWER ? 500 : 0;
+    int status = kind == Kind.SUCCESS ? 200 : kind == Kind.ERROR_RESPONSE ? 500 : 0;
     return new RouterInput.AttemptEnded(
         request, attempt, new AttemptOutcome(kind, status), null, -1);
   }
--- a/src/test/java/slateslip/routing/RandomScheduleTest.java
+++ b/src/test/java/slateslip/routing/RandomScheduleTest.java
@@ -64,10 +64,8 @@
       hosts.add(host);
     }
     assertThat(RandomHost.worstBeyondBudget(hosts, Fixtures.MODEL_SERVICE), lessThanOrEqualTo(0.0));
-    assertThat(
-        RandomHost.worstBeyondBudget(hosts, Fixtures.LEDGER_SERVICE), lessThanOrEqualTo(0.0));
-    int sent =
-        hosts.stream().mapToInt(host -> host.retries.get(Fixtures.LEDGER_SERVICE).size()).sum();
+    assertThat(RandomHost.worstBeyondBudget(hosts, Fixtures.LOG_SERVICE), lessThanOrEqualTo(0.0));
+    int sent = hosts.stream().mapToInt(host -> host.retries.get(Fixtures.LOG_SERVICE).size()).sum();
     assertThat("the budget is used", sent, greaterThan(100));
   }
 }
--- a/src/test/java/slateslip/routing/health/BackendWatchTest.java
+++ b/src/test/java/slateslip/routing/health/BackendHealthMonitorTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import slateslip.loadbalancer.policy.BackendHealth;
 
-class BackendWatchTest {
+class BackendHealthMonitorTest {
   private static final long MILLI = 1_000;
   private static final long SECOND = 1_000 * MILLI;
   private static final List<BackendHealth> NO_PEERS = List.of();
 
-  private final BackendWatch watch = new BackendWatch(0);
+  private final BackendHealthMonitor watch = new BackendHealthMonitor(0);
 
   @Test
   void oneFailedConnectionRaisesSuspicionAndOneProbeEndsIt() {
@@ -27,13 +27,13 @@
 
   @Test
   void oneBrokenAnswerIsNoReasonButTwoInARowAre() {
-    watch.broke(SECOND, NO_PEERS);
+    watch.requestBroken(SECOND, NO_PEERS);
     assertThat(watch.trusted(SECOND), is(true));
     assertThat("but it is probed", watch.probeDue(SECOND), is(true));
-    watch.answered(SECOND + MILLI);
-    watch.broke(SECOND + 2 * MILLI, NO_PEERS);
+    watch.requestSucceeded(SECOND + MILLI);
+    watch.requestBroken(SECOND + 2 * MILLI, NO_PEERS);
     assertThat(watch.trusted(SECOND + 2 * MILLI), is(true));
-    watch.broke(SECOND + 3 * MILLI, NO_PEERS);
+    watch.requestBroken(SECOND + 3 * MILLI, NO_PEERS);
     assertThat(watch.trusted(SECOND + 3 * MILLI), is(false));
   }
 
@@ -54,7 +54,7 @@
   void probesThatTimeOutAtABusyBackendProveNothing() {
     for (int i = 1; i <= 5; i++) {
       watch.probeSent(i * SECOND);
-      watch.answered(i * SECOND + MILLI);
+      watch.requestSucceeded(i * SECOND + MILLI);
       watch.probeTimedOut();
     }
     assertThat(watch.trusted(6 * SECOND), is(true));
@@ -73,25 +73,27 @@
   void aProbeTurnedAwayShowsThatItLives() {
     watch.connectFailed(SECOND, NO_PEERS);
     watch.probeSent(SECOND);
-    watch.probeTurnedAway(SECOND + MILLI);
+    watch.probeRejected(SECOND + MILLI);
     assertThat(watch.trusted(SECOND + MILLI), is(true));
   }
 
   @Test
   void aProbeWithoutReplyRaisesSuspicionBeforeItTimesOut() {
-    watch.doubt();
+    watch.requestProbe();
     assertThat(watch.probeDue(SECOND), is(true));
     watch.probeSent(SECOND);
-    assertThat(watch.checkSilence(SECOND + BackendWatch.PROBE_SILENT_MICROS - 1), is(false));
-    assertThat(watch.checkSilence(SECOND + BackendWatch.PROBE_SILENT_MICROS), is(true));
+    assertThat(
+        watch.checkProbeTimeout(SECOND + BackendHealthMonitor.PROBE_SUSPECT_MICROS - 1), is(false));
+    assertThat(
+        watch.checkProbeTimeout(SECOND + BackendHealthMonitor.PROBE_SUSPECT_MICROS), is(true));
     assertThat(watch.trusted(2 * SECOND), is(false));
   }
 
   @Test
   void trafficSparesProbes() {
-    watch.answered(7 * SECOND);
+    watch.requestSucceeded(7 * SECOND);
     assertThat(watch.probeDue(8 * SECOND), is(false));
-    assertThat(watch.probeDue(7 * SECOND + BackendWatch.IDLE_PROBE_MICROS), is(true));
+    assertThat(watch.probeDue(7 * SECOND + BackendHealthMonitor.IDLE_PROBE_MICROS), is(true));
   }
 
   @Test
@@ -99,14 +101,14 @@
     watch.connectFailed(SECOND, NO_PEERS);
     watch.probeSent(SECOND);
     watch.probeFailed();
-    assertThat(watch.probeDue(SECOND + BackendWatch.SUSPECT_PROBE_MICROS - 1), is(false));
-    assertThat(watch.probeDue(SECOND + BackendWatch.SUSPECT_PROBE_MICROS), is(true));
+    assertThat(watch.probeDue(SECOND + BackendHealthMonitor.SUSPECT_PROBE_MICROS - 1), is(false));
+    assertThat(watch.probeDue(SECOND + BackendHealthMonitor.SUSPECT_PROBE_MICROS), is(true));
   }
 
   @Test
   void tooManyFailuresInTheWindowEjectItUntilReactivation() {
     for (int i = 0; i < 6; i++) {
-      watch.answered(SECOND + i);
+      watch.requestSucceeded(SECOND + i);
     }
     for (int i = 0; i < 3; i++) {
       watch.timedOut(SECOND + 10 + i, SECOND + 5, NO_PEERS);
@@ -114,7 +116,7 @@
     assertThat("nine requests are too few", watch.available(2 * SECOND), is(true));
     watch.timedOut(SECOND + 20, SECOND + 5, NO_PEERS);
     assertThat(watch.available(2 * SECOND), is(false));
-    long reactivated = SECOND + 20 + BackendWatch.PARAMETERS.reactivation();
+    long reactivated = SECOND + 20 + BackendHealthMonitor.PARAMETERS.reactivation();
     assertThat(watch.available(reactivated - 1), is(false));
     assertThat(watch.available(reactivated), is(true));
   }
--- a/src/test/java/slateslip/routing/placement/PlacementTest.java
+++ b/src/test/java/slateslip/routing/placement/PlacementTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import slateslip.configuration.Service;
 import slateslip.routing.Fixtures;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 
 class PlacementTest {
   private static final int AGENTS = 6;
   private static final long NOW = 1_000_000;
-  private static final long AIM_MICROS = 600_000;
+  private static final long TARGET_MICROS = 600_000;
   private static final int SHARED_TOKENS = 13_300;
 
   private final Placement placement = new Placement("z0", new Random(1));
@@ -36,11 +36,12 @@
   private static Placement.Demand prompt(long sharedId, long ownId) {
     List<PromptPart> parts =
         List.of(new PromptPart(sharedId, SHARED_TOKENS), new PromptPart(ownId, 3_700));
-    return new Placement.Demand(Fixtures.MODEL, parts, SHARED_TOKENS + 3_700, AIM_MICROS, AGENTS);
+    return new Placement.Demand(
+        Fixtures.MODEL, parts, SHARED_TOKENS + 3_700, TARGET_MICROS, AGENTS);
   }
 
   private static Placement.Demand plain(Service service) {
-    return new Placement.Demand(service, List.of(), 0, AIM_MICROS, AGENTS);
+    return new Placement.Demand(service, List.of(), 0, TARGET_MICROS, AGENTS);
   }
 
   private Placement.Choice send(Placement.Demand demand) {
@@ -91,11 +92,11 @@
   @Test
   void aBackendThatIsSuspectedIsNoFirstChoiceButBetterThanNone() {
     Backend first = placement.pick(NOW, prompt(1, 1_000), models, each -> true).backend();
-    first.watch().connectFailed(NOW, List.of());
+    first.healthMonitor().connectFailed(NOW, List.of());
     Backend next = placement.pick(NOW, prompt(1, 1_000), models, each -> true).backend();
     assertThat(next, not(first));
     for (Backend backend : models) {
-      backend.watch().connectFailed(NOW, List.of());
+      backend.healthMonitor().connectFailed(NOW, List.of());
     }
     assertThat(placement.pick(NOW, prompt(1, 1_000), models, each -> true).backend(), is(first));
   }
@@ -103,9 +104,9 @@
   @Test
   void allUnhealthyBackendsAreEligibleWhenNoneIsAvailable() {
     for (Backend backend : models) {
-      backend.watch().probeFailed();
-      backend.watch().probeFailed();
-      assertThat(backend.watch().available(NOW), is(false));
+      backend.healthMonitor().probeFailed();
+      backend.healthMonitor().probeFailed();
+      assertThat(backend.healthMonitor().available(NOW), is(false));
     }
     assertThat(placement.pick(NOW, plain(Fixtures.MODEL), models, each -> true), not(nullValue()));
   }
@@ -114,15 +115,15 @@
   void drawsInTheOwnZoneAndSpillsWhenItHasNoRoom() {
     List<Backend> ledgers = backends("ledger");
     for (int i = 0; i < 20; i++) {
-      Backend drawn = placement.pick(NOW, plain(Fixtures.LEDGER), ledgers, each -> true).backend();
+      Backend drawn = placement.pick(NOW, plain(Fixtures.LOG), ledgers, each -> true).backend();
       assertThat(drawn.session().zone(), is("z0"));
     }
     for (Backend backend : ledgers) {
       if (backend.session().zone().equals("z0")) {
-        backend.told(backend.session().slots(), NOW);
+        backend.loadReported(backend.session().slots(), NOW);
       }
     }
-    Backend drawn = placement.pick(NOW, plain(Fixtures.LEDGER), ledgers, each -> true).backend();
+    Backend drawn = placement.pick(NOW, plain(Fixtures.LOG), ledgers, each -> true).backend();
     assertThat(drawn.session().zone(), not("z0"));
   }
 
@@ -133,13 +134,13 @@
 
   @Test
   void partsAreKeptOnlyBehindTheirPredecessorsAndUntilOthersDisplaceThem() {
-    KeptParts kept = new KeptParts();
+    PrefixCacheModel retained = new PrefixCacheModel();
     PromptPart first = new PromptPart(1, 1_000);
     PromptPart second = new PromptPart(2, 500);
-    kept.sent(List.of(first, second), 1_500, 100_000, 1);
-    assertThat(kept.kept(List.of(first, second), 100_000, 1), is(1_500L));
-    assertThat(kept.kept(List.of(new PromptPart(3, 10), second), 100_000, 1), is(0L));
-    kept.sent(List.of(new PromptPart(4, 90_000)), 90_000, 100_000, 1);
-    assertThat(kept.kept(List.of(first, second), 100_000, 1), is(0L));
+    retained.sent(List.of(first, second), 1_500, 100_000, 1);
+    assertThat(retained.cachedTokens(List.of(first, second), 100_000, 1), is(1_500L));
+    assertThat(retained.cachedTokens(List.of(new PromptPart(3, 10), second), 100_000, 1), is(0L));
+    retained.sent(List.of(new PromptPart(4, 90_000)), 90_000, 100_000, 1);
+    assertThat(retained.cachedTokens(List.of(first, second), 100_000, 1), is(0L));
   }
 }
--- a/src/test/java/slateslip/routing/quota/QuotaFleetTest.java
+++ b/src/test/java/slateslip/routing/quota/QuotaFleetTest.java
@@ -38,7 +38,7 @@
   private static final class Agent {
     TenantQuotas quotas = new TenantQuotas(BOUNDS, -BOUNDS.windowMicros());
     final double part;
-    boolean cut;
+    boolean truncated;
 
     Agent(double part) {
       this.part = part;
@@ -54,7 +54,7 @@
     final long[] incarnations = new long[AGENTS];
     double inWindow;
     double worstWindow;
-    long asked;
+    long requested;
     long refused;
 
     Fleet(long seed) {
@@ -94,7 +94,7 @@
         return;
       }
       long units = (long) Math.min(93_000, mean * Math.exp(0.9 * random.nextGaussian() - 0.405));
-      asked++;
+      requested++;
       if (agent.quotas.take(TENANT, units, now)) {
         admitted.addLast(new long[] {now, units});
         inWindow += units;
@@ -112,13 +112,13 @@
 
     private void allocate(long now) {
       for (int i = 0; i < agents.size(); i++) {
-        if (!agents.get(i).cut) {
+        if (!agents.get(i).truncated) {
           allocator.report(now, "a" + i, incarnations[i], agents.get(i).quotas.demand());
         }
       }
       for (DataPlaneAllocation each : allocator.allocate(now)) {
         Agent agent = agents.get(Integer.parseInt(each.dataPlane().substring(1)));
-        if (!agent.cut) {
+        if (!agent.truncated) {
           agent.quotas.shares(each.shares(), now);
         }
       }
@@ -135,7 +135,7 @@
   void usualDemandIsHardlyEverRefused(long seed) {
     Fleet fleet = new Fleet(seed);
     fleet.run(0, 60 * SECOND, 1);
-    assertThat((double) fleet.refused / fleet.asked, lessThan(0.12));
+    assertThat((double) fleet.refused / fleet.requested, lessThan(0.12));
   }
 
   @ParameterizedTest
@@ -154,10 +154,10 @@
   void agentsThatAreCutOffStayWithinTheRule(long seed) {
     Fleet fleet = new Fleet(seed);
     fleet.run(0, 8 * SECOND, 7.5);
-    fleet.agents.get(0).cut = true;
-    fleet.agents.get(1).cut = true;
+    fleet.agents.get(0).truncated = true;
+    fleet.agents.get(1).truncated = true;
     fleet.run(8 * SECOND, 20 * SECOND, 7.5);
-    fleet.agents.get(0).cut = false;
+    fleet.agents.get(0).truncated = false;
     fleet.run(20 * SECOND, 32 * SECOND, 7.5);
     assertThat(fleet.worstWindow, lessThanOrEqualTo(limit()));
   }
--- a/src/test/java/slateslip/simulation/SimulatedDisk.java
+++ b/src/test/java/slateslip/simulation/SimulatedDisk.java
@@ -20,8 +20,8 @@
 /** One machine's disk and the thread that writes to it. */
 public final class SimulatedDisk {
   private static final RingOptions SMALL = new RingOptions(3, 0);
-  private static final long LEAST_WRITE = 500;
-  private static final long MOST_WRITE = 6_000;
+  private static final long MIN_WRITE = 500;
+  private static final long MAX_WRITE = 6_000;
 
   private final EventQueue events;
   private final SplittableRandom random;
@@ -32,7 +32,7 @@
   private RingStorage ring;
   private BiConsumer<Long, Boolean> listener;
   private boolean busy;
-  private int life;
+  private int incarnation;
   private long slowUntil;
   private long slowFactor = 1;
   private long hungUntil;
@@ -93,7 +93,7 @@
   public void start(Effects.DurableWrite write) {
     queue.addLast(write);
     if (lies) {
-      int current = life;
+      int current = incarnation;
       events.in(0, () -> tell(current, write.token(), true));
     }
     next();
@@ -104,21 +104,21 @@
       return;
     }
     busy = true;
-    long time = random.nextLong(LEAST_WRITE, MOST_WRITE);
+    long time = random.nextLong(MIN_WRITE, MAX_WRITE);
     if (events.now() < slowUntil) {
       time *= slowFactor;
     }
     long begin = Math.max(events.now(), hungUntil);
-    int current = life;
+    int current = incarnation;
     events.at(begin + time, () -> finish(current));
   }
 
-  private void finish(int startedInLife) {
-    if (startedInLife != life) {
+  private void finish(int startedInIncarnation) {
+    if (startedInIncarnation != incarnation) {
       return;
     }
     if (events.now() < hungUntil) {
-      events.at(hungUntil, () -> finish(startedInLife));
+      events.at(hungUntil, () -> finish(startedInIncarnation));
       return;
     }
     Effects.DurableWrite write = queue.removeFirst();
@@ -126,13 +126,13 @@
     folder.setMode(events.now() < fullUntil ? FaultyFolder.Mode.FULL : FaultyFolder.Mode.WORKING);
     boolean durable = put(write) == StorageOutcome.DURABLE;
     if (!lies) {
-      tell(startedInLife, write.token(), durable);
+      tell(startedInIncarnation, write.token(), durable);
     }
     next();
   }
 
-  private void tell(int startedInLife, long token, boolean durable) {
-    if (startedInLife == life) {
+  private void tell(int startedInIncarnation, long token, boolean durable) {
+    if (startedInIncarnation == incarnation) {
       listener.accept(token, durable);
     }
   }
@@ -151,7 +151,7 @@
           random.nextBoolean() ? FaultyFolder.Mode.SYNC_FAILS : FaultyFolder.Mode.WORKING);
       put(queue.peekFirst());
     }
-    life++;
+    incarnation++;
     busy = false;
     queue.clear();
   }
@@ -166,7 +166,7 @@
     folder.losePower(
         random,
         random.nextInt(4) == 0 ? FaultyFolder.Loss.ALL_GONE : FaultyFolder.Loss.EACH_AT_RANDOM);
-    life++;
+    incarnation++;
     busy = false;
     queue.clear();
   }
--- a/src/test/java/slateslip/simulation/ToleratedLosses.java
+++ b/src/test/java/slateslip/simulation/ToleratedLosses.java
@@ -10,7 +10,7 @@
  * lost until all has been calm for that time. Disks are only lost within the tolerance.
  */
 public final class ToleratedLosses {
-  private static final long SETTLED = 4_000_000;
+  private static final long STABLE_MICROS = 4_000_000;
 
   private final EventQueue events;
   private final Map<Object, Long> lostUntil = new HashMap<>();
@@ -23,7 +23,7 @@
 
   /** A machine is in trouble until a time. */
   public void troubled(Object machine, long untilMicros) {
-    lostUntil.merge(machine, untilMicros + SETTLED, Math::max);
+    lostUntil.merge(machine, untilMicros + STABLE_MICROS, Math::max);
   }
 
   /** A machine is down for good. */
--- a/src/test/java/slateslip/simulation/agents/AgentFault.java
+++ b/src/test/java/slateslip/simulation/agents/AgentFault.java
@@ -34,21 +34,21 @@
     FREEZE,
     FREEZE_PRIMARY,
     /** From the other core machines. */
-    CUT_OFF,
-    CUT_OFF_PRIMARY,
+    ISOLATE,
+    ISOLATE_PRIMARY,
     /** From the other core machines and all data planes. */
-    CUT_FROM_ALL,
-    CUT_PRIMARY_FROM_ALL,
-    CUT_FROM_DATA_PLANES,
+    PARTITION_FROM_ALL,
+    PARTITION_PRIMARY_FROM_ALL,
+    PARTITION_FROM_DATA_PLANES,
     /** Nothing that it sends arrives. */
-    CUT_ONE_WAY_OUT,
+    PARTITION_OUTBOUND,
     /** Nothing arrives at it. */
-    CUT_ONE_WAY_IN,
-    CUT_PRIMARY_ONE_WAY_OUT,
-    CUT_PRIMARY_ONE_WAY_IN,
-    CUT_IN_TWO,
+    PARTITION_INBOUND,
+    PARTITION_PRIMARY_OUTBOUND,
+    PARTITION_PRIMARY_INBOUND,
+    PARTITION_IN_HALVES,
     /** New seeds begin with a machine that is cut off, and a data plane is started again. */
-    CUT_OFF_WITH_SEEDS,
+    ISOLATE_WITH_SEEDS,
     RESET,
     SLOW_LINKS,
     DISK_SLOW,
@@ -64,18 +64,18 @@
     FREEZE_DATA_PLANE
   }
 
-  private static final int MOST_FAULTS = 6;
+  private static final int MAX_FAULTS = 6;
   private static final int CHOICES = 1_000;
-  private static final long LEAST_MICROS = 20_000;
+  private static final long MIN_MICROS = 20_000;
   private static final long SHORT_MICROS = 400_000;
-  private static final long MOST_MICROS = 4_000_000;
+  private static final long MAX_MICROS = 4_000_000;
   private static final int LONG_EVERY = 6;
   private static final long LONG_MICROS = 24_000_000;
 
   /** A random schedule over some time, in order. */
   static List<AgentFault> schedule(SplittableRandom random, long micros, List<Kind> kinds) {
     List<AgentFault> faults = new ArrayList<>();
-    int count = 1 + random.nextInt(MOST_FAULTS);
+    int count = 1 + random.nextInt(MAX_FAULTS);
     long clustered = random.nextLong(micros);
     for (int i = 0; i < count; i++) {
       boolean near = random.nextInt(3) == 0;
@@ -89,8 +89,8 @@
 
   private static long length(SplittableRandom random) {
     if (random.nextInt(LONG_EVERY) == 0) {
-      return random.nextLong(MOST_MICROS, LONG_MICROS);
+      return random.nextLong(MAX_MICROS, LONG_MICROS);
     }
-    return random.nextLong(LEAST_MICROS, random.nextBoolean() ? SHORT_MICROS : MOST_MICROS);
+    return random.nextLong(MIN_MICROS, random.nextBoolean() ? SHORT_MICROS : MAX_MICROS);
   }
 }
--- a/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
+++ b/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
@@ -6,11 +6,11 @@
 
 /** Makes faults happen to the machines of a world, and end. */
 final class AgentFaultInjector {
-  private static final long LEAST_DOWN = 50_000;
+  private static final long MIN_DOWNTIME = 50_000;
   private static final long RESTART_SPREAD = 1_000_000;
   private static final long SLOW_LINK = 60_000;
   private static final long SLOW_DISK = 40;
-  private static final long TERMINATION_BOUND = 3_000_000;
+  private static final long TERMINATION_TIMEOUT = 3_000_000;
 
   private final AgentWorld world;
   private final SplittableRandom random;
@@ -54,7 +54,7 @@
           DISK_FULL,
           DISK_FULL_PRIMARY ->
           hinder(fault, machine);
-      default -> cut(fault, machine);
+      default -> partition(fault, machine);
     }
   }
 
@@ -101,7 +101,7 @@
   }
 
   private void killShortly(ControlMachine machine) {
-    kill(machine, LEAST_DOWN + random.nextLong(RESTART_SPREAD));
+    kill(machine, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
   }
 
   private void losePower(ControlMachine machine, long micros) {
@@ -110,7 +110,7 @@
   }
 
   private void losePowerShortly(ControlMachine machine) {
-    losePower(machine, LEAST_DOWN + random.nextLong(RESTART_SPREAD));
+    losePower(machine, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
   }
 
   private void startLater(ControlMachine machine, long micros) {
@@ -119,8 +119,8 @@
   }
 
   private void restart(ControlMachine machine) {
-    troubled(machine, TERMINATION_BOUND);
-    machine.terminate(TERMINATION_BOUND, () -> startLater(machine, LEAST_DOWN));
+    troubled(machine, TERMINATION_TIMEOUT);
+    machine.terminate(TERMINATION_TIMEOUT, () -> startLater(machine, MIN_DOWNTIME));
   }
 
   private void freeze(ControlMachine machine, long micros) {
@@ -155,7 +155,7 @@
     List<ControlMachine> all = List.copyOf(world.controlMachines());
     int first = fault.target() % all.size();
     for (int i = 0; i < world.shape().tolerance(); i++) {
-      wipe(all.get((first + i) % all.size()), LEAST_DOWN + random.nextLong(RESTART_SPREAD));
+      wipe(all.get((first + i) % all.size()), MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
     }
     all.stream().filter(SimulatedMachine::isRunning).forEach(this::losePowerShortly);
   }
@@ -176,7 +176,7 @@
       ControlMachine other = world.replacement(machine);
       world.start(other, false);
       world.losses().wiped(machine, now() + micros);
-      later(micros, () -> machine.terminate(TERMINATION_BOUND, () -> gone(machine)));
+      later(micros, () -> machine.terminate(TERMINATION_TIMEOUT, () -> gone(machine)));
     }
   }
 
@@ -203,24 +203,24 @@
 
   // ---- links ----
 
-  private void cut(AgentFault fault, ControlMachine machine) {
+  private void partition(AgentFault fault, ControlMachine machine) {
     troubled(machine, fault.micros());
     String own = machine.address();
     List<String> core = otherCore(machine);
     List<String> edge = world.dataPlanes().stream().map(SimulatedMachine::address).toList();
     switch (fault.kind()) {
-      case CUT_OFF, CUT_OFF_PRIMARY -> cutBoth(own, core, fault.micros());
-      case CUT_FROM_ALL, CUT_PRIMARY_FROM_ALL -> {
-        cutBoth(own, core, fault.micros());
-        cutBoth(own, edge, fault.micros());
+      case ISOLATE, ISOLATE_PRIMARY -> partitionBothWays(own, core, fault.micros());
+      case PARTITION_FROM_ALL, PARTITION_PRIMARY_FROM_ALL -> {
+        partitionBothWays(own, core, fault.micros());
+        partitionBothWays(own, edge, fault.micros());
       }
-      case CUT_FROM_DATA_PLANES -> cutBoth(own, edge, fault.micros());
-      case CUT_ONE_WAY_OUT, CUT_PRIMARY_ONE_WAY_OUT ->
-          core.forEach(other -> cut(own, other, fault.micros()));
-      case CUT_ONE_WAY_IN, CUT_PRIMARY_ONE_WAY_IN ->
-          core.forEach(other -> cut(other, own, fault.micros()));
-      case CUT_OFF_WITH_SEEDS -> cutOffWithSeeds(fault, own, core);
-      default -> cutInTwo(fault);
+      case PARTITION_FROM_DATA_PLANES -> partitionBothWays(own, edge, fault.micros());
+      case PARTITION_OUTBOUND, PARTITION_PRIMARY_OUTBOUND ->
+          core.forEach(other -> partition(own, other, fault.micros()));
+      case PARTITION_INBOUND, PARTITION_PRIMARY_INBOUND ->
+          core.forEach(other -> partition(other, own, fault.micros()));
+      case ISOLATE_WITH_SEEDS -> isolateWithSeeds(fault, own, core);
+      default -> partitionInHalves(fault);
     }
   }
 
@@ -231,33 +231,33 @@
         .toList();
   }
 
-  private void cutOffWithSeeds(AgentFault fault, String own, List<String> core) {
-    cutBoth(own, core, fault.micros());
+  private void isolateWithSeeds(AgentFault fault, String own, List<String> core) {
+    partitionBothWays(own, core, fault.micros());
     List<String> seeds = new ArrayList<>(List.of(own));
     core.stream().limit(2).forEach(seeds::add);
     world.changeSeeds(seeds);
-    killDataPlane(dataPlane(fault), LEAST_DOWN);
+    killDataPlane(dataPlane(fault), MIN_DOWNTIME);
   }
 
-  private void cutInTwo(AgentFault fault) {
+  private void partitionInHalves(AgentFault fault) {
     List<String> left = new ArrayList<>();
     List<String> right = new ArrayList<>();
     for (ControlMachine machine : world.controlMachines()) {
       (random.nextBoolean() ? left : right).add(machine.address());
       troubled(machine, fault.micros());
     }
-    left.forEach(one -> cutBoth(one, right, fault.micros()));
+    left.forEach(one -> partitionBothWays(one, right, fault.micros()));
   }
 
-  private void cutBoth(String one, List<String> others, long micros) {
+  private void partitionBothWays(String one, List<String> others, long micros) {
     for (String other : others) {
-      cut(one, other, micros);
-      cut(other, one, micros);
+      partition(one, other, micros);
+      partition(other, one, micros);
     }
   }
 
-  private void cut(String from, String to, long micros) {
-    world.network().cut(from, to);
+  private void partition(String from, String to, long micros) {
+    world.network().partition(from, to);
     later(micros, () -> world.network().join(from, to));
   }
 
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -37,11 +37,11 @@
   /** An agent tells data planes that it is up to date, whatever it hears. */
   ALWAYS_CURRENT,
   /** A data plane keeps a stream on which nothing comes. */
-  KEEPS_SILENT_STREAMS,
+  KEEPS_DEAD_STREAMS,
   /** Snapshots do not hold the changes by which a repeated call is known. */
   FORGETS_TAKEN_CHANGES,
   /** One life of an agent cannot be told from another by its incarnation. */
-  LIVES_ARE_ALIKE,
+  SAME_INCARNATION_NUMBERS,
   /** A change is acknowledged without waiting for the data planes of other agents. */
   IGNORES_DELIVERY,
   /** A change of sessions counts as stored at another agent once it is sent. */
@@ -113,11 +113,11 @@
   // ---- processes ----
 
   long incarnation(long drawn) {
-    return this == LIVES_ARE_ALIKE ? 1 : drawn;
+    return this == SAME_INCARNATION_NUMBERS ? 1 : drawn;
   }
 
-  boolean keepsSilentStreams() {
-    return this == KEEPS_SILENT_STREAMS;
+  boolean keepsDeadStreams() {
+    return this == KEEPS_DEAD_STREAMS;
   }
 
   // ---- messages ----
@@ -141,7 +141,7 @@
   }
 
   /** What an agent takes for the answer to a message of its own, before any has come. */
-  Optional<ReplicaFrame> supposedAnswer(String to, byte[] message) {
+  Optional<ReplicaFrame> expectedResponse(String to, byte[] message) {
     if (this == SERVES_UNCONFIRMED
         && MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
         && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame
@@ -216,7 +216,7 @@
     }
     if (this == COUNTS_EMPTY_COPIES && message instanceof ReplicaMessage.HeartbeatReply reply) {
       ReplicaStatus status = reply.status();
-      ReplicaStatus whole =
+      ReplicaStatus complete =
           new ReplicaStatus(
               status.decidedEpoch(),
               status.acceptedNewerView(),
@@ -226,7 +226,7 @@
               Long.MAX_VALUE,
               status.committedSequence(),
               status.healthy());
-      return new ReplicaMessage.HeartbeatReply(reply.term(), reply.round(), whole);
+      return new ReplicaMessage.HeartbeatReply(reply.term(), reply.round(), complete);
     }
     return message;
   }
--- a/src/test/java/slateslip/simulation/agents/AgentMutationTest.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutationTest.java
@@ -27,8 +27,8 @@
   /** The kinds of faults that bring it to light soonest. */
   private static List<Kind> kinds(AgentMutation mutation) {
     return switch (mutation) {
-      case SERVES_UNCONFIRMED, ALWAYS_CURRENT, KEEPS_SILENT_STREAMS ->
-          List.of(Kind.CUT_OFF_PRIMARY, Kind.CUT_OFF, Kind.CUT_PRIMARY_FROM_ALL);
+      case SERVES_UNCONFIRMED, ALWAYS_CURRENT, KEEPS_DEAD_STREAMS ->
+          List.of(Kind.ISOLATE_PRIMARY, Kind.ISOLATE, Kind.PARTITION_PRIMARY_FROM_ALL);
       case IGNORES_DELIVERY, IGNORES_STORED -> List.of(Kind.KILL_DATA_PLANE);
       default -> List.of(Kind.values());
     };
--- a/src/test/java/slateslip/simulation/agents/AgentScheduleRunner.java
+++ b/src/test/java/slateslip/simulation/agents/AgentScheduleRunner.java
@@ -15,10 +15,10 @@
   private static final long BEGIN = 2_000_000;
   private static final long FAULTS_FOR = 7_000_000;
   private static final long TAIL = 1_000_000;
-  private static final long LIVENESS_BOUND = 3_000_000;
-  private static final long IN_FORCE_BOUND = 2_000_000;
-  private static final long SETTLED = 10_000_000;
-  private static final int SETTLED_EVERY = 8;
+  private static final long LIVENESS_TIMEOUT = 3_000_000;
+  private static final long IN_FORCE_TIMEOUT = 2_000_000;
+  private static final long STABLE_MICROS = 10_000_000;
+  private static final int STABLE_EVERY = 8;
   private static final int OPERATORS = 2;
   private static final long SHAPE_STREAM = 0xa6e7;
   private static final AgentWorld.Shape[] SHAPES = {
@@ -88,7 +88,7 @@
       faults.forEach(fault -> world.at(BEGIN + fault.atMicros(), fault));
       world.runUntil(BEGIN + lastEnd(faults) + TAIL);
       world.heal(0);
-      world.timeToTakeChange(SETTLED);
+      world.timeToTakeChange(STABLE_MICROS);
       return Optional.empty();
     } catch (RuleViolation violation) {
       return Optional.of(violation.getMessage());
@@ -116,14 +116,14 @@
   private static Result finish(AgentWorld world, long seed) {
     boolean withLosses = (seed & 1) == 1;
     world.heal(withLosses ? world.shape().tolerance() : 0);
-    long taken = world.timeToTakeChange(LIVENESS_BOUND);
+    long taken = world.timeToTakeChange(LIVENESS_TIMEOUT);
     if (taken < 0) {
       return failed(world, NOTHING_TAKEN);
     }
-    world.runUntil(world.events().now() + IN_FORCE_BOUND);
+    world.runUntil(world.events().now() + IN_FORCE_TIMEOUT);
     checkInForce(world);
-    if (seed % SETTLED_EVERY == 0) {
-      world.runUntil(world.events().now() + SETTLED);
+    if (seed % STABLE_EVERY == 0) {
+      world.runUntil(world.events().now() + STABLE_MICROS);
     }
     return new Result(Optional.empty(), taken, world.history().changesTaken());
   }
--- a/src/test/java/slateslip/simulation/agents/AgentScheduleTest.java
+++ b/src/test/java/slateslip/simulation/agents/AgentScheduleTest.java
@@ -13,14 +13,14 @@
 final class AgentScheduleTest {
   private static final long SEEDS = Long.getLong("agents.seeds", 1_000);
   private static final long FIRST = Long.getLong("agents.first", 1);
-  private static final int MOST_REPORTED = 5;
+  private static final int MAX_REPORTED = 5;
 
   @Test
   void noScheduleBreaksARule() {
     AgentScheduleRunner runner = AgentScheduleRunner.ofAllKinds();
     List<String> failures = new ArrayList<>();
     long changes = 0;
-    for (long seed = FIRST; seed < FIRST + SEEDS && failures.size() < MOST_REPORTED; seed++) {
+    for (long seed = FIRST; seed < FIRST + SEEDS && failures.size() < MAX_REPORTED; seed++) {
       AgentScheduleRunner.Result result = runner.play(seed);
       changes += result.changes();
       if (result.violation().isPresent()) {
--- a/src/test/java/slateslip/simulation/agents/AgentWorld.java
+++ b/src/test/java/slateslip/simulation/agents/AgentWorld.java
@@ -220,12 +220,12 @@
 
   // ---- calls ----
 
-  void call(ControlMachine machine, OperatorRequest call, Consumer<OperatorResponse> answer) {
+  void call(ControlMachine machine, OperatorRequest call, Consumer<OperatorResponse> response) {
     network.request(
         machine,
         once(call.method() + " at " + machine, back -> machine.call(call, back)),
-        answer,
-        () -> answer.accept(OperatorResponse.unavailable("connection refused")));
+        response,
+        () -> response.accept(OperatorResponse.unavailable("connection refused")));
   }
 
   void heartbeat(
@@ -252,13 +252,13 @@
   /** A call that must be answered once at most. */
   private static <T> Consumer<Consumer<T>> once(String what, Consumer<Consumer<T>> handle) {
     return back -> {
-      boolean[] answered = {false};
+      boolean[] responded = {false};
       handle.accept(
           result -> {
-            if (answered[0]) {
+            if (responded[0]) {
               throw new RuleViolation("answered twice: " + what);
             }
-            answered[0] = true;
+            responded[0] = true;
             back.accept(result);
           });
     };
@@ -296,16 +296,16 @@
   }
 
   /** Time until an operator that begins now has a change acknowledged; -1 if the bound passed. */
-  long timeToTakeChange(long bound) {
-    return timeToTakeChange(bound, () -> controlMachines);
+  long timeToTakeChange(long timeoutMicros) {
+    return timeToTakeChange(timeoutMicros, () -> controlMachines);
   }
 
   /** The same for an operator that calls only these agents. */
-  long timeToTakeChange(long bound, Supplier<List<ControlMachine>> called) {
+  long timeToTakeChange(long timeoutMicros, Supplier<List<ControlMachine>> called) {
     ProbingOperator prober = new ProbingOperator(this, "probe" + events.now() + "-", called);
     long begin = events.now();
     prober.start();
-    while (!prober.isDone() && events.now() < begin + bound) {
+    while (!prober.isDone() && events.now() < begin + timeoutMicros) {
       events.runUntil(events.now() + 10_000);
     }
     prober.stop();
--- a/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
+++ b/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
@@ -21,11 +21,11 @@
   private static final String SERVICE = "pool";
 
   /** A whole configuration. */
-  static ConfigurationChange whole(long base, long version, String marker) {
+  static ConfigurationChange complete(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[%s]}"
             .formatted(version, route("first", "/first/"), service(marker));
-    return order(OperatorRequest.Method.PUT, base, version, marker, true, body);
+    return change(OperatorRequest.Method.PUT, base, version, marker, true, body);
   }
 
   /** A change of the service and one more route. */
@@ -33,7 +33,7 @@
     String body =
         "{\"version\":%d,\"upsert\":{\"services\":[%s],\"routes\":[%s]}}"
             .formatted(version, service(marker), route("r-" + marker, "/" + marker + "/"));
-    return order(OperatorRequest.Method.PATCH, base, version, marker, true, body);
+    return change(OperatorRequest.Method.PATCH, base, version, marker, true, body);
   }
 
   /** A whole configuration with routes of about this many bytes in all. */
@@ -45,7 +45,7 @@
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[%s]}"
             .formatted(version, routes, service(marker));
-    return order(OperatorRequest.Method.PUT, base, version, marker, true, body);
+    return change(OperatorRequest.Method.PUT, base, version, marker, true, body);
   }
 
   /** A configuration whose route names a service that is not there. */
@@ -53,10 +53,10 @@
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[]}"
             .formatted(version, route("first", "/first/"));
-    return order(OperatorRequest.Method.PUT, base, version, marker, false, body);
+    return change(OperatorRequest.Method.PUT, base, version, marker, false, body);
   }
 
-  private static ConfigurationChange order(
+  private static ConfigurationChange change(
       OperatorRequest.Method method,
       long base,
       long version,
@@ -86,11 +86,11 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof ConfigurationChange order
-        && marker.equals(order.marker)
-        && base == order.base
-        && version == order.version
-        && call.method() == order.call.method();
+    return other instanceof ConfigurationChange change
+        && marker.equals(change.marker)
+        && base == change.base
+        && version == change.version
+        && call.method() == change.call.method();
   }
 
   @Override
--- a/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
+++ b/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
@@ -17,7 +17,7 @@
   private static final long DRAIN_TIMEOUT = 2_000_000;
 
   /** A live backend is listed, and one that ended without a word is not, after this of calm. */
-  private static final long SETTLED = 9_000_000;
+  private static final long STABLE_MICROS = 9_000_000;
 
   private final AgentWorld world;
   private long troubledAt;
@@ -48,7 +48,7 @@
       return;
     }
     for (DataPlaneMachine dataPlane : world.dataPlanes()) {
-      if (isSettled(dataPlane) && dataPlane.version() < version) {
+      if (isStable(dataPlane) && dataPlane.version() < version) {
         throw new RuleViolation(
             "%d was acknowledged before %s had it".formatted(version, dataPlane));
       }
@@ -56,13 +56,13 @@
   }
 
   /** It has just been acknowledged that a backend leaves. */
-  void leavingAcknowledged(String id) {
+  void drainAcknowledged(String id) {
     if (!isCalm()) {
       return;
     }
     for (DataPlaneMachine dataPlane : world.dataPlanes()) {
       BackendSession listed = dataPlane.backends().get(id);
-      if (isSettled(dataPlane) && listed != null && !listed.draining()) {
+      if (isStable(dataPlane) && listed != null && !listed.draining()) {
         throw new RuleViolation(
             "that %s leaves was acknowledged before %s had it".formatted(id, dataPlane));
       }
@@ -70,7 +70,7 @@
   }
 
   /** While it turns to another agent, neither of the two waits for it. */
-  private boolean isSettled(DataPlaneMachine dataPlane) {
+  private boolean isStable(DataPlaneMachine dataPlane) {
     return dataPlane.isWell()
         && now() >= dataPlane.troubledUntil() + CONTACT
         && now() >= dataPlane.reportedAt() + TURNED;
@@ -87,8 +87,8 @@
       long calmSince = Math.max(troubledAt, dataPlane.troubledUntil());
       if (now() >= calmSince + CONTACT && dataPlane.isWell() && reachesCore(dataPlane)) {
         checkVersion(dataPlane);
-        checkLeaving(dataPlane);
-        if (now() >= calmSince + SETTLED && !world.network().hasCuts()) {
+        checkDraining(dataPlane);
+        if (now() >= calmSince + STABLE_MICROS && !world.network().hasCuts()) {
           checkList(dataPlane);
         }
       }
@@ -135,11 +135,11 @@
     }
   }
 
-  private void checkLeaving(DataPlaneMachine dataPlane) {
+  private void checkDraining(DataPlaneMachine dataPlane) {
     for (SimulatedBackend.Incarnation backend : world.incarnations()) {
       boolean late =
-          backend.leavingAcknowledgedAt() != Long.MAX_VALUE
-              && now() - backend.leavingAcknowledgedAt() >= DRAIN_TIMEOUT;
+          backend.drainAcknowledgedAt() != Long.MAX_VALUE
+              && now() - backend.drainAcknowledgedAt() >= DRAIN_TIMEOUT;
       BackendSession listed = dataPlane.backends().get(backend.id());
       if (late && listed != null && !listed.draining()) {
         throw new RuleViolation(
@@ -151,13 +151,13 @@
   private void checkList(DataPlaneMachine dataPlane) {
     for (SimulatedBackend.Incarnation backend : world.incarnations()) {
       boolean listed = dataPlane.backends().containsKey(backend.id());
-      boolean settled = now() - backend.startedAt() >= SETTLED;
-      if (backend.isReady() && settled && !listed) {
+      boolean stable = now() - backend.startedAt() >= STABLE_MICROS;
+      if (backend.isReady() && stable && !listed) {
         throw new RuleViolation(
             "data plane %s in touch does not know %s".formatted(dataPlane, backend.id()));
       }
       boolean longGone =
-          backend.endedAt() != Long.MAX_VALUE && now() - backend.endedAt() >= SETTLED;
+          backend.endedAt() != Long.MAX_VALUE && now() - backend.endedAt() >= STABLE_MICROS;
       if (longGone && listed) {
         throw new RuleViolation(
             "data plane %s in touch still lists %s".formatted(dataPlane, backend.id()));
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -36,7 +36,7 @@
   private final double clockRate;
   private final SimulatedDisk disk;
   private ControlAgent agent;
-  private byte[] greeting;
+  private byte[] hello;
 
   ControlMachine(
       String address,
@@ -67,7 +67,7 @@
     SimulatedProcess process = new SimulatedProcess(events, random.split(), clockRate);
     started(process);
     AgentIdentity identity = new AgentIdentity(address(), mutation.incarnation(random.nextLong()));
-    greeting = new ControlPeerCodec().encode(identity.hello());
+    hello = new ControlPeerCodec().encode(identity.hello());
     AgentSettings settings =
         new AgentSettings(address(), address(), seeds, bootstrap, tolerance, heartbeatMillis);
     agent =
@@ -84,13 +84,13 @@
   }
 
   private PeerConnector.PeerConnection connect(
-      String peer, byte[] ownGreeting, PeerConnector.Listener listener) {
+      String peer, byte[] ownHello, PeerConnector.Listener listener) {
     SimulatedPeerConnection connection =
         new SimulatedPeerConnection(
             network,
             this,
             peer,
-            ownGreeting,
+            ownHello,
             listener,
             mutation,
             frame -> agent.replicaMessageReceived(frame),
@@ -117,7 +117,7 @@
   @Override
   SimulatedSocket.Listener accept(SimulatedSocket socket) {
     IncomingConnection connection =
-        new IncomingConnection(new SocketStream(socket, mutation), greeting, agent);
+        new IncomingConnection(new SocketStream(socket, mutation), hello, agent);
     return new SimulatedSocket.Listener() {
       @Override
       public void received(byte[] message) {
@@ -144,8 +144,8 @@
     return isWell() && agent.status().serving();
   }
 
-  void call(OperatorRequest call, Consumer<OperatorResponse> answer) {
-    agent.handleOperatorRequest(call, answer);
+  void call(OperatorRequest call, Consumer<OperatorResponse> response) {
+    agent.handleOperatorRequest(call, response);
   }
 
   void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
@@ -157,7 +157,7 @@
   }
 
   /** SIGTERM: the process ends once the view does not count on its copy, or after a bound. */
-  void terminate(long boundMicros, Runnable ended) {
+  void terminate(long timeoutMicros, Runnable ended) {
     if (!isRunning()) {
       ended.run();
       return;
@@ -170,7 +170,8 @@
             ended.run();
           }
         };
-    terminated.execute(this, () -> agent.shutDownGracefully(boundMicros, () -> events.in(0, end)));
+    terminated.execute(
+        this, () -> agent.shutDownGracefully(timeoutMicros, () -> events.in(0, end)));
   }
 
   void kill() {
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -121,7 +121,7 @@
   }
 
   private void tick() {
-    if (mutation.keepsSilentStreams()) {
+    if (mutation.keepsDeadStreams()) {
       sockets.keySet().stream().toList().forEach(this::repeatNewestHeartbeat);
     }
     feed(new SubscriptionInput.Tick(List.of()));
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -57,41 +57,41 @@
   }
 
   /** Sends an order to one agent once; null without an answer in time. */
-  OperatorResponse send(ControlMachine machine, ConfigurationChange order) {
-    world.history().sent(order);
+  OperatorResponse send(ControlMachine machine, ConfigurationChange change) {
+    world.history().sent(change);
     long newestAtCall = world.history().newestAcknowledged();
-    OperatorResponse answer = call(machine, order.call());
-    if (answer != null) {
-      world.history().answered(now(), order, newestAtCall, answer);
+    OperatorResponse response = call(machine, change.call());
+    if (response != null) {
+      world.history().answered(now(), change, newestAtCall, response);
     }
-    return answer;
+    return response;
   }
 
   /** Makes a call once; null without an answer in time. */
   OperatorResponse call(ControlMachine machine, OperatorRequest call) {
     OperatorResponse[] got = {null};
-    world.call(machine, call, answer -> got[0] = answer);
-    long bound = now() + CALL_PATIENCE;
-    while (got[0] == null && now() < bound) {
+    world.call(machine, call, response -> got[0] = response);
+    long timeoutMicros = now() + CALL_PATIENCE;
+    while (got[0] == null && now() < timeoutMicros) {
       world.runUntil(now() + STEP / 10);
     }
     return got[0];
   }
 
   /** Sends an order to one agent after the other until it is acknowledged. */
-  void take(ConfigurationChange order) {
+  void take(ConfigurationChange change) {
     int turn = 0;
-    OperatorResponse answer = null;
-    while (answer == null || answer.status() == OperatorResponse.UNAVAILABLE) {
+    OperatorResponse response = null;
+    while (response == null || response.status() == OperatorResponse.UNAVAILABLE) {
       List<ControlMachine> machines = world.controlMachines();
-      answer = send(machines.get(turn % machines.size()), order);
+      response = send(machines.get(turn % machines.size()), change);
       turn++;
       if (turn > 100) {
-        throw new RuleViolation("never taken: " + order);
+        throw new RuleViolation("never taken: " + change);
       }
     }
-    if (answer.status() != OperatorResponse.OK) {
-      throw new RuleViolation("refused with " + answer.status() + ": " + order);
+    if (response.status() != OperatorResponse.OK) {
+      throw new RuleViolation("refused with " + response.status() + ": " + change);
     }
   }
 
@@ -109,21 +109,23 @@
   }
 
   /** Time until an agent has a version. */
-  long timeUntilAgentHas(ControlMachine machine, long version, long bound) {
+  long timeUntilAgentHas(ControlMachine machine, long version, long timeoutMicros) {
     return timeUntil(
-        () -> machine.isWell() && machine.status().configurationVersion() >= version, bound);
+        () -> machine.isWell() && machine.status().configurationVersion() >= version,
+        timeoutMicros);
   }
 
   /** Time until all data planes that run have a version. */
-  long timeUntilInForce(long version, long bound) {
+  long timeUntilInForce(long version, long timeoutMicros) {
     return timeUntil(
-        () -> world.dataPlanes().stream().allMatch(each -> each.version() >= version), bound);
+        () -> world.dataPlanes().stream().allMatch(each -> each.version() >= version),
+        timeoutMicros);
   }
 
   /** Time until something holds; -1 if the bound passed. */
-  long timeUntil(BooleanSupplier condition, long bound) {
+  long timeUntil(BooleanSupplier condition, long timeoutMicros) {
     long begin = now();
-    while (!condition.getAsBoolean() && now() < begin + bound) {
+    while (!condition.getAsBoolean() && now() < begin + timeoutMicros) {
       world.runUntil(now() + STEP);
     }
     return condition.getAsBoolean() ? now() - begin : -1;
--- a/src/test/java/slateslip/simulation/agents/FleetHistory.java
+++ b/src/test/java/slateslip/simulation/agents/FleetHistory.java
@@ -22,9 +22,9 @@
   private final Map<Long, Integer> sentOnBase = new HashMap<>();
 
   /** An operator is about to send an order, maybe again. */
-  void sent(ConfigurationChange order) {
-    if (sent.putIfAbsent(order.marker(), order) == null) {
-      sentOnBase.merge(order.base(), 1, Integer::sum);
+  void sent(ConfigurationChange change) {
+    if (sent.putIfAbsent(change.marker(), change) == null) {
+      sentOnBase.merge(change.base(), 1, Integer::sum);
     }
   }
 
@@ -43,62 +43,64 @@
   }
 
   /** An operator has an answer to an order. */
-  void answered(long now, ConfigurationChange order, long newestAtCall, OperatorResponse answer) {
-    if (answer.status() == OperatorResponse.OK) {
-      if (!order.valid()) {
-        throw new RuleViolation("acknowledged, though invalid: " + order);
+  void answered(
+      long now, ConfigurationChange change, long newestAtCall, OperatorResponse response) {
+    if (response.status() == OperatorResponse.OK) {
+      if (!change.valid()) {
+        throw new RuleViolation("acknowledged, though invalid: " + change);
       }
-      if (answer.version() != order.version()) {
-        throw new RuleViolation("version " + answer.version() + " acknowledged for " + order);
+      if (response.version() != change.version()) {
+        throw new RuleViolation("version " + response.version() + " acknowledged for " + change);
       }
-      taken(order);
-      acknowledgedAt.putIfAbsent(order.version(), now);
-    } else if (answer.status() != OperatorResponse.UNAVAILABLE) {
-      refused(order, newestAtCall, answer);
+      taken(change);
+      acknowledgedAt.putIfAbsent(change.version(), now);
+    } else if (response.status() != OperatorResponse.UNAVAILABLE) {
+      refused(change, newestAtCall, response);
     }
   }
 
-  private void refused(ConfigurationChange order, long newestAtCall, OperatorResponse answer) {
-    if (order.equals(takenByBase.get(order.base()))) {
-      throw new RuleViolation("refused with " + answer.status() + ", though taken: " + order);
+  private void refused(ConfigurationChange change, long newestAtCall, OperatorResponse response) {
+    if (change.equals(takenByBase.get(change.base()))) {
+      throw new RuleViolation("refused with " + response.status() + ", though taken: " + change);
     }
-    refused.add(order.marker());
-    boolean alone = sentOnBase.get(order.base()) == 1 && order.base() == newestAtCall;
-    if (order.valid() && alone && newestAtCall == newestAcknowledged()) {
-      throw new RuleViolation("refused with " + answer.status() + ", though proper: " + order);
+    refused.add(change.marker());
+    boolean alone = sentOnBase.get(change.base()) == 1 && change.base() == newestAtCall;
+    if (change.valid() && alone && newestAtCall == newestAcknowledged()) {
+      throw new RuleViolation("refused with " + response.status() + ", though proper: " + change);
     }
   }
 
   /** There is a sign that an order is in force. */
-  private void taken(ConfigurationChange order) {
-    if (refused.contains(order.marker())) {
-      throw new RuleViolation("in force, though refused: " + order);
+  private void taken(ConfigurationChange change) {
+    if (refused.contains(change.marker())) {
+      throw new RuleViolation("in force, though refused: " + change);
     }
-    ConfigurationChange rival = takenByBase.putIfAbsent(order.base(), order);
-    if (rival != null && !rival.equals(order)) {
-      throw new RuleViolation("two on one version: " + rival + " and " + order);
+    ConfigurationChange rival = takenByBase.putIfAbsent(change.base(), change);
+    if (rival != null && !rival.equals(change)) {
+      throw new RuleViolation("two on one version: " + rival + " and " + change);
     }
-    ConfigurationChange other = takenByVersion.putIfAbsent(order.version(), order);
-    if (other != null && !other.equals(order)) {
-      throw new RuleViolation("two under one number: " + other + " and " + order);
+    ConfigurationChange other = takenByVersion.putIfAbsent(change.version(), change);
+    if (other != null && !other.equals(change)) {
+      throw new RuleViolation("two under one number: " + other + " and " + change);
     }
   }
 
   private void taken(FleetConfiguration configuration) {
-    ConfigurationChange order = sent.get(ConfigurationChange.markerOf(configuration));
-    if (order == null || order.version() != configuration.version()) {
+    ConfigurationChange change = sent.get(ConfigurationChange.markerOf(configuration));
+    if (change == null || change.version() != configuration.version()) {
       throw new RuleViolation("in force, but never sent: " + configuration.version());
     }
-    taken(order);
+    taken(change);
   }
 
   /** A read of the configuration has been answered; returns the version that was read. */
-  long read(long newestAtCall, OperatorResponse answer) {
-    if (answer.status() == OperatorResponse.NOT_FOUND) {
+  long read(long newestAtCall, OperatorResponse response) {
+    if (response.status() == OperatorResponse.NOT_FOUND) {
       checkRead(newestAtCall, 0);
       return 0;
     }
-    if (!(ConfigurationDocument.parse(answer.body()) instanceof ConfigurationOutcome.Parsed read)) {
+    if (!(ConfigurationDocument.parse(response.body())
+        instanceof ConfigurationOutcome.Parsed read)) {
       throw new RuleViolation("a configuration that cannot be read");
     }
     taken(read.document().configuration());
--- a/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
+++ b/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
@@ -19,7 +19,7 @@
   @ValueSource(ints = {10, 300, 1_500})
   void aMemberThatWasDownForManyChangesHasAllWithinTwoSeconds(int changes) {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), changes, 0);
-    run.take(ConfigurationChange.whole(0, 1, "first"));
+    run.take(ConfigurationChange.complete(0, 1, "first"));
     ControlMachine down = run.allBut(run.primary()).get(0);
     down.kill();
     run.takeMany(changes, BYTES, "m");
@@ -46,15 +46,15 @@
   @Test
   void aGuestThatWasAwayWhileChangesWereCommittedCatchesUp() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), 9, 0);
-    run.take(ConfigurationChange.whole(0, 1, "first"));
-    ControlMachine guest = run.world().controlMachines().get(3);
+    run.take(ConfigurationChange.complete(0, 1, "first"));
+    ControlMachine learner = run.world().controlMachines().get(3);
     for (int round = 0; round < 5; round++) {
-      guest.kill();
+      learner.kill();
       run.takeMany(3 + 100 * round, BYTES, "r" + round + "-");
       run.pass(3 * SECOND);
-      run.world().start(guest, false);
+      run.world().start(learner, false);
       long newest = run.newest();
-      assertThat(run.timeUntilAgentHas(guest, newest, 2 * SECOND), greaterThanOrEqualTo(0L));
+      assertThat(run.timeUntilAgentHas(learner, newest, 2 * SECOND), greaterThanOrEqualTo(0L));
     }
   }
 
@@ -62,10 +62,10 @@
   void aDroppedMemberThatComesBackBehindDoesNotStopThePrimary() {
     for (long seed = 1; seed <= 10; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
-      run.take(ConfigurationChange.whole(0, 1, "first"));
+      run.take(ConfigurationChange.complete(0, 1, "first"));
       ControlMachine dropped = run.allBut(run.primary()).get(0);
       int index = run.world().controlMachines().indexOf(dropped);
-      run.fault(Kind.CUT_OFF, index, 4 * SECOND + seed * 100_000);
+      run.fault(Kind.ISOLATE, index, 4 * SECOND + seed * 100_000);
       run.pass(3 * SECOND);
       run.takeMany(4, BYTES, "m");
       run.pass(2 * SECOND);
@@ -79,7 +79,7 @@
   @ValueSource(ints = {1, 20, 1_000})
   void aDataPlaneThatIsManyVersionsBehindHasTheNewestWithinTwoSeconds(int versions) {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), versions, 0);
-    run.take(ConfigurationChange.whole(0, 1, "first"));
+    run.take(ConfigurationChange.complete(0, 1, "first"));
     run.pass(SECOND);
     DataPlaneMachine behind = run.world().dataPlanes().get(0);
     SimulatedProcess frozen = behind.process();
@@ -93,7 +93,7 @@
   @Test
   void aFullDiskDuringManyChangesLosesNothing() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 4, 0);
-    run.take(ConfigurationChange.whole(0, 1, "first"));
+    run.take(ConfigurationChange.complete(0, 1, "first"));
     for (int target = 0; target < 3; target++) {
       run.fault(Kind.DISK_FULL, target, 3 * SECOND);
       run.takeMany(60, 20_000, "t" + target + "-");
--- a/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
+++ b/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
@@ -21,18 +21,19 @@
     int clear = 0;
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
-      run.take(ConfigurationChange.whole(0, 1, "first"));
+      run.take(ConfigurationChange.complete(0, 1, "first"));
       ControlMachine forwarding = run.world().controlMachines().get(3);
       run.fault(Kind.DISK_SLOW, 1, 2 * SECOND);
-      run.world().history().sent(ConfigurationChange.whole(1, 2, "earlier"));
-      run.world().call(forwarding, ConfigurationChange.whole(1, 2, "earlier").call(), answer -> {});
+      run.world().history().sent(ConfigurationChange.complete(1, 2, "earlier"));
+      run.world()
+          .call(forwarding, ConfigurationChange.complete(1, 2, "earlier").call(), response -> {});
       run.pass(3_000 + seed * 1_000);
       forwarding.kill();
       run.pass(20_000);
       run.world().start(forwarding, false);
       run.pass(150_000 + seed * 2_000);
-      OperatorResponse answer = run.send(forwarding, ConfigurationChange.whole(1, 3, "later"));
-      clear += answer != null && answer.status() != OperatorResponse.UNAVAILABLE ? 1 : 0;
+      OperatorResponse response = run.send(forwarding, ConfigurationChange.complete(1, 3, "later"));
+      clear += response != null && response.status() != OperatorResponse.UNAVAILABLE ? 1 : 0;
     }
     assertThat(clear, greaterThan(0));
   }
@@ -41,7 +42,7 @@
   void whatAPeerStoredForAnEarlierLifeAcknowledgesNothing() {
     for (long seed = 1; seed <= 40; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
-      run.take(ConfigurationChange.whole(0, 1, "first"));
+      run.take(ConfigurationChange.complete(0, 1, "first"));
       for (int kill = 0; kill < 4; kill++) {
         run.fault(Kind.KILL, kill, 50_000);
         run.pass(SECOND);
--- a/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
+++ b/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
@@ -23,19 +23,19 @@
 final class PartitionedAgentTest {
   private static final long SECOND = DirectedRun.SECOND;
   private static final long TAKEN_WITHIN = 2 * SECOND;
-  private static final long SILENCE = SECOND;
+  private static final long DOWN_MICROS = SECOND;
 
   static Stream<Arguments> cuts() {
     List<Kind> kinds =
         List.of(
-            Kind.CUT_OFF,
-            Kind.CUT_OFF_PRIMARY,
-            Kind.CUT_FROM_ALL,
-            Kind.CUT_PRIMARY_FROM_ALL,
-            Kind.CUT_FROM_DATA_PLANES,
-            Kind.CUT_PRIMARY_ONE_WAY_OUT,
-            Kind.CUT_PRIMARY_ONE_WAY_IN,
-            Kind.CUT_OFF_WITH_SEEDS);
+            Kind.ISOLATE,
+            Kind.ISOLATE_PRIMARY,
+            Kind.PARTITION_FROM_ALL,
+            Kind.PARTITION_PRIMARY_FROM_ALL,
+            Kind.PARTITION_FROM_DATA_PLANES,
+            Kind.PARTITION_PRIMARY_OUTBOUND,
+            Kind.PARTITION_PRIMARY_INBOUND,
+            Kind.ISOLATE_WITH_SEEDS);
     return kinds.stream()
         .flatMap(
             kind ->
@@ -51,52 +51,54 @@
     AgentWorld.Shape shape = AgentWorld.Shape.of(size, size > 3 ? 2 : 1);
     DirectedRun run = new DirectedRun(shape, seconds * 100L + size, 2);
     boolean atPrimary = kind.name().contains("PRIMARY");
-    ControlMachine cut = atPrimary ? run.primary() : run.world().controlMachines().get(size - 1);
+    ControlMachine partition =
+        atPrimary ? run.primary() : run.world().controlMachines().get(size - 1);
     run.fault(kind, size - 1, seconds * SECOND);
-    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> run.allBut(cut));
+    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> run.allBut(partition));
     assertThat(
         "taken in time", taken, allOf(greaterThanOrEqualTo(0L), lessThanOrEqualTo(TAKEN_WITHIN)));
     run.pass(seconds * SECOND);
     run.world().heal(0);
     long newest = run.newest();
     assertThat(run.timeUntilInForce(newest, 2 * SECOND), greaterThanOrEqualTo(0L));
-    assertThat(run.timeUntilAgentHas(cut, newest, 2 * SECOND), greaterThanOrEqualTo(0L));
+    assertThat(run.timeUntilAgentHas(partition, newest, 2 * SECOND), greaterThanOrEqualTo(0L));
   }
 
   @Test
   void thePrimaryThatIsCutOffAnswersNothingOfItsState() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 7, 0);
-    run.take(ConfigurationChange.whole(0, 3, "first"));
-    ControlMachine cut = run.primary();
-    run.fault(Kind.CUT_OFF_PRIMARY, 0, 20 * SECOND);
-    ConfigurationChange taken = ConfigurationChange.whole(0, 3, "first");
+    run.take(ConfigurationChange.complete(0, 3, "first"));
+    ControlMachine partition = run.primary();
+    run.fault(Kind.ISOLATE_PRIMARY, 0, 20 * SECOND);
+    ConfigurationChange taken = ConfigurationChange.complete(0, 3, "first");
     ConfigurationChange invalid = ConfigurationChange.invalid(3, 4, "invalid");
-    ConfigurationChange stale = ConfigurationChange.whole(0, 2, "stale");
+    ConfigurationChange stale = ConfigurationChange.complete(0, 2, "stale");
     for (int second = 0; second < 18; second++) {
-      assertUnclear(run.call(cut, new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0])));
-      assertUnclear(run.send(cut, taken));
-      assertUnclear(run.send(cut, invalid));
-      assertUnclear(run.send(cut, stale));
-      assertUnclear(run.send(cut, ConfigurationChange.whole(3, 5, "new" + second)));
+      assertUnclear(
+          run.call(partition, new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0])));
+      assertUnclear(run.send(partition, taken));
+      assertUnclear(run.send(partition, invalid));
+      assertUnclear(run.send(partition, stale));
+      assertUnclear(run.send(partition, ConfigurationChange.complete(3, 5, "new" + second)));
       run.pass(SECOND / 4);
     }
   }
 
-  private static void assertUnclear(OperatorResponse answer) {
-    if (answer != null) {
-      assertThat(answer.status(), is(OperatorResponse.UNAVAILABLE));
+  private static void assertUnclear(OperatorResponse response) {
+    if (response != null) {
+      assertThat(response.status(), is(OperatorResponse.UNAVAILABLE));
     }
   }
 
   @Test
   void dataPlanesLeaveAnAgentThatIsCutOffAndDoNotGoBack() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 11, 0);
-    run.take(ConfigurationChange.whole(0, 3, "first"));
-    ControlMachine cut = run.primary();
-    run.fault(Kind.CUT_OFF_PRIMARY, 0, 20 * SECOND);
-    run.pass(SILENCE);
-    assertThat(cut.status().current(), is(false));
-    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> run.allBut(cut));
+    run.take(ConfigurationChange.complete(0, 3, "first"));
+    ControlMachine partition = run.primary();
+    run.fault(Kind.ISOLATE_PRIMARY, 0, 20 * SECOND);
+    run.pass(DOWN_MICROS);
+    assertThat(partition.status().current(), is(false));
+    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> run.allBut(partition));
     assertThat(taken, greaterThanOrEqualTo(0L));
     assertThat(run.timeUntilInForce(run.newest(), SECOND), greaterThanOrEqualTo(0L));
   }
--- a/src/test/java/slateslip/simulation/agents/ProbingOperator.java
+++ b/src/test/java/slateslip/simulation/agents/ProbingOperator.java
@@ -8,12 +8,12 @@
 /** Reads the configuration and has one change taken, at one agent after the other. */
 final class ProbingOperator {
   private static final long PATIENCE = 1_000_000;
-  private static final long PAUSE = 20_000;
+  private static final long DELAY = 20_000;
 
   private final AgentWorld world;
   private final String marker;
   private final Supplier<List<ControlMachine>> called;
-  private ConfigurationChange order;
+  private ConfigurationChange change;
   private int calls;
   private boolean done;
   private boolean stopped;
@@ -40,7 +40,7 @@
     int current = calls;
     List<ControlMachine> machines = called.get();
     ControlMachine machine = machines.get(current % machines.size());
-    if (order == null) {
+    if (change == null) {
       read(current, machine);
     } else {
       send(current, machine);
@@ -51,7 +51,7 @@
   private void goOn(int current) {
     if (current == calls) {
       calls++;
-      world.events().in(PAUSE, this::start);
+      world.events().in(DELAY, this::start);
     }
   }
 
@@ -61,27 +61,27 @@
     world.call(
         machine,
         get,
-        answer -> {
-          if (answer.status() != OperatorResponse.UNAVAILABLE && order == null) {
-            long version = world.history().read(newestAtCall, answer);
-            order = ConfigurationChange.whole(version, version + 1, marker + current);
+        response -> {
+          if (response.status() != OperatorResponse.UNAVAILABLE && change == null) {
+            long version = world.history().read(newestAtCall, response);
+            change = ConfigurationChange.complete(version, version + 1, marker + current);
           }
           goOn(current);
         });
   }
 
   private void send(int current, ControlMachine machine) {
-    ConfigurationChange sent = order;
+    ConfigurationChange sent = change;
     world.history().sent(sent);
     long newestAtCall = world.history().newestAcknowledged();
     world.call(
         machine,
         sent.call(),
-        answer -> {
-          world.history().answered(world.events().now(), sent, newestAtCall, answer);
-          done |= answer.status() == OperatorResponse.OK;
-          if (answer.status() != OperatorResponse.UNAVAILABLE && sent.equals(order)) {
-            order = null; // taken, or an earlier change has come into force since the read
+        response -> {
+          world.history().answered(world.events().now(), sent, newestAtCall, response);
+          done |= response.status() == OperatorResponse.OK;
+          if (response.status() != OperatorResponse.UNAVAILABLE && sent.equals(change)) {
+            change = null; // taken, or an earlier change has come into force since the read
           }
           goOn(current);
         });
--- a/src/test/java/slateslip/simulation/agents/RecoveryTimeReport.java
+++ b/src/test/java/slateslip/simulation/agents/RecoveryTimeReport.java
@@ -11,7 +11,7 @@
  */
 final class RecoveryTimeReport {
   private static final long SECOND = DirectedRun.SECOND;
-  private static final long BOUND = 8 * SECOND;
+  private static final long TIMEOUT = 8 * SECOND;
   private static final long LASTS = 20 * SECOND;
   private static final long DOWN = 300_000;
   private static final int SEEDS = 20;
@@ -48,10 +48,10 @@
     print(shape, Kind.REPLACE_PRIMARY, SECOND);
     print(shape, Kind.REPLACE_PRIMARY_PLANNED, SECOND);
     print(shape, Kind.FREEZE_PRIMARY, 3 * SECOND);
-    print(shape, Kind.CUT_OFF_PRIMARY, LASTS);
-    print(shape, Kind.CUT_PRIMARY_FROM_ALL, LASTS);
-    print(shape, Kind.CUT_PRIMARY_ONE_WAY_OUT, LASTS);
-    print(shape, Kind.CUT_PRIMARY_ONE_WAY_IN, LASTS);
+    print(shape, Kind.ISOLATE_PRIMARY, LASTS);
+    print(shape, Kind.PARTITION_PRIMARY_FROM_ALL, LASTS);
+    print(shape, Kind.PARTITION_PRIMARY_OUTBOUND, LASTS);
+    print(shape, Kind.PARTITION_PRIMARY_INBOUND, LASTS);
     print(shape, Kind.DISK_HUNG_PRIMARY, 3 * SECOND);
     print(shape, Kind.KILL, DOWN);
     print(shape, Kind.FREEZE, 3 * SECOND);
@@ -72,7 +72,7 @@
 
   private static DirectedRun begin(AgentWorld.Shape shape, long seed) {
     DirectedRun run = new DirectedRun(shape, seed, 0);
-    run.take(ConfigurationChange.whole(0, 1, "first"));
+    run.take(ConfigurationChange.complete(0, 1, "first"));
     run.pass(SECOND);
     return run;
   }
@@ -86,7 +86,7 @@
         () ->
             run.world().controlMachines().stream()
                 .anyMatch(each -> each.isServing() && serves(kind, each, before, process)),
-        BOUND);
+        TIMEOUT);
   }
 
   /** Whether that is a primary behind the loss, not the one that does not know of it yet. */
@@ -101,8 +101,8 @@
     DirectedRun run = begin(shape, seed);
     long at = run.now();
     run.fault(kind, 1, micros);
-    times.taken.add(run.world().timeToTakeChange(BOUND));
-    run.timeUntilInForce(run.newest(), BOUND);
+    times.taken.add(run.world().timeToTakeChange(TIMEOUT));
+    run.timeUntilInForce(run.newest(), TIMEOUT);
     times.inForce.add(run.now() - at);
   }
 
@@ -119,12 +119,12 @@
   private static void printBehind() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 1, 0);
     run.world().network().limitBandwidth(BYTES_PER_MILLI);
-    run.take(ConfigurationChange.whole(0, 1, "first"));
+    run.take(ConfigurationChange.complete(0, 1, "first"));
     ControlMachine down = run.allBut(run.primary()).get(0);
     down.kill();
     run.takeMany(BEHIND_CHANGES, BEHIND_BYTES, "m");
     run.world().start(down, false);
-    long time = run.timeUntilAgentHas(down, run.newest(), BOUND);
+    long time = run.timeUntilAgentHas(down, run.newest(), TIMEOUT);
     System.out.println(
         "a member %d changes of %d bytes behind has all after %d ms"
             .formatted(BEHIND_CHANGES, BEHIND_BYTES, time / 1_000));
--- a/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
+++ b/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
@@ -21,10 +21,10 @@
   void ofTwoOrdersUnderOneNumberOneIsTaken(int size) {
     for (long seed = 1; seed <= 10; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(size, 1), seed, 0);
-      run.take(ConfigurationChange.whole(0, 3, "first"));
+      run.take(ConfigurationChange.complete(0, 3, "first"));
       List<ConfigurationChange> rivals =
-          List.of(ConfigurationChange.whole(3, 5, "a"), ConfigurationChange.whole(3, 5, "b"));
-      List<OperatorResponse> answers = new ArrayList<>();
+          List.of(ConfigurationChange.complete(3, 5, "a"), ConfigurationChange.complete(3, 5, "b"));
+      List<OperatorResponse> responses = new ArrayList<>();
       for (ConfigurationChange rival : rivals) {
         run.world().history().sent(rival);
         for (ControlMachine machine : run.world().controlMachines()) {
@@ -32,17 +32,17 @@
               .call(
                   machine,
                   rival.call(),
-                  answer -> {
-                    run.world().history().answered(run.now(), rival, 3, answer);
-                    answers.add(answer);
+                  response -> {
+                    run.world().history().answered(run.now(), rival, 3, response);
+                    responses.add(response);
                   });
         }
       }
       run.pass(2 * SECOND);
-      assertThat(answers, hasSize(2 * size));
-      long taken = answers.stream().filter(each -> each.status() == OperatorResponse.OK).count();
+      assertThat(responses, hasSize(2 * size));
+      long taken = responses.stream().filter(each -> each.status() == OperatorResponse.OK).count();
       long refused =
-          answers.stream().filter(each -> each.status() == OperatorResponse.CONFLICT).count();
+          responses.stream().filter(each -> each.status() == OperatorResponse.CONFLICT).count();
       assertThat(taken, is((long) size));
       assertThat(refused, is((long) size));
     }
@@ -52,28 +52,28 @@
   void anOrderInFlightWhileThePrimaryDiesIsNeverRefused() {
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
-      run.take(ConfigurationChange.whole(0, 3, "first"));
-      ConfigurationChange order = ConfigurationChange.patch(3, 4, "in-flight");
+      run.take(ConfigurationChange.complete(0, 3, "first"));
+      ConfigurationChange change = ConfigurationChange.patch(3, 4, "in-flight");
       ControlMachine primary = run.primary();
-      run.world().history().sent(order);
+      run.world().history().sent(change);
       for (ControlMachine machine : run.world().controlMachines()) {
         run.world()
             .call(
                 machine,
-                order.call(),
-                answer -> run.world().history().answered(run.now(), order, 3, answer));
+                change.call(),
+                response -> run.world().history().answered(run.now(), change, 3, response));
       }
       run.pass(seed * 250);
       run.fault(Kind.KILL_PRIMARY, 0, 100_000);
-      run.take(order);
-      assertThat(run.send(run.allBut(primary).get(0), order).status(), is(OperatorResponse.OK));
+      run.take(change);
+      assertThat(run.send(run.allBut(primary).get(0), change).status(), is(OperatorResponse.OK));
     }
   }
 
   @Test
   void anOrderIsKnownAfterManyOthersASnapshotAndTheLossOfTheAgentThatTookIt() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 5, 0);
-    ConfigurationChange first = ConfigurationChange.whole(0, 1, "first");
+    ConfigurationChange first = ConfigurationChange.complete(0, 1, "first");
     run.take(first);
     ConfigurationChange second = ConfigurationChange.patch(1, 2, "second");
     run.take(second);
@@ -87,12 +87,12 @@
     assertKnownEverywhere(run, first, second);
   }
 
-  private static void assertKnownEverywhere(DirectedRun run, ConfigurationChange... orders) {
-    for (ConfigurationChange order : orders) {
+  private static void assertKnownEverywhere(DirectedRun run, ConfigurationChange... changes) {
+    for (ConfigurationChange change : changes) {
       for (ControlMachine machine : run.world().controlMachines()) {
-        OperatorResponse answer = run.send(machine, order);
-        assertThat(answer.status(), is(OperatorResponse.OK));
-        assertThat(answer.version(), is(order.version()));
+        OperatorResponse response = run.send(machine, change);
+        assertThat(response.status(), is(OperatorResponse.OK));
+        assertThat(response.version(), is(change.version()));
       }
     }
   }
@@ -100,16 +100,16 @@
   @Test
   void bodiesThatDifferByOneByteAreDifferentOrders() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 6, 0);
-    run.take(ConfigurationChange.whole(0, 3, "base"));
-    run.take(ConfigurationChange.whole(3, 4, "one"));
+    run.take(ConfigurationChange.complete(0, 3, "base"));
+    run.take(ConfigurationChange.complete(3, 4, "one"));
     ControlMachine any = run.allBut(run.primary()).get(0);
     assertThat(
-        run.send(any, ConfigurationChange.whole(3, 4, "onf")).status(),
+        run.send(any, ConfigurationChange.complete(3, 4, "onf")).status(),
         is(OperatorResponse.CONFLICT));
     assertThat(
         run.send(any, ConfigurationChange.patch(3, 4, "ong")).status(),
         is(OperatorResponse.CONFLICT));
     assertThat(
-        run.send(any, ConfigurationChange.whole(3, 4, "one")).status(), is(OperatorResponse.OK));
+        run.send(any, ConfigurationChange.complete(3, 4, "one")).status(), is(OperatorResponse.OK));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SecondLossTest.java
+++ b/src/test/java/slateslip/simulation/agents/SecondLossTest.java
@@ -76,7 +76,7 @@
   void aMemberThatIsToldToEndStaysUntilItsCopyIsElsewhere() {
     for (long seed = 1; seed <= 20; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
-      run.take(ConfigurationChange.whole(0, 3, "first"));
+      run.take(ConfigurationChange.complete(0, 3, "first"));
       run.fault(Kind.RESTART_PRIMARY, 0, DOWN);
       run.pass(30_000);
       run.fault(Kind.LOSE_POWER, 1, 20 * SECOND);
@@ -88,12 +88,12 @@
   @Test
   void thePrimaryThatIsToldToEndHandsOverWithoutSilence() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 3, 0);
-    run.take(ConfigurationChange.whole(0, 3, "first"));
-    ControlMachine leaving = run.primary();
+    run.take(ConfigurationChange.complete(0, 3, "first"));
+    ControlMachine draining = run.primary();
     run.fault(Kind.RESTART_PRIMARY, 0, DOWN);
     long handedOver =
         run.timeUntil(
-            () -> run.allBut(leaving).stream().anyMatch(ControlMachine::isServing), SECOND / 4);
+            () -> run.allBut(draining).stream().anyMatch(ControlMachine::isServing), SECOND / 4);
     assertThat(handedOver, greaterThanOrEqualTo(0L));
     assertThat(run.world().timeToTakeChange(SECOND) >= 0, is(true));
   }
--- a/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
@@ -12,19 +12,19 @@
 final class SimulatedBackend {
   static final long HEARTBEAT = 1_200_000;
   private static final long PATIENCE = 1_000_000;
-  private static final long LEAST_LIFE = 2_000_000;
-  private static final long MOST_LIFE = 14_000_000;
+  private static final long MIN_LIFETIME = 2_000_000;
+  private static final long MAX_LIFETIME = 14_000_000;
   private static final long DRAIN = 2_300_000;
   private static final long UNACKNOWLEDGED_DRAIN = 4_000_000;
   private static final long REUSE = 2_000_000;
-  private static final long MOST_LATE = 4_000_000;
+  private static final long MAX_LATE = 4_000_000;
   private static final int LATE_EVERY = 25;
-  private static final int TRIES = 6;
+  private static final int ATTEMPTS = 6;
   private static final int SERVICES = 2;
 
   /** How an incarnation ends. */
-  enum Ending {
-    DRAINS,
+  enum ShutdownMode {
+    DRAINS_FIRST,
     DELETES_FIRST,
     CRASHES
   }
@@ -39,7 +39,7 @@
     private boolean ended;
     private boolean departing;
     private boolean departureAcknowledged;
-    private long leavingAcknowledgedAt = Long.MAX_VALUE;
+    private long drainAcknowledgedAt = Long.MAX_VALUE;
     private long endedAt = Long.MAX_VALUE;
     private long acknowledgedAt;
 
@@ -54,8 +54,8 @@
     }
 
     /** Since when it must not get new requests from data planes in touch. */
-    long leavingAcknowledgedAt() {
-      return leavingAcknowledgedAt;
+    long drainAcknowledgedAt() {
+      return drainAcknowledgedAt;
     }
 
     /** When it ended; never yet if it lives. */
@@ -84,7 +84,7 @@
               isReady() ? "ready" : "not ready",
               startedAt / 1_000,
               acknowledgedAt / 1_000,
-              leavingAcknowledgedAt / 1_000,
+              drainAcknowledgedAt / 1_000,
               endedAt / 1_000);
     }
 
@@ -128,8 +128,8 @@
     Incarnation started = new Incarnation("i-" + address + "-" + incarnations, service);
     current = started;
     all.add(started);
-    beat(started);
-    events.in(random.nextLong(LEAST_LIFE, MOST_LIFE), () -> leave(started));
+    sendHeartbeat(started);
+    events.in(random.nextLong(MIN_LIFETIME, MAX_LIFETIME), () -> leave(started));
   }
 
   /** The incarnation that lives now stays until the end. */
@@ -137,19 +137,19 @@
     endless = true;
   }
 
-  private void beat(Incarnation own) {
+  private void sendHeartbeat(Incarnation own) {
     if (own.ended) {
       return;
     }
-    call(own, TRIES, own.nextSession());
-    events.in(HEARTBEAT, () -> beat(own));
+    call(own, ATTEMPTS, own.nextSession());
+    events.in(HEARTBEAT, () -> sendHeartbeat(own));
   }
 
-  private void call(Incarnation own, int triesLeft, BackendSession session) {
-    if (triesLeft == 0 || own.ended) {
+  private void call(Incarnation own, int attemptsLeft, BackendSession session) {
+    if (attemptsLeft == 0 || own.ended) {
       return;
     }
-    long late = random.nextInt(LATE_EVERY) == 0 ? random.nextLong(MOST_LATE) : 0;
+    long late = random.nextInt(LATE_EVERY) == 0 ? random.nextLong(MAX_LATE) : 0;
     ControlMachine called = calledAgent();
     boolean[] over = {false};
     events.in(
@@ -162,10 +162,10 @@
                   if (acknowledged) {
                     acknowledged(own, session);
                   }
-                  tryNext(own, triesLeft, session, over, acknowledged);
+                  tryNext(own, attemptsLeft, session, over, acknowledged);
                 },
-                () -> tryNext(own, triesLeft, session, over, false)));
-    events.in(PATIENCE, () -> tryNext(own, triesLeft, session, over, false));
+                () -> tryNext(own, attemptsLeft, session, over, false)));
+    events.in(PATIENCE, () -> tryNext(own, attemptsLeft, session, over, false));
   }
 
   private ControlMachine calledAgent() {
@@ -177,7 +177,7 @@
 
   private void tryNext(
       Incarnation own,
-      int triesLeft,
+      int attemptsLeft,
       BackendSession session,
       boolean[] over,
       boolean acknowledged) {
@@ -187,16 +187,16 @@
     over[0] = true;
     if (!acknowledged && own == current) {
       agent = null;
-      call(own, triesLeft - 1, session);
+      call(own, attemptsLeft - 1, session);
     }
   }
 
   private void acknowledged(Incarnation own, BackendSession session) {
     own.acknowledgedAt = events.now();
-    if (session.draining() && own.leavingAcknowledgedAt == Long.MAX_VALUE) {
-      world.rules().leavingAcknowledged(own.id);
-      own.leavingAcknowledgedAt = events.now();
-      events.in(DRAIN, () -> deregister(own, TRIES));
+    if (session.draining() && own.drainAcknowledgedAt == Long.MAX_VALUE) {
+      world.rules().drainAcknowledged(own.id);
+      own.drainAcknowledgedAt = events.now();
+      events.in(DRAIN, () -> deregister(own, ATTEMPTS));
     }
   }
 
@@ -204,12 +204,12 @@
     if (endless) {
       return;
     }
-    Ending ending = Ending.values()[random.nextInt(Ending.values().length)];
-    switch (ending) {
-      case DRAINS -> drain(own);
+    ShutdownMode shutdownMode = ShutdownMode.values()[random.nextInt(ShutdownMode.values().length)];
+    switch (shutdownMode) {
+      case DRAINS_FIRST -> drain(own);
       case DELETES_FIRST -> {
         own.draining = true;
-        deregister(own, TRIES);
+        deregister(own, ATTEMPTS);
         events.in(DRAIN, () -> end(own));
       }
       case CRASHES -> end(own);
@@ -218,13 +218,13 @@
 
   private void drain(Incarnation own) {
     own.draining = true;
-    call(own, TRIES, own.nextSession());
-    events.in(UNACKNOWLEDGED_DRAIN, () -> deregister(own, TRIES));
+    call(own, ATTEMPTS, own.nextSession());
+    events.in(UNACKNOWLEDGED_DRAIN, () -> deregister(own, ATTEMPTS));
     events.in(UNACKNOWLEDGED_DRAIN, () -> end(own));
   }
 
-  private void deregister(Incarnation own, int triesLeft) {
-    if (own.departureAcknowledged || triesLeft == 0) {
+  private void deregister(Incarnation own, int attemptsLeft) {
+    if (own.departureAcknowledged || attemptsLeft == 0) {
       return;
     }
     own.departing = true;
@@ -234,7 +234,7 @@
           if (!over[0]) {
             over[0] = true;
             agent = null;
-            deregister(own, triesLeft - 1);
+            deregister(own, attemptsLeft - 1);
           }
         };
     world.deregister(
@@ -244,8 +244,8 @@
           if (acknowledged) {
             over[0] = true;
             own.departureAcknowledged = true;
-            world.rules().leavingAcknowledged(own.id);
-            own.leavingAcknowledgedAt = Math.min(own.leavingAcknowledgedAt, events.now());
+            world.rules().drainAcknowledged(own.id);
+            own.drainAcknowledgedAt = Math.min(own.drainAcknowledgedAt, events.now());
           } else {
             again.run();
           }
--- a/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
@@ -19,16 +19,16 @@
 
   private record HeldUp(SimulatedSocket sender, Runnable arrival) {}
 
-  private static final long LEAST_DELAY = 300;
-  private static final long MOST_DELAY = 3_000;
+  private static final long MIN_DELAY = 300;
+  private static final long MAX_DELAY = 3_000;
   private static final long HANDSHAKE_RETRY = 200_000;
-  private static final int KEPT_CLOSED_SOCKETS = 500;
+  private static final int RETAINED_CLOSED_SOCKETS = 500;
 
   private final EventQueue events;
   private final SplittableRandom random;
   private final Map<String, SimulatedMachine> machines = new HashMap<>();
   private final Map<Link, Deque<HeldUp>> cuts = new HashMap<>();
-  private final Map<Link, Integer> cutCounts = new HashMap<>();
+  private final Map<Link, Integer> partitionCounts = new HashMap<>();
   private final Map<String, Long> extraDelay = new HashMap<>();
   private final List<SimulatedSocket> sockets = new ArrayList<>();
   private long bytesPerMilli = Long.MAX_VALUE;
@@ -48,7 +48,7 @@
   }
 
   long delay() {
-    return random.nextLong(LEAST_DELAY, MOST_DELAY);
+    return random.nextLong(MIN_DELAY, MAX_DELAY);
   }
 
   // ---- connections ----
@@ -97,9 +97,9 @@
       return;
     }
     SimulatedMachine target = machines.get(attempt.to);
-    boolean silent =
-        target == null || !target.isPowered() || isCut(attempt.from.address(), attempt.to);
-    if (silent) {
+    boolean unresponsive =
+        target == null || !target.isPowered() || isPartitioned(attempt.from.address(), attempt.to);
+    if (unresponsive) {
       events.in(HANDSHAKE_RETRY, () -> handshake(attempt));
     } else if (!target.isRunning()) {
       events.in(delay(), attempt::fail);
@@ -108,7 +108,7 @@
     }
   }
 
-  private boolean isCut(String one, String other) {
+  private boolean isPartitioned(String one, String other) {
     return cuts.containsKey(new Link(one, other)) || cuts.containsKey(new Link(other, one));
   }
 
@@ -132,7 +132,7 @@
   }
 
   private void remember(SimulatedSocket socket) {
-    if (sockets.size() > KEPT_CLOSED_SOCKETS) {
+    if (sockets.size() > RETAINED_CLOSED_SOCKETS) {
       sockets.removeIf(each -> !each.isOpen());
     }
     sockets.add(socket);
@@ -153,11 +153,11 @@
   }
 
   private void pass(Link link, SimulatedSocket sender, Runnable arrival) {
-    Deque<HeldUp> heldUp = cuts.get(link);
-    if (heldUp == null) {
+    Deque<HeldUp> stalled = cuts.get(link);
+    if (stalled == null) {
       arrival.run();
     } else {
-      heldUp.addLast(new HeldUp(sender, arrival));
+      stalled.addLast(new HeldUp(sender, arrival));
     }
   }
 
@@ -188,26 +188,26 @@
   }
 
   /** Nothing passes from one to the other any more. */
-  void cut(String from, String to) {
+  void partition(String from, String to) {
     Link link = new Link(from, to);
-    cutCounts.merge(link, 1, Integer::sum);
+    partitionCounts.merge(link, 1, Integer::sum);
     cuts.putIfAbsent(link, new ArrayDeque<>());
   }
 
   /** One cut of a link has ended; it passes again once all have. */
   void join(String from, String to) {
     Link link = new Link(from, to);
-    if (cutCounts.merge(link, -1, Integer::sum) == 0) {
+    if (partitionCounts.merge(link, -1, Integer::sum) == 0) {
       join(link);
     }
   }
 
   /** What was held up comes now, or is lost with its connection. */
   private void join(Link link) {
-    cutCounts.remove(link);
-    Deque<HeldUp> heldUp = cuts.remove(link);
+    partitionCounts.remove(link);
+    Deque<HeldUp> stalled = cuts.remove(link);
     boolean reset = random.nextBoolean();
-    for (HeldUp each : heldUp) {
+    for (HeldUp each : stalled) {
       if (reset) {
         each.sender().closedByPeer();
         each.sender().reset(true);
@@ -224,7 +224,7 @@
 
   /** Whether messages pass both ways. */
   boolean passes(String one, String other) {
-    return !isCut(one, other);
+    return !isPartitioned(one, other);
   }
 
   /** Slows all links of a machine; 0 makes them fast again. */
@@ -239,12 +239,18 @@
 
   /** A request over HTTP, and its answer: each takes a moment. */
   <T> void request(
-      SimulatedMachine target, Consumer<Consumer<T>> handle, Consumer<T> answer, Runnable refused) {
-    events.in(delay(), () -> arrive(target, handle, answer, refused));
+      SimulatedMachine target,
+      Consumer<Consumer<T>> handle,
+      Consumer<T> response,
+      Runnable refused) {
+    events.in(delay(), () -> arrive(target, handle, response, refused));
   }
 
   private <T> void arrive(
-      SimulatedMachine target, Consumer<Consumer<T>> handle, Consumer<T> answer, Runnable refused) {
+      SimulatedMachine target,
+      Consumer<Consumer<T>> handle,
+      Consumer<T> response,
+      Runnable refused) {
     if (!target.isPowered()) {
       return;
     }
@@ -252,7 +258,7 @@
       events.in(delay(), refused);
       return;
     }
-    Consumer<T> back = result -> events.in(delay(), () -> answer.accept(result));
+    Consumer<T> back = result -> events.in(delay(), () -> response.accept(result));
     target.process().execute(handle, () -> handle.accept(back));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -14,9 +14,9 @@
  */
 final class SimulatedOperator {
   private static final long PATIENCE = 1_000_000;
-  private static final long LONG_PAUSE = 250_000;
-  private static final long SHORT_PAUSE = 20_000;
-  private static final int ANSWER_LOST_EVERY = 6;
+  private static final long LONG_DELAY = 250_000;
+  private static final long SHORT_DELAY = 20_000;
+  private static final int RESPONSE_LOST_EVERY = 6;
   private static final int SEVERAL_AT_ONCE_EVERY = 5;
   private static final int REPEATED_EVERY = 4;
   private static final int INVALID_EVERY = 9;
@@ -26,11 +26,11 @@
   private final SplittableRandom random;
   private final FleetHistory history;
   private final String name;
-  private final List<ConfigurationChange> takenOrders = new ArrayList<>();
-  private ConfigurationChange order;
+  private final List<ConfigurationChange> committedChanges = new ArrayList<>();
+  private ConfigurationChange change;
   private long knownVersion;
   private long call;
-  private int orders;
+  private int changes;
   private boolean stopped;
 
   SimulatedOperator(
@@ -60,19 +60,19 @@
     }
     call++;
     long current = call;
-    if (order == null) {
+    if (change == null) {
       read(current);
     } else {
       send(current);
     }
-    events.in(PATIENCE, () -> goOn(current, SHORT_PAUSE));
+    events.in(PATIENCE, () -> goOn(current, SHORT_DELAY));
   }
 
   /** The call is over, or given up; the next one follows after a pause. */
-  private void goOn(long current, long longestPause) {
+  private void goOn(long current, long maxDelay) {
     if (current == call) {
       call++;
-      events.in(random.nextLong(longestPause), this::next);
+      events.in(random.nextLong(maxDelay), this::next);
     }
   }
 
@@ -84,40 +84,40 @@
   private void read(long current) {
     long newestAtCall = history.newestAcknowledged();
     OperatorRequest get = new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0]);
-    world.call(anyAgent(), get, answer -> readAnswer(current, newestAtCall, answer));
+    world.call(anyAgent(), get, response -> readResponse(current, newestAtCall, response));
   }
 
-  private void readAnswer(long current, long newestAtCall, OperatorResponse answer) {
-    boolean clear = answer.status() != OperatorResponse.UNAVAILABLE;
+  private void readResponse(long current, long newestAtCall, OperatorResponse response) {
+    boolean clear = response.status() != OperatorResponse.UNAVAILABLE;
     if (clear) {
-      knownVersion = history.read(newestAtCall, answer);
+      knownVersion = history.read(newestAtCall, response);
     }
     if (current != call) {
       return;
     }
     if (clear) {
-      order = newOrder();
+      change = newChange();
     }
-    goOn(current, clear ? LONG_PAUSE : SHORT_PAUSE);
+    goOn(current, clear ? LONG_DELAY : SHORT_DELAY);
   }
 
-  private ConfigurationChange newOrder() {
-    orders++;
-    String marker = name + orders;
+  private ConfigurationChange newChange() {
+    changes++;
+    String marker = name + changes;
     long version = knownVersion + 1 + random.nextInt(2);
     if (random.nextInt(INVALID_EVERY) == 0) {
       return ConfigurationChange.invalid(knownVersion, version, marker);
     }
     return knownVersion > 0 && random.nextBoolean()
         ? ConfigurationChange.patch(knownVersion, version, marker)
-        : ConfigurationChange.whole(knownVersion, version, marker);
+        : ConfigurationChange.complete(knownVersion, version, marker);
   }
 
   private void send(long current) {
     int copies = random.nextInt(SEVERAL_AT_ONCE_EVERY) == 0 ? world.controlMachines().size() : 1;
     for (int copy = 0; copy < copies; copy++) {
-      ConfigurationChange sent = order;
-      sendOnce(sent, answer -> answered(current, sent, answer));
+      ConfigurationChange sent = change;
+      sendOnce(sent, response -> answered(current, sent, response));
     }
   }
 
@@ -127,39 +127,39 @@
     world.call(
         anyAgent(),
         sent.call(),
-        answer -> {
-          boolean lost = random.nextInt(ANSWER_LOST_EVERY) == 0;
+        response -> {
+          boolean lost = random.nextInt(RESPONSE_LOST_EVERY) == 0;
           if (!lost) {
-            history.answered(events.now(), sent, newestAtCall, answer);
-            if (answer.status() == OperatorResponse.OK) {
+            history.answered(events.now(), sent, newestAtCall, response);
+            if (response.status() == OperatorResponse.OK) {
               world.rules().acknowledged(sent.version());
             }
-            then.accept(answer);
+            then.accept(response);
           }
         });
   }
 
-  private void answered(long current, ConfigurationChange sent, OperatorResponse answer) {
-    if (current != call || !sent.equals(order)) {
+  private void answered(long current, ConfigurationChange sent, OperatorResponse response) {
+    if (current != call || !sent.equals(change)) {
       return;
     }
-    boolean clear = answer.status() != OperatorResponse.UNAVAILABLE;
-    if (answer.status() == OperatorResponse.OK) {
+    boolean clear = response.status() != OperatorResponse.UNAVAILABLE;
+    if (response.status() == OperatorResponse.OK) {
       knownVersion = sent.version();
-      takenOrders.add(sent);
-      order = random.nextInt(REPEATED_EVERY) == 0 ? null : newOrder();
+      committedChanges.add(sent);
+      change = random.nextInt(REPEATED_EVERY) == 0 ? null : newChange();
       repeatOne();
     } else if (clear) {
-      order = null;
+      change = null;
     }
-    goOn(current, clear ? LONG_PAUSE : SHORT_PAUSE);
+    goOn(current, clear ? LONG_DELAY : SHORT_DELAY);
   }
 
   /** Sends an order again that was taken before, as if its answer had been lost. */
   private void repeatOne() {
     if (random.nextInt(REPEATED_EVERY) == 0) {
-      ConfigurationChange old = takenOrders.get(random.nextInt(takenOrders.size()));
-      sendOnce(old, answer -> {});
+      ConfigurationChange old = committedChanges.get(random.nextInt(committedChanges.size()));
+      sendOnce(old, response -> {});
     }
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
@@ -8,8 +8,8 @@
 /** A control agent's connection to a peer, dialled anew whenever it breaks, as in service. */
 final class SimulatedPeerConnection implements PeerConnector.PeerConnection {
   private static final long CONNECT_MICROS = 500_000;
-  private static final long FIRST_PAUSE = 30_000;
-  private static final long LONGEST_PAUSE = 400_000;
+  private static final long INITIAL_BACKOFF = 30_000;
+  private static final long MAX_BACKOFF = 400_000;
   private static final long MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
   private final AgentMutation mutation;
@@ -17,32 +17,32 @@
   private final SimulatedMachine machine;
   private final SimulatedProcess process;
   private final String address;
-  private final byte[] greeting;
+  private final byte[] hello;
   private final PeerConnector.Listener listener;
-  private final Consumer<ReplicaFrame> supposedAnswers;
+  private final Consumer<ReplicaFrame> expectedResponses;
   private final LongConsumer supposedlyStored;
   private SimulatedSocket socket;
   private boolean greeted;
   private boolean closed;
-  private long pause = FIRST_PAUSE;
+  private long pause = INITIAL_BACKOFF;
 
   SimulatedPeerConnection(
       SimulatedNetwork network,
       SimulatedMachine machine,
       String address,
-      byte[] greeting,
+      byte[] hello,
       PeerConnector.Listener listener,
       AgentMutation mutation,
-      Consumer<ReplicaFrame> supposedAnswers,
+      Consumer<ReplicaFrame> expectedResponses,
       LongConsumer supposedlyStored) {
     this.supposedlyStored = supposedlyStored;
-    this.supposedAnswers = supposedAnswers;
+    this.expectedResponses = expectedResponses;
     this.mutation = mutation;
     this.network = network;
     this.machine = machine;
     process = machine.process();
     this.address = address;
-    this.greeting = greeting;
+    this.hello = hello;
     this.listener = listener;
   }
 
@@ -55,15 +55,15 @@
   private void dialLater() {
     if (!closed) {
       process.schedule(pause, this::dial);
-      pause = Math.min(LONGEST_PAUSE, 2 * pause);
+      pause = Math.min(MAX_BACKOFF, 2 * pause);
     }
   }
 
   @Override
   public void send(byte[] message) {
     mutation
-        .supposedAnswer(address, message)
-        .ifPresent(answer -> process.schedule(1, () -> supposedAnswers.accept(answer)));
+        .expectedResponse(address, message)
+        .ifPresent(response -> process.schedule(1, () -> expectedResponses.accept(response)));
     mutation
         .supposedlyStored(message)
         .ifPresent(number -> process.schedule(1, () -> supposedlyStored.accept(number)));
@@ -108,7 +108,7 @@
         connected.reset(true);
       } else {
         socket = connected;
-        socket.send(greeting);
+        socket.send(hello);
       }
       return new Answers(connected);
     }
@@ -131,7 +131,7 @@
     public void received(byte[] message) {
       if (socket == own && !greeted) {
         greeted = true;
-        pause = FIRST_PAUSE;
+        pause = INITIAL_BACKOFF;
         listener.connected(message);
       }
     }
--- a/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
@@ -24,7 +24,7 @@
   private final SplittableRandom random;
   private final double clockRate;
   private final long startedAt;
-  private final List<Held> held = new ArrayList<>();
+  private final List<Held> paused = new ArrayList<>();
   private boolean alive = true;
   private boolean frozen;
 
@@ -50,7 +50,7 @@
 
   void end() {
     alive = false;
-    held.clear();
+    paused.clear();
   }
 
   void freeze() {
@@ -60,13 +60,13 @@
   /** Goes on, with what has waited; tasks of one source stay in their order. */
   void thaw() {
     frozen = false;
-    List<Object> sources = new ArrayList<>(held.stream().map(Held::source).distinct().toList());
+    List<Object> sources = new ArrayList<>(paused.stream().map(Held::source).distinct().toList());
     Collections.shuffle(sources, new Random(random.nextLong()));
-    Map<Object, Integer> order = new HashMap<>();
-    sources.forEach(source -> order.put(source, order.size()));
-    List<Held> waited = new ArrayList<>(held);
-    held.clear();
-    waited.sort((one, other) -> order.get(one.source()) - order.get(other.source()));
+    Map<Object, Integer> change = new HashMap<>();
+    sources.forEach(source -> change.put(source, change.size()));
+    List<Held> waited = new ArrayList<>(paused);
+    paused.clear();
+    waited.sort((one, other) -> change.get(one.source()) - change.get(other.source()));
     waited.forEach(each -> execute(each.source(), each.task()));
   }
 
@@ -76,7 +76,7 @@
       return;
     }
     if (frozen) {
-      held.add(new Held(source, task));
+      paused.add(new Held(source, task));
     } else {
       task.run();
     }
--- a/src/test/java/slateslip/simulation/control/ArmedCrashes.java
+++ b/src/test/java/slateslip/simulation/control/ArmedCrashes.java
@@ -8,8 +8,8 @@
 
 /** Crashes of senders at messages of given kinds, one after the other. */
 final class ArmedCrashes {
-  private static final int MOST_CRASHES = 3;
-  private static final int MOST_MESSAGES = 4;
+  private static final int MAX_CRASHES = 3;
+  private static final int MAX_MESSAGES = 4;
   private static final List<Class<? extends ReplicaMessage>> KINDS =
       List.of(
           ReplicaMessage.Prepare.class,
@@ -36,7 +36,7 @@
   void arm(Fault fault) {
     SplittableRandom choice = new SplittableRandom(fault.target());
     kinds.clear();
-    int count = 1 + choice.nextInt(MOST_CRASHES);
+    int count = 1 + choice.nextInt(MAX_CRASHES);
     for (int i = 0; i < count; i++) {
       kinds.addLast(KINDS.get(choice.nextInt(KINDS.size())));
     }
@@ -45,7 +45,7 @@
   }
 
   private void drawMessages() {
-    messagesLeft = 1 + random.nextInt(MOST_MESSAGES);
+    messagesLeft = 1 + random.nextInt(MAX_MESSAGES);
   }
 
   /** Whether the sender of this message crashes now. */
--- a/src/test/java/slateslip/simulation/control/ControlWorld.java
+++ b/src/test/java/slateslip/simulation/control/ControlWorld.java
@@ -19,7 +19,7 @@
 final class ControlWorld {
   private static final int FIRST_ADDRESS = 0x0a000001;
   private static final long START_SPREAD = 300_000;
-  private static final int ANSWER_LOST_EVERY = 12;
+  private static final int RESPONSE_LOST_EVERY = 12;
   private static final long PROBE_PATIENCE = 300_000;
   private static final long END_PATIENCE = 1_000_000;
   private static final int PROBER_AUTHOR = 1_000_000;
@@ -150,7 +150,7 @@
   }
 
   /** Has each message that is sent from now on seen; it may be lost. */
-  void watch(SimulatedNetwork.Watcher newWatcher) {
+  void observer(SimulatedNetwork.Watcher newWatcher) {
     watcher = newWatcher;
   }
 
@@ -169,8 +169,8 @@
 
   private void deliver(SimulatedNode node, ReplicaFrame frame) {
     mutation
-        .wrongAnswer(frame.message(), node.role().epoch())
-        .ifPresent(answer -> network.send(node.role().self(), frame.from().address(), answer));
+        .wrongResponse(frame.message(), node.role().epoch())
+        .ifPresent(response -> network.send(node.role().self(), frame.from().address(), response));
     node.deliver(frame);
   }
 
@@ -186,7 +186,7 @@
     }
     injector.acknowledged(node, result);
     Caller caller = callers.remove(result.clientToken());
-    if (random.nextInt(ANSWER_LOST_EVERY) != 0) {
+    if (random.nextInt(RESPONSE_LOST_EVERY) != 0) {
       events.in(1_000, () -> caller.answered(node, result.clientToken(), result));
     }
   }
@@ -211,10 +211,10 @@
   }
 
   /** Runs until a change is taken; the simulated time that it took, or -1 if the bound passed. */
-  long timeToTakeChange(long bound) {
+  long timeToTakeChange(long timeoutMicros) {
     long begin = events.now();
     firstProbe = lastToken + 1;
-    while (!probeTaken && events.now() < begin + bound) {
+    while (!probeTaken && events.now() < begin + timeoutMicros) {
       probing &= events.now() - probedAt < PROBE_PATIENCE;
       nodes.stream()
           .filter(node -> !probing && node.role().serving())
@@ -237,8 +237,9 @@
 
   /** Checks that nothing acknowledged is missing at the node that serves, or will soon. */
   void checkEnd() {
-    long bound = events.now() + END_PATIENCE;
-    while (nodes.stream().noneMatch(node -> node.role().serving()) && events.now() < bound) {
+    long timeoutMicros = events.now() + END_PATIENCE;
+    while (nodes.stream().noneMatch(node -> node.role().serving())
+        && events.now() < timeoutMicros) {
       events.runUntil(events.now() + 10_000);
     }
     SimulatedNode serving =
--- a/src/test/java/slateslip/simulation/control/CrashAtMessage.java
+++ b/src/test/java/slateslip/simulation/control/CrashAtMessage.java
@@ -24,7 +24,7 @@
   private static final long SEED = 42;
   private static final long FIRST_CHANGE = 600_000;
   private static final long PRIMARY_DOWN = 2_000_000;
-  private static final long BOUND = 8_000_000;
+  private static final long TIMEOUT = 8_000_000;
   private static final int CHANGES = 2;
 
   /** Plays it; whether there was such a message. */
@@ -33,7 +33,7 @@
     world.begin(0);
     world.runUntil(FIRST_CHANGE);
     int[] seen = {0};
-    world.watch(
+    world.observer(
         (from, to, message) -> {
           seen[0]++;
           return seen[0] == number && strike(world, atSender ? from.address() : to);
@@ -43,7 +43,7 @@
     }
     ScriptedClient client = new ScriptedClient(world, CHANGES);
     client.start();
-    while (!client.done() && world.events().now() < BOUND) {
+    while (!client.done() && world.events().now() < TIMEOUT) {
       world.runUntil(world.events().now() + 10_000);
     }
     if (!client.done()) {
@@ -51,7 +51,7 @@
     }
     boolean struck = seen[0] >= number;
     world.heal(0);
-    if (world.timeToTakeChange(BOUND) < 0) {
+    if (world.timeToTakeChange(TIMEOUT) < 0) {
       throw new RuleViolation("no change taken at the end");
     }
     world.checkEnd();
--- a/src/test/java/slateslip/simulation/control/ExhaustiveCrashTest.java
+++ b/src/test/java/slateslip/simulation/control/ExhaustiveCrashTest.java
@@ -13,9 +13,9 @@
 /** Three nodes, two changes, one crash at every message, in every way. */
 final class ExhaustiveCrashTest {
   /** Two changes to two members, each with its answer, and some heartbeats. */
-  private static final int LEAST_MESSAGES = 12;
+  private static final int MIN_MESSAGES = 12;
 
-  private static final int MOST_MESSAGES = 120;
+  private static final int MAX_MESSAGES = 120;
   private static final long[] DOWN_MICROS = {60_000, 1_500_000};
 
   @ParameterizedTest
@@ -23,11 +23,11 @@
   void oneCrashAtEveryMessageLosesNothing(boolean primaryFirst) {
     List<String> failures = new ArrayList<>();
     int number = 1;
-    while (number <= MOST_MESSAGES && playAll(number, primaryFirst, failures)) {
+    while (number <= MAX_MESSAGES && playAll(number, primaryFirst, failures)) {
       number++;
     }
     assertThat(failures, empty());
-    assertThat(number, greaterThan(LEAST_MESSAGES));
+    assertThat(number, greaterThan(MIN_MESSAGES));
   }
 
   private static boolean playAll(int number, boolean primaryFirst, List<String> failures) {
--- a/src/test/java/slateslip/simulation/control/Fault.java
+++ b/src/test/java/slateslip/simulation/control/Fault.java
@@ -25,12 +25,12 @@
     REPLACE,
     FREEZE,
     FREEZE_PRIMARY,
-    CUT_ONE_WAY,
-    CUT_TOWARDS_PRIMARY,
-    CUT_FROM_PRIMARY,
-    CUT_OFF,
-    CUT_OFF_PRIMARY,
-    CUT_IN_TWO,
+    PARTITION_ONE_WAY,
+    PARTITION_TOWARDS_PRIMARY,
+    PARTITION_FROM_PRIMARY,
+    ISOLATE,
+    ISOLATE_PRIMARY,
+    PARTITION_IN_HALVES,
     RESET,
     SLOW_LINKS,
     DISK_SLOW,
@@ -50,10 +50,10 @@
   }
 
   private static final int EXTRA_CRASHES = 3;
-  private static final int MOST_FAULTS = 9;
+  private static final int MAX_FAULTS = 9;
   private static final int NODE_CHOICES = 1_000;
-  private static final long LEAST_MICROS = 20_000;
-  private static final long MOST_MICROS = 3_000_000;
+  private static final long MIN_MICROS = 20_000;
+  private static final long MAX_MICROS = 3_000_000;
   private static final long SHORT_MICROS = 300_000;
 
   /** All kinds, those that strike in the middle of an exchange more than once. */
@@ -69,18 +69,18 @@
   /** A random schedule over some time, in order. */
   static List<Fault> schedule(SplittableRandom random, long micros, List<Kind> kinds) {
     List<Fault> faults = new ArrayList<>();
-    int count = 1 + random.nextInt(MOST_FAULTS);
+    int count = 1 + random.nextInt(MAX_FAULTS);
     long clustered = random.nextLong(micros);
     for (int i = 0; i < count; i++) {
       boolean near = random.nextInt(3) == 0;
       long at = near ? clustered + random.nextLong(SHORT_MICROS) : random.nextLong(micros);
-      long most = random.nextBoolean() ? SHORT_MICROS : MOST_MICROS;
+      long max = random.nextBoolean() ? SHORT_MICROS : MAX_MICROS;
       faults.add(
           new Fault(
               at,
               kinds.get(random.nextInt(kinds.size())),
               random.nextInt(NODE_CHOICES),
-              random.nextLong(LEAST_MICROS, most)));
+              random.nextLong(MIN_MICROS, max)));
     }
     faults.sort(Comparator.comparingLong(Fault::atMicros));
     return faults;
--- a/src/test/java/slateslip/simulation/control/FaultInjector.java
+++ b/src/test/java/slateslip/simulation/control/FaultInjector.java
@@ -9,7 +9,7 @@
 
 /** Makes faults happen, and end. */
 final class FaultInjector {
-  private static final long LEAST_DOWN = 50_000;
+  private static final long MIN_DOWNTIME = 50_000;
   private static final long RESTART_SPREAD = 1_000_000;
   private static final long SLOW_LINK = 60_000;
   private static final long SLOW_DISK = 40;
@@ -69,45 +69,45 @@
       case DISK_SLOW, DISK_SLOW_PRIMARY -> node.disk().slow(fault.micros(), SLOW_DISK);
       case DISK_HUNG, DISK_HUNG_PRIMARY -> node.disk().hang(fault.micros());
       case DISK_FULL, DISK_FULL_PRIMARY -> node.disk().fill(fault.micros());
-      default -> cut(fault, node);
+      default -> partition(fault, node);
     }
   }
 
-  private void cut(Fault fault, SimulatedNode node) {
+  private void partition(Fault fault, SimulatedNode node) {
     NodeAddress own = node.address();
     for (NodeAddress other : others(node)) {
       boolean chosen = random.nextBoolean();
       switch (fault.kind()) {
-        case CUT_ONE_WAY -> cutIf(chosen, own, other, fault.micros());
-        case CUT_TOWARDS_PRIMARY -> cutIf(true, other, own, fault.micros());
-        case CUT_FROM_PRIMARY -> cutIf(true, own, other, fault.micros());
-        case CUT_OFF, CUT_OFF_PRIMARY -> cutBoth(own, other, fault.micros());
+        case PARTITION_ONE_WAY -> partitionIf(chosen, own, other, fault.micros());
+        case PARTITION_TOWARDS_PRIMARY -> partitionIf(true, other, own, fault.micros());
+        case PARTITION_FROM_PRIMARY -> partitionIf(true, own, other, fault.micros());
+        case ISOLATE, ISOLATE_PRIMARY -> partitionBothWays(own, other, fault.micros());
         default -> {}
       }
     }
-    if (fault.kind() == Fault.Kind.CUT_IN_TWO) {
-      cutInTwo(fault);
+    if (fault.kind() == Fault.Kind.PARTITION_IN_HALVES) {
+      partitionInHalves(fault);
     }
   }
 
-  private void cutInTwo(Fault fault) {
+  private void partitionInHalves(Fault fault) {
     List<NodeAddress> left = new ArrayList<>();
     List<NodeAddress> right = new ArrayList<>();
     for (SimulatedNode node : world.nodes()) {
       (random.nextBoolean() ? left : right).add(node.address());
       world.losses().troubled(node, world.events().now() + fault.micros());
     }
-    left.forEach(one -> right.forEach(other -> cutBoth(one, other, fault.micros())));
+    left.forEach(one -> right.forEach(other -> partitionBothWays(one, other, fault.micros())));
   }
 
-  private void cutBoth(NodeAddress one, NodeAddress other, long micros) {
-    cutIf(true, one, other, micros);
-    cutIf(true, other, one, micros);
+  private void partitionBothWays(NodeAddress one, NodeAddress other, long micros) {
+    partitionIf(true, one, other, micros);
+    partitionIf(true, other, one, micros);
   }
 
-  private void cutIf(boolean chosen, NodeAddress from, NodeAddress to, long micros) {
+  private void partitionIf(boolean chosen, NodeAddress from, NodeAddress to, long micros) {
     if (chosen) {
-      world.network().cut(from, to);
+      world.network().partition(from, to);
       later(micros, () -> world.network().join(from, to));
     }
   }
@@ -138,7 +138,7 @@
   }
 
   private void killShortly(SimulatedNode node) {
-    kill(node, LEAST_DOWN + random.nextLong(RESTART_SPREAD));
+    kill(node, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
   }
 
   private void losePower(SimulatedNode node, long micros) {
@@ -148,7 +148,7 @@
   }
 
   private void losePowerShortly(SimulatedNode node) {
-    losePower(node, LEAST_DOWN + random.nextLong(RESTART_SPREAD));
+    losePower(node, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
   }
 
   /** What the process had not handed to the network yet is lost with it, at times. */
@@ -191,7 +191,7 @@
     List<SimulatedNode> all = List.copyOf(world.nodes());
     int first = fault.target() % all.size();
     for (int i = 0; i < world.shape().faultTolerance(); i++) {
-      wipe(all.get((first + i) % all.size()), LEAST_DOWN + random.nextLong(RESTART_SPREAD));
+      wipe(all.get((first + i) % all.size()), MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
     }
     all.stream().filter(SimulatedNode::running).forEach(this::losePowerShortly);
   }
--- a/src/test/java/slateslip/simulation/control/Mutation.java
+++ b/src/test/java/slateslip/simulation/control/Mutation.java
@@ -30,7 +30,7 @@
               Fault.Kind.KILL,
               Fault.Kind.CRASH_AT_MESSAGES,
               Fault.Kind.CRASH_PRIMARY_THEN_AT_MESSAGES);
-      case ACKNOWLEDGES_OLD_EPOCH -> List.of(Fault.Kind.CUT_OFF_PRIMARY);
+      case ACKNOWLEDGES_OLD_EPOCH -> List.of(Fault.Kind.ISOLATE_PRIMARY);
       default -> Fault.kinds();
     };
   }
@@ -70,7 +70,7 @@
   }
 
   /** What a node wrongly answers to a message of an epoch before its own. */
-  Optional<ReplicaMessage> wrongAnswer(ReplicaMessage message, long epoch) {
+  Optional<ReplicaMessage> wrongResponse(ReplicaMessage message, long epoch) {
     boolean old = message instanceof ReplicaMessage.Append append && append.term().epoch() < epoch;
     if (this == ACKNOWLEDGES_OLD_EPOCH && old) {
       ReplicaMessage.Append append = (ReplicaMessage.Append) message;
--- a/src/test/java/slateslip/simulation/control/ReferenceState.java
+++ b/src/test/java/slateslip/simulation/control/ReferenceState.java
@@ -13,7 +13,7 @@
  */
 final class ReferenceState implements ReplicatedState {
   /** What a command without a record gets. */
-  enum Answer {
+  enum Response {
     TAKEN_BEFORE,
     OTHER_VERSION
   }
@@ -57,20 +57,20 @@
   public PreparedCommand prepare(byte[] command) {
     Change change = Change.decode(command);
     if (changes.contains(change)) {
-      return answer(Answer.TAKEN_BEFORE);
+      return answer(Response.TAKEN_BEFORE);
     }
     if (change.base() != version()) {
-      return answer(Answer.OTHER_VERSION);
+      return answer(Response.OTHER_VERSION);
     }
     return new PreparedCommand.Change(command);
   }
 
-  private static PreparedCommand answer(Answer answer) {
-    return new PreparedCommand.Response(answer.name().getBytes(StandardCharsets.US_ASCII));
+  private static PreparedCommand answer(Response response) {
+    return new PreparedCommand.Response(response.name().getBytes(StandardCharsets.US_ASCII));
   }
 
-  static Answer answer(byte[] bytes) {
-    return Answer.valueOf(new String(bytes, StandardCharsets.US_ASCII));
+  static Response answer(byte[] bytes) {
+    return Response.valueOf(new String(bytes, StandardCharsets.US_ASCII));
   }
 
   @Override
--- a/src/test/java/slateslip/simulation/control/ScheduleRunner.java
+++ b/src/test/java/slateslip/simulation/control/ScheduleRunner.java
@@ -14,7 +14,7 @@
 
   private static final long BEGIN = 1_500_000;
   private static final long FAULTS_FOR = 6_000_000;
-  private static final long LIVENESS_BOUND = 3_000_000;
+  private static final long LIVENESS_TIMEOUT = 3_000_000;
   private static final long SHAPE_STREAM = 0x5eed;
   private static final WorldShape[] SHAPES = {
     new WorldShape(3, 3, 1),
@@ -78,7 +78,7 @@
       world.runUntil(BEGIN + FAULTS_FOR);
       boolean withLosses = (seed & 1) == 1;
       world.heal(withLosses ? world.shape().faultTolerance() : 0);
-      long taken = world.timeToTakeChange(LIVENESS_BOUND);
+      long taken = world.timeToTakeChange(LIVENESS_TIMEOUT);
       if (taken < 0) {
         return failed(world, NOTHING_TAKEN);
       }
--- a/src/test/java/slateslip/simulation/control/ScriptedClient.java
+++ b/src/test/java/slateslip/simulation/control/ScriptedClient.java
@@ -49,15 +49,16 @@
   }
 
   @Override
-  public void answered(SimulatedNode node, long answeredToken, ClientResult result) {
-    if (answeredToken != token) {
+  public void answered(SimulatedNode node, long respondedToken, ClientResult result) {
+    if (respondedToken != token) {
       return;
     }
     token = 0;
     boolean accepted =
         result instanceof ClientResult.Committed
-            || (result instanceof ClientResult.Responded answer
-                && ReferenceState.answer(answer.response()) == ReferenceState.Answer.TAKEN_BEFORE);
+            || (result instanceof ClientResult.Responded response
+                && ReferenceState.answer(response.response())
+                    == ReferenceState.Response.TAKEN_BEFORE);
     if (accepted) {
       world.history().acknowledged(change());
       taken++;
--- a/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
@@ -32,8 +32,8 @@
 
   private record Link(NodeAddress from, NodeAddress to) {}
 
-  private static final long LEAST_DELAY = 300;
-  private static final long MOST_DELAY = 3_000;
+  private static final long MIN_DELAY = 300;
+  private static final long MAX_DELAY = 3_000;
   private static final long LATE = 120_000;
   private static final int ENCODED_EVERY = 16;
   private static final int TWICE_EVERY = 150;
@@ -77,7 +77,7 @@
     }
     Link link = new Link(from.address(), to);
     ReplicaFrame frame = new ReplicaFrame(from, sometimesEncoded(from, message));
-    long delay = random.nextLong(LEAST_DELAY, MOST_DELAY) + slow.of(from.address(), to);
+    long delay = random.nextLong(MIN_DELAY, MAX_DELAY) + slow.of(from.address(), to);
     long arrival = Math.max(lastArrival.getOrDefault(link, 0L), events.now() + delay);
     lastArrival.put(link, arrival);
     int connection = connections.getOrDefault(link, 0);
@@ -97,9 +97,9 @@
   }
 
   private void arrive(Link link, int connection, ReplicaFrame frame) {
-    Deque<Runnable> heldUp = cuts.get(link);
-    if (heldUp != null) {
-      heldUp.addLast(() -> arrive(link, connection, frame));
+    Deque<Runnable> stalled = cuts.get(link);
+    if (stalled != null) {
+      stalled.addLast(() -> arrive(link, connection, frame));
       return;
     }
     boolean old = connection != connections.getOrDefault(link, 0);
@@ -109,7 +109,7 @@
   }
 
   /** Nothing passes from one to the other any more. */
-  void cut(NodeAddress from, NodeAddress to) {
+  void partition(NodeAddress from, NodeAddress to) {
     cuts.putIfAbsent(new Link(from, to), new ArrayDeque<>());
   }
 
@@ -119,15 +119,15 @@
   }
 
   private void join(Link link) {
-    Deque<Runnable> heldUp = cuts.remove(link);
-    if (heldUp == null) {
+    Deque<Runnable> stalled = cuts.remove(link);
+    if (stalled == null) {
       return;
     }
     if (random.nextBoolean()) {
       reset(link);
     }
     if (random.nextInt(3) > 0) {
-      heldUp.forEach(arrival -> events.in(0, arrival));
+      stalled.forEach(arrival -> events.in(0, arrival));
     }
   }
 
--- a/src/test/java/slateslip/simulation/control/SimulatedNode.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNode.java
@@ -39,12 +39,12 @@
   private final Clients clients;
   private final NodeAddress address;
   private final SimulatedDisk disk;
-  private final Deque<ReplicaInput> held = new ArrayDeque<>();
+  private final Deque<ReplicaInput> paused = new ArrayDeque<>();
   private ControlReplica replica;
   private ReferenceState state;
   private Effects.RoleStatus role = DOWN;
   private boolean frozen;
-  private int life;
+  private int incarnation;
   private long wakeAt;
 
   SimulatedNode(
@@ -118,17 +118,17 @@
       return;
     }
     if (frozen) {
-      held.addLast(input);
+      paused.addLast(input);
       return;
     }
     Effects effects = replica.handle(events.now(), input);
     print(effects);
     role = effects.role();
     effects.writes().forEach(disk::start);
-    int current = life;
+    int current = incarnation;
     for (Effects.Send send : effects.sends()) {
       network.send(role.self(), send.to(), send.message());
-      if (life != current) {
+      if (incarnation != current) {
         return;
       }
     }
@@ -150,12 +150,12 @@
 
   private void wakeAt(long micros) {
     wakeAt = micros;
-    int current = life;
+    int current = incarnation;
     events.at(micros, () -> tick(current, micros));
   }
 
-  private void tick(int scheduledInLife, long scheduledFor) {
-    if (scheduledInLife == life && scheduledFor == wakeAt) {
+  private void tick(int scheduledInIncarnation, long scheduledFor) {
+    if (scheduledInIncarnation == incarnation && scheduledFor == wakeAt) {
       handle(new ReplicaInput.Tick());
     }
   }
@@ -175,11 +175,11 @@
   }
 
   private void stop() {
-    life++;
+    incarnation++;
     replica = null;
     role = DOWN;
     frozen = false;
-    held.clear();
+    paused.clear();
   }
 
   void freeze() {
@@ -188,8 +188,8 @@
 
   void thaw() {
     frozen = false;
-    while (replica != null && !frozen && !held.isEmpty()) {
-      handle(held.removeFirst());
+    while (replica != null && !frozen && !paused.isEmpty()) {
+      handle(paused.removeFirst());
     }
   }
 }
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -9,8 +9,8 @@
 /** Sends changes one after the other; without a clear answer the same again, to any node. */
 final class SimulatedOperator implements Caller {
   private static final long PATIENCE = 1_000_000;
-  private static final long LONG_PAUSE = 250_000;
-  private static final long SHORT_PAUSE = 20_000;
+  private static final long LONG_DELAY = 250_000;
+  private static final long SHORT_DELAY = 20_000;
 
   private final EventQueue events;
   private final SplittableRandom random;
@@ -84,15 +84,15 @@
     callToken = 0;
     if (result instanceof ClientResult.Committed) {
       accepted();
-    } else if (result instanceof ClientResult.Responded answered) {
-      answered(ReferenceState.answer(answered.response()));
+    } else if (result instanceof ClientResult.Responded responded) {
+      answered(ReferenceState.answer(responded.response()));
     } else if (result instanceof ClientResult.Confirmed) {
       read(node.state().version());
     }
     boolean clear =
         !(result instanceof ClientResult.NotPrimary)
             && !(result instanceof ClientResult.Unavailable);
-    events.in(random.nextLong(clear ? LONG_PAUSE : SHORT_PAUSE), this::call);
+    events.in(random.nextLong(clear ? LONG_DELAY : SHORT_DELAY), this::call);
   }
 
   private void accepted() {
@@ -102,8 +102,8 @@
     change = random.nextInt(4) == 0 ? null : next();
   }
 
-  private void answered(ReferenceState.Answer answer) {
-    if (answer == ReferenceState.Answer.TAKEN_BEFORE) {
+  private void answered(ReferenceState.Response response) {
+    if (response == ReferenceState.Response.TAKEN_BEFORE) {
       accepted();
     } else {
       history.refused(change);
--- a/src/test/java/slateslip/simulation/dataplane/Mutants.java
+++ b/src/test/java/slateslip/simulation/dataplane/Mutants.java
@@ -49,7 +49,7 @@
                         send.backendId(),
                         send.deadlineMillis(),
                         send.firstEventTimeoutMicros(),
-                        send.silenceTimeoutMicros(),
+                        send.idleTimeoutMicros(),
                         send.priority(),
                         send.tenant(),
                         send.resumeAfter() + 1))
@@ -68,7 +68,7 @@
                         send.backendId(),
                         send.deadlineMillis(),
                         send.firstEventTimeoutMicros(),
-                        send.silenceTimeoutMicros(),
+                        send.idleTimeoutMicros(),
                         send.priority(),
                         send.tenant(),
                         0))
@@ -92,16 +92,17 @@
       return changed(
           new FleetRouter(settings),
           input -> {
-            if (!(input instanceof RouterInput.SharesChanged told)) {
+            if (!(input instanceof RouterInput.QuotaAllocationChanged notified)) {
               return input;
             }
-            for (QuotaAllocation.TenantShare share : told.shares().tenants()) {
+            for (QuotaAllocation.TenantShare share : notified.allocation().tenants()) {
               largest.merge(share.tenant(), share.fraction(), Math::max);
             }
-            List<QuotaAllocation.TenantShare> kept = new ArrayList<>();
-            largest.forEach((name, part) -> kept.add(new QuotaAllocation.TenantShare(name, part)));
-            return new RouterInput.SharesChanged(
-                new QuotaAllocation(told.shares().dataPlanes(), kept));
+            List<QuotaAllocation.TenantShare> retained = new ArrayList<>();
+            largest.forEach(
+                (name, part) -> retained.add(new QuotaAllocation.TenantShare(name, part)));
+            return new RouterInput.QuotaAllocationChanged(
+                new QuotaAllocation(notified.allocation().dataPlanes(), retained));
           },
           Stream::of);
     };
@@ -111,11 +112,11 @@
   static DataPlaneWorld.RouterFactory takesWholeQuotas() {
     return withInputs(
         input ->
-            input instanceof RouterInput.SharesChanged told
-                ? new RouterInput.SharesChanged(
+            input instanceof RouterInput.QuotaAllocationChanged notified
+                ? new RouterInput.QuotaAllocationChanged(
                     new QuotaAllocation(
-                        told.shares().dataPlanes(),
-                        told.shares().tenants().stream()
+                        notified.allocation().dataPlanes(),
+                        notified.allocation().tenants().stream()
                             .map(share -> new QuotaAllocation.TenantShare(share.tenant(), 1))
                             .toList()))
                 : input);
@@ -125,8 +126,9 @@
   static DataPlaneWorld.RouterFactory takesTheWholeRetryBudget() {
     return withInputs(
         input ->
-            input instanceof RouterInput.SharesChanged told
-                ? new RouterInput.SharesChanged(new QuotaAllocation(1, told.shares().tenants()))
+            input instanceof RouterInput.QuotaAllocationChanged notified
+                ? new RouterInput.QuotaAllocationChanged(
+                    new QuotaAllocation(1, notified.allocation().tenants()))
                 : input);
   }
 
@@ -134,15 +136,15 @@
   static DataPlaneWorld.RouterFactory answersTwice() {
     return withOutputs(
         output ->
-            output instanceof RouterOutput.Answer ? Stream.of(output, output) : Stream.of(output));
+            output instanceof RouterOutput.Respond ? Stream.of(output, output) : Stream.of(output));
   }
 
   /** Refuses with a promise whatever it would have failed without one. */
   static DataPlaneWorld.RouterFactory promisesWhatMayHaveRun() {
     return withOutputs(
         output ->
-            output instanceof RouterOutput.Answer answer && answer.status() == 502
-                ? Stream.of(new RouterOutput.Answer(answer.request(), 503, 0))
+            output instanceof RouterOutput.Respond response && response.status() == 502
+                ? Stream.of(new RouterOutput.Respond(response.request(), 503, 0))
                 : Stream.of(output));
   }
 
@@ -150,8 +152,9 @@
   static DataPlaneWorld.RouterFactory silentAtTheTimeout() {
     return withOutputs(
         output -> {
-          boolean timedOut = output instanceof RouterOutput.Answer answer && answer.status() == 504;
-          boolean broken = output instanceof RouterOutput.Break;
+          boolean timedOut =
+              output instanceof RouterOutput.Respond response && response.status() == 504;
+          boolean broken = output instanceof RouterOutput.AbortConnection;
           return timedOut || broken ? Stream.empty() : Stream.of(output);
         });
   }
--- a/src/test/java/slateslip/simulation/engine/EngineModelTest.java
+++ b/src/test/java/slateslip/simulation/engine/EngineModelTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import slateslip.routing.RequestFacts.PromptPart;
+import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.simulation.engine.EngineOutput.Admitted;
 import slateslip.simulation.engine.EngineOutput.Event;
 import slateslip.simulation.engine.EngineOutput.Preempted;
@@ -24,7 +24,7 @@
   private static final EngineParameters SIMPLE =
       new EngineParameters(2, 1, 10_000, 10, 10, 1, 0, 100, 0, 0, 2_000, 2);
 
-  private final List<Told> told = new ArrayList<>();
+  private final List<Told> notified = new ArrayList<>();
   private long wakeMicros = Long.MAX_VALUE;
 
   @Test
@@ -34,7 +34,7 @@
     run(engine);
     // 1,000 tokens in 10 ms give the first token; each further token takes one step of 11 ms.
     assertThat(eventTimes(1), contains(21_000L, 43_000L));
-    assertThat(told, hasItem(new Told(43_000, new Event(1, 2, true))));
+    assertThat(notified, hasItem(new Told(43_000, new Event(1, 2, true))));
   }
 
   @Test
@@ -103,16 +103,16 @@
   @Test
   void newestOfTheLeastUrgentIsPreemptedWhenMemoryRunsOutAndReadAnew() {
     // Room for 100 tokens: two prompts of 40, each with one block of 10 for output.
-    EngineModel engine = new EngineModel(SIMPLE.withRoom(2, 1, 100));
+    EngineModel engine = new EngineModel(SIMPLE.withCapacity(2, 1, 100));
     submit(engine, 0, request(1, 12, part(1, 40)));
     submit(engine, 0, request(2, 12, part(2, 40)));
     run(engine);
     // Token 11 of the older one needs a third block: the newer one gives way and reads 40 + 10
     // anew,
     // of which its prompt is still kept: only the tokens that it had put out are read.
-    assertThat(told.stream().filter(t -> t.output().equals(new Preempted(2))).count(), is(1L));
+    assertThat(notified.stream().filter(t -> t.output().equals(new Preempted(2))).count(), is(1L));
     assertThat(
-        told.stream().filter(t -> t.output().equals(new Preempted(1))).toList(), is(empty()));
+        notified.stream().filter(t -> t.output().equals(new Preempted(1))).toList(), is(empty()));
     assertThat(admissions().get(2).request(), is(2L));
     assertThat(eventIds(1), contains(1L, 2L, 3L, 4L, 5L, 6L));
     assertThat(eventIds(2), contains(1L, 2L, 3L, 4L, 5L, 6L));
@@ -120,18 +120,18 @@
 
   @Test
   void moreUrgentRequestDisplacesALessUrgentOne() {
-    EngineModel engine = new EngineModel(SIMPLE.withRoom(1, 1, 10_000));
+    EngineModel engine = new EngineModel(SIMPLE.withCapacity(1, 1, 10_000));
     submit(engine, 0, new EngineRequest(1, List.of(part(1, 100)), 50, 5, 0, FAR));
     submit(engine, 20_000, new EngineRequest(2, List.of(part(2, 100)), 2, 0, 0, FAR));
     run(engine);
-    List<EngineOutput> order =
-        told.stream()
+    List<EngineOutput> change =
+        notified.stream()
             .map(Told::output)
             .filter(o -> o instanceof Preempted || o instanceof Admitted)
             .toList();
     // The first request had 3 tokens when it gave way; its prompt is still kept.
     assertThat(
-        order,
+        change,
         contains(
             new Admitted(1, 0, 100),
             new Preempted(1),
@@ -142,7 +142,7 @@
 
   @Test
   void equallyUrgentRequestWaits() {
-    EngineModel engine = new EngineModel(SIMPLE.withRoom(1, 1, 10_000));
+    EngineModel engine = new EngineModel(SIMPLE.withCapacity(1, 1, 10_000));
     submit(engine, 0, request(1, 4, part(1, 100)));
     submit(engine, 0, request(2, 4, part(2, 100)));
     assertThat(engine.runningCount(), is(1));
@@ -154,11 +154,11 @@
 
   @Test
   void fullQueueTurnsAwayUnseen() {
-    EngineModel engine = new EngineModel(SIMPLE.withRoom(1, 1, 10_000));
+    EngineModel engine = new EngineModel(SIMPLE.withCapacity(1, 1, 10_000));
     submit(engine, 0, request(1, 4, part(1, 100)));
     submit(engine, 0, request(2, 4, part(2, 100)));
     submit(engine, 0, request(3, 4, part(3, 100)));
-    assertThat(told, hasItem(new Told(0, new Rejected(3, Reason.FULL))));
+    assertThat(notified, hasItem(new Told(0, new Rejected(3, Reason.FULL))));
     run(engine);
     assertThat(eventIds(3), is(empty()));
   }
@@ -167,7 +167,7 @@
   void requestLargerThanTheMemoryIsTurnedAway() {
     EngineModel engine = new EngineModel(SIMPLE);
     submit(engine, 0, request(1, 1, part(1, 10_000)));
-    assertThat(told, hasItem(new Told(0, new Rejected(1, Reason.FULL))));
+    assertThat(notified, hasItem(new Told(0, new Rejected(1, Reason.FULL))));
   }
 
   @Test
@@ -175,7 +175,7 @@
     EngineModel engine = new EngineModel(SIMPLE);
     submit(engine, 0, new EngineRequest(1, List.of(part(1, 5_000)), 9, 5, 0, 30_000));
     run(engine);
-    assertThat(told, hasItem(new Told(40_000, new Rejected(1, Reason.DEADLINE))));
+    assertThat(notified, hasItem(new Told(40_000, new Rejected(1, Reason.DEADLINE))));
   }
 
   @Test
@@ -183,7 +183,7 @@
     EngineModel engine = new EngineModel(SIMPLE);
     submit(engine, 0, new EngineRequest(1, List.of(part(1, 100)), 9, 5, 0, 20_000));
     run(engine);
-    assertThat(told, hasItem(new Told(23_000, new EngineOutput.DeadlineExceeded(1))));
+    assertThat(notified, hasItem(new Told(23_000, new EngineOutput.DeadlineExceeded(1))));
     assertThat(eventIds(1), contains(1L));
   }
 
@@ -195,7 +195,7 @@
     // The 4 tokens of the first two events are read with the prompt.
     assertThat(admissions(), contains(new Admitted(1, 0, 104)));
     assertThat(eventIds(1), contains(3L, 4L));
-    assertThat(told.get(told.size() - 1).output(), equalTo(new Event(1, 4, true)));
+    assertThat(notified.get(notified.size() - 1).output(), equalTo(new Event(1, 4, true)));
   }
 
   @Test
@@ -262,7 +262,7 @@
       if (output instanceof EngineOutput.WakeAt wake) {
         wakeMicros = wake.atMicros();
       } else {
-        told.add(new Told(atMicros, output));
+        notified.add(new Told(atMicros, output));
       }
     }
   }
@@ -276,11 +276,11 @@
   }
 
   private java.util.stream.Stream<Told> events(long request) {
-    return told.stream().filter(t -> t.output() instanceof Event e && e.request() == request);
+    return notified.stream().filter(t -> t.output() instanceof Event e && e.request() == request);
   }
 
   private List<Admitted> admissions() {
-    return told.stream()
+    return notified.stream()
         .map(Told::output)
         .filter(Admitted.class::isInstance)
         .map(Admitted.class::cast)
--- a/src/test/java/slateslip/standin/StandInServerTest.java
+++ b/src/test/java/slateslip/standin/StandInServerTest.java
@@ -25,13 +25,13 @@
 class StandInServerTest {
   private final OkHttpClient client = new OkHttpClient();
   private EngineServer engine;
-  private LedgerServer ledger;
+  private AppendLogServer ledger;
 
   @BeforeEach
   void start() throws IOException {
     engine = new EngineServer(description("engines", 64), EngineParameters.DENSE_70B);
     engine.start();
-    ledger = new LedgerServer(description("ledger", 6));
+    ledger = new AppendLogServer(description("ledger", 6));
     ledger.start();
   }
 
--- a/src/test/java/slateslip/storage/RingStorageTest.java
+++ b/src/test/java/slateslip/storage/RingStorageTest.java
@@ -75,9 +75,9 @@
       append(ring, "last record");
     }
     for (int length = before; length < folder.length(FIRST_FILE); length++) {
-      FaultyFolder cut = folder.copy();
-      cut.truncate(FIRST_FILE, length);
-      assertThat("cut to " + length, recovered(cut), contains("snapshot", "kept"));
+      FaultyFolder truncated = folder.copy();
+      truncated.truncate(FIRST_FILE, length);
+      assertThat("cut to " + length, recovered(truncated), contains("snapshot", "kept"));
       FaultyFolder harmed = folder.copy();
       harmed.corrupt(FIRST_FILE, length);
       assertThat("changed at " + length, recovered(harmed), contains("snapshot", "kept"));
@@ -141,14 +141,14 @@
     FaultyFolder disk = new FaultyFolder();
     List<String> durable = new ArrayList<>();
     List<String> written = new ArrayList<>();
-    for (int life = 0; life < 4; life++) {
+    for (int incarnation = 0; incarnation < 4; incarnation++) {
       disk.setMode(FaultyFolder.Mode.WORKING);
       RingStorage ring = RingStorage.open(disk, OPTIONS);
       List<String> found = recovered(disk);
       checkRecovered(found, durable, written);
       durable = new ArrayList<>(found);
       for (int step = 0; step < 6; step++) {
-        String text = "life " + life + " step " + step;
+        String text = "life " + incarnation + " step " + step;
         boolean snapshot = step == 0 || random.nextInt(3) == 0;
         disk.setMode(mode(random));
         StorageOutcome outcome =
