--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -25,8 +25,6 @@
 import slateslip.loadbalancer.DefaultLoadBalancer;
 import slateslip.loadbalancer.LoadBalancer;
 import slateslip.loadbalancer.SettingsReload;
-import slateslip.loadbalancer.net.ClientServer.Exchange;
-import slateslip.loadbalancer.net.ClientServer.IncomingRequest;
 
 /**
  * Hosts the decision module on real sockets: the one place where events enter it, and where its
@@ -82,7 +80,7 @@
   private final ClientServer clients;
   private final RequestStatistics statistics = new RequestStatistics();
   private final Map<Long, Pending> pendingById = new HashMap<>();
-  private final Map<Exchange, Pending> byExchange = new HashMap<>();
+  private final Map<ClientExchange, Pending> byExchange = new HashMap<>();
 
   /** The same by the ids that clients gave. */
   private final Map<String, Pending> byName = new HashMap<>();
@@ -125,14 +123,14 @@
     /** As the settings in force had it when the module was told. */
     IncomingRequest request;
 
-    final Exchange exchange;
+    final ClientExchange exchange;
     final long cameAt;
     final List<BackendConnections.Attempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
     boolean completed;
     Future<?> guard;
 
-    Pending(long id, IncomingRequest request, Exchange exchange, long cameAt) {
+    Pending(long id, IncomingRequest request, ClientExchange exchange, long cameAt) {
       this.id = id;
       this.cameAt = cameAt;
       this.request = request;
@@ -181,12 +179,12 @@
     var listener =
         new ClientServer.Listener() {
           @Override
-          public void request(IncomingRequest request, Exchange exchange) {
+          public void request(IncomingRequest request, ClientExchange exchange) {
             Agent.this.request(request, exchange);
           }
 
           @Override
-          public void clientLeft(Exchange exchange) {
+          public void clientLeft(ClientExchange exchange) {
             Agent.this.clientLeft(exchange);
           }
         };
@@ -309,11 +307,11 @@
   }
 
   /** The file has been read, on the thread that did so. */
-  private void configRead(ConfigFileWatcher.ReadResult configRead) {
+  private void configRead(ConfigFileWatcher.ReadResult readResult) {
     try {
-      loop.execute(() -> reloadConfig(configRead));
+      loop.execute(() -> reloadConfig(readResult));
     } catch (RejectedExecutionException e) {
-      if (configRead.requested()) {
+      if (readResult.requested()) {
         say("reload: not taken, the agent has ended"); // a signal may come at any time of the end
       }
     }
@@ -323,20 +321,20 @@
    * Discovery moves whatever the settings beside it are worth: an agent that loses discovery loses
    * its list, which is worse than late settings. These are taken whole or not at all.
    */
-  private void reloadConfig(ConfigFileWatcher.ReadResult configRead) {
-    if (configRead.discovery() != null) {
-      discovery.moveTo(configRead.discovery());
+  private void reloadConfig(ConfigFileWatcher.ReadResult readResult) {
+    if (readResult.discovery() != null) {
+      discovery.moveTo(readResult.discovery());
     }
     if (config.live() == null) {
-      if (configRead.unusable() != null) {
-        say("reload: the old settings stay: " + configRead.unusable());
+      if (readResult.unusable() != null) {
+        say("reload: the old settings stay: " + readResult.unusable());
       }
       return;
     }
     event(
         () -> {
-          if (live.shouldApply(config, configRead)) {
-            applySettings(configRead);
+          if (live.shouldApply(config, readResult)) {
+            applySettings(readResult);
           }
           statistics.settings(live.summary(config));
         });
@@ -345,10 +343,10 @@
   /**
    * Everything here and the module go by the new settings from the same moment, between two events.
    */
-  private void applySettings(ConfigFileWatcher.ReadResult configRead) {
+  private void applySettings(ConfigFileWatcher.ReadResult readResult) {
     long from = System.nanoTime();
     AgentConfig before = config;
-    AgentConfig next = configRead.config();
+    AgentConfig next = readResult.config();
     SettingsReload reload;
     try {
       if (stopping.get()) {
@@ -367,7 +365,7 @@
       apply(before);
       live.refuse(
           before,
-          configRead,
+          readResult,
           e instanceof IllegalArgumentException ? e.getMessage() : e.toString());
       return;
     }
@@ -381,7 +379,7 @@
       discovery.watch(); // the module does not ask for it any more
     }
     file.pollEvery(next.live().checkMs());
-    live.applied(before, configRead, (System.nanoTime() - from) / 1000);
+    live.applied(before, readResult, (System.nanoTime() - from) / 1000);
   }
 
   private void apply(AgentConfig next) {
@@ -553,12 +551,12 @@
     servers.keySet().removeAll(gone);
   }
 
-  private void request(IncomingRequest incoming, Exchange exchange) {
+  private void request(IncomingRequest incoming, ClientExchange exchange) {
     // Guards against an effect twice, and against one request getting the other's answer: the
     // second is
     // not passed on, whoever sent it, and the first goes on unharmed.
     if (byName.containsKey(incoming.id())) {
-      exchange.answer(HttpResponseStatus.CONFLICT);
+      exchange.respond(HttpResponseStatus.CONFLICT);
       return;
     }
     long id = nextId++;
@@ -596,7 +594,7 @@
         });
   }
 
-  private void clientLeft(Exchange exchange) {
+  private void clientLeft(ClientExchange exchange) {
     Pending pending = byExchange.get(exchange);
     if (pending != null && !pending.completed) {
       completed(pending, RequestStatistics.Disposition.LEFT);
@@ -620,7 +618,7 @@
     statistics.ended(result.outcome());
     boolean first = !pending.completed;
     if (result.served() != null && first) {
-      pending.exchange.answer(HttpResponseStatus.OK, result.served(), 0);
+      pending.exchange.respond(HttpResponseStatus.OK, result.served(), 0);
       completed(pending, RequestStatistics.Disposition.SERVED);
     }
     // Guards against asking every server what one has found to be no good, and against blaming it.
@@ -646,7 +644,7 @@
 
   private void answer(Pending pending, HttpResponseStatus status, long retryAfter) {
     if (!pending.completed) {
-      pending.exchange.answer(status, null, retryAfter);
+      pending.exchange.respond(status, null, retryAfter);
       boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
       completed(
           pending,
--- a/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
@@ -42,13 +42,12 @@
             () -> true,
             new ClientServer.Listener() {
               @Override
-              public void request(
-                  ClientServer.IncomingRequest request, ClientServer.Exchange exchange) {
+              public void request(IncomingRequest request, ClientExchange exchange) {
                 listener.request(request, exchange);
               }
 
               @Override
-              public void clientLeft(ClientServer.Exchange exchange) {
+              public void clientLeft(ClientExchange exchange) {
                 listener.clientLeft(exchange);
               }
             },
@@ -104,13 +103,12 @@
     listener =
         new ClientServer.Listener() {
           @Override
-          public void request(
-              ClientServer.IncomingRequest request, ClientServer.Exchange exchange) {
-            exchange.answer(HttpResponseStatus.OK);
+          public void request(IncomingRequest request, ClientExchange exchange) {
+            exchange.respond(HttpResponseStatus.OK);
           }
 
           @Override
-          public void clientLeft(ClientServer.Exchange exchange) {}
+          public void clientLeft(ClientExchange exchange) {}
         };
     try (Socket client = dial();
         Socket unresponsive = dial()) {
@@ -135,10 +133,9 @@
           private boolean first = true;
 
           @Override
-          public void request(
-              ClientServer.IncomingRequest request, ClientServer.Exchange exchange) {
+          public void request(IncomingRequest request, ClientExchange exchange) {
             if (!first) {
-              exchange.answer(HttpResponseStatus.OK);
+              exchange.respond(HttpResponseStatus.OK);
               return;
             }
             first = false;
@@ -147,13 +144,13 @@
                 .next()
                 .execute(
                     () -> {
-                      exchange.answer(HttpResponseStatus.OK);
+                      exchange.respond(HttpResponseStatus.OK);
                       clients.drain();
                     });
           }
 
           @Override
-          public void clientLeft(ClientServer.Exchange exchange) {}
+          public void clientLeft(ClientExchange exchange) {}
         };
     try (Socket client = dial()) {
       ScriptedPeer.write(client, request("a") + request("b"));
--- a/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
@@ -243,7 +243,7 @@
       signal(process, "TERM");
       assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
       String loaded = Files.readString(dir.resolve("log"));
-      assertTrue(loaded.contains(" slateslip.loadbalancer.net.Discovery$Answers "));
+      assertTrue(loaded.contains(" slateslip.loadbalancer.net.Discovery$ResponseHandler "));
       assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
       try (InputStream code = AgentConfig.class.getResourceAsStream("AgentConfig.class")) {
         String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
