--- a/src/main/java/slateslip/loadbalancer/ClassPriorities.java
+++ b/src/main/java/slateslip/loadbalancer/ClassPriorities.java
@@ -27,10 +27,10 @@
     double totalWeight = 0;
     RequestClassState worst = classes.byPriority().get(0);
     for (RequestClassState state : classes.byPriority()) {
-      state.arrived *= decay;
+      state.arrivals *= decay;
       state.served *= decay;
-      totalWeight += state.arrived * state.type.value() * weightPerRequest(state);
-      if (state.served * worst.arrived < worst.served * state.arrived) {
+      totalWeight += state.arrivals * state.type.value() * weightPerRequest(state);
+      if (state.served * worst.arrivals < worst.served * state.arrivals) {
         worst = state;
       }
     }
@@ -41,7 +41,7 @@
           (agent.settings.goal().overall() + agent.settings.goal().worstWindow()) * classShare;
       if (state == worst) {
         state.value +=
-            agent.settings.goal().worstClass() / Math.max(state.arrived, Double.MIN_NORMAL);
+            agent.settings.goal().worstClass() / Math.max(state.arrivals, Double.MIN_NORMAL);
       }
       state.value /= Math.max(state.typicalLatency, 1);
     }
--- a/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -110,7 +110,7 @@
     pending.put(request.id(), pendingRequest);
     byToken.put(pendingRequest.token, pendingRequest);
     agent.actions.timer(pendingRequest.token, Math.max(0, endAt - now));
-    state.arrived(request);
+    state.recordArrival(request);
     subset.requestArrived(state.unloadedLatency);
     retries.earn();
     if (alreadyLate && (request.repeated() || classes.hasQueued())) {
--- a/src/main/java/slateslip/loadbalancer/RequestClassState.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClassState.java
@@ -20,7 +20,7 @@
   final Deque<PendingRequest> queued = new ArrayDeque<>();
 
   /** Requests come and requests served, as counts that fade. */
-  double arrived;
+  double arrivals;
 
   double served;
 
@@ -52,9 +52,9 @@
   }
 
   /** Counts one of its requests that has come. */
-  void arrived(Request request) {
+  void recordArrival(Request request) {
     meanCost += (meanCost == 0 ? 1 : LatencyTracker.BLEND / 2) * (request.cost() - meanCost);
-    arrived++;
+    arrivals++;
   }
 
   /**
--- a/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
@@ -95,6 +95,11 @@
     return of(root);
   }
 
+  /**
+   * Reads a configuration that has been parsed.
+   *
+   * @throws IllegalArgumentException if it is unusable; the message begins with the key
+   */
   public static AgentConfig of(JsonNode root) {
     JsonNode settings = need(root, "settings");
     Map<String, String> pairs = new HashMap<>();
--- a/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
@@ -400,7 +400,7 @@
      */
     private void dialSecond(int timeoutMillis) {
       if (!ended && connection == null && makeRoomForConnection()) {
-        statistics.connectionsDialledAgain();
+        statistics.secondConnectionDialled();
         dial(timeoutMillis);
       }
     }
@@ -419,7 +419,7 @@
       }
       connections++;
       dials++;
-      statistics.connectionsDialled();
+      statistics.connectionDialled();
       Channel dialled = connecting.channel();
       dialling.add(dialled);
       dialled.closeFuture().addListener(closed -> connections--);
@@ -590,7 +590,7 @@
       }
       String spoilt = spoilt(attempt, part);
       if (spoilt != null) {
-        statistics.malformed(spoilt);
+        statistics.recordMalformed(spoilt);
         attempt.broken(); // nothing of it is served, and it may have run
       } else if (part instanceof LastHttpContent) {
         HttpResponse complete = head;
--- a/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
+++ b/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
@@ -142,14 +142,14 @@
       requested = false;
     }
     Stamp stamp = Stamp.of(from); // before the read: what changes during it is seen afterwards
-    boolean isOldEnough = stamp != null && stamp.isOldEnough();
-    ReadResult readFile = readFile(from, byRequest);
+    boolean oldEnough = stamp != null && stamp.isOldEnough();
+    ReadResult result = readFile(from, byRequest);
     synchronized (this) {
-      seen = isOldEnough ? stamp : null;
-      unusable = readFile.unusable != null;
+      seen = oldEnough ? stamp : null;
+      unusable = result.unusable != null;
       startPollingIfNeeded();
     }
-    then.accept(readFile);
+    then.accept(result);
     return true;
   }
 
--- a/src/main/java/slateslip/loadbalancer/net/Discovery.java
+++ b/src/main/java/slateslip/loadbalancer/net/Discovery.java
@@ -102,6 +102,7 @@
   private Future<?> timeout;
   private final Backoff backoff;
 
+  /** A client of discovery that asks nothing yet. */
   public Discovery(EventLoop loop, AgentConfig config, Listener listener) {
     this(loop, config, listener, NioSocketChannel::new);
   }
@@ -182,6 +183,7 @@
     }
   }
 
+  /** Ends the call that is out, and makes no other. */
   public void close() {
     closed = true;
     drop();
--- a/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
@@ -113,7 +113,7 @@
   }
 
   /** An answer was not one as the protocol has it; its attempt counts among the resets. */
-  void malformed(String why) {
+  void recordMalformed(String why) {
     malformed++;
     malformedReasons.merge(
         malformedReasons.containsKey(why) || malformedReasons.size() < MAX_REASONS ? why : "other",
@@ -122,12 +122,12 @@
   }
 
   /** A connection to a server is dialled. */
-  void connectionsDialled() {
+  void connectionDialled() {
     connectionsDialled++;
   }
 
   /** One that is late has another dialled beside it. */
-  void connectionsDialledAgain() {
+  void secondConnectionDialled() {
     connectionsDialledAgain++;
   }
 
--- a/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
@@ -202,6 +202,7 @@
       startedAt = System.nanoTime();
     }
 
+    /** What has reached it so far. */
     public Counts counts() {
       return new Counts(calls.sum(), probes.sum(), turnedAway.sum(), connections.sum());
     }
--- a/src/scale/java/slateslip/loadbalancer/scale/DiscoveryProcess.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/DiscoveryProcess.java
@@ -48,10 +48,12 @@
     address = Addresses.of(reply().path("listening").asText());
   }
 
+  /** Where it listens. */
   public InetSocketAddress address() {
     return address;
   }
 
+  /** Its process id. */
   public long pid() {
     return process.pid();
   }
--- a/src/scale/java/slateslip/loadbalancer/scale/RealAgentLoad.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/RealAgentLoad.java
@@ -64,7 +64,7 @@
   private final BackendStandIns backends;
   private final List<ServerEntry> servers;
   private final Map<String, Backend> backendOf = new HashMap<>();
-  private final DrainMonitor draining = new DrainMonitor(GRACE_NANOS, this::sends);
+  private final DrainMonitor drainMonitor = new DrainMonitor(GRACE_NANOS, this::sends);
 
   /** When each agent has said that it has which version of the settings. */
   private final ChangeTimes settingsTimes;
@@ -218,10 +218,10 @@
       if (each.status() == ServerEntry.Status.READY) {
         backend.warmup();
         backend.set(Mode.SERVES);
-        draining.returns(each.name());
+        drainMonitor.returns(each.name());
       } else {
         backend.set(Mode.DRAINING);
-        draining.drainStartedAt(each.name(), version);
+        drainMonitor.drainStartedAt(each.name(), version);
       }
     }
   }
@@ -233,7 +233,7 @@
 
   /** What has come to backends that have left. */
   DrainMonitor draining() {
-    return draining;
+    return drainMonitor;
   }
 
   /** Processor time of all agents so far, in seconds. */
@@ -300,7 +300,9 @@
                   .average()
                   .orElse(0)));
       BackendStandIns.Counts counts = backends.counts();
-      totals.put("real_late_sends", draining.late()).put("real_leaves_judged", draining.judged());
+      totals
+          .put("real_late_sends", drainMonitor.late())
+          .put("real_leaves_judged", drainMonitor.judged());
       totals
           .put("backends_calls", counts.calls())
           .put("backends_turned_away", counts.turnedAway())
--- a/src/scale/java/slateslip/loadbalancer/scale/RealAgents.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/RealAgents.java
@@ -205,6 +205,7 @@
       return name;
     }
 
+    /** Its process id. */
     public long pid() {
       return process.pid();
     }
@@ -214,6 +215,7 @@
       return startedAt;
     }
 
+    /** Whether its process runs. */
     public boolean isAlive() {
       return process.isAlive();
     }
