--- a/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
+++ b/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
@@ -113,7 +113,9 @@
 
   private void write(QueuedWrite first) throws InterruptedException {
     if (first.record instanceof DurableRecord.Snapshot) {
-      StorageOutcome outcome = ring.beginFile(DurableRecordCodec.encode(first.record));
+      byte[] snapshot = DurableRecordCodec.encode(first.record);
+      StorageOutcome outcome = ring.beginFile(snapshot);
+      LOG.infof("snapshot written: bytes=%d outcome=%s", snapshot.length, outcome);
       complete(List.of(first), outcome);
       return;
     }
@@ -130,7 +132,7 @@
   private void complete(List<QueuedWrite> writes, StorageOutcome outcome) {
     boolean durable = outcome == StorageOutcome.DURABLE;
     if (!durable) {
-      LOG.warnf("a write to disk failed: %s", outcome);
+      LOG.warnf("disk write failed: outcome=%s records=%d", outcome, writes.size());
     }
     writes.forEach(write -> eventLoop.execute(() -> write.onComplete.accept(durable)));
   }
--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
@@ -18,7 +17,6 @@
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.delivery.ConfigurationSource;
-import slateslip.distribution.delivery.PeerProgress;
 import slateslip.distribution.peer.ControlPeerMessage;
 import slateslip.distribution.peer.OperatorRequest;
 import slateslip.distribution.peer.OperatorResponse;
@@ -26,7 +24,12 @@
 import slateslip.logging.LogContext;
 import slateslip.protocol.coordination.ReplicaFrame;
 
-/** One control agent: its parts, and what each tells the others. Confined to the event loop. */
+/**
+ * One control agent: makes its components and connects them. It decides nothing itself; see {@link
+ * ReplicaHost} for the replicated state, {@link SessionService} for backends, {@link
+ * OperatorRequestHandler} and {@link RolloutTracker} for the configuration, and {@link
+ * QuotaService} for quotas. Confined to the event loop.
+ */
 public final class ControlAgent implements IncomingConnection.Listener {
   private static final Logger LOG = Logger.getLogger(ControlAgent.class);
   private static final long MICROS_PER_MILLI = 1_000;
@@ -51,15 +54,11 @@
   private final PendingAcknowledgements pendingAcknowledgements;
   private final SessionService sessions;
   private final OperatorRequestHandler operatorRequests;
-  private final PeerProgress peerProgress = new PeerProgress();
-
-  /** Peers whose whole table has been taken over. */
-  private final Set<String> fullTablesReceivedFrom = new HashSet<>();
-
+  private final RolloutTracker rollout;
+  private final PeerMessageDispatcher peerMessages;
   private final long startedMicros;
   private final QuotaService quotas;
   private AgentSettings settings;
-  private long reportedVersion = -1;
 
   /**
    * A control agent that does nothing before {@link #start}.
@@ -98,6 +97,7 @@
             sessionTable,
             this::dataPlaneHeartbeat,
             new StreamListener());
+    rollout = new RolloutTracker(scheduler, replica, links, subscribers, pendingAcknowledgements);
     sessions =
         new SessionService(
             identity.incarnation(),
@@ -109,10 +109,12 @@
             this::reachesMajority);
     operatorRequests =
         new OperatorRequestHandler(
-            identity.incarnation(), scheduler, replica, state, links, this::awaitRollout);
+            identity.incarnation(), scheduler, replica, state, links, rollout);
     quotas =
         new QuotaService(
             identity.address(), scheduler, links, subscribers, new PrimaryAllocatorRole());
+    peerMessages =
+        new PeerMessageDispatcher(sessionTable, links, sessions, operatorRequests, rollout, quotas);
   }
 
   private ReplicaSettings replicaSettings(AgentIdentity identity) {
@@ -172,9 +174,8 @@
   }
 
   /** A call of the operator's; answered once. */
-  public void handleOperatorRequest(
-      OperatorRequest handleOperatorRequest, Consumer<OperatorResponse> response) {
-    operatorRequests.handleRequest(handleOperatorRequest, response);
+  public void handleOperatorRequest(OperatorRequest request, Consumer<OperatorResponse> response) {
+    operatorRequests.handleRequest(request, response);
   }
 
   /** Figures of this agent. */
@@ -198,7 +199,7 @@
     retainedAgents.addAll(witnessAddresses());
     links.connectTo(retainedAgents);
     links.sendHeartbeats(sessionTable.isComplete(), retainedAgents);
-    reportDeliveryProgress(true);
+    rollout.reportProgress(true);
   }
 
   private void expireSessions() {
@@ -230,37 +231,9 @@
 
   private void configurationChanged() {
     LogContext.version(state.version());
+    LOG.infof("configuration committed: version=%d", state.version());
     subscribers.deliverPending();
-    reportDeliveryProgress(false);
-    pendingAcknowledgements.recheck();
-  }
-
-  /** Tells the primary how far the data planes here are, if that is news or it is time to. */
-  private void reportDeliveryProgress(boolean evenIfUnchanged) {
-    long version = subscribers.progress().slowestVersion();
-    if (replica.isServing() || (!evenIfUnchanged && version == reportedVersion)) {
-      return;
-    }
-    reportedVersion = version;
-    String primary = replica.role().primary().address().toString();
-    links.send(primary, new ControlPeerMessage.DeliveryReport(version));
-  }
-
-  private void awaitRollout(long version, long timeoutMillis, Runnable onDelivered) {
-    pendingAcknowledgements.await(
-        () -> isRolledOut(version), timeoutMillis, inTime -> onDelivered.run());
-  }
-
-  private boolean isRolledOut(long version) {
-    if (subscribers.progress().slowestVersion() < version) {
-      return false;
-    }
-    for (String peer : links.reachability().reachablePeers(scheduler.nowMicros())) {
-      if (!peerProgress.isDelivered(peer, replica.role().epoch(), version)) {
-        return false;
-      }
-    }
-    return true;
+    rollout.progressChanged();
   }
 
   private ControlPlaneMessage.Heartbeat dataPlaneHeartbeat() {
@@ -294,47 +267,7 @@
 
   @Override
   public void peerMessageReceived(ControlPeerMessage.Hello sender, ControlPeerMessage message) {
-    String peer = sender.address();
-    if (message instanceof ControlPeerMessage.Heartbeat sendHeartbeats) {
-      links.heartbeatReceived(peer, sendHeartbeats);
-      if (sendHeartbeats.complete() && fullTablesReceivedFrom.contains(peer)) {
-        sessionTable.markComplete();
-      }
-      sessions.heartbeatAcknowledged(peer, links.reachability().acknowledgedMicros(peer));
-    } else if (message instanceof ControlPeerMessage.SessionChanges changes) {
-      sessions.merge(peer, changes);
-      if (changes.fullTable()) {
-        fullTablesReceivedFrom.add(peer);
-      }
-    } else if (message instanceof ControlPeerMessage.SessionRenewals renewals) {
-      sessions.merge(peer, renewals);
-    } else if (message instanceof ControlPeerMessage.SessionChangesAcknowledged stored) {
-      sessions.changesAcknowledged(peer, stored.number());
-    } else {
-      fromPeerAboutConfiguration(sender, message);
-    }
-  }
-
-  private void fromPeerAboutConfiguration(
-      ControlPeerMessage.Hello sender, ControlPeerMessage message) {
-    String peer = sender.address();
-    if (message instanceof ControlPeerMessage.Hello) {
-      links.reachability().peerRestarted(peer);
-      peerProgress.peerStarted(peer, sender.incarnation());
-      links.connectTo(List.of(peer));
-    } else if (message instanceof ControlPeerMessage.ForwardedRequest forwarded) {
-      operatorRequests.forwardedRequestReceived(peer, forwarded);
-    } else if (message instanceof ControlPeerMessage.ForwardedResponse responded) {
-      operatorRequests.forwardedResponseReceived(peer, responded);
-    } else if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
-      peerProgress.recordReport(
-          peer, sender.incarnation(), replica.role().epoch(), delivered.slowestVersion());
-      pendingAcknowledgements.recheck();
-    } else if (message instanceof ControlPeerMessage.DemandReport demands) {
-      quotas.demandReportReceived(peer, demands);
-    } else if (message instanceof ControlPeerMessage.QuotaAllocations allotted) {
-      quotas.allocationsReceived(allotted);
-    }
+    peerMessages.dispatch(sender, message);
   }
 
   /** The committed configurations. */
@@ -358,19 +291,19 @@
   private final class LinkListener implements PeerLinks.Listener {
     @Override
     public void peerConnected(String peer, long incarnation) {
-      LOG.infof("control agent %s connected", peer);
+      LOG.infof("control agent connected: peer=%s", peer);
       sessions.connected(peer, incarnation);
     }
 
     @Override
     public void peerDisconnected(String peer) {
-      LOG.infof("control agent %s disconnected", peer);
+      LOG.infof("control agent disconnected: peer=%s", peer);
       sessions.disconnected(peer);
     }
 
     @Override
     public void peerRemoved(String peer) {
-      peerProgress.remove(peer);
+      rollout.peerRemoved(peer);
       sessions.peerRemoved(peer);
     }
   }
@@ -391,8 +324,7 @@
   private final class StreamListener implements DataPlaneSubscriptions.Listener {
     @Override
     public void progressChanged() {
-      reportDeliveryProgress(false);
-      pendingAcknowledgements.recheck();
+      rollout.progressChanged();
     }
 
     @Override
--- a/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
+++ b/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
@@ -66,7 +66,7 @@
 
   private void subscribe(DataPlaneStream stream, DataPlaneMessage.Subscribe message) {
     if (!streams.containsKey(stream)) {
-      LOG.infof("data plane %s subscribed", message.node());
+      LOG.infof("data plane subscribed: node=%s zone=%s", message.node(), message.zone());
     }
     SubscriberDelivery delivery =
         streams.computeIfAbsent(stream, key -> new SubscriberDelivery(configurations, sessions));
--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -16,7 +16,8 @@
 import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
- * Calls of the operator's: handled by the primary, forwarded by all others. Confined to the loop.
+ * Handles requests of the operator: the primary itself, every other agent by forwarding them to the
+ * primary. Each request is answered exactly once. Confined to the event loop.
  */
 final class OperatorRequestHandler {
   /** Callers try another agent after a second of silence. */
@@ -30,7 +31,7 @@
   private final ConfigurationState state;
   private final PeerLinks links;
   private final ConfigurationRollout rollout;
-  private final Map<Long, PendingForward> forwardedRequestReceived = new HashMap<>();
+  private final Map<Long, PendingForward> pendingForwards = new HashMap<>();
 
   /** Begins at a number drawn at random, so that no two lives of an agent use one id. */
   private long lastRequestId;
@@ -79,25 +80,24 @@
     }
     lastRequestId++;
     long requestId = lastRequestId;
-    forwardedRequestReceived.put(requestId, new PendingForward(peer, responseHandler));
+    pendingForwards.put(requestId, new PendingForward(peer, responseHandler));
     links.send(peer, new ControlPeerMessage.ForwardedRequest(requestId, request));
     scheduler.schedule(FORWARD_TIMEOUT_MICROS, () -> timeOut(requestId));
   }
 
   private void timeOut(long requestId) {
-    PendingForward request = forwardedRequestReceived.remove(requestId);
-    if (request != null) {
-      request.responseHandler.accept(OperatorResponse.unavailable("no answer of the primary"));
+    PendingForward pending = pendingForwards.remove(requestId);
+    if (pending != null) {
+      pending.responseHandler.accept(OperatorResponse.unavailable("no response from the primary"));
     }
   }
 
   /** A call that came to another agent. */
   void forwardedRequestReceived(String peer, ControlPeerMessage.ForwardedRequest message) {
     Consumer<OperatorResponse> respond =
-        responseHandler ->
+        response ->
             links.send(
-                peer,
-                new ControlPeerMessage.ForwardedResponse(message.requestId(), responseHandler));
+                peer, new ControlPeerMessage.ForwardedResponse(message.requestId(), response));
     if (replica.isServing()) {
       handleAsPrimary(message.request(), respond);
     } else {
@@ -107,10 +107,10 @@
 
   /** The answer of the agent that a call was forwarded to. */
   void forwardedResponseReceived(String peer, ControlPeerMessage.ForwardedResponse message) {
-    PendingForward request = forwardedRequestReceived.get(message.requestId());
-    if (request != null && request.peer.equals(peer)) {
-      forwardedRequestReceived.remove(message.requestId());
-      request.responseHandler.accept(message.response());
+    PendingForward pending = pendingForwards.get(message.requestId());
+    if (pending != null && pending.peer.equals(peer)) {
+      pendingForwards.remove(message.requestId());
+      pending.responseHandler.accept(message.response());
     }
   }
 
@@ -138,9 +138,8 @@
   private void changeCompleted(ClientResult result, Consumer<OperatorResponse> responseHandler) {
     if (result instanceof ClientResult.Committed) {
       acknowledge(state.version(), responseHandler);
-    } else if (result instanceof ClientResult.Responded forwardedResponseReceived) {
-      OperatorResponse response =
-          OperatorResponseCodec.decode(forwardedResponseReceived.response());
+    } else if (result instanceof ClientResult.Responded responded) {
+      OperatorResponse response = OperatorResponseCodec.decode(responded.response());
       if (response.status() == OperatorResponse.OK) {
         acknowledge(response.version(), responseHandler);
       } else {
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -57,10 +57,10 @@
   }
 
   /** A beat has come. */
-  void heartbeatReceived(String peer, ControlPeerMessage.Heartbeat sendHeartbeats) {
+  void heartbeatReceived(String peer, ControlPeerMessage.Heartbeat heartbeat) {
     connectTo(List.of(peer));
-    reachability.heartbeatReceived(scheduler.nowMicros(), peer, sendHeartbeats);
-    connectTo(sendHeartbeats.knownAgents());
+    reachability.heartbeatReceived(scheduler.nowMicros(), peer, heartbeat);
+    connectTo(heartbeat.knownAgents());
   }
 
   /** Sends beats, breaks off links that lead nowhere, and forgets agents that are long gone. */
--- a/src/main/java/slateslip/controlplane/agent/QuotaService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -61,35 +61,33 @@
   }
 
   /** A data plane at this agent tells its demand. */
-  void demandReceived(DataPlaneMessage.Subscribe from, DataPlaneMessage.Demand demandReceived) {
+  void demandReceived(DataPlaneMessage.Subscribe from, DataPlaneMessage.Demand demand) {
     pendingDemand.put(
-        from.node(),
-        new DataPlaneDemand(from.node(), from.incarnation(), demandReceived.tenants()));
+        from.node(), new DataPlaneDemand(from.node(), from.incarnation(), demand.tenants()));
   }
 
   /** Another agent tells the demand of its data planes. */
-  void demandReportReceived(String peer, ControlPeerMessage.DemandReport demandReportReceived) {
+  void demandReportReceived(String peer, ControlPeerMessage.DemandReport report) {
     if (allocatorRole.isSelf()) {
-      demandReportReceived.dataPlanes().forEach(demandReceived -> report(peer, demandReceived));
+      report.dataPlanes().forEach(demand -> report(peer, demand));
     }
   }
 
   /** The allocator tells the shares of data planes here. */
-  void allocationsReceived(ControlPeerMessage.QuotaAllocations allocationsReceived) {
-    allocationsReceived.dataPlanes().forEach(this::deliver);
+  void allocationsReceived(ControlPeerMessage.QuotaAllocations allocations) {
+    allocations.dataPlanes().forEach(this::deliver);
   }
 
   /** Sends demand on and, at the allocator, divides. */
   void tick() {
     updateRole();
-    List<DataPlaneDemand> demandReportReceived = List.copyOf(pendingDemand.values());
+    List<DataPlaneDemand> report = List.copyOf(pendingDemand.values());
     pendingDemand.clear();
     if (allocatorRole.isSelf()) {
-      demandReportReceived.forEach(demandReceived -> report(self, demandReceived));
+      report.forEach(demand -> report(self, demand));
       allocate();
-    } else if (!demandReportReceived.isEmpty()) {
-      links.send(
-          allocatorRole.address(), new ControlPeerMessage.DemandReport(demandReportReceived));
+    } else if (!report.isEmpty()) {
+      links.send(allocatorRole.address(), new ControlPeerMessage.DemandReport(report));
     }
   }
 
@@ -104,14 +102,13 @@
     }
   }
 
-  private void report(String peer, DataPlaneDemand demandReceived) {
+  private void report(String peer, DataPlaneDemand demand) {
     if (allocator == null) {
       return;
     }
     long now = scheduler.nowMicros();
-    demandSources.put(demandReceived.node(), new DemandSource(peer, now));
-    allocator.report(
-        now, demandReceived.node(), demandReceived.incarnation(), demandReceived.tenants());
+    demandSources.put(demand.node(), new DemandSource(peer, now));
+    allocator.report(now, demand.node(), demand.incarnation(), demand.tenants());
   }
 
   private void allocate() {
@@ -148,9 +145,8 @@
     }
   }
 
-  private void deliver(DataPlaneQuota allocationsReceived) {
+  private void deliver(DataPlaneQuota allocations) {
     subscribers.sendTo(
-        allocationsReceived.node(),
-        new ControlPlaneMessage.QuotaUpdate(allocationsReceived.shares()));
+        allocations.node(), new ControlPlaneMessage.QuotaUpdate(allocations.shares()));
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -1,6 +1,7 @@
 package slateslip.controlplane.agent;
 
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import org.jboss.logging.Logger;
@@ -9,8 +10,10 @@
 import slateslip.coordination.Effects;
 import slateslip.coordination.Effects.RoleStatus;
 import slateslip.coordination.NodeAddress;
+import slateslip.coordination.NodeId;
 import slateslip.coordination.ReplicaInput;
 import slateslip.coordination.View;
+import slateslip.coordination.ViewMember;
 import slateslip.logging.LogContext;
 import slateslip.protocol.coordination.ReplicaFrame;
 import slateslip.protocol.coordination.ReplicaMessageCodec;
@@ -132,16 +135,31 @@
     scheduleWake(effects.wakeAtMicros());
   }
 
+  /** Says who leads since when; what an engineer on call looks for first. */
   private void logRoleChange(RoleStatus now) {
-    boolean changed =
-        role == null || now.epoch() != role.epoch() || now.serving() != role.serving();
-    if (changed) {
-      LogContext.epoch(now.epoch());
+    boolean wasServing = isServing();
+    boolean newEpoch = role == null || now.epoch() != role.epoch();
+    if (!newEpoch && now.serving() == wasServing) {
+      return;
+    }
+    LogContext.epoch(now.epoch());
+    View view = replica.view();
+    if (newEpoch) {
       LOG.infof(
-          "epoch %d, primary %s, %s", now.epoch(), now.primary(), now.serving() ? "serving" : "");
+          "view changed: epoch=%d primary=%s members=%s witnesses=%s",
+          now.epoch(), now.primary(), memberNodes(view), view.witnesses());
+    }
+    if (now.serving() && !wasServing) {
+      LOG.infof("became primary: epoch=%d committed=%d", now.epoch(), now.committedSequence());
+    } else if (wasServing && !now.serving()) {
+      LOG.infof("stepped down: epoch=%d primary=%s", now.epoch(), now.primary());
     }
   }
 
+  private static List<NodeId> memberNodes(View view) {
+    return view.members().stream().map(ViewMember::node).toList();
+  }
+
   private void write(Effects.DurableWrite write) {
     writeAheadLog.write(write.record(), durable -> written(write.token(), durable));
   }
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -77,7 +77,7 @@
     }
     HeartbeatResult result = table.heartbeat(scheduler.nowMicros(), session);
     if (result == HeartbeatResult.RENEWED) {
-      replication.renewedIds(session.id());
+      replication.recordRenewal(session.id());
     }
     if (session.draining()) {
       acknowledgeOnceReplicated(session.id(), acknowledged);
--- a/src/main/java/slateslip/coordination/MembershipPolicy.java
+++ b/src/main/java/slateslip/coordination/MembershipPolicy.java
@@ -73,7 +73,7 @@
   }
 
   private static Optional<PeerHealth> healthOf(List<PeerHealth> others, NodeId node) {
-    return others.stream().filter(healthOf -> healthOf.node().equals(node)).findFirst();
+    return others.stream().filter(health -> health.node().equals(node)).findFirst();
   }
 
   private static List<ViewMember> members(
@@ -82,11 +82,11 @@
     List<ViewMember> unhealthy = new ArrayList<>();
     int installed = 0;
     for (ViewMember member : view.members()) {
-      Optional<PeerHealth> healthOf = healthOf(others, member.node());
+      Optional<PeerHealth> health = healthOf(others, member.node());
       boolean isSelf = member.node().equals(self);
-      if (isSelf || healthOf.filter(PeerHealth::healthy).isPresent()) {
+      if (isSelf || health.filter(PeerHealth::healthy).isPresent()) {
         retained.add(member);
-        installed += isSelf || healthOf.get().installed() ? 1 : 0;
+        installed += isSelf || health.get().installed() ? 1 : 0;
       } else {
         unhealthy.add(member);
       }
--- a/src/main/java/slateslip/distribution/sessions/SessionReplication.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionReplication.java
@@ -114,7 +114,7 @@
   }
 
   /** A session was renewed here; it goes out with the next batch. */
-  public void renewedIds(String id) {
+  public void recordRenewal(String id) {
     renewedIds.add(id);
   }
 
--- a/src/test/java/slateslip/architecture/ArchitectureTest.java
+++ b/src/test/java/slateslip/architecture/ArchitectureTest.java
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void everyPackageHasItsPlace() {
+  void everyPackageIsListed() {
     Set<String> found = new TreeSet<>();
     for (JavaClass type : FLEET) {
       found.add(packageOf(type));
--- a/src/test/java/slateslip/cli/CommandLineTest.java
+++ b/src/test/java/slateslip/cli/CommandLineTest.java
@@ -209,7 +209,7 @@
   }
 
   @Test
-  void aConfigurationIsPutOnTopOfTheNewestVersion() throws IOException {
+  void configPutBuildsOnNewestVersion() throws IOException {
     String document = file("new.json", CONFIGURATION).toString();
     try (ControlAgent agent = new ControlAgent().answering(200, CONFIGURATION).answering(200, "")) {
       int status =
@@ -222,7 +222,7 @@
   }
 
   @Test
-  void aRefusalIsToldAndNotRepeated() throws IOException {
+  void rejectionIsReportedAndNotRetried() throws IOException {
     String document = file("new.json", CONFIGURATION).toString();
     try (ControlAgent agent = new ControlAgent().answering(412, "version 9 is current")) {
       int status =
@@ -243,7 +243,7 @@
   }
 
   @Test
-  void aCallWithoutAClearAnswerGoesToTheNextAgentUnchanged() throws IOException {
+  void ambiguousResponseRetriesAtNextAgent() throws IOException {
     try (ControlAgent failing = new ControlAgent().answering(503, "no majority");
         ControlAgent working = new ControlAgent().answering(200, "")) {
       ControlClient client =
@@ -256,7 +256,7 @@
   }
 
   @Test
-  void noAnswerAtAllIsAnOutcome() throws IOException {
+  void noResponseIsAnOutcome() throws IOException {
     String address;
     try (ControlAgent gone = new ControlAgent()) {
       address = gone.address();
--- a/src/test/java/slateslip/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/slateslip/configuration/ConfigurationDocumentTest.java
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void anUnknownKindPromisesLeast() {
+  void unknownKindIsNonIdempotent() {
     String route = ROUTE_CHAT.replace("streaming", "bidirectional");
     FleetConfiguration configuration =
         parsed(whole("[" + route + "]", SERVICES, "")).configuration();
--- a/src/test/java/slateslip/configuration/ConfigurationPatchTest.java
+++ b/src/test/java/slateslip/configuration/ConfigurationPatchTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void removalsComeBeforeAdditionsWhateverTheirOrder() {
+  void removalsApplyBeforeAdditions() {
     String moved = route("other").replace("/other/", "/chat/");
     ConfigurationDocument document =
         patched(
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void limitsAreReplacedWhole() {
+  void limitsAreReplacedAsAWhole() {
     ConfigurationDocument document = patched("{\"version\":9,\"limits\":{\"max_body_bytes\":100}}");
     assertThat(document.configuration().limits().maxBodyBytes(), equalTo(100));
     assertThat(
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void aChangedDocumentReadsAsTheSameWhenItIsReadWhole() {
+  void patchedDocumentEqualsItsReparse() {
     ConfigurationDocument document =
         patched("{\"version\":9,\"upsert\":{\"routes\":[" + route("new") + "]}}");
     assertThat(
--- a/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void dataPlanesAtAllAgentsGetConfigurationsAndSessions() throws Exception {
+  void dataPlanesAtAllAgentsAreUpdated() throws Exception {
     assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
       try (DataPlaneStandIn dataPlane =
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void anAcknowledgedPatchHasReachedTheDataPlane() throws Exception {
+  void acknowledgedPatchIsInForceAtDataPlane() throws Exception {
     assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
     try (DataPlaneStandIn dataPlane = new DataPlaneStandIn(fixture.internalSocket(1), "edge")) {
       dataPlane.await(message -> message instanceof ControlPlaneMessage.ConfigurationSnapshot);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void whatWasAcknowledgedOutlivesTheLossOfAnAgentAndOfAllProcesses() throws Exception {
+  void acknowledgedSurvivesLossOfAgentAndAllProcesses() throws Exception {
     assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
     fixture.stop(0);
     assertThat(config(1, "3", OperatorDocuments.whole(5)), is(200));
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void sharesComeBackToTheDataPlaneThatToldItsDemand() throws Exception {
+  void allocationReturnsToReportingDataPlane() throws Exception {
     assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
       try (DataPlaneStandIn dataPlane =
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void anAgentWithoutAMajoritySendsBackendsAndOperatorsAway() throws Exception {
+  void agentWithoutMajorityRejectsRequests() throws Exception {
     assertThat(instance(2, "PUT", "i-1", OperatorDocuments.instance("ready", 1)), is(200));
     fixture.stop(0);
     fixture.stop(1);
--- a/src/test/java/slateslip/controlplane/ControlPlaneTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void tellsWhatIsWrongWithAChange() throws Exception {
+  void rejectedChangeNamesTheFault() throws Exception {
     assertStatus(400, "PUT", null, OperatorDocuments.whole(3));
     assertStatus(400, "PUT", "x", OperatorDocuments.whole(3));
     assertStatus(400, "PUT", "0", "{\"version\":");
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aBodyThatIsTooLongIsRefusedAndTheNextIsTaken() throws Exception {
+  void oversizedBodyIsRejectedAndNextAccepted() throws Exception {
     assertStatus(413, "PUT", "0", " ".repeat(4 * 1024 * 1024 + 1));
     assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
   }
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void tellsWhatIsWrongWithABackendsCall() throws Exception {
+  void rejectedHeartbeatNamesTheFault() throws Exception {
     String complete = OperatorDocuments.instance("ready", 1);
     assertInvalid(complete.replace("\"service\":\"s\",", ""), "service");
     assertInvalid(complete.replace("10.1.0.9:8080", "10.1.0.9"), "address");
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void aFirstMessageOfAnotherProtocolEndsItsConnection() throws Exception {
+  void foreignFirstMessageClosesConnection() throws Exception {
     Socket socket = fixture.internalSocket(0);
     byte[] header = new byte[8];
     send(socket, ByteBuffer.allocate(12).putInt(header.length).put(header).array());
--- a/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aChangeThatAnotherProgramVersionTookIsAppliedThoughThisOneWouldRefuseIt() {
+  void committedChangeOfOtherVersionIsApplied() {
     commit(put(0, 3));
     String unusable =
         "{\"version\":4,\"upsert\":{\"routes\":[{\"name\":\"new-kind\",\"timeout_ms\":0}]}}";
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void replicasThatApplyTheSameRecordsAreTheSame() {
+  void sameRecordsGiveSameState() {
     ConfigurationState follower = new ConfigurationState();
     for (OperatorRequest request : new OperatorRequest[] {put(0, 3), patch(3, 7), put(7, 8)}) {
       byte[] record = prepared(request);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void anEmptySnapshotIsTheStateBeforeTheFirstRecord() {
+  void emptySnapshotIsInitialState() {
     commit(put(0, 3));
     state.restore(new byte[0]);
     assertThat(state.version(), is(0L));
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void patchesAreHandedOnUnderTheVersionTheyBuildOn() {
+  void patchesAreKeyedByBaseVersion() {
     commit(put(0, 3));
     commit(patch(3, 7));
     assertThat(state.patchFrom(3).get().toVersion(), is(7L));
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void aPreparedChangeThatIsNotCommittedLeavesNoTrace() {
+  void uncommittedPreparedChangeLeavesNoTrace() {
     commit(put(0, 3));
     prepared(put(3, 5));
     commit(put(3, 6));
--- a/src/test/java/slateslip/coordination/MembershipPolicyTest.java
+++ b/src/test/java/slateslip/coordination/MembershipPolicyTest.java
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aSilentMemberIsDroppedWhileEnoughCopiesAreLeft() {
+  void unresponsiveMemberIsDroppedIfCopiesRemain() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
     List<PeerHealth> others = List.of(healthy(B), unresponsive(C));
     View wanted = MembershipPolicy.nextViewOfPrimary(view, A, 1, others).orElseThrow();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void whatMayBeTheLastCopyStaysUntilAnotherHasInstalled() {
+  void lastCopyIsRetainedUntilReplaced() {
     View view = view(List.of(A, C), List.of(A, B, C));
     List<PeerHealth> others = List.of(healthy(B), unresponsive(C));
     View first = MembershipPolicy.nextViewOfPrimary(view, A, 1, others).orElseThrow();
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aWipedMachinesFormerSelfLeavesTheWitnessesAtOnce() {
+  void wipedNodeIsRemovedFromWitnessesAtOnce() {
     View view = view(List.of(A, B), List.of(A, B, C));
     PeerHealth former =
         new PeerHealth(C, true, false, false, 0, 0, ReplicationTimeouts.JOIN_DELAY_MICROS);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aNewcomerTakesThePlaceOfAWitnessThatIsGone() {
+  void joiningNodeReplacesLostWitness() {
     View view = view(List.of(A, B), List.of(A, B, C));
     View wanted =
         MembershipPolicy.nextViewOfPrimary(
@@ -91,14 +91,14 @@
   }
 
   @Test
-  void nothingChangesWithoutAMajorityOfTheNewWitnesses() {
+  void noViewChangeWithoutNewMajority() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
     List<PeerHealth> others = List.of(unresponsive(B), unresponsive(C));
     assertThat(MembershipPolicy.nextViewOfPrimary(view, A, 1, others), is(Optional.empty()));
   }
 
   @Test
-  void aTakeoverKeepsTheOldPrimaryLastAndOnlyIfNeeded() {
+  void failoverRetainsOldPrimaryOnlyIfNeeded() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
     View complete = MembershipPolicy.viewAfterFailover(view, B, 1, List.of(B, C), List.of(B, C));
     assertThat(nodes(complete), contains(B, C));
--- a/src/test/java/slateslip/coordination/RecoveryTest.java
+++ b/src/test/java/slateslip/coordination/RecoveryTest.java
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void anInstallationBehindARecordWhoseCommitOnlyMemoryKnewIsReplayed() {
+  void installationAfterUnrecordedCommitIsReplayed() {
     replay(
         new DurableRecord.Entry(1, 0, record(1)),
         new DurableRecord.Installation(SECOND, from(1, 1, record(2))),
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aNewTenureDropsTheOpenRecordThatItDoesNotHold() {
+  void newTermDropsUncommittedRecord() {
     replay(
         new DurableRecord.Entry(1, 0, record(1)),
         new DurableRecord.Installation(SECOND, from(0, 0, record(9))),
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void anOlderOrRepeatedInstallationChangesNothing() {
+  void staleInstallationIsIgnored() {
     replay(
         new DurableRecord.Installation(SECOND, from(0, 0, record(1))),
         new DurableRecord.Entry(2, 1, record(2)));
--- a/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
+++ b/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void anotherConnectionOfTheSameProcessChangesNothing() {
+  void reconnectOfSameProcessChangesNothing() {
     progress.peerStarted(PEER, 7);
     progress.recordReport(PEER, 7, EPOCH, 5);
     progress.peerStarted(PEER, 7);
--- a/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
+++ b/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
@@ -25,7 +25,7 @@
   private final SubscriberDelivery delivery = new SubscriberDelivery(source, sessions);
 
   @Test
-  void nothingIsSentBeforeTheFirstMessageNorOnAStandbyStream() {
+  void standbyStreamGetsNothing() {
     source.version = 5;
     assertThat(delivery.pending(), is(empty()));
     delivery.subscribe(subscribe(0, false));
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aNewStreamGetsAllWhole() {
+  void newStreamGetsFullState() {
     source.version = 5;
     delivery.subscribe(subscribe(0, true));
     List<ControlPlaneMessage> messages = delivery.pending();
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aGapInThePatchesMeansTheWholeConfiguration() {
+  void patchGapSendsSnapshot() {
     source.patch(3, 5);
     source.version = 8;
     delivery.subscribe(subscribe(3, true));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aDataPlaneThatIsAheadIsSentNoOlderConfiguration() {
+  void aheadDataPlaneGetsNoOlderConfiguration() {
     source.version = 5;
     delivery.subscribe(subscribe(9, true));
     assertThat(delivery.pending(), hasSize(1));
--- a/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
+++ b/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aPeerThatIsHeardButDoesNotHearIsNotInReach() {
+  void oneWayPeerIsUnreachable() {
     heartbeatReceived(START, PEER, 1, 0);
     assertThat(reachability.isHeard(START, PEER), is(true));
     assertThat(reachability.isReachable(START, PEER), is(false));
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void silenceEndsReach() {
+  void silentPeerBecomesUnreachable() {
     heartbeatReceived(START, PEER, 1, START);
     assertThat(
         reachability.reachablePeers(START + Reachability.PEER_TIMEOUT_MICROS - 1), contains(PEER));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aMajorityCountsThisAgentOnlyIfItIsOfTheElectorate() {
+  void majorityCountsSelfOnlyIfWitness() {
     heartbeatReceived(START, PEER, 1, START);
     assertThat(reachability.reachesMajority(START, List.of(SELF, PEER, OTHER)), is(true));
     assertThat(reachability.reachesMajority(START, List.of(PEER, OTHER, "10.4.0.1")), is(false));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void echoesTheNewestBeatAndForgetsItWhenThePeerStartsAnew() {
+  void acknowledgesNewestHeartbeatUntilPeerRestarts() {
     heartbeatReceived(START, PEER, 41, START);
     assertThat(reachability.lastHeartbeatNumber(PEER), is(41L));
     reachability.peerRestarted(PEER);
--- a/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
+++ b/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aSilentAgentKeepsItsFractionAndTheOthersDivideTheRest() {
+  void unresponsiveDataPlaneKeepsItsFraction() {
     for (int i = 0; i < 50; i++) {
       round(10_000, 5_000, 5_000, 5_000, 5_000);
     }
--- a/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
@@ -41,7 +41,7 @@
     register("a", 1);
     List<OutboundMessage> messages = replication.changed(now, 4, List.of("a"));
     assertThat(((SessionChanges) messages.get(0).message()).number(), is(4L));
-    replication.renewedIds("a");
+    replication.recordRenewal("a");
     List<OutboundMessage> batch = replication.flushRenewals(now);
     assertThat(((SessionRenewals) batch.get(0).message()).renewals(), hasSize(1));
     assertThat(replication.flushRenewals(now), is(empty()));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void whatWasSentButNotConfirmedIsHandedOverAgain() {
+  void unacknowledgedIsHandedOffAgain() {
     replication.connected(now, PEER, 7);
     replication.acknowledged(PEER, now + 1);
     register("a", 1);
--- a/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
@@ -62,13 +62,13 @@
   }
 
   @Test
-  void departureOfAnUnknownBackendIsKeptAgainstItsLateCalls() {
+  void deregistrationOfUnknownBackendIsFinal() {
     table.deregister(START, "a");
     assertThat(call(START, "a", FIRST_ADDRESS, 1), is(HeartbeatResult.STALE));
   }
 
   @Test
-  void theNewestIncarnationAtAnAddressIsTheOnlyOne() {
+  void newestIncarnationOwnsAddress() {
     call(START, "a", FIRST_ADDRESS, 1);
     call(START + 1, "b", FIRST_ADDRESS, 1);
     assertThat(ids(), contains("b"));
@@ -77,21 +77,21 @@
   }
 
   @Test
-  void anOlderIncarnationToldByAPeerDoesNotReplaceTheNewer() {
+  void olderIncarnationFromPeerIsIgnored() {
     call(START + 1_000_000, "b", FIRST_ADDRESS, 1);
     table.merge(START + 1_500_000, PEER, entry(session("a", FIRST_ADDRESS, 7), 1_400, 10));
     assertThat(ids(), contains("b"));
   }
 
   @Test
-  void aNewerIncarnationToldByAPeerReplacesTheOlder() {
+  void newerIncarnationFromPeerReplacesOlder() {
     call(START, "a", FIRST_ADDRESS, 1);
     table.merge(START + 1_500_000, PEER, entry(session("b", FIRST_ADDRESS, 1), 20, 10));
     assertThat(ids(), contains("b"));
   }
 
   @Test
-  void anExpiredIncarnationThatCallsLateDoesNotTakeItsAddressBack() {
+  void expiredIncarnationDoesNotRetakeAddress() {
     call(START, "a", FIRST_ADDRESS, 1);
     table.expire(START + EXPIRY);
     call(START + EXPIRY + 1, "b", FIRST_ADDRESS, 1);
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void nothingExpiresWhileCallsMayHaveGoneUnheard() {
+  void expiryIsSuspendedWhileUnreachable() {
     call(START, "a", FIRST_ADDRESS, 1);
     table.suspendExpiry(START + EXPIRY - 1);
     table.expire(START + 2 * EXPIRY - 2);
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void aBackendThatMovesKeepsItsIdAndFreesItsAddress() {
+  void movedBackendKeepsIdAndFreesAddress() {
     call(START, "a", FIRST_ADDRESS, 1);
     assertThat(call(START, "a", SECOND_ADDRESS, 2), is(HeartbeatResult.CHANGED));
     call(START, "b", FIRST_ADDRESS, 1);
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void readersAreToldWhatChangedAfterTheirRevision() {
+  void readersGetChangesAfterRevision() {
     call(START, "a", FIRST_ADDRESS, 1);
     long read = table.revision();
     call(START, "b", SECOND_ADDRESS, 1);
@@ -176,7 +176,7 @@
   }
 
   @Test
-  void onceCompleteEveryReaderTakesTheWholeTable() {
+  void completedTableIsSentInFull() {
     call(START, "a", FIRST_ADDRESS, 1);
     long read = table.revision();
     table.markComplete();
@@ -188,7 +188,7 @@
   }
 
   @Test
-  void aLiveBackendWinsOverAnOldOneThatAgesOfAHeldUpPeerMadeLookNewer() {
+  void liveBackendWinsDespiteStalledPeerAges() {
     table.merge(START, PEER, entry(session("old", FIRST_ADDRESS, 40), 100, 100));
     table.merge(START + 1, OTHER_PEER, entry(session("live", FIRST_ADDRESS, 3), 900, 0));
     assertThat(ids(), contains("old"));
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void aLateCallOfAnOldIncarnationDoesNotDisturbTheLiveOne() {
+  void lateHeartbeatOfOldIncarnationIsIgnored() {
     call(START, "old", FIRST_ADDRESS, 1);
     call(START + 1, "live", FIRST_ADDRESS, 1);
     long heartbeat = EXPIRY / 3;
@@ -219,7 +219,7 @@
   }
 
   @Test
-  void aRepeatedCallOfASupersededIncarnationChangesNothing() {
+  void repeatedHeartbeatOfSupersededIsIgnored() {
     call(START, "old", FIRST_ADDRESS, 5);
     call(START + 1, "new", FIRST_ADDRESS, 1);
     long later = START + EXPIRY - 1;
@@ -228,7 +228,7 @@
   }
 
   @Test
-  void whatExpiredForWantOfHearingComesBackWithARenewal() {
+  void expiredSessionRevivesWithRenewal() {
     call(START, "a", FIRST_ADDRESS, 1);
     table.expire(START + EXPIRY);
     table.merge(START + EXPIRY + 1, PEER, new SessionRenewal("a", 10));
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void aBackendThatComesFromAnotherAgentIsToldWhole() {
+  void adoptedBackendIsReplicatedWithFullEntry() {
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 1), 0, 0));
     assertThat(call(START + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.ADOPTED));
     assertThat(call(START + 2, "a", FIRST_ADDRESS, 3), is(HeartbeatResult.RENEWED));
@@ -246,14 +246,14 @@
   }
 
   @Test
-  void theDepartureOfAnUnknownBackendIsToldToReaders() {
+  void deregistrationOfUnknownIsPublished() {
     long read = table.revision();
     table.deregister(START, "a");
     assertThat(table.changesAfter(read).get().removed(), contains("a"));
   }
 
   @Test
-  void aLostPeerHoldsOnlyWhatItWasTheLastToTellOf() {
+  void lostPeerSuspendsExpiryOnlyOfItsSessions() {
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 1), 0, 0));
     table.merge(START, OTHER_PEER, entry(session("b", SECOND_ADDRESS, 1), 0, 0));
     table.suspendExpiry(START + EXPIRY - 1, PEER);
@@ -264,7 +264,7 @@
   }
 
   @Test
-  void aPeerThatIsLostOverAndOverKeepsNoDeadBackendOfAnothersAlive() {
+  void flappingPeerKeepsNoDeadBackend() {
     call(START, "a", FIRST_ADDRESS, 1);
     for (long at = START; at < START + EXPIRY; at += EXPIRY / 4) {
       table.suspendExpiry(at, PEER);
--- a/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
@@ -14,7 +14,7 @@
 
   @Test
   void aPeriodIsToldOnceWithOneUnservedRequest() {
-    statistics.connectionsDialled();
+    statistics.connectionDialled();
     statistics.waited(4_000);
     statistics.ended(Outcome.RESET);
     statistics.connectionReset(true, false);
@@ -63,7 +63,7 @@
   void spoiltAnswersAreToldByReasonAndOnlySoMany() {
     for (int i = 0; i < 10; i++) {
       statistics.ended(Outcome.RESET);
-      statistics.malformed("reason " + i / 2);
+      statistics.recordMalformed("reason " + i / 2);
     }
     String line = statistics.take(0, 0).get(0);
     assertTrue(
--- a/src/test/java/slateslip/protocol/FramingTest.java
+++ b/src/test/java/slateslip/protocol/FramingTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void messagesComeWholeHoweverTheBytesAreParted() {
+  void messagesSurviveAnyFragmentation() {
     ByteBuf frame = Framing.frame(ByteBufAllocator.DEFAULT, MESSAGE);
     for (int index = 0; index < frame.readableBytes() - 1; index++) {
       channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {frame.getByte(index)}));
--- a/src/test/java/slateslip/protocol/coordination/ReplicaMessageCodecTest.java
+++ b/src/test/java/slateslip/protocol/coordination/ReplicaMessageCodecTest.java
@@ -28,36 +28,36 @@
   static final NodeId TWO = new NodeId(NodeAddress.parse("255.2.0.20"), Long.MAX_VALUE);
   static final View VIEW =
       new View(7, TWO, List.of(new ViewMember(ONE, 1), new ViewMember(TWO, 6)), List.of(ONE, TWO));
-  static final PrimaryTerm TENURE = new PrimaryTerm(7, 3);
+  static final PrimaryTerm TERM = new PrimaryTerm(7, 3);
   static final Ballot BALLOT = new Ballot(12, ONE);
   static final ReplicaStatus STATUS =
-      new ReplicaStatus(7, true, TENURE, 42, new PrimaryTerm(6, 1), 41, 40, false);
+      new ReplicaStatus(7, true, TERM, 42, new PrimaryTerm(6, 1), 41, 40, false);
   static final StateTransfer STATE =
       new StateTransfer(40, true, new byte[] {1, 2, 3}, List.of(new byte[0], new byte[] {9}), 41);
 
   static List<ReplicaMessage> messages() {
     return List.of(
         new ReplicaMessage.Hello(View.NONE, STATUS),
-        new ReplicaMessage.Heartbeat(TENURE, 5, 41, true, VIEW),
-        new ReplicaMessage.HeartbeatReply(TENURE, 5, STATUS),
+        new ReplicaMessage.Heartbeat(TERM, 5, 41, true, VIEW),
+        new ReplicaMessage.HeartbeatReply(TERM, 5, STATUS),
         new ReplicaMessage.Decided(VIEW),
         new ReplicaMessage.Prepare(VIEW, BALLOT, true),
         new ReplicaMessage.Promise(7, BALLOT, Ballot.NONE, View.NONE, STATUS),
         new ReplicaMessage.Accept(7, BALLOT, VIEW),
         new ReplicaMessage.Accepted(7, BALLOT),
         new ReplicaMessage.Rejected(7, BALLOT, new Ballot(13, TWO), false),
-        new ReplicaMessage.Install(TENURE, STATE),
-        new ReplicaMessage.Append(TENURE, 42, 41, new byte[] {4, 5}),
-        new ReplicaMessage.Synced(TENURE, 42),
+        new ReplicaMessage.Install(TERM, STATE),
+        new ReplicaMessage.Append(TERM, 42, 41, new byte[] {4, 5}),
+        new ReplicaMessage.Synced(TERM, 42),
         new ReplicaMessage.TransferLeadership(7));
   }
 
   private static List<DurableRecord> records() {
     WitnessState witness = new WitnessState(VIEW, BALLOT, BALLOT, VIEW);
     return List.of(
-        new DurableRecord.Snapshot(ONE, witness, TENURE, STATE),
+        new DurableRecord.Snapshot(ONE, witness, TERM, STATE),
         new DurableRecord.Vote(WitnessState.NONE),
-        new DurableRecord.Installation(TENURE, STATE),
+        new DurableRecord.Installation(TERM, STATE),
         new DurableRecord.Entry(42, 41, new byte[] {7}));
   }
 
@@ -86,7 +86,7 @@
     assertThat(decoded(ReplicaMessageCodec.encode(ONE, promise)), is(promise));
     ReplicaMessage.Install install =
         (ReplicaMessage.Install)
-            decoded(ReplicaMessageCodec.encode(ONE, new ReplicaMessage.Install(TENURE, STATE)));
+            decoded(ReplicaMessageCodec.encode(ONE, new ReplicaMessage.Install(TERM, STATE)));
     assertThat(install.state().base(), is(STATE.base()));
     assertThat(install.state().records().get(1), is(new byte[] {9}));
     assertThat(install.state().committedSequence(), is(41L));
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void whatIsCutOffIsMalformed() {
+  void truncatedMessageIsMalformed() {
     for (byte[] bytes : allEncoded()) {
       for (int length = 0; length < bytes.length; length++) {
         byte[] truncated = Arrays.copyOf(bytes, length);
@@ -135,7 +135,7 @@
   @Test
   void aHugeLengthTakesNoMemory() {
     byte[] bytes =
-        ReplicaMessageCodec.encode(ONE, new ReplicaMessage.Append(TENURE, 1, 0, new byte[4]));
+        ReplicaMessageCodec.encode(ONE, new ReplicaMessage.Append(TERM, 1, 0, new byte[4]));
     int lengthField = bytes.length - 8;
     bytes[lengthField + 3] = 0x7f;
     assertThat(ReplicaMessageCodec.decode(bytes), instanceOf(Decoded.Malformed.class));
--- a/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
@@ -78,7 +78,7 @@
         ReplicaMessageCodec.encode(
             ReplicaMessageCodecTest.ONE,
             new ReplicaMessage.Heartbeat(
-                ReplicaMessageCodecTest.TENURE, 5, 41, true, ReplicaMessageCodecTest.VIEW));
+                ReplicaMessageCodecTest.TERM, 5, 41, true, ReplicaMessageCodecTest.VIEW));
     HeartbeatDecoder decoder =
         new HeartbeatDecoder()
             .wrapAndApplyHeader(new UnsafeBuffer(heartbeat), 0, new MessageHeaderDecoder());
--- a/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
+++ b/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
@@ -92,14 +92,14 @@
 
   @ParameterizedTest
   @MethodSource("toControl")
-  void toldApartFromADataPlanesMessages(DataPlaneMessage message) {
+  void isDistinguishedFromDataPlaneMessages(DataPlaneMessage message) {
     assertThat(
         codec.decodeToDataPlane(codec.encode(message)), is(instanceOf(Decoded.Unknown.class)));
   }
 
   @ParameterizedTest
   @MethodSource("toDataPlane")
-  void aMessageCutAnywhereIsMalformed(ControlPlaneMessage message) {
+  void truncatedMessageIsMalformed(ControlPlaneMessage message) {
     byte[] fullTable = codec.encode(message);
     for (int length = 0; length < fullTable.length; length++) {
       Decoded<ControlPlaneMessage> decoded =
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aDocumentLongerThanItsMessageIsMalformedAndTakesNoMemory() {
+  void overlongDocumentIsMalformedWithoutAllocation() {
     byte[] document = "{}".getBytes(StandardCharsets.UTF_8);
     for (int length : new int[] {3, 1 << 20, Integer.MAX_VALUE, -1, Integer.MIN_VALUE}) {
       byte[] bytes = codec.encode(new ControlPlaneMessage.ConfigurationSnapshot(8, document));
--- a/src/test/java/slateslip/protocol/peer/ControlPeerCodecTest.java
+++ b/src/test/java/slateslip/protocol/peer/ControlPeerCodecTest.java
@@ -61,7 +61,7 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void aMessageCutAnywhereIsMalformed(ControlPeerMessage message) {
+  void truncatedMessageIsMalformed(ControlPeerMessage message) {
     byte[] fullTable = codec.encode(message);
     for (int length = 0; length < fullTable.length; length++) {
       Decoded<ControlPeerMessage> decoded = codec.decode(Arrays.copyOf(fullTable, length));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void callsAndAnswersKeepTheirBodies() {
+  void requestsAndResponsesKeepBodies() {
     for (OperatorRequest.Method method : OperatorRequest.Method.values()) {
       OperatorRequest request = new OperatorRequest(method, 6, BODY);
       ControlPeerMessage.ForwardedRequest forwarded =
--- a/src/test/java/slateslip/settings/NodeSettingsTest.java
+++ b/src/test/java/slateslip/settings/NodeSettingsTest.java
@@ -164,7 +164,7 @@
   }
 
   @Test
-  void allProblemsAreToldAtOnce() {
+  void allProblemsAreReportedTogether() {
     SettingsOutcome outcome = NodeSettings.parse(new StringReader("zone=a\nip=b\n"));
     String message = ((SettingsOutcome.Invalid) outcome).message();
     assertThat(message, containsString("node: is missing"));
--- a/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
+++ b/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aGuestThatWasAwayWhileChangesWereCommittedCatchesUp() {
+  void returningLearnerCatchesUp() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), 9, 0);
     run.take(ConfigurationChange.complete(0, 1, "first"));
     ControlMachine learner = run.world().controlMachines().get(3);
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aDroppedMemberThatComesBackBehindDoesNotStopThePrimary() {
+  void laggingReturnedMemberDoesNotBlockPrimary() {
     for (long seed = 1; seed <= 10; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
       run.take(ConfigurationChange.complete(0, 1, "first"));
--- a/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
+++ b/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
@@ -17,7 +17,7 @@
    * comes to the agent's next life, which has forwarded another order meanwhile.
    */
   @Test
-  void anAnswerToAnEarlierLifeIsNotTakenForAnother() {
+  void responseToEarlierIncarnationIsIgnored() {
     int clear = 0;
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void whatAPeerStoredForAnEarlierLifeAcknowledgesNothing() {
+  void acknowledgementOfEarlierIncarnationIsIgnored() {
     for (long seed = 1; seed <= 40; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
       run.take(ConfigurationChange.complete(0, 1, "first"));
--- a/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
+++ b/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void thePrimaryThatIsCutOffAnswersNothingOfItsState() {
+  void partitionedPrimaryServesNoReads() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 7, 0);
     run.take(ConfigurationChange.complete(0, 3, "first"));
     ControlMachine partition = run.primary();
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void dataPlanesLeaveAnAgentThatIsCutOffAndDoNotGoBack() {
+  void dataPlanesLeavePartitionedAgent() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 11, 0);
     run.take(ConfigurationChange.complete(0, 3, "first"));
     ControlMachine partition = run.primary();
--- a/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
+++ b/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void anOrderInFlightWhileThePrimaryDiesIsNeverRefused() {
+  void inFlightChangeSurvivesPrimaryCrash() {
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
       run.take(ConfigurationChange.complete(0, 3, "first"));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void anOrderIsKnownAfterManyOthersASnapshotAndTheLossOfTheAgentThatTookIt() {
+  void repeatedChangeIsRecognizedAfterSnapshotAndLoss() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 5, 0);
     ConfigurationChange first = ConfigurationChange.complete(0, 1, "first");
     run.take(first);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void bodiesThatDifferByOneByteAreDifferentOrders() {
+  void oneByteDifferenceIsAnotherChange() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 6, 0);
     run.take(ConfigurationChange.complete(0, 3, "base"));
     run.take(ConfigurationChange.complete(3, 4, "one"));
--- a/src/test/java/slateslip/simulation/agents/SecondLossTest.java
+++ b/src/test/java/slateslip/simulation/agents/SecondLossTest.java
@@ -38,7 +38,7 @@
 
   @ParameterizedTest
   @CsvSource({"3,1", "4,1", "5,2", "9,2"})
-  void aMajorityAndAWholeCopyAreLeftAfterEveryPair(int size, int tolerance) {
+  void majorityAndCompleteCopyRemainAfterEveryPair(int size, int tolerance) {
     List<String> failures = new ArrayList<>();
     long seed = 0;
     for (Kind first : FIRST) {
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aMemberThatIsToldToEndStaysUntilItsCopyIsElsewhere() {
+  void stoppingMemberStaysUntilStateIsCopied() {
     for (long seed = 1; seed <= 20; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
       run.take(ConfigurationChange.complete(0, 3, "first"));
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void thePrimaryThatIsToldToEndHandsOverWithoutSilence() {
+  void stoppingPrimaryHandsOverWithoutGap() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 3, 0);
     run.take(ConfigurationChange.complete(0, 3, "first"));
     ControlMachine draining = run.primary();
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void theNewcomerMayDieWhileItCopies() {
+  void joiningNodeMayCrashWhileCopying() {
     for (long seed = 1; seed <= 40; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
       run.takeMany(20, 30_000, "m");
--- a/src/test/java/slateslip/storage/RingStorageTest.java
+++ b/src/test/java/slateslip/storage/RingStorageTest.java
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aHarmedNewestSnapshotLeavesTheChainBefore() throws IOException {
+  void corruptNewestSnapshotRecoversPrevious() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       ring.beginFile(bytes("old"));
       append(ring, "r");
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aFullOrFailingDiskGivesAnOutcomeAndKeepsWhatWasDurable() throws IOException {
+  void diskFailureReturnsOutcomeAndKeepsDurable() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       ring.beginFile(bytes("s"));
       append(ring, "r");
