--- a/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -27,26 +27,11 @@
   /** While requests are held, how often they are looked at, in ticks of the host. */
   private static final int SWEEP_TICKS = 4;
 
-  /**
-   * Two waits in a row before discovery is asked again take this at the most: of the protocol's 6 s
-   * from a change, or the return of discovery, until it counts as told, the last second is for the
-   * answer.
-   */
-  private static final long MAX_DOUBLE_DELAY = 5 * SECOND;
-
-  /** And each at the least: a discovery that turns calls away is not to be flooded with more. */
-  private static final long MIN_POLL_DELAY = SECOND / 2;
-
-  /**
-   * The part of the time that the settings leave for asking over which the first calls are spread.
-   */
-  private static final int INITIAL_POLL_SPREAD = 4;
-
   /** Names the timer of the next probe. */
   static final long TIMER_PROBE = -1;
 
   private static final long TIMER_SWEEP = -2;
-  private static final long TIMER_POLL_DISCOVERY = -3;
+  static final long TIMER_POLL_DISCOVERY = -3;
 
   private final LoadBalancerContext agent;
   private final RequestClasses classes;
@@ -58,6 +43,8 @@
   private final Admission admission;
   private final EndpointSelector selector;
   private final ClassPriorities priorities;
+  private final DiscoveryPoller discovery;
+  private final RetryAfterAdvice retryAfterAdvice;
   private final RetryTokenBucket retries =
       new RetryTokenBucket(RETRY_BUDGET_RATIO, MAX_RETRY_TOKENS);
   private final QueueReport waitingReport = new QueueReport();
@@ -66,9 +53,6 @@
   private long nextToken;
   private boolean sweepScheduled;
 
-  /** The last wait before discovery was asked again; half of two while it answers. */
-  private long pollDelay = MAX_DOUBLE_DELAY / 2;
-
   /** A new instance that knows nothing but its settings; seed for its random choices. */
   public DefaultLoadBalancer(Settings settings, long seed, long now, Actions actions) {
     this.agent = new LoadBalancerContext(settings, seed, actions);
@@ -80,10 +64,10 @@
     this.admission = new Admission(agent, latencies, slowStart, health);
     this.selector = new EndpointSelector(agent, health, admission, latencies, slowStart, subset);
     this.priorities = new ClassPriorities(agent, classes, now);
+    this.discovery = new DiscoveryPoller(agent);
+    this.retryAfterAdvice = new RetryAfterAdvice(agent, classes);
     if (settings.pollDiscovery()) {
-      // Danger: agents started together call together, and discovery turns most of them away.
-      long spread = settings.obligations().discoveryWithin() / INITIAL_POLL_SPREAD;
-      actions.timer(TIMER_POLL_DISCOVERY, agent.random.nextLong(spread + 1));
+      discovery.start();
     }
   }
 
@@ -265,34 +249,14 @@
               * (now - pendingRequest.arrivedAt - pendingRequest.state.unservedWait);
     }
     if (RetryEligibility.mayRefuse(pendingRequest)) {
-      agent.actions.refuse(pendingRequest.request.id(), retryAfter(pendingRequest, now));
+      agent.actions.refuse(
+          pendingRequest.request.id(), retryAfterAdvice.micros(pendingRequest, now));
     } else {
       agent.actions.fail(pendingRequest.request.id());
     }
     close(pendingRequest);
   }
 
-  /**
-   * When a refused client should come back: once those that wait now have had room, as answers come
-   * now, and not before one answer's time; nobody is told to wait longer than a client would for
-   * all tries. Danger: a time that is only long keeps clients away from servers that have room.
-   */
-  private long retryAfter(PendingRequest pendingRequest, long now) {
-    long permitted = agent.settings.permits().maxRetryAfter();
-    long maxDelay = permitted > 0 ? permitted : pendingRequest.type.timeout();
-    double responsesPerSecond =
-        agent.listed.stream().mapToDouble(each -> LatencyTracker.responseRate(each, now)).sum();
-    long queuedAhead =
-        1 + classes.byPriority().stream().mapToLong(each -> each.queued.size()).sum();
-    double wait = responsesPerSecond == 0 ? maxDelay : queuedAhead / responsesPerSecond * SECOND;
-    return (long)
-        Math.min(
-            (double) maxDelay,
-            Math.max(
-                (double) agent.settings.tick(),
-                Math.max(wait, pendingRequest.state.typicalLatency)));
-  }
-
   private void cancelAll(PendingRequest pendingRequest) {
     for (int i = 0; i < pendingRequest.attempts.size() && agent.settings.permits().cancel(); i++) {
       if (pendingRequest.attempts.get(i).outcome == null) {
@@ -401,17 +365,12 @@
   public void servers(long now, ListKind kind, List<Server> entries) {
     if (kind == ListKind.FAILED) {
       if (agent.settings.pollDiscovery()) {
-        // Danger: waits that grow leave an old list in use; equal ones keep the agents in step, and
-        // those who were turned away together are turned away again.
-        pollDelay =
-            MIN_POLL_DELAY
-                + agent.random.nextLong(MAX_DOUBLE_DELAY - pollDelay - MIN_POLL_DELAY + 1);
-        agent.actions.timer(TIMER_POLL_DISCOVERY, pollDelay);
+        discovery.retryLater();
       }
       return;
     }
     if (kind != ListKind.CACHED) {
-      pollDelay = MAX_DOUBLE_DELAY / 2;
+      discovery.responded();
     }
     warmRates.updateAll(now);
     if (kind != ListKind.DELTA) {
--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -15,10 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Function;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -43,28 +41,8 @@
   /** When a client that is refused should come back, where the module does not say: in a moment. */
   static final long RETRY_AFTER_MICROS = 250_000;
 
-  /** How long new connections come at the most after the end was asked for. */
-  private static final long LINGER_MS = 500;
-
-  /** By so much longer than the longest deadline an agent has until it is killed. */
-  private static final long KILL_AFTER_MS = 700;
-
-  /**
-   * However long the deadlines are, the kill comes as if the longest were this: the protocol has it
-   * so.
-   */
-  private static final long KILL_DEADLINE_MS = 3_000;
-
-  /**
-   * So long before that the last answers are given, and so long before those connections begin to
-   * end.
-   */
-  private static final long LAST_MS = 200;
-
-  private static final long CLOSING_MS = 300;
-
-  /** However long the deadlines are, connections begin to end after this. */
-  private static final long MAX_SERVE_ON_MS = 2_000;
+  private static final long QUIET_MS = 50;
+  private static final long GROUP_TIMEOUT_MS = 500;
 
   /** How long the first list is waited for before the known one has to do. */
   private static final long FIRST_LIST_MS = 1_000;
@@ -97,16 +75,13 @@
    */
   private Discovery.Listing known;
 
-  private final CountDownLatch ended = new CountDownLatch(1);
-
   /** The monotonic clock is anchored once to the time of day, in which the list tells starts. */
   private final long anchorMicros = 1000 * System.currentTimeMillis() - System.nanoTime() / 1000;
 
-  private final AtomicBoolean stopping = new AtomicBoolean();
+  private final AgentShutdown shutdown;
   private long nextId = 1;
   private boolean watchRequested;
   private boolean deciding;
-  private boolean closing;
 
   /**
    * Whether a list has come, or has been waited for long enough; and whether the path has been run.
@@ -125,7 +100,7 @@
 
     final ClientExchange exchange;
     final long cameAt;
-    final List<BackendConnections.Attempt> attempts = new ArrayList<>(1);
+    final List<BackendAttempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
     boolean completed;
     Future<?> guard;
@@ -191,6 +166,14 @@
     clients =
         new ClientServer(
             loop, config, maxConnections(config), () -> listed && warm, listener, System::nanoTime);
+    shutdown =
+        new AgentShutdown(
+            loop,
+            clients,
+            this::longestTimeoutMillis,
+            pendingById::size,
+            this::timeOutAll,
+            this::close);
   }
 
   /** Connections on either side. */
@@ -349,7 +332,7 @@
     AgentConfig next = readResult.config();
     SettingsReload reload;
     try {
-      if (stopping.get()) {
+      if (shutdown.isStopping()) {
         throw new IllegalArgumentException("the agent ends");
       }
       reload =
@@ -389,87 +372,36 @@
     discovery.apply(next);
   }
 
-  /**
-   * Ends in order: serves on for as long as its time allows, then finishes what it holds. Returns
-   * when all is done. Guards against nobody being there while agents are restarted in turn and one
-   * takes longer than planned until it is ready: clients go on using the connections that they
-   * have. Harm: where the end is forced sooner than the protocol has it, requests are open then;
-   * and a restart may take 2 s longer.
-   */
+  /** Ends in order, and returns when all is done; see {@link AgentShutdown}. */
   public void stop() {
-    if (stopping.getAndSet(true)) {
-      awaitEnd();
-      return;
-    }
-    loop.execute(
-        () -> {
-          long longest =
-              config.settings().classes().stream()
-                      .mapToLong(LoadBalancer.RequestClass::timeout)
-                      .max()
-                      .orElse(0)
-                  / 1000;
-          long last = Math.min(longest, KILL_DEADLINE_MS) + KILL_AFTER_MS - LAST_MS;
-          say(
-              "ending: "
-                  + pendingById.size()
-                  + " requests open, the last answers come after "
-                  + last
-                  + " ms");
-          clients.startShutdown();
-          loop.schedule(this::endIfUnused, LINGER_MS, TimeUnit.MILLISECONDS);
-          loop.schedule(
-              this::beginClosing,
-              Math.min(MAX_SERVE_ON_MS, last - CLOSING_MS),
-              TimeUnit.MILLISECONDS);
-          loop.schedule(
-              () ->
-                  List.copyOf(pendingById.values())
-                      .forEach(each -> timeOut(each, HttpResponseStatus.GATEWAY_TIMEOUT)),
-              last,
-              TimeUnit.MILLISECONDS);
-        });
-    awaitEnd();
+    shutdown.stop();
   }
 
-  private void endIfUnused() {
-    if (clients.isEmpty()) {
-      beginClosing();
-    } else {
-      loop.schedule(this::endIfUnused, 10, TimeUnit.MILLISECONDS);
-    }
+  /** Waits until the agent has ended. */
+  public void awaitEnd() {
+    shutdown.awaitEnd();
   }
 
-  private void beginClosing() {
-    if (!closing) {
-      closing = true;
-      clients.drain();
-      loop.schedule(clients::stopListening, CLOSING_MS / 2, TimeUnit.MILLISECONDS);
-      awaitConnectionsClosed();
-    }
+  /** After the longest deadline no client waits any more. */
+  private void timeOutAll() {
+    List.copyOf(pendingById.values())
+        .forEach(each -> timeOut(each, HttpResponseStatus.GATEWAY_TIMEOUT));
   }
 
-  private void awaitConnectionsClosed() {
-    // Answers still being written hold their connections open.
-    if (clients.isEmpty()) {
-      clients.stopListening();
-      discovery.close();
-      file.close();
-      group
-          .shutdownGracefully(50, 500, TimeUnit.MILLISECONDS)
-          .addListener(done -> ended.countDown());
-    } else {
-      loop.schedule(this::awaitConnectionsClosed, 10, TimeUnit.MILLISECONDS);
-    }
+  private void close() {
+    discovery.close();
+    file.close();
+    group
+        .shutdownGracefully(QUIET_MS, GROUP_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+        .addListener(done -> shutdown.ended());
   }
 
-  /** Waits until the agent has ended. */
-  public void awaitEnd() {
-    try {
-      ended.await();
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
+  private long longestTimeoutMillis() {
+    return config.settings().classes().stream()
+            .mapToLong(LoadBalancer.RequestClass::timeout)
+            .max()
+            .orElse(0)
+        / 1000;
   }
 
   /** How many servers something is kept for: what leaves the list must leave nothing behind. */
@@ -605,15 +537,11 @@
 
   /** Ends the attempts that outlive their client, where the module has left them. */
   private void cancelAttempts(Pending pending) {
-    pending.attempts.forEach(BackendConnections.Attempt::cancel);
+    pending.attempts.forEach(BackendAttempt::cancel);
   }
 
   private void outcome(
-      Pending pending,
-      int attempt,
-      long server,
-      long sentAt,
-      BackendConnections.AttemptResult result) {
+      Pending pending, int attempt, long server, long sentAt, AttemptResult result) {
     pending.attemptsInFlight--;
     statistics.ended(result.outcome());
     boolean first = !pending.completed;
--- a/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
@@ -1,42 +1,15 @@
 package slateslip.loadbalancer.net;
 
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequestEncoder;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import slateslip.loadbalancer.LoadBalancer;
@@ -48,30 +21,10 @@
  * over in a call.
  */
 final class BackendConnections {
-  /** What is sent: method, target and body go on as they came. */
-  record OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {}
-
-  /** A served answer: the body and what tells how to read it. */
-  record ServedResponse(byte[] body, String contentType, String contentEncoding) {}
-
-  /**
-   * How an attempt or probe ended; what was served, or the status that blames the request, else
-   * null.
-   */
-  record AttemptResult(
-      Outcome outcome, double[] load, ServedResponse served, HttpResponseStatus rejection) {}
-
   static final String REQUEST_TIMEOUT = "Request-Timeout-Ms";
   static final int BODY_MAX = 64 << 10;
 
-  /**
-   * Of the answers that blame the request those that blame the moment: too slow, too early, too
-   * many.
-   */
-  private static final Set<Integer> MAY_SUCCEED_LATER = Set.of(408, 425, 429);
-
   static final byte[] NO_BODY = new byte[0];
-  private static final double[] NO_LOAD = new double[0];
 
   /** The part of the servers' idle time after which a connection is not used again. */
   private static final double IDLE_TIME_FRACTION = 0.75;
@@ -85,35 +38,8 @@
    */
   private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
-  /** A connection that breaks so soon after a write was dead before it. */
-  private static final long IMMEDIATE_RESET_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
-
   private static final long PROBE_TIMEOUT_MICROS = 250_000;
 
-  /**
-   * After this part of the time that a connection may take it is late; another is dialled beside
-   * it.
-   */
-  private static final double LATE_CONNECT_FRACTION = 0.125;
-
-  /**
-   * The names of the values as the answers' headers have them, where the settings say otherwise.
-   */
-  private static final Map<String, String> HEADER_NAMES =
-      Map.of(
-          "concurrent",
-          "inflight",
-          "depth",
-          "queue",
-          "load_share",
-          "util",
-          "mean_ms",
-          "latency_ms",
-          "tps",
-          "qps",
-          "err_ps",
-          "eps");
-
   private final EventLoop loop;
   private AgentConfig config;
   private final RequestStatistics statistics;
@@ -124,35 +50,9 @@
   /** How long a connection may take, ms. */
   private int connectTimeoutMillis;
 
-  private final Map<Long, Pool> pools = new HashMap<>();
+  private final Map<Long, BackendPool> pools = new HashMap<>();
   private int connections;
 
-  /**
-   * What is kept for one server at one address, from its first line as ready until it drains or
-   * goes.
-   */
-  private static final class Pool {
-    final InetSocketAddress address;
-    final long reuseDelayNanos;
-
-    /** Most recently used first: what is not needed grows old and is closed. */
-    final Deque<Connection> idle = new ArrayDeque<>();
-
-    final Set<Attempt> connecting = new HashSet<>();
-    boolean retired;
-
-    Pool(InetSocketAddress address, long reuseDelayNanos) {
-      this.address = address;
-      this.reuseDelayNanos = reuseDelayNanos;
-    }
-
-    void closeIdle() {
-      while (!idle.isEmpty()) {
-        idle.pollFirst().channel.close();
-      }
-    }
-  }
-
   BackendConnections(
       EventLoop loop, AgentConfig config, int maxConnections, RequestStatistics statistics) {
     this(loop, config, maxConnections, statistics, InspectableSocketChannel::new);
@@ -195,12 +95,12 @@
   /** Applies a line of the server list. */
   void update(Discovery.ListedEndpoint endpoint) {
     long id = endpoint.server().id();
-    Pool pool = pools.get(id);
+    BackendPool pool = pools.get(id);
     if (endpoint.server().phase() != LoadBalancer.Phase.READY) {
       remove(id);
     } else if (pool == null || !pool.address.equals(endpoint.address())) {
       remove(id); // Guards against using what leads to the address that it had before.
-      pools.put(id, new Pool(endpoint.address(), REUSE_DELAY_NANOS));
+      pools.put(id, new BackendPool(endpoint.address(), REUSE_DELAY_NANOS));
     }
   }
 
@@ -209,7 +109,7 @@
    * rest.
    */
   void addSelf(long id, InetSocketAddress address) {
-    pools.put(id, new Pool(address, 0));
+    pools.put(id, new BackendPool(address, 0));
   }
 
   /**
@@ -218,7 +118,7 @@
    * told, and against memory and connections kept for servers that will never come back.
    */
   void remove(long server) {
-    Pool pool = pools.remove(server);
+    BackendPool pool = pools.remove(server);
     if (pool != null) {
       pool.retired = true;
       List.copyOf(pool.connecting).forEach(each -> each.end(Outcome.NEVER_SENT));
@@ -227,7 +127,7 @@
   }
 
   void closeIdle(long server) {
-    Pool pool = pools.get(server);
+    BackendPool pool = pools.get(server);
     if (pool != null) {
       pool.closeIdle();
     }
@@ -245,9 +145,9 @@
 
   private void closeExpired() {
     idleTimeout.decay(System.nanoTime());
-    for (Pool pool : pools.values()) {
+    for (BackendPool pool : pools.values()) {
       while (!pool.idle.isEmpty() && pool.idle.peekLast().isTooOld()) {
-        pool.idle.pollLast().channel.close();
+        pool.idle.pollLast().channel().close();
       }
     }
   }
@@ -255,42 +155,42 @@
   /**
    * Makes room under the limit on sockets by closing the connection that has been idle for longest.
    */
-  private boolean makeRoomForConnection() {
+  boolean makeRoomForConnection() {
     if (connections < maxConnections) {
       return true;
     }
-    Connection oldest = null;
-    for (Pool pool : pools.values()) {
-      Connection last = pool.idle.peekLast();
-      if (last != null && (oldest == null || last.idleSince - oldest.idleSince < 0)) {
+    BackendConnection oldest = null;
+    for (BackendPool pool : pools.values()) {
+      BackendConnection last = pool.idle.peekLast();
+      if (last != null && (oldest == null || last.idleSince() - oldest.idleSince() < 0)) {
         oldest = last;
       }
     }
     if (oldest == null) {
       return false;
     }
-    oldest.channel.close();
+    oldest.channel().close();
     return connections < maxConnections;
   }
 
   /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
-  private Connection takeReusable(Pool pool) {
-    for (Connection each : List.copyOf(pool.idle)) {
-      if (System.nanoTime() - each.idleSince >= pool.reuseDelayNanos) {
+  BackendConnection takeReusable(BackendPool pool) {
+    for (BackendConnection each : List.copyOf(pool.idle)) {
+      if (System.nanoTime() - each.idleSince() >= pool.reuseDelayNanos) {
         pool.idle.remove(each);
-        if (!each.isTooOld() && each.channel.isIdle()) {
+        if (!each.isTooOld() && each.channel().isIdle()) {
           return each;
         }
-        each.channel.close();
+        each.channel().close();
       }
     }
     return null;
   }
 
   /** Sends a request; a time-out of 0 is none. The result comes later, exactly once. */
-  Attempt send(
+  BackendAttempt send(
       long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> onResult) {
-    Attempt attempt = new Attempt(server, request, timeoutMicros, onResult);
+    BackendAttempt attempt = new BackendAttempt(this, server, request, timeoutMicros, onResult);
     attempt.start();
     return attempt;
   }
@@ -303,419 +203,51 @@
             config.loadByProbe() ? "/load" : "/healthz",
             new DefaultHttpHeaders(),
             NO_BODY);
-    new Attempt(server, request, PROBE_TIMEOUT_MICROS, onResult).start();
-  }
-
-  /** One request on its way to a server, or a probe. */
-  final class Attempt {
-    private final long server;
-    private final long startedAt = System.nanoTime();
-    private final OutgoingRequest request;
-    private final Consumer<AttemptResult> onResult;
-    private final long endAt;
-    private final boolean hasTimeout;
-    private final Future<?> timer;
-    private Pool pool;
-    private Connection connection;
-
-    /** How many connections were dialled for it, and those of them that are not up yet. */
-    private int dials;
-
-    private final Set<Channel> dialling = new HashSet<>();
-    private boolean written;
-
-    /** How long its connection had idled before; negative for a new one. */
-    private long idledNanos = -1;
-
-    private boolean ended;
-
-    /** For the log: how it ended and when. */
-    private Outcome outcome;
-
-    private long endedAt;
-
-    private Attempt(
-        long server,
-        OutgoingRequest request,
-        long timeoutMicros,
-        Consumer<AttemptResult> onResult) {
-      this.server = server;
-      this.request = request;
-      this.onResult = onResult;
-      this.hasTimeout = timeoutMicros > 0;
-      this.endAt = System.nanoTime() + 1000 * timeoutMicros;
-      this.timer =
-          hasTimeout
-              ? loop.schedule(() -> end(Outcome.TIMEOUT), timeoutMicros, TimeUnit.MICROSECONDS)
-              : null;
-    }
-
-    long server() {
-      return server;
-    }
-
-    /** What became of it, in words for the log. */
-    String describe() {
-      long nanos = (ended ? endedAt : System.nanoTime()) - startedAt;
-      String dialled = dials == 0 ? "" : dials == 1 ? " dialled" : " dialled twice";
-      return (outcome == null ? "out" : RequestStatistics.word(outcome))
-          + dialled
-          + (written ? "" : " unwritten")
-          + " after "
-          + TimeUnit.NANOSECONDS.toMillis(nanos)
-          + " ms";
-    }
-
-    private void start() {
-      pool = pools.get(server);
-      if (pool == null) {
-        end(Outcome.NEVER_SENT);
-        return;
-      }
-      Connection idle = takeReusable(pool);
-      if (idle != null) {
-        idledNanos = startedAt - idle.idleSince;
-        write(idle);
-      } else if (makeRoomForConnection()) {
-        connect();
-      } else {
-        end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
-      }
-    }
-
-    private void connect() {
-      pool.connecting.add(this);
-      int timeoutMillis = connectTimeoutMillis;
-      dial(timeoutMillis);
-      int late = (int) (LATE_CONNECT_FRACTION * timeoutMillis);
-      if (!ended && late > 0) {
-        loop.schedule(() -> dialSecond(timeoutMillis - late), late, TimeUnit.MILLISECONDS);
-      }
-    }
-
-    /**
-     * Guards against a network that brings some connections up late or never: each would cost its
-     * request most of its time. Both dials together take no longer than one may, for a repeat's
-     * window depends on that.
-     */
-    private void dialSecond(int timeoutMillis) {
-      if (!ended && connection == null && makeRoomForConnection()) {
-        statistics.secondConnectionDialled();
-        dial(timeoutMillis);
-      }
-    }
-
-    private void dial(int timeoutMillis) {
-      Connection fresh = new Connection(pool);
-      ChannelFuture connecting =
-          bootstrap
-              .clone()
-              .handler(fresh)
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
-              .connect(pool.address);
-      if (InspectableSocketChannel.noSocket(connecting)) {
-        endIfNoneComesUp(Outcome.NEVER_SENT);
-        return;
-      }
-      connections++;
-      dials++;
-      statistics.connectionDialled();
-      Channel dialled = connecting.channel();
-      dialling.add(dialled);
-      dialled.closeFuture().addListener(closed -> connections--);
-      connecting.addListener(
-          done -> {
-            dialling.remove(dialled);
-            if (!done.isSuccess()) {
-              endIfNoneComesUp(Outcome.CONNECT_FAILED);
-            } else if (pool.retired) {
-              dialled.close();
-            } else if (ended || connection != null) {
-              keep(fresh); // it has its price paid, and serves the next
-            } else {
-              pool.connecting.remove(this);
-              write(fresh);
-            }
-          });
-    }
-
-    private void endIfNoneComesUp(Outcome outcome) {
-      if (connection == null && dialling.isEmpty()) {
-        end(outcome);
-      }
-    }
-
-    private void keep(Connection unused) {
-      unused.idleSince = System.nanoTime();
-      pool.idle.addFirst(unused);
-    }
-
-    private void write(Connection to) {
-      connection = to;
-      to.attempt = this;
-      var message =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              request.method,
-              request.uri,
-              Unpooled.wrappedBuffer(request.body));
-      message.headers().set(request.headers);
-      HttpHeaders headers = message.headers();
-      if (!headers.contains(HttpHeaderNames.HOST)) {
-        headers.set(HttpHeaderNames.HOST, "backend");
-      }
-      if (!request.method.equals(HttpMethod.GET)) {
-        headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body.length);
-      }
-      if (hasTimeout) {
-        headers.set(REQUEST_TIMEOUT, Math.max(1, (endAt - System.nanoTime()) / 1_000_000));
-      }
-      to.channel
-          .writeAndFlush(message)
-          .addListener(
-              done -> {
-                written |= done.isSuccess();
-                if (!done.isSuccess()) {
-                  end(Outcome.CONNECT_FAILED); // the last byte never left, so it cannot have begun
-                }
-              });
-    }
-
-    /**
-     * The connection has ended under the attempt. Before its last byte was written it did not run.
-     */
-    private void broken() {
-      end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
-    }
-
-    void cancel() {
-      end(Outcome.CANCELLED);
-    }
-
-    private void end(Outcome outcome) {
-      end(new AttemptResult(outcome, NO_LOAD, null, null), false);
-    }
-
-    private void end(AttemptResult result, boolean reusable) {
-      if (ended) {
-        return;
-      }
-      ended = true;
-      outcome = result.outcome();
-      endedAt = System.nanoTime();
-      boolean atOnce = outcome == Outcome.RESET && endedAt - startedAt < IMMEDIATE_RESET_NANOS;
-      if (outcome == Outcome.RESET) {
-        statistics.connectionReset(idledNanos >= 0, atOnce);
-      }
-      if (idledNanos >= 0) {
-        idleTimeout.recordUse(idledNanos, atOnce, endedAt);
-      }
-      if (timer != null) {
-        timer.cancel(false);
-      }
-      if (pool != null) {
-        pool.connecting.remove(this);
-      }
-      if (connection != null) {
-        connection.attempt = null;
-        if (reusable && written && !pool.retired) {
-          keep(connection);
-        } else {
-          connection.channel.close(); // what may still come on it belongs to nobody
-        }
-      }
-      AgentConfig under = config;
-      loop.execute(() -> onResult.accept(reported(result, under)));
-    }
+    new BackendAttempt(this, server, request, PROBE_TIMEOUT_MICROS, onResult).start();
   }
 
   /** Without the report of load if that was read under another configuration's fields. */
   @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
-  private AttemptResult reported(AttemptResult result, AgentConfig under) {
-    return under == config
+  AttemptResult reported(AttemptResult result, AgentConfig readUnder) {
+    return readUnder == config
         ? result
-        : new AttemptResult(result.outcome(), NO_LOAD, result.served(), result.rejection());
+        : new AttemptResult(result.outcome(), LoadReport.NONE, result.served(), result.rejection());
   }
 
-  /** One connection to a server. */
-  private final class Connection extends ChannelInitializer<InspectableSocketChannel> {
-    private final Pool pool;
-    private InspectableSocketChannel channel;
-
-    /** The attempt that uses it, or null. */
-    private Attempt attempt;
-
-    private long idleSince;
-
-    Connection(Pool pool) {
-      this.pool = pool;
-    }
-
-    boolean isTooOld() {
-      return System.nanoTime() - idleSince >= idleTimeout.limitNanos();
-    }
-
-    @Override
-    protected void initChannel(InspectableSocketChannel ch) {
-      channel = ch;
-      StrictHttpDecoders.Responses decoder = new StrictHttpDecoders.Responses();
-      ch.pipeline().addLast(decoder, new HttpRequestEncoder(), new Answers(this, decoder));
-    }
+  EventLoop loop() {
+    return loop;
   }
 
-  /** Turns what arrives on a connection into the outcome of its attempt. */
-  private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
-    private final Connection connection;
-    private final StrictHttpDecoders.Responses decoder;
-
-    /**
-     * The answer that is coming in, or null; one with a status of 1xx goes ahead of the one
-     * awaited.
-     */
-    private HttpResponse head;
-
-    private final ByteBuf body = Unpooled.buffer(0, BODY_MAX);
-
-    Answers(Connection connection, StrictHttpDecoders.Responses decoder) {
-      this.connection = connection;
-      this.decoder = decoder;
-    }
-
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-      Attempt attempt = connection.attempt;
-      if (attempt == null) {
-        ctx.close(); // an answer to nothing
-        return;
-      }
-      String spoilt = spoilt(attempt, part);
-      if (spoilt != null) {
-        statistics.recordMalformed(spoilt);
-        attempt.broken(); // nothing of it is served, and it may have run
-      } else if (part instanceof LastHttpContent) {
-        HttpResponse complete = head;
-        head = null;
-        if (complete.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-          finish(attempt, complete);
-        }
-      }
-    }
+  AgentConfig config() {
+    return config;
+  }
 
-    /** Takes a part of an answer; says what is wrong with it, or null. */
-    private String spoilt(Attempt attempt, HttpObject part) {
-      if (part.decoderResult().isFailure()) {
-        return "unreadable: " + part.decoderResult().cause().getMessage();
-      }
-      if (!attempt.written) {
-        return "early"; // before the request has left whole it cannot be an answer to it
-      }
-      if (part instanceof HttpResponse first && !begin(first)) {
-        return "status "
-            + first.status().code()
-            + " with "
-            + StrictHttpDecoders.framing(first.headers());
-      }
-      return part instanceof HttpContent content && !add(content) ? "too long" : null;
-    }
+  RequestStatistics statistics() {
+    return statistics;
+  }
 
-    /** Takes the head of an answer; false if it cannot end well. */
-    private boolean begin(HttpResponse first) {
-      head = first;
-      int status = first.status().code();
-      long length = StrictHttpDecoders.framing(first.headers());
-      if (status < 200) {
-        return status != 101; // nobody asked for another protocol
-      }
-      // One that is too long is not waited for.
-      return length == StrictHttpDecoders.CHUNKED
-          || length == StrictHttpDecoders.NO_LENGTH
-          || (length >= 0 && length <= BODY_MAX);
-    }
+  Bootstrap bootstrap() {
+    return bootstrap;
+  }
 
-    private boolean add(HttpContent content) {
-      if (body.readableBytes() + content.content().readableBytes() > BODY_MAX) {
-        return false;
-      }
-      body.writeBytes(content.content());
-      return true;
-    }
+  IdleConnectionTimeout idleTimeout() {
+    return idleTimeout;
+  }
 
-    private void finish(Attempt attempt, HttpResponse complete) {
-      byte[] bytes = ByteBufUtil.getBytes(body);
-      body.clear().capacity(0);
-      HttpHeaders headers = complete.headers();
-      int status = complete.status().code();
-      boolean turnedAway =
-          (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
-      Outcome outcome = status == 200 ? Outcome.OK : turnedAway ? Outcome.FULL : Outcome.ERROR;
-      ServedResponse served =
-          status != 200
-              ? null
-              : new ServedResponse(
-                  bytes,
-                  headers.get(HttpHeaderNames.CONTENT_TYPE),
-                  headers.get(HttpHeaderNames.CONTENT_ENCODING));
-      HttpResponseStatus rejection =
-          complete.status().codeClass() == HttpStatusClass.CLIENT_ERROR
-                  && !MAY_SUCCEED_LATER.contains(status)
-              ? complete.status()
-              : null;
-      boolean ends = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
-      attempt.end(
-          new AttemptResult(outcome, load(attempt, headers, bytes), served, rejection),
-          ends && HttpUtil.isKeepAlive(complete) && !decoder.leftover());
-    }
+  int connectTimeoutMillis() {
+    return connectTimeoutMillis;
+  }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      connection.pool.idle.remove(connection);
-      if (connection.attempt != null) {
-        connection.attempt.broken();
-      }
-    }
+  /** The pool of a server, or null if none is kept. */
+  BackendPool pool(long server) {
+    return pools.get(server);
+  }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // Guards against a body cut short that passes for a whole one: with no length given the end
-      // of
-      // its connection ends it, and a reset is no such end.
-      if (connection.attempt != null) {
-        connection.attempt.broken();
-      }
-      ctx.close();
-    }
+  void connectionOpened() {
+    connections++;
   }
 
-  /** The load report of an answer, in the order of the settings' fields; empty if there is none. */
-  private double[] load(Attempt attempt, HttpHeaders headers, byte[] body) {
-    String text = headers.get("Server-Load");
-    if (text == null && attempt.request.uri.equals("/load")) {
-      text = new String(body, StandardCharsets.US_ASCII);
-    }
-    if (text == null || config.settings().loadFields().isEmpty()) {
-      return NO_LOAD;
-    }
-    Map<String, Double> values = new HashMap<>();
-    for (String pair : text.split(",", 0)) {
-      int equals = pair.indexOf('=');
-      try {
-        double value = Double.parseDouble(pair.substring(equals + 1).trim());
-        if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-          return NO_LOAD; // Guards against a figure that is none poisoning every mean it enters.
-        }
-        values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
-      } catch (NumberFormatException e) {
-        return NO_LOAD;
-      }
-    }
-    List<Double> load = new ArrayList<>();
-    for (String name : config.loadFields()) {
-      Double value = values.getOrDefault(name, values.get(HEADER_NAMES.getOrDefault(name, name)));
-      if (value == null) {
-        return NO_LOAD;
-      }
-      load.add(value);
-    }
-    return load.stream().mapToDouble(Double::doubleValue).toArray();
+  void connectionClosed() {
+    connections--;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/ClientExchange.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientExchange.java
@@ -9,7 +9,6 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
-import slateslip.loadbalancer.net.BackendConnections.ServedResponse;
 
 /** One request and the answer it is owed. */
 final class ClientExchange {
--- a/src/main/java/slateslip/loadbalancer/net/ClientServer.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientServer.java
@@ -17,7 +17,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import slateslip.loadbalancer.net.BackendConnections.OutgoingRequest;
 
 /**
  * The application's side: requests in, final answers out. Each exchange is answered once; what is
--- a/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
+++ b/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
@@ -51,8 +51,8 @@
   private final ClientServer clients;
   private final IntConsumer then;
   private final LoadBalancer module;
-  private final BackendConnections.OutgoingRequest keepAliveRequest;
-  private final BackendConnections.OutgoingRequest closingRequest;
+  private final OutgoingRequest keepAliveRequest;
+  private final OutgoingRequest closingRequest;
   private int started;
   private int inFlight;
   private int responses;
@@ -71,13 +71,13 @@
     this.then = then;
     this.module = new DefaultLoadBalancer(config.settings(), config.seed(), micros(), this);
     this.keepAliveRequest =
-        new BackendConnections.OutgoingRequest(
+        new OutgoingRequest(
             HttpMethod.GET,
             "/healthz",
             example().headers().remove("Request-Id"),
             BackendConnections.NO_BODY);
     this.closingRequest =
-        new BackendConnections.OutgoingRequest(
+        new OutgoingRequest(
             HttpMethod.GET,
             "/healthz",
             keepAliveRequest.headers().copy().set("Connection", "close"),
--- a/src/main/java/slateslip/loadbalancer/net/IncomingRequest.java
+++ b/src/main/java/slateslip/loadbalancer/net/IncomingRequest.java
@@ -1,7 +1,5 @@
 package slateslip.loadbalancer.net;
 
-import slateslip.loadbalancer.net.BackendConnections.OutgoingRequest;
-
 /**
  * A client's request, its names resolved to the indexes of a configuration's settings. Key and hint
  * are 0 if not given.
--- a/src/main/java/slateslip/loadbalancer/net/RequestParser.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestParser.java
@@ -10,7 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import slateslip.loadbalancer.LoadBalancer;
-import slateslip.loadbalancer.net.BackendConnections.OutgoingRequest;
 
 /**
  * Reads a client's request as the protocol has it. Stateless; what is no request gives null or the
--- a/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
@@ -87,7 +87,7 @@
                         InetAddress.getLoopbackAddress(), server.listener.getLocalPort()));
                 backends.send(
                     1,
-                    new BackendConnections.OutgoingRequest(
+                    new OutgoingRequest(
                         HttpMethod.GET,
                         "/lookup",
                         new DefaultHttpHeaders(),
--- a/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
@@ -100,8 +100,8 @@
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
-  private static BackendConnections.OutgoingRequest outgoing() {
-    return new BackendConnections.OutgoingRequest(
+  private static OutgoingRequest outgoing() {
+    return new OutgoingRequest(
         HttpMethod.GET, "/lookup", new DefaultHttpHeaders(), BackendConnections.NO_BODY);
   }
 
