--- a/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -16,7 +16,6 @@
  * gets, {@link ClassPriorities} which class goes first.
  */
 public final class DefaultLoadBalancer implements LoadBalancer {
-  private static final long SECOND = 1_000_000;
 
   /** Further attempts earned by each request: retries can never multiply an overload. */
   private static final double RETRY_BUDGET_RATIO = 0.2;
--- a/src/test/java/slateslip/simulation/EventQueue.java
+++ b/src/main/java/slateslip/simulation/EventQueue.java
@@ -20,7 +20,7 @@
   private long digest;
 
   /** Simulated time in microseconds. */
-  public long now() {
+  public long nowMicros() {
     return now;
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** Runs an action after some time. */
-  public void in(long micros, Runnable action) {
+  public void after(long micros, Runnable action) {
     at(now + micros, action);
   }
 
--- a/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
+++ b/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import slateslip.configuration.RouteKind;
 import slateslip.routing.RequestAttributes;
+import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** A client's request over all of its tries; it retries as the protocol allows. */
@@ -21,7 +22,7 @@
   }
 
   private final DataPlaneWorld world;
-  private final EventLoop loop;
+  private final EventQueue loop;
   private final RequestClass requestClass;
   private final RequestDraw draw;
   private final long beganMicros;
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -16,6 +16,7 @@
 import slateslip.routing.RouterInput.AttemptOutcome.Kind;
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterOutput;
+import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** Stands for the sockets of one data plane: feeds its router and carries out what it asks for. */
@@ -39,7 +40,7 @@
   }
 
   private final DataPlaneWorld world;
-  private final EventLoop loop;
+  private final EventQueue loop;
   private final int index;
   private final int zone;
   private final Map<Long, Exchange> exchanges = new TreeMap<>();
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneWorld.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneWorld.java
@@ -7,6 +7,7 @@
 import slateslip.routing.RouterSettings;
 import slateslip.routing.quota.QuotaBounds;
 import slateslip.routing.retry.RetryBounds;
+import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** One run: real routers against emulated backends and clients, under a schedule of faults. */
@@ -19,7 +20,7 @@
 
   private final WorldPlan plan;
   private final RouterFactory factory;
-  private final EventLoop loop = new EventLoop();
+  private final EventQueue loop = new EventQueue();
   private final RuleChecker checker;
   private final SimulatedNetwork network;
   private final SimulatedControl control;
@@ -239,7 +240,7 @@
     return plan;
   }
 
-  EventLoop loop() {
+  EventQueue loop() {
     return loop;
   }
 
--- a/src/main/java/slateslip/simulation/dataplane/EngineBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/EngineBackend.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterOutput;
+import slateslip.simulation.EventQueue;
 import slateslip.simulation.engine.EngineInput;
 import slateslip.simulation.engine.EngineModel;
 import slateslip.simulation.engine.EngineOutput;
@@ -21,7 +22,7 @@
   private long wakeNumber;
 
   EngineBackend(
-      EventLoop loop,
+      EventQueue loop,
       SimulatedNetwork network,
       RuleChecker checker,
       Measurements measurements,
--- a/src/main/java/slateslip/simulation/dataplane/FaultWindows.java
+++ b/src/main/java/slateslip/simulation/dataplane/FaultWindows.java
@@ -1,13 +1,14 @@
 package slateslip.simulation.dataplane;
 
 import java.util.List;
+import slateslip.simulation.EventQueue;
 
 /** Faults that hold for a while, looked up at the present time. */
 final class FaultWindows {
   private final List<Fault> faults;
-  private final EventLoop loop;
+  private final EventQueue loop;
 
-  FaultWindows(List<Fault> faults, EventLoop loop) {
+  FaultWindows(List<Fault> faults, EventQueue loop) {
     this.faults = faults;
     this.loop = loop;
   }
--- a/src/main/java/slateslip/simulation/dataplane/Ingress.java
+++ b/src/main/java/slateslip/simulation/dataplane/Ingress.java
@@ -3,16 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import slateslip.simulation.EventQueue;
 
 /** Passes clients' connections to data planes, and notices late which of them are down. */
 final class Ingress {
   private static final long NOTICE_MICROS = 2_000_000;
 
-  private final EventLoop loop;
+  private final EventQueue loop;
   private final SplittableRandom random;
   private final List<Entry> entries = new ArrayList<>();
 
-  Ingress(WorldPlan plan, EventLoop loop) {
+  Ingress(WorldPlan plan, EventQueue loop) {
     this.loop = loop;
     this.random = new SplittableRandom(plan.seed() ^ 0x494e_4752L);
   }
--- a/src/main/java/slateslip/simulation/dataplane/PlainBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/PlainBackend.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import slateslip.routing.RouterInput.BackendLoad;
+import slateslip.simulation.EventQueue;
 
 /** A backend of an application: a few slots, a short queue, one answer for each request. */
 final class PlainBackend extends SimulatedBackend {
@@ -14,7 +15,7 @@
   private final Set<BackendCall> running = new LinkedHashSet<>();
 
   PlainBackend(
-      EventLoop loop,
+      EventQueue loop,
       SimulatedNetwork network,
       RuleChecker checker,
       WorldPlan.BackendGroup group,
--- a/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
+++ b/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
@@ -7,19 +7,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** Watches what backends, clients and hosts see, and collects the rules that are broken. */
 final class RuleChecker {
   private final WorldPlan plan;
-  private final EventLoop loop;
+  private final EventQueue loop;
   private final List<Violation> violations = new ArrayList<>();
   private final Map<String, TryRecord> attempts = new HashMap<>();
   private final Map<String, Series> runTokensByTenant = new TreeMap<>();
   private final Map<String, Series> requestsByService = new TreeMap<>();
   private final Map<String, Series> repeatsByService = new TreeMap<>();
 
-  RuleChecker(WorldPlan plan, EventLoop loop) {
+  RuleChecker(WorldPlan plan, EventQueue loop) {
     this.plan = plan;
     this.loop = loop;
   }
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedBackend.java
@@ -6,6 +6,7 @@
 import slateslip.distribution.BackendSession;
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterInput.ProbeOutcome;
+import slateslip.simulation.EventQueue;
 
 /** A backend's machine; each start of its program is a new incarnation with a new id. */
 abstract class SimulatedBackend {
@@ -19,7 +20,7 @@
     DARK
   }
 
-  final EventLoop loop;
+  final EventQueue loop;
   final SimulatedNetwork network;
   final RuleChecker checker;
 
@@ -33,7 +34,7 @@
   private long drainAcknowledgedMicros = -1;
 
   SimulatedBackend(
-      EventLoop loop,
+      EventQueue loop,
       SimulatedNetwork network,
       RuleChecker checker,
       String service,
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
@@ -13,6 +13,7 @@
 import slateslip.distribution.TenantDemand;
 import slateslip.distribution.quota.QuotaAllocator;
 import slateslip.routing.RouterInput;
+import slateslip.simulation.EventQueue;
 
 /** Stands for the control plane: tells data planes the table, the backends and their shares. */
 final class SimulatedControl {
@@ -24,7 +25,7 @@
   /** A backend that says nothing is withdrawn after three heartbeats. */
   private static final long SESSION_TIMEOUT_MICROS = 3_600_000;
 
-  private final EventLoop loop;
+  private final EventQueue loop;
   private final RoutingTable table;
   private final SplittableRandom random;
   private final List<SimulatedBackend> backends = new ArrayList<>();
@@ -34,7 +35,7 @@
   private final Map<DataPlaneHost, Long> lastDelivery = new HashMap<>();
   private final QuotaAllocator allocator = new QuotaAllocator();
 
-  SimulatedControl(WorldPlan plan, EventLoop loop, RoutingTable table) {
+  SimulatedControl(WorldPlan plan, EventQueue loop, RoutingTable table) {
     this.loop = loop;
     this.table = table;
     this.random = new SplittableRandom(plan.seed() ^ 0x4354_524cL);
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedNetwork.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedNetwork.java
@@ -2,6 +2,7 @@
 
 import java.util.SplittableRandom;
 import slateslip.routing.RouterInput.BackendLoad;
+import slateslip.simulation.EventQueue;
 
 /** Connections between data planes and backends: delays, refused and broken connections. */
 final class SimulatedNetwork {
@@ -12,11 +13,11 @@
   private static final double NEW_CONNECTION_SHARE = 0.5;
 
   private final WorldPlan plan;
-  private final EventLoop loop;
+  private final EventQueue loop;
   private final FaultWindows windows;
   private final SplittableRandom random;
 
-  SimulatedNetwork(WorldPlan plan, EventLoop loop, FaultWindows windows) {
+  SimulatedNetwork(WorldPlan plan, EventQueue loop, FaultWindows windows) {
     this.plan = plan;
     this.loop = loop;
     this.windows = windows;
--- /dev/null
+++ b/src/main/java/slateslip/simulation/package-info.java
@@ -0,0 +1,2 @@
+/** What all simulated worlds share: simulated time and the shortening of schedules. */
+package slateslip.simulation;
--- a/src/test/java/slateslip/simulation/SimulatedDisk.java
+++ b/src/test/java/slateslip/simulation/SimulatedDisk.java
@@ -94,7 +94,7 @@
     queue.addLast(write);
     if (lies) {
       int current = incarnation;
-      events.in(0, () -> tell(current, write.token(), true));
+      events.after(0, () -> tell(current, write.token(), true));
     }
     next();
   }
@@ -105,10 +105,10 @@
     }
     busy = true;
     long time = random.nextLong(MIN_WRITE, MAX_WRITE);
-    if (events.now() < slowUntil) {
+    if (events.nowMicros() < slowUntil) {
       time *= slowFactor;
     }
-    long begin = Math.max(events.now(), hungUntil);
+    long begin = Math.max(events.nowMicros(), hungUntil);
     int current = incarnation;
     events.at(begin + time, () -> finish(current));
   }
@@ -117,13 +117,14 @@
     if (startedInIncarnation != incarnation) {
       return;
     }
-    if (events.now() < hungUntil) {
+    if (events.nowMicros() < hungUntil) {
       events.at(hungUntil, () -> finish(startedInIncarnation));
       return;
     }
     Effects.DurableWrite write = queue.removeFirst();
     busy = false;
-    folder.setMode(events.now() < fullUntil ? FaultyFolder.Mode.FULL : FaultyFolder.Mode.WORKING);
+    folder.setMode(
+        events.nowMicros() < fullUntil ? FaultyFolder.Mode.FULL : FaultyFolder.Mode.WORKING);
     boolean durable = put(write) == StorageOutcome.DURABLE;
     if (!lies) {
       tell(startedInIncarnation, write.token(), durable);
@@ -183,18 +184,18 @@
 
   /** Writes take longer by a factor for some time. */
   public void slow(long micros, long factor) {
-    slowUntil = events.now() + micros;
+    slowUntil = events.nowMicros() + micros;
     slowFactor = factor;
   }
 
   /** Writes do not end before some time has passed. */
   public void hang(long micros) {
-    hungUntil = events.now() + micros;
+    hungUntil = events.nowMicros() + micros;
   }
 
   /** Writes are refused for some time for want of space. */
   public void fill(long micros) {
-    fullUntil = events.now() + micros;
+    fullUntil = events.nowMicros() + micros;
   }
 
   /** Works again. */
--- a/src/test/java/slateslip/simulation/ToleratedLosses.java
+++ b/src/test/java/slateslip/simulation/ToleratedLosses.java
@@ -49,7 +49,7 @@
     Set<Object> lost = new HashSet<>();
     lostUntil.forEach(
         (other, until) -> {
-          if (until > events.now()) {
+          if (until > events.nowMicros()) {
             lost.add(other);
           }
         });
--- a/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
+++ b/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
@@ -59,7 +59,7 @@
   }
 
   private long now() {
-    return world.events().now();
+    return world.events().nowMicros();
   }
 
   private ControlMachine target(AgentFault fault) {
@@ -79,7 +79,7 @@
   private void later(long micros, Runnable action) {
     world
         .events()
-        .in(
+        .after(
             micros,
             () -> {
               if (!stopped) {
--- a/src/test/java/slateslip/simulation/agents/AgentScheduleRunner.java
+++ b/src/test/java/slateslip/simulation/agents/AgentScheduleRunner.java
@@ -120,10 +120,10 @@
     if (taken < 0) {
       return failed(world, NOTHING_TAKEN);
     }
-    world.runUntil(world.events().now() + IN_FORCE_TIMEOUT);
+    world.runUntil(world.events().nowMicros() + IN_FORCE_TIMEOUT);
     checkInForce(world);
     if (seed % STABLE_EVERY == 0) {
-      world.runUntil(world.events().now() + STABLE_MICROS);
+      world.runUntil(world.events().nowMicros() + STABLE_MICROS);
     }
     return new Result(Optional.empty(), taken, world.history().changesTaken());
   }
--- a/src/test/java/slateslip/simulation/agents/AgentWorld.java
+++ b/src/test/java/slateslip/simulation/agents/AgentWorld.java
@@ -153,29 +153,29 @@
   /** Starts all machines for the first time, the backends and the operators. */
   void begin(int operatorCount) {
     for (ControlMachine machine : controlMachines) {
-      events.in(random.nextLong(START_SPREAD), () -> start(machine, true));
+      events.after(random.nextLong(START_SPREAD), () -> start(machine, true));
     }
     for (DataPlaneMachine machine : dataPlanes) {
-      events.in(random.nextLong(START_SPREAD), () -> machine.start(List.copyOf(seeds)));
+      events.after(random.nextLong(START_SPREAD), () -> machine.start(List.copyOf(seeds)));
     }
     for (SimulatedBackend backend : backends) {
-      events.in(random.nextLong(2 * SimulatedBackend.HEARTBEAT), backend::start);
+      events.after(random.nextLong(2 * SimulatedBackend.HEARTBEAT), backend::start);
     }
     for (int i = 0; i < operatorCount; i++) {
       addOperator("abcdefgh".substring(i, i + 1));
     }
-    events.in(CHECK_EVERY, this::check);
+    events.after(CHECK_EVERY, this::check);
   }
 
   private void addOperator(String name) {
     SimulatedOperator operator = new SimulatedOperator(this, events, random.split(), history, name);
     operators.add(operator);
-    events.in(START_SPREAD, operator::start);
+    events.after(START_SPREAD, operator::start);
   }
 
   private void check() {
     rules.check();
-    events.in(CHECK_EVERY, this::check);
+    events.after(CHECK_EVERY, this::check);
   }
 
   void start(ControlMachine machine, boolean bootstrap) {
@@ -272,7 +272,7 @@
     backends.forEach(SimulatedBackend::stay);
     injector.stop();
     network.heal();
-    rules.troubled(events.now());
+    rules.troubled(events.nowMicros());
     int down = 0;
     for (ControlMachine machine : List.copyOf(controlMachines)) {
       machine.disk().heal();
@@ -302,19 +302,19 @@
 
   /** The same for an operator that calls only these agents. */
   long timeToTakeChange(long timeoutMicros, Supplier<List<ControlMachine>> called) {
-    ProbingOperator prober = new ProbingOperator(this, "probe" + events.now() + "-", called);
-    long begin = events.now();
+    ProbingOperator prober = new ProbingOperator(this, "probe" + events.nowMicros() + "-", called);
+    long begin = events.nowMicros();
     prober.start();
-    while (!prober.isDone() && events.now() < begin + timeoutMicros) {
-      events.runUntil(events.now() + 10_000);
+    while (!prober.isDone() && events.nowMicros() < begin + timeoutMicros) {
+      events.runUntil(events.nowMicros() + 10_000);
     }
     prober.stop();
-    return prober.isDone() ? events.now() - begin : -1;
+    return prober.isDone() ? events.nowMicros() - begin : -1;
   }
 
   /** What its machines are at, for the search of causes. */
   String describe() {
-    StringBuilder text = new StringBuilder("at " + events.now() / 1_000 + " ms");
+    StringBuilder text = new StringBuilder("at " + events.nowMicros() / 1_000 + " ms");
     for (ControlMachine machine : controlMachines) {
       String state = machine.isWell() ? machine.status().toString() : "down or frozen";
       text.append("\n  agent ").append(machine).append(": ").append(state);
--- a/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
+++ b/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
@@ -96,7 +96,7 @@
   }
 
   private long now() {
-    return world.events().now();
+    return world.events().nowMicros();
   }
 
   /** Whether most of the core is connected, and this machine has a path to all of that part. */
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -171,7 +171,7 @@
           }
         };
     terminated.execute(
-        this, () -> agent.shutDownGracefully(timeoutMicros, () -> events.in(0, end)));
+        this, () -> agent.shutDownGracefully(timeoutMicros, () -> events.after(0, end)));
   }
 
   void kill() {
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -155,7 +155,7 @@
       history.inForce(this, configuration, configure.configuration());
       configuration = configure.configuration();
     } else if (output instanceof SubscriptionOutput.Report) {
-      reportedAt = events.now();
+      reportedAt = events.nowMicros();
     } else if (output instanceof SubscriptionOutput.ListBackends list) {
       listed = true;
       backends = new TreeMap<>();
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -32,7 +32,7 @@
   }
 
   long now() {
-    return world.events().now();
+    return world.events().nowMicros();
   }
 
   void pass(long micros) {
--- a/src/test/java/slateslip/simulation/agents/ProbingOperator.java
+++ b/src/test/java/slateslip/simulation/agents/ProbingOperator.java
@@ -45,13 +45,13 @@
     } else {
       send(current, machine);
     }
-    world.events().in(PATIENCE, () -> goOn(current));
+    world.events().after(PATIENCE, () -> goOn(current));
   }
 
   private void goOn(int current) {
     if (current == calls) {
       calls++;
-      world.events().in(DELAY, this::start);
+      world.events().after(DELAY, this::start);
     }
   }
 
@@ -78,7 +78,7 @@
         machine,
         sent.call(),
         response -> {
-          world.history().answered(world.events().now(), sent, newestAtCall, response);
+          world.history().answered(world.events().nowMicros(), sent, newestAtCall, response);
           done |= response.status() == OperatorResponse.OK;
           if (response.status() != OperatorResponse.UNAVAILABLE && sent.equals(change)) {
             change = null; // taken, or an earlier change has come into force since the read
--- a/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
@@ -46,7 +46,7 @@
     private Incarnation(String id, String service) {
       this.id = id;
       this.service = service;
-      startedAt = events.now();
+      startedAt = events.nowMicros();
     }
 
     String id() {
@@ -129,7 +129,7 @@
     current = started;
     all.add(started);
     sendHeartbeat(started);
-    events.in(random.nextLong(MIN_LIFETIME, MAX_LIFETIME), () -> leave(started));
+    events.after(random.nextLong(MIN_LIFETIME, MAX_LIFETIME), () -> leave(started));
   }
 
   /** The incarnation that lives now stays until the end. */
@@ -142,7 +142,7 @@
       return;
     }
     call(own, ATTEMPTS, own.nextSession());
-    events.in(HEARTBEAT, () -> sendHeartbeat(own));
+    events.after(HEARTBEAT, () -> sendHeartbeat(own));
   }
 
   private void call(Incarnation own, int attemptsLeft, BackendSession session) {
@@ -152,7 +152,7 @@
     long late = random.nextInt(LATE_EVERY) == 0 ? random.nextLong(MAX_LATE) : 0;
     ControlMachine called = calledAgent();
     boolean[] over = {false};
-    events.in(
+    events.after(
         late,
         () ->
             world.heartbeat(
@@ -165,7 +165,7 @@
                   tryNext(own, attemptsLeft, session, over, acknowledged);
                 },
                 () -> tryNext(own, attemptsLeft, session, over, false)));
-    events.in(PATIENCE, () -> tryNext(own, attemptsLeft, session, over, false));
+    events.after(PATIENCE, () -> tryNext(own, attemptsLeft, session, over, false));
   }
 
   private ControlMachine calledAgent() {
@@ -192,11 +192,11 @@
   }
 
   private void acknowledged(Incarnation own, BackendSession session) {
-    own.acknowledgedAt = events.now();
+    own.acknowledgedAt = events.nowMicros();
     if (session.draining() && own.drainAcknowledgedAt == Long.MAX_VALUE) {
       world.rules().drainAcknowledged(own.id);
-      own.drainAcknowledgedAt = events.now();
-      events.in(DRAIN, () -> deregister(own, ATTEMPTS));
+      own.drainAcknowledgedAt = events.nowMicros();
+      events.after(DRAIN, () -> deregister(own, ATTEMPTS));
     }
   }
 
@@ -210,7 +210,7 @@
       case DELETES_FIRST -> {
         own.draining = true;
         deregister(own, ATTEMPTS);
-        events.in(DRAIN, () -> end(own));
+        events.after(DRAIN, () -> end(own));
       }
       case CRASHES -> end(own);
     }
@@ -219,8 +219,8 @@
   private void drain(Incarnation own) {
     own.draining = true;
     call(own, ATTEMPTS, own.nextSession());
-    events.in(UNACKNOWLEDGED_DRAIN, () -> deregister(own, ATTEMPTS));
-    events.in(UNACKNOWLEDGED_DRAIN, () -> end(own));
+    events.after(UNACKNOWLEDGED_DRAIN, () -> deregister(own, ATTEMPTS));
+    events.after(UNACKNOWLEDGED_DRAIN, () -> end(own));
   }
 
   private void deregister(Incarnation own, int attemptsLeft) {
@@ -245,13 +245,13 @@
             over[0] = true;
             own.departureAcknowledged = true;
             world.rules().drainAcknowledged(own.id);
-            own.drainAcknowledgedAt = Math.min(own.drainAcknowledgedAt, events.now());
+            own.drainAcknowledgedAt = Math.min(own.drainAcknowledgedAt, events.nowMicros());
           } else {
             again.run();
           }
         },
         again);
-    events.in(PATIENCE, again);
+    events.after(PATIENCE, again);
   }
 
   private void end(Incarnation own) {
@@ -259,7 +259,7 @@
       return;
     }
     own.ended = true;
-    own.endedAt = events.now();
-    events.in(REUSE + random.nextLong(REUSE), this::start);
+    own.endedAt = events.nowMicros();
+    events.after(REUSE + random.nextLong(REUSE), this::start);
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
@@ -88,8 +88,8 @@
   /** Opens a connection. */
   void connect(SimulatedMachine from, String to, long timeoutMicros, Connecting connecting) {
     Attempt attempt = new Attempt(from, to, connecting);
-    events.in(timeoutMicros, attempt::fail);
-    events.in(delay(), () -> handshake(attempt));
+    events.after(timeoutMicros, attempt::fail);
+    events.after(delay(), () -> handshake(attempt));
   }
 
   private void handshake(Attempt attempt) {
@@ -100,9 +100,9 @@
     boolean unresponsive =
         target == null || !target.isPowered() || isPartitioned(attempt.from.address(), attempt.to);
     if (unresponsive) {
-      events.in(HANDSHAKE_RETRY, () -> handshake(attempt));
+      events.after(HANDSHAKE_RETRY, () -> handshake(attempt));
     } else if (!target.isRunning()) {
-      events.in(delay(), attempt::fail);
+      events.after(delay(), attempt::fail);
     } else {
       establish(attempt, target);
     }
@@ -119,7 +119,7 @@
     remember(client);
     remember(server);
     server.process().execute(server, () -> server.listen(target.accept(server)));
-    events.in(delay(), () -> established(attempt, client));
+    events.after(delay(), () -> established(attempt, client));
   }
 
   private void established(Attempt attempt, SimulatedSocket client) {
@@ -143,7 +143,8 @@
     Link link = new Link(sender.machine().address(), sender.peerMachine().address());
     long slow = Math.max(extra(link.from()), extra(link.to()));
     long delay = delay() + slow + bytes * 1_000 / bytesPerMilli;
-    long at = Math.max(sender.lastArrival() + bytes * 1_000 / bytesPerMilli, events.now() + delay);
+    long at =
+        Math.max(sender.lastArrival() + bytes * 1_000 / bytesPerMilli, events.nowMicros() + delay);
     sender.arrivesAt(at);
     events.at(at, () -> pass(link, sender, arrival));
   }
@@ -212,7 +213,7 @@
         each.sender().closedByPeer();
         each.sender().reset(true);
       } else if (!each.sender().losesWhatIsUnderWay()) {
-        events.in(0, each.arrival());
+        events.after(0, each.arrival());
       }
     }
   }
@@ -243,7 +244,7 @@
       Consumer<Consumer<T>> handle,
       Consumer<T> response,
       Runnable refused) {
-    events.in(delay(), () -> arrive(target, handle, response, refused));
+    events.after(delay(), () -> arrive(target, handle, response, refused));
   }
 
   private <T> void arrive(
@@ -255,10 +256,10 @@
       return;
     }
     if (!target.isRunning()) {
-      events.in(delay(), refused);
+      events.after(delay(), refused);
       return;
     }
-    Consumer<T> back = result -> events.in(delay(), () -> response.accept(result));
+    Consumer<T> back = result -> events.after(delay(), () -> response.accept(result));
     target.process().execute(handle, () -> handle.accept(back));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -65,14 +65,14 @@
     } else {
       send(current);
     }
-    events.in(PATIENCE, () -> goOn(current, SHORT_DELAY));
+    events.after(PATIENCE, () -> goOn(current, SHORT_DELAY));
   }
 
   /** The call is over, or given up; the next one follows after a pause. */
   private void goOn(long current, long maxDelay) {
     if (current == call) {
       call++;
-      events.in(random.nextLong(maxDelay), this::next);
+      events.after(random.nextLong(maxDelay), this::next);
     }
   }
 
@@ -130,7 +130,7 @@
         response -> {
           boolean lost = random.nextInt(RESPONSE_LOST_EVERY) == 0;
           if (!lost) {
-            history.answered(events.now(), sent, newestAtCall, response);
+            history.answered(events.nowMicros(), sent, newestAtCall, response);
             if (response.status() == OperatorResponse.OK) {
               world.rules().acknowledged(sent.version());
             }
--- a/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
@@ -37,7 +37,7 @@
     this.events = events;
     this.random = random;
     this.clockRate = clockRate;
-    startedAt = events.now();
+    startedAt = events.nowMicros();
   }
 
   boolean isAlive() {
@@ -84,7 +84,7 @@
 
   @Override
   public long nowMicros() {
-    return FIRST_MICROS + (long) ((events.now() - startedAt) * clockRate);
+    return FIRST_MICROS + (long) ((events.nowMicros() - startedAt) * clockRate);
   }
 
   @Override
@@ -96,13 +96,13 @@
             task.run();
           }
         };
-    events.in(toWorld(delayMicros), () -> execute(this, unlessCancelled));
+    events.after(toWorld(delayMicros), () -> execute(this, unlessCancelled));
     return () -> cancelled[0] = true;
   }
 
   @Override
   public void scheduleAtFixedRate(long periodMicros, Runnable task) {
-    events.in(toWorld(periodMicros), () -> repeatNow(periodMicros, task));
+    events.after(toWorld(periodMicros), () -> repeatNow(periodMicros, task));
   }
 
   private void repeatNow(long periodMicros, Runnable task) {
--- a/src/test/java/slateslip/simulation/control/ControlWorld.java
+++ b/src/test/java/slateslip/simulation/control/ControlWorld.java
@@ -108,13 +108,13 @@
   /** Starts all machines for the first time, and the operators. */
   void begin(int operatorCount) {
     for (SimulatedNode node : nodes) {
-      events.in(
+      events.after(
           random.nextLong(START_SPREAD), () -> node.start(seeds, true, shape.faultTolerance()));
     }
     for (int i = 0; i < operatorCount; i++) {
       SimulatedOperator operator = new SimulatedOperator(events, random.split(), history, this, i);
       operators.add(operator);
-      events.in(START_SPREAD, operator::start);
+      events.after(START_SPREAD, operator::start);
     }
   }
 
@@ -131,7 +131,7 @@
     nodes.remove(node);
     SimulatedNode other = newNode();
     seeds.replaceAll(seed -> seed.equals(node.address()) ? other.address() : seed);
-    events.in(micros, () -> restart(other));
+    events.after(micros, () -> restart(other));
   }
 
   void at(long micros, Fault fault) {
@@ -187,7 +187,7 @@
     injector.acknowledged(node, result);
     Caller caller = callers.remove(result.clientToken());
     if (random.nextInt(RESPONSE_LOST_EVERY) != 0) {
-      events.in(1_000, () -> caller.answered(node, result.clientToken(), result));
+      events.after(1_000, () -> caller.answered(node, result.clientToken(), result));
     }
   }
 
@@ -212,23 +212,23 @@
 
   /** Runs until a change is taken; the simulated time that it took, or -1 if the bound passed. */
   long timeToTakeChange(long timeoutMicros) {
-    long begin = events.now();
+    long begin = events.nowMicros();
     firstProbe = lastToken + 1;
-    while (!probeTaken && events.now() < begin + timeoutMicros) {
-      probing &= events.now() - probedAt < PROBE_PATIENCE;
+    while (!probeTaken && events.nowMicros() < begin + timeoutMicros) {
+      probing &= events.nowMicros() - probedAt < PROBE_PATIENCE;
       nodes.stream()
           .filter(node -> !probing && node.role().serving())
           .findFirst()
           .ifPresent(this::probe);
-      events.runUntil(events.now() + 10_000);
+      events.runUntil(events.nowMicros() + 10_000);
     }
-    return probeTaken ? events.now() - begin : -1;
+    return probeTaken ? events.nowMicros() - begin : -1;
   }
 
   private void probe(SimulatedNode node) {
     lastToken++;
     probing = true;
-    probedAt = events.now();
+    probedAt = events.nowMicros();
     long version = node.state().version();
     ReferenceState.Change change =
         new ReferenceState.Change(version, version + 1, PROBER_AUTHOR + (int) lastToken);
@@ -237,10 +237,10 @@
 
   /** Checks that nothing acknowledged is missing at the node that serves, or will soon. */
   void checkEnd() {
-    long timeoutMicros = events.now() + END_PATIENCE;
+    long timeoutMicros = events.nowMicros() + END_PATIENCE;
     while (nodes.stream().noneMatch(node -> node.role().serving())
-        && events.now() < timeoutMicros) {
-      events.runUntil(events.now() + 10_000);
+        && events.nowMicros() < timeoutMicros) {
+      events.runUntil(events.nowMicros() + 10_000);
     }
     SimulatedNode serving =
         nodes.stream()
--- a/src/test/java/slateslip/simulation/control/CrashAtMessage.java
+++ b/src/test/java/slateslip/simulation/control/CrashAtMessage.java
@@ -43,8 +43,8 @@
     }
     ScriptedClient client = new ScriptedClient(world, CHANGES);
     client.start();
-    while (!client.done() && world.events().now() < TIMEOUT) {
-      world.runUntil(world.events().now() + 10_000);
+    while (!client.done() && world.events().nowMicros() < TIMEOUT) {
+      world.runUntil(world.events().nowMicros() + 10_000);
     }
     if (!client.done()) {
       throw new RuleViolation("changes not taken in time");
@@ -80,6 +80,6 @@
     } else {
       node.kill();
     }
-    world.events().in(downMicros, () -> world.restart(node));
+    world.events().after(downMicros, () -> world.restart(node));
   }
 }
--- a/src/test/java/slateslip/simulation/control/FaultInjector.java
+++ b/src/test/java/slateslip/simulation/control/FaultInjector.java
@@ -60,7 +60,7 @@
   }
 
   private void injectLasting(Fault fault, SimulatedNode node) {
-    world.losses().troubled(node, world.events().now() + fault.micros());
+    world.losses().troubled(node, world.events().nowMicros() + fault.micros());
     switch (fault.kind()) {
       case SLOW_LINKS -> {
         world.network().slow(node.address(), SLOW_LINK);
@@ -95,7 +95,7 @@
     List<NodeAddress> right = new ArrayList<>();
     for (SimulatedNode node : world.nodes()) {
       (random.nextBoolean() ? left : right).add(node.address());
-      world.losses().troubled(node, world.events().now() + fault.micros());
+      world.losses().troubled(node, world.events().nowMicros() + fault.micros());
     }
     left.forEach(one -> right.forEach(other -> partitionBothWays(one, other, fault.micros())));
   }
@@ -113,7 +113,7 @@
   }
 
   private void later(long micros, Runnable action) {
-    world.events().in(micros, action);
+    world.events().after(micros, action);
   }
 
   private SimulatedNode target(Fault fault) {
@@ -159,7 +159,7 @@
   }
 
   private void restartIn(SimulatedNode node, long micros) {
-    world.losses().troubled(node, world.events().now() + micros);
+    world.losses().troubled(node, world.events().nowMicros() + micros);
     later(micros, () -> world.restart(node));
   }
 
@@ -169,21 +169,21 @@
     }
     node.losePower();
     node.disk().wipe();
-    world.losses().wiped(node, world.events().now() + micros);
+    world.losses().wiped(node, world.events().nowMicros() + micros);
     later(micros, () -> world.restart(node));
     return true;
   }
 
   private void replace(SimulatedNode node, long micros) {
     if (world.losses().mayLose(node, world.shape().faultTolerance())) {
-      world.losses().wiped(node, world.events().now() + micros);
+      world.losses().wiped(node, world.events().nowMicros() + micros);
       world.replace(node, micros);
     }
   }
 
   private void freeze(SimulatedNode node, long micros) {
     node.freeze();
-    world.losses().troubled(node, world.events().now() + micros);
+    world.losses().troubled(node, world.events().nowMicros() + micros);
     later(micros, node::thaw);
   }
 
--- a/src/test/java/slateslip/simulation/control/ScriptedClient.java
+++ b/src/test/java/slateslip/simulation/control/ScriptedClient.java
@@ -28,14 +28,14 @@
   }
 
   private void step() {
-    boolean idle = token == 0 || world.events().now() - calledAt > PATIENCE;
+    boolean idle = token == 0 || world.events().nowMicros() - calledAt > PATIENCE;
     if (!done() && idle) {
       world.nodes().stream()
           .filter(node -> node.role().serving())
           .findFirst()
           .ifPresent(this::call);
     }
-    world.events().in(STEP, this::step);
+    world.events().after(STEP, this::step);
   }
 
   private ReferenceState.Change change() {
@@ -44,7 +44,7 @@
 
   private void call(SimulatedNode node) {
     token = world.nextToken(this);
-    calledAt = world.events().now();
+    calledAt = world.events().nowMicros();
     node.handle(new ReplicaInput.Propose(token, change().encode()));
   }
 
--- a/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
@@ -78,7 +78,7 @@
     Link link = new Link(from.address(), to);
     ReplicaFrame frame = new ReplicaFrame(from, sometimesEncoded(from, message));
     long delay = random.nextLong(MIN_DELAY, MAX_DELAY) + slow.of(from.address(), to);
-    long arrival = Math.max(lastArrival.getOrDefault(link, 0L), events.now() + delay);
+    long arrival = Math.max(lastArrival.getOrDefault(link, 0L), events.nowMicros() + delay);
     lastArrival.put(link, arrival);
     int connection = connections.getOrDefault(link, 0);
     events.at(arrival, () -> arrive(link, connection, frame));
@@ -127,7 +127,7 @@
       reset(link);
     }
     if (random.nextInt(3) > 0) {
-      stalled.forEach(arrival -> events.in(0, arrival));
+      stalled.forEach(arrival -> events.after(0, arrival));
     }
   }
 
--- a/src/test/java/slateslip/simulation/control/SimulatedNode.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNode.java
@@ -121,7 +121,7 @@
       paused.addLast(input);
       return;
     }
-    Effects effects = replica.handle(events.now(), input);
+    Effects effects = replica.handle(events.nowMicros(), input);
     print(effects);
     role = effects.role();
     effects.writes().forEach(disk::start);
@@ -140,7 +140,7 @@
     boolean changed =
         effects.role().epoch() != role.epoch() || effects.role().serving() != role.serving();
     if (trace && changed) {
-      System.out.println(events.now() / 1000 + " " + address + " " + effects.role());
+      System.out.println(events.nowMicros() / 1000 + " " + address + " " + effects.role());
       effects.sends().stream()
           .filter(send -> send.message() instanceof slateslip.coordination.ReplicaMessage.Decided)
           .limit(1)
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -65,7 +65,7 @@
         reading
             ? new ReplicaInput.Confirm(token)
             : new ReplicaInput.Propose(token, change.encode()));
-    events.in(PATIENCE, () -> giveUp(token));
+    events.after(PATIENCE, () -> giveUp(token));
   }
 
   private void giveUp(long token) {
@@ -92,7 +92,7 @@
     boolean clear =
         !(result instanceof ClientResult.NotPrimary)
             && !(result instanceof ClientResult.Unavailable);
-    events.in(random.nextLong(clear ? LONG_DELAY : SHORT_DELAY), this::call);
+    events.after(random.nextLong(clear ? LONG_DELAY : SHORT_DELAY), this::call);
   }
 
   private void accepted() {
--- a/src/test/java/slateslip/simulation/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The project's own world: seeded network, disks, clocks. A part of the product, played by CI. */
-package slateslip.simulation;
