--- a/src/main/java/slateslip/cli/ControlClient.java
+++ b/src/main/java/slateslip/cli/ControlClient.java
@@ -14,7 +14,7 @@
 import okhttp3.Response;
 import okhttp3.ResponseBody;
 
-/** Calls control agents; a call without a clear answer goes to the next one, unchanged. */
+/** Calls control agents; a call without a clear response goes to the next one, unchanged. */
 final class ControlClient {
   /** HTTP status of a configuration that does not exist yet. */
   static final int NOT_FOUND = 404;
@@ -30,10 +30,10 @@
   private static final MediaType JSON = MediaType.get("application/json");
 
   /**
-   * Last answer of a call.
+   * Last response of a call.
    *
    * @param status HTTP status; 0 if no agent answered
-   * @param body text of the answer, or what went wrong
+   * @param body text of the response, or what went wrong
    */
   record Reply(int status, String body) {
     boolean isSuccess() {
--- a/src/main/java/slateslip/cli/ExitStatus.java
+++ b/src/main/java/slateslip/cli/ExitStatus.java
@@ -5,7 +5,7 @@
   /** Done. */
   static final int SUCCESS = 0;
 
-  /** The program could not start, or no control agent gave a usable answer. */
+  /** The program could not start, or no control agent gave a usable response. */
   static final int FAILURE = 1;
 
   /** The command line, the settings or the configuration are wrong. */
--- a/src/main/java/slateslip/configuration/ConfigurationDocument.java
+++ b/src/main/java/slateslip/configuration/ConfigurationDocument.java
@@ -18,13 +18,13 @@
     this.configuration = configuration;
   }
 
-  /** Reads a whole configuration of any version above 0. */
+  /** Reads a complete configuration of any version above 0. */
   public static ConfigurationOutcome parse(byte[] document) {
     return parse(document, 0);
   }
 
   /**
-   * Reads a whole configuration.
+   * Reads a complete configuration.
    *
    * @param currentVersion the new version has to be above this; 0 if there is none yet
    */
@@ -34,16 +34,16 @@
 
   /**
    * This configuration with a change applied: items of {@code remove} are taken out, those of
-   * {@code upsert} are added or replaced by name, any other part is replaced whole.
+   * {@code upsert} are added or replaced by name, any other part is replaced as a whole.
    */
   public ConfigurationOutcome patched(byte[] patch) {
     return DocumentReader.patch(parts, patch);
   }
 
   /**
-   * Reads a whole configuration that is in force, without asking again whether it is valid: agents
-   * of different versions must not differ in what is committed. Items that this version cannot use
-   * are kept as they were sent, and are missing from {@link #configuration}.
+   * Reads a complete configuration that is in force, without asking again whether it is valid:
+   * agents of different versions must not differ in what is committed. Items that this version
+   * cannot use are kept as they were sent, and are missing from {@link #configuration}.
    */
   public static ConfigurationOutcome committed(byte[] document) {
     return DocumentReader.committedDocument(document);
@@ -64,7 +64,7 @@
     return configuration;
   }
 
-  /** The whole document as JSON in UTF-8; not to be modified. */
+  /** The complete document as JSON in UTF-8; not to be modified. */
   public synchronized byte[] toJson() {
     if (json == null) {
       json = write();
--- a/src/main/java/slateslip/configuration/DocumentParts.java
+++ b/src/main/java/slateslip/configuration/DocumentParts.java
@@ -38,7 +38,7 @@
   static final DocumentParts NONE =
       new DocumentParts(0, null, null, null, IngressLimits.DEFAULT, null, Map.of());
 
-  /** With one part replaced whole. */
+  /** With one part replaced as a whole. */
   DocumentParts replaced(String field, JsonSlice value, ValidationErrors problems) {
     return switch (field) {
       case VERSION -> withVersion(VersionNumber.read(value, problems));
--- a/src/main/java/slateslip/configuration/DocumentReader.java
+++ b/src/main/java/slateslip/configuration/DocumentReader.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads whole documents and patches, and has the result checked. */
+/** Reads complete documents and patches, and has the result checked. */
 final class DocumentReader {
   private static final String UPSERT = "upsert";
   private static final String REMOVE = "remove";
 
   private DocumentReader() {}
 
-  /** Reads a whole document and has it checked. */
+  /** Reads a complete document and has it checked. */
   static ConfigurationOutcome document(byte[] document, long currentVersion) {
     return read(document, DocumentReader::readDocument, checkedAgainst(currentVersion));
   }
@@ -25,7 +25,9 @@
         checkedAgainst(current.version()));
   }
 
-  /** Reads a whole document that has been found valid before, maybe by another program version. */
+  /**
+   * Reads a complete document that has been found valid before, maybe by another program version.
+   */
   static ConfigurationOutcome committedDocument(byte[] document) {
     return read(document, DocumentReader::readDocument, UNCHECKED);
   }
--- a/src/main/java/slateslip/configuration/FleetConfiguration.java
+++ b/src/main/java/slateslip/configuration/FleetConfiguration.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A valid configuration of the operator's, whole.
+ * A valid configuration of the operator's, complete.
  *
  * @param version its number; versions rise
  * @param routes in the order given
--- a/src/main/java/slateslip/configuration/IngressLimits.java
+++ b/src/main/java/slateslip/configuration/IngressLimits.java
@@ -5,7 +5,7 @@
  *
  * @param maxHeaderBytes of a request's head
  * @param maxBodyBytes of a request's body
- * @param headerTimeoutMillis until a request's head is whole
+ * @param headerTimeoutMillis until a request's head is complete
  * @param idleTimeoutMillis how long a connection may rest between requests
  */
 public record IngressLimits(
--- a/src/main/java/slateslip/configuration/JsonSlice.java
+++ b/src/main/java/slateslip/configuration/JsonSlice.java
@@ -8,7 +8,7 @@
 /**
  * One value within a well-formed JSON text; it gives out the values inside it without reading them.
  *
- * @param text the whole text, in UTF-8; not to be modified
+ * @param text the complete text, in UTF-8; not to be modified
  * @param start offset of the value's first byte
  * @param end offset behind its last byte
  */
--- a/src/main/java/slateslip/configuration/RoutingTable.java
+++ b/src/main/java/slateslip/configuration/RoutingTable.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A configuration indexed for look-ups; immutable, so that a whole one is swapped in at once. */
+/**
+ * A configuration indexed for look-ups; immutable, so that a complete one is swapped in at once.
+ */
 public final class RoutingTable {
   private final FleetConfiguration configuration;
   private final Map<String, List<Route>> routesByHost = new HashMap<>();
--- a/src/main/java/slateslip/configuration/Service.java
+++ b/src/main/java/slateslip/configuration/Service.java
@@ -14,7 +14,7 @@
    * A model engine.
    *
    * @param slots requests that run at once
-   * @param cacheTokens tokens that running requests and kept parts share
+   * @param cacheTokens tokens that running requests and cached parts share
    * @param tokensPerEvent tokens in one event of a stream
    */
   public record Engine(int slots, long cacheTokens, int tokensPerEvent) {}
--- a/src/main/java/slateslip/controlplane/ControlApi.java
+++ b/src/main/java/slateslip/controlplane/ControlApi.java
@@ -213,7 +213,7 @@
     return CompletableFuture.completedFuture(null);
   }
 
-  /** Hands a task to the event loop, and its answer back to the call without holding a thread. */
+  /** Hands a task to the event loop, and its response back to the call without holding a thread. */
   private <T> CompletableFuture<?> submitToLoop(Consumer<Consumer<T>> task, Consumer<T> write) {
     CompletableFuture<T> completion = new CompletableFuture<>();
     eventLoop.execute(() -> task.accept(completion::complete));
--- a/src/main/java/slateslip/controlplane/ControlPlane.java
+++ b/src/main/java/slateslip/controlplane/ControlPlane.java
@@ -105,7 +105,7 @@
    * Has the others take over what this agent does for the control state, and serves until then.
    *
    * @param timeoutMillis after this time it ends in any case
-   * @param released told once, on the event loop
+   * @param released called once, on the event loop
    */
   public void shutDownGracefully(long timeoutMillis, Runnable released) {
     eventLoop.execute(
--- a/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
+++ b/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
@@ -45,7 +45,7 @@
   /**
    * Opens the ring in a folder, which is made if it is missing.
    *
-   * @param eventLoop the event loop, on which outcomes of writes are told
+   * @param eventLoop the event loop, on which outcomes of writes are reported
    * @throws IOException if the folder cannot be read, or holds what this program cannot read
    */
   static DiskWriteAheadLog open(Path folder, RingOptions options, Executor eventLoop)
--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -141,7 +141,7 @@
    * The process is asked to end.
    *
    * @param timeoutMicros after this time it ends in any case
-   * @param released told once, when the view no longer counts on this agent's copy of the state
+   * @param released called once, when the view no longer counts on this agent's copy of the state
    */
   public void shutDownGracefully(long timeoutMicros, Runnable released) {
     replica.shutDown();
@@ -163,12 +163,12 @@
     links.connectTo(settings.seeds());
   }
 
-  /** A backend's call; {@code acknowledged} is told once whether it is. */
+  /** A heartbeat of a backend; {@code acknowledged} is called once with the result. */
   public void dataPlaneHeartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
     sessions.heartbeat(session, acknowledged);
   }
 
-  /** A backend is gone; {@code acknowledged} is told once whether the call is. */
+  /** A backend is gone; {@code acknowledged} is called once with the result. */
   public void deregister(String id, Consumer<Boolean> acknowledged) {
     sessions.deregister(id, acknowledged);
   }
--- a/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
+++ b/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
@@ -25,7 +25,7 @@
   private final Supplier<ControlPlaneMessage.Heartbeat> heartbeat;
   private final Listener listener;
 
-  /** Is told what data planes say. */
+  /** Is notified of what data planes report. */
   interface Listener {
     /** An active stream has come, gone or acknowledged something. */
     void progressChanged();
--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -20,7 +20,7 @@
  * primary. Each request is answered exactly once. Confined to the event loop.
  */
 final class OperatorRequestHandler {
-  /** Callers try another agent after a second of silence. */
+  /** Callers try another agent after a second without a response. */
   private static final long FORWARD_TIMEOUT_MICROS = 900_000;
 
   /** How long an acknowledgement waits for data planes to put the version in force. */
@@ -33,7 +33,7 @@
   private final ConfigurationRollout rollout;
   private final Map<Long, PendingForward> pendingForwards = new HashMap<>();
 
-  /** Begins at a number drawn at random, so that no two lives of an agent use one id. */
+  /** Begins at a number drawn at random, so that no two incarnations of an agent use one id. */
   private long lastRequestId;
 
   /** A call that another agent was asked to answer. */
@@ -48,8 +48,8 @@
   /**
    * No calls yet.
    *
-   * @param incarnation of this process, drawn at random: an answer to a call that an earlier
-   *     process forwarded must not be taken for the answer to a call of this one
+   * @param incarnation of this process, drawn at random: a response to a call that an earlier
+   *     process forwarded must not be taken for the response to a call of this one
    */
   OperatorRequestHandler(
       long incarnation,
@@ -105,7 +105,7 @@
     }
   }
 
-  /** The answer of the agent that a call was forwarded to. */
+  /** The response of the agent that a call was forwarded to. */
   void forwardedResponseReceived(String peer, ControlPeerMessage.ForwardedResponse message) {
     PendingForward pending = pendingForwards.get(message.requestId());
     if (pending != null && pending.peer.equals(peer)) {
--- a/src/main/java/slateslip/controlplane/agent/PeerConnector.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerConnector.java
@@ -7,7 +7,7 @@
    *
    * @param address IPv4 address of the peer
    * @param encodedHello first message on each connection, encoded
-   * @param listener told, on the event loop, what becomes of the connection
+   * @param listener notified, on the event loop, of what becomes of the connection
    */
   PeerConnection connect(String address, byte[] encodedHello, Listener listener);
 
@@ -23,7 +23,7 @@
     void close();
   }
 
-  /** Is told what becomes of a connection. */
+  /** Is notified of the changes of a connection. */
   interface Listener {
     /** The peer has answered with its greeting, encoded. */
     void connected(byte[] encodedPeerHello);
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -23,7 +23,7 @@
   private final Map<String, PeerConnector.PeerConnection> links = new TreeMap<>();
   private final Listener listener;
 
-  /** Is told which links are up. */
+  /** Is notified when a link comes up or goes down. */
   interface Listener {
     void peerConnected(String peer, long incarnation);
 
@@ -56,14 +56,16 @@
     }
   }
 
-  /** A beat has come. */
+  /** A heartbeat has arrived. */
   void heartbeatReceived(String peer, ControlPeerMessage.Heartbeat heartbeat) {
     connectTo(List.of(peer));
     reachability.heartbeatReceived(scheduler.nowMicros(), peer, heartbeat);
     connectTo(heartbeat.knownAgents());
   }
 
-  /** Sends beats, breaks off links that lead nowhere, and forgets agents that are long gone. */
+  /**
+   * Sends heartbeats, breaks off links that lead nowhere, and forgets agents that are long gone.
+   */
   void sendHeartbeats(boolean complete, Collection<String> retainedAgents) {
     long now = scheduler.nowMicros();
     for (String peerRemoved : reachability.removeExpired(now, retainedAgents)) {
--- a/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
+++ b/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
@@ -22,7 +22,7 @@
    * Waits for a condition.
    *
    * @param condition whether it holds now; asked at each {@link #recheck}
-   * @param onComplete is told once whether it came to hold in time
+   * @param onComplete called once with whether the condition held in time
    */
   void await(BooleanSupplier condition, long timeoutMillis, Consumer<Boolean> onComplete) {
     if (condition.getAsBoolean()) {
--- a/src/main/java/slateslip/controlplane/agent/QuotaService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Whoever takes the role begins without memory: what was told before is outdated soon. */
+  /** Whoever takes the role begins without memory: what was assigned before is outdated soon. */
   private void updateRole() {
     if (!allocatorRole.isSelf()) {
       allocator = null;
--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -41,9 +41,9 @@
   /**
    * A replica that has not started.
    *
-   * @param onApplied told after the committed state has changed
-   * @param onBrokenInvariant told of a failure in the middle of an input: the replica's state is
-   *     then not to be trusted, and the process has to end
+   * @param onApplied called after the committed state has changed
+   * @param onBrokenInvariant notified of a failure in the middle of an input: the replica's state
+   *     is then not to be trusted, and the process has to end
    */
   ReplicaHost(
       Scheduler scheduler,
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -13,12 +13,12 @@
 import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
 import slateslip.distribution.sessions.SessionTable;
 
-/** Calls of backends, and what other agents say of them. Confined to the event loop. */
+/** Heartbeats of backends, and session updates of other agents. Confined to the event loop. */
 final class SessionService {
-  /** How long the answer to a backend that leaves waits for those that route to it. */
+  /** How long the response to a backend that leaves waits for those that route to it. */
   private static final long DRAIN_ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 300;
 
-  /** How long a peer's answer waits for its own data planes. */
+  /** How long a peer's response waits for its own data planes. */
   private static final long PEER_ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 200;
 
   private final Scheduler scheduler;
@@ -30,7 +30,7 @@
   private final Majority majority;
   private final Map<Long, Set<String>> unacknowledgedPeers = new TreeMap<>();
 
-  /** Begins at a number drawn at random, so that no two lives of an agent use one. */
+  /** Begins at a number drawn at random, so that no two incarnations of an agent use one. */
   private long lastChangeNumber;
 
   /** Whether this agent reaches a majority of those that keep the control state. */
@@ -42,7 +42,7 @@
    * No calls yet.
    *
    * @param incarnation of this process, drawn at random: what a peer has stored for an earlier
-   *     process must not be taken for news of this one's
+   *     process must not be taken for an acknowledgement to this one
    */
   SessionService(
       long incarnation,
@@ -63,11 +63,11 @@
   }
 
   /**
-   * A backend's call; {@code acknowledged} is told once whether it is. An agent that reaches no
-   * majority does not acknowledge it: the others do not hear of the call and would let the session
-   * expire, so the backend has to call one of them. Nor does such an agent take note of it, since
-   * what it hands to the others when it reaches them again would be older than it looks; only that
-   * a known backend leaves, which is never wrong later.
+   * A heartbeat of a backend; {@code acknowledged} is called once with the result. An agent that
+   * reaches no majority does not acknowledge it: the others do not hear of the call and would let
+   * the session expire, so the backend has to call one of them. Nor does such an agent take note of
+   * it, since what it hands to the others when it reaches them again would be older than it looks;
+   * only that a known backend leaves, which is never wrong later.
    */
   void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
     boolean drainingKnownBackend = session.draining() && table.session(session.id()).isPresent();
--- a/src/main/java/slateslip/controlplane/agent/WriteAheadLog.java
+++ b/src/main/java/slateslip/controlplane/agent/WriteAheadLog.java
@@ -15,7 +15,7 @@
   /**
    * Starts a write; writes complete in the order of the calls.
    *
-   * @param done told on the event loop whether the record is durable
+   * @param done called on the event loop with whether the record is durable
    */
   void write(DurableRecord record, Consumer<Boolean> done);
 }
--- a/src/main/java/slateslip/coordination/ClientResult.java
+++ b/src/main/java/slateslip/coordination/ClientResult.java
@@ -39,7 +39,7 @@
   record NotPrimary(long clientToken, Optional<NodeAddress> primary) implements ClientResult {}
 
   /**
-   * No clear answer: the command may or may not come into force.
+   * No clear response: the command may or may not come into force.
    *
    * @param clientToken names the call
    */
--- a/src/main/java/slateslip/coordination/DurableRecord.java
+++ b/src/main/java/slateslip/coordination/DurableRecord.java
@@ -7,8 +7,8 @@
    *
    * @param self the node's identity
    * @param witness its votes
-   * @param installedTerm newest tenure whose state it has installed
-   * @param state the replica's state, whole
+   * @param installedTerm newest term whose state it has installed
+   * @param state the replica's state, complete
    */
   record Snapshot(NodeId self, WitnessState witness, PrimaryTerm installedTerm, StateTransfer state)
       implements DurableRecord {}
@@ -16,7 +16,7 @@
   /**
    * A change of the witness state.
    *
-   * @param witness new value, whole
+   * @param witness new value, complete
    */
   record Vote(WitnessState witness) implements DurableRecord {}
 
--- a/src/main/java/slateslip/coordination/DurableWriteQueue.java
+++ b/src/main/java/slateslip/coordination/DurableWriteQueue.java
@@ -6,7 +6,7 @@
 
 /**
  * The node's durable writes. They complete in the order of their start; after a failed one nothing
- * counts until the whole state has been written anew.
+ * counts until the complete state has been written anew.
  */
 final class DurableWriteQueue {
   private static final long RECORD_OVERHEAD = 256;
@@ -107,7 +107,9 @@
     retryAtMicros = nowMicros + ReplicationTimeouts.DISK_RETRY_DELAY_MICROS;
   }
 
-  /** Writes the whole state anew if that is due after a failure, or writes were left out since. */
+  /**
+   * Writes the complete state anew if that is due after a failure, or writes were left out since.
+   */
   void retry(long nowMicros, DurablePosition position) {
     if ((failed || skippedWrites) && inFlight.isEmpty() && nowMicros >= retryAtMicros) {
       startSnapshot(nowMicros, position, DurableWriteQueue::noAction);
--- a/src/main/java/slateslip/coordination/FollowerRole.java
+++ b/src/main/java/slateslip/coordination/FollowerRole.java
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Whether this tenure is of the newest view, and no later one has been accepted. */
+  /** Whether this term is of the newest view, and no later one has been accepted. */
   private boolean follows(PrimaryTerm term) {
     return term.epoch() == context.view().epoch() && !context.witness.hasAccepted();
   }
@@ -137,7 +137,7 @@
         + failoverJitterMicros;
   }
 
-  /** Asks for the view if the primary is silent. */
+  /** Asks for the view if the primary is unresponsive. */
   void requestView() {
     boolean primaryUnresponsive =
         context.nowMicros - primaryHeardMicros > ReplicationTimeouts.HELLO_DELAY_MICROS;
--- a/src/main/java/slateslip/coordination/MembershipPolicy.java
+++ b/src/main/java/slateslip/coordination/MembershipPolicy.java
@@ -16,7 +16,7 @@
    * @param healthy answers, and its disk works
    * @param installed has the current view's state on disk, or what makes up for it
    * @param caughtUp has every record, committed or not, on disk
-   * @param unresponsiveMicros since its last answer
+   * @param unresponsiveMicros since its last response
    * @param healthyMicros how long it has been well without a break
    * @param joinDelayMicros how long it must be well to be taken in
    */
--- a/src/main/java/slateslip/coordination/Peer.java
+++ b/src/main/java/slateslip/coordination/Peer.java
@@ -27,7 +27,7 @@
     this.knownSinceMicros = knownSinceMicros;
   }
 
-  /** Forgets what was sent in another tenure. */
+  /** Forgets what was sent in another term. */
   void beginTerm() {
     confirmedRound = 0;
     sentTerm = PrimaryTerm.NONE;
@@ -48,7 +48,7 @@
         bytes * ReplicationTimeouts.TRANSFER_TIMEOUT_PER_MB_MICROS / BYTES_PER_MEGABYTE;
   }
 
-  /** Whether all up to a record is on its disk in that tenure, and it follows no later view. */
+  /** Whether all up to a record is on its disk in that term, and it follows no later view. */
   boolean hasDurable(PrimaryTerm term, long sequence) {
     return status != null
         && status.durableTerm().equals(term)
@@ -68,12 +68,12 @@
     return awaitingDurable && nowMicros - awaitingDurableSinceMicros > durableTimeoutMicros;
   }
 
-  /** How long no answer has come to what was sent. */
+  /** How long no response has come to what was sent. */
   long microsSinceAcknowledgement(long nowMicros, long leadingSinceMicros) {
     return nowMicros - Math.max(acknowledgedSentMicros, leadingSinceMicros);
   }
 
-  /** How long no answer has come, over all tenures of this leader. */
+  /** How long no response has come, over all terms of this leader. */
   long microsUnheard(long nowMicros) {
     return nowMicros - Math.max(acknowledgedSentMicros, knownSinceMicros);
   }
--- a/src/main/java/slateslip/coordination/PeerTable.java
+++ b/src/main/java/slateslip/coordination/PeerTable.java
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Begins a tenure: what nodes have on disk of an earlier one doesn't count, their silence does.
+   * Begins a term: what nodes have on disk of an earlier one doesn't count, their inactivity does.
    *
    * @param resumed whether this node has led until now
    */
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A node answered a round of this tenure. */
+  /** A node answered a round of this term. */
   void heartbeatAcknowledged(Peer peer, long acknowledgedRound) {
     for (Round sent : rounds) {
       if (sent.number() == acknowledgedRound) {
--- a/src/main/java/slateslip/coordination/PendingRequests.java
+++ b/src/main/java/slateslip/coordination/PendingRequests.java
@@ -9,7 +9,7 @@
 final class PendingRequests {
   private record QueuedCommand(long clientToken, byte[] command, long arrivedAtMicros) {}
 
-  /** Waits for a clean majority of a round. */
+  /** Waits for a majority of a round. */
   private record PendingConfirmation(
       long clientToken, Optional<byte[]> response, long round, long arrivedAtMicros) {}
 
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Answers what a clean majority of that round allows to be answered. */
+  /** Answers what a majority of that round allows to be answered. */
   void confirmed(PeerTable peers) {
     while (!pendingConfirmations.isEmpty()
         && peers.isConfirmedByMajority(pendingConfirmations.peekFirst().round())) {
--- a/src/main/java/slateslip/coordination/PreparedCommand.java
+++ b/src/main/java/slateslip/coordination/PreparedCommand.java
@@ -10,7 +10,7 @@
   record Change(byte[] record) implements PreparedCommand {}
 
   /**
-   * An answer from the state as it is.
+   * A response from the state as it is.
    *
    * @param response handed back to the client
    */
--- a/src/main/java/slateslip/coordination/PrimaryTerm.java
+++ b/src/main/java/slateslip/coordination/PrimaryTerm.java
@@ -2,7 +2,7 @@
 
 /**
  * One activation of a view's primary. Records with the same sequence number are the same within a
- * tenure.
+ * term.
  *
  * @param epoch of the view
  * @param incarnation 1 or more; rises each time that the epoch's primary starts anew
@@ -11,7 +11,7 @@
   /** Before every other. */
   public static final PrimaryTerm NONE = new PrimaryTerm(0, 0);
 
-  /** The tenure of a primary that begins or resumes an epoch after this one. */
+  /** The term of a primary that begins or resumes an epoch after this one. */
   public PrimaryTerm next(long newEpoch) {
     return new PrimaryTerm(newEpoch, epoch == newEpoch ? incarnation + 1 : 1);
   }
--- a/src/main/java/slateslip/coordination/Proposer.java
+++ b/src/main/java/slateslip/coordination/Proposer.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Begins a proposal. The own witness is asked first: once its promise is on disk, no later life
-   * of this node uses the ballot again.
+   * Begins a proposal. The own witness is asked first: once its promise is on disk, no later
+   * incarnation of this node uses the ballot again.
    */
   void begin(boolean primaryConsents) {
     busy = true;
--- a/src/main/java/slateslip/coordination/ReplicaInput.java
+++ b/src/main/java/slateslip/coordination/ReplicaInput.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What a {@link ControlReplica} is told. */
+/** The inputs of a {@link ControlReplica}. */
 public sealed interface ReplicaInput {
   /**
    * First input.
--- a/src/main/java/slateslip/coordination/ReplicaStatus.java
+++ b/src/main/java/slateslip/coordination/ReplicaStatus.java
@@ -5,9 +5,9 @@
  *
  * @param decidedEpoch epoch of the newest decided view that it knows
  * @param acceptedNewerView whether it has accepted a view after that one
- * @param receivedTerm tenure whose installation it has received last
+ * @param receivedTerm term whose installation it has received last
  * @param receivedSequence last record received
- * @param durableTerm tenure whose installation it has on disk
+ * @param durableTerm term whose installation it has on disk
  * @param durableSequence last record that it has on disk
  * @param committedSequence records that it knows to be committed
  * @param healthy whether its disk takes writes within the bound, and its process is not about to
@@ -23,7 +23,7 @@
     long committedSequence,
     boolean healthy) {
 
-  /** The same with newer news of the disk. */
+  /** The same with a newer durable position. */
   ReplicaStatus withDurable(PrimaryTerm term, long sequence) {
     return new ReplicaStatus(
         decidedEpoch,
--- a/src/main/java/slateslip/coordination/ReplicaStore.java
+++ b/src/main/java/slateslip/coordination/ReplicaStore.java
@@ -57,14 +57,14 @@
     return result;
   }
 
-  /** A primary's own state becomes that of its new tenure. */
+  /** A primary's own state becomes that of its new term. */
   void beginTerm(PrimaryTerm term) {
     installed = term;
   }
 
   /**
-   * Takes over a primary's state; false if it doesn't fit what is here. Within one tenure records
-   * are only added, as what came before may have been acknowledged.
+   * Takes over a primary's state; false if it doesn't fit what is here. Within one term records are
+   * only added, as what came before may have been acknowledged.
    */
   boolean install(PrimaryTerm term, StateTransfer transfer) {
     int termOrder = term.compareTo(installed);
@@ -148,7 +148,7 @@
     return new StateTransfer(base, false, NOTHING, records, appliedSequence);
   }
 
-  /** The whole state. */
+  /** The complete state. */
   StateTransfer completeTransfer() {
     List<byte[]> records = new ArrayList<>();
     addPending(records);
--- a/src/main/java/slateslip/coordination/ReplicatedState.java
+++ b/src/main/java/slateslip/coordination/ReplicatedState.java
@@ -8,9 +8,9 @@
   /** Applies a committed record. */
   void apply(byte[] record);
 
-  /** The whole state. */
+  /** The complete state. */
   byte[] snapshot();
 
-  /** Replaces the whole state; an empty array is the state before the first record. */
+  /** Replaces the complete state; an empty array is the state before the first record. */
   void restore(byte[] snapshot);
 }
--- a/src/main/java/slateslip/coordination/ReplicationTimeouts.java
+++ b/src/main/java/slateslip/coordination/ReplicationTimeouts.java
@@ -7,7 +7,7 @@
   /** Between two rounds of heartbeats. */
   static final long HEARTBEAT_INTERVAL_MICROS = 100 * MICROS_PER_MILLI;
 
-  /** A node that hasn't answered for this long is silent. */
+  /** A node that hasn't answered for this long is unresponsive. */
   static final long PEER_TIMEOUT_MICROS = 700 * MICROS_PER_MILLI;
 
   /** A witness that heard the primary within this refuses others' proposals. */
@@ -28,7 +28,7 @@
   /** A write that takes longer makes its disk unhealthy. */
   static final long DISK_WRITE_TIMEOUT_MICROS = 400 * MICROS_PER_MILLI;
 
-  /** After a failed write, until the whole state is written anew. */
+  /** After a failed write, until the complete state is written anew. */
   static final long DISK_RETRY_DELAY_MICROS = 300 * MICROS_PER_MILLI;
 
   /** A proposal that isn't decided by then is given up. */
@@ -67,12 +67,13 @@
   /** A node that has been well for this long counts as never dropped. */
   static final long DROP_COUNT_RESET_MICROS = 30_000 * MICROS_PER_MILLI;
 
-  /** A witness that is silent for this long may be replaced by a newcomer. */
+  /** A witness that is unresponsive for this long may be replaced by a joining node. */
   static final long WITNESS_REPLACEMENT_DELAY_MICROS = 1_500 * MICROS_PER_MILLI;
 
   /**
-   * The only silent witness is removed after this, if enough are left. A machine whose successor
-   * has run for sync_s (4 s in the users' sheets) counts no longer, so it must be gone by then.
+   * The only unresponsive witness is removed after this, if enough are left. A machine whose
+   * successor has run for sync_s (4 s in the users' sheets) counts no longer, so it must be gone by
+   * then.
    */
   static final long WITNESS_REMOVAL_DELAY_MICROS = 2_000 * MICROS_PER_MILLI;
 
--- a/src/main/java/slateslip/coordination/StateTransfer.java
+++ b/src/main/java/slateslip/coordination/StateTransfer.java
@@ -8,7 +8,7 @@
  * @param baseSequence records that the base holds
  * @param complete whether {@code base} is the state at that sequence number; otherwise the receiver
  *     has it
- * @param base snapshot of the replicated state, empty if not whole
+ * @param base snapshot of the replicated state, empty if not complete
  * @param records those after the base, in order
  * @param committedSequence records up to here are committed; one more at most may follow
  */
--- a/src/main/java/slateslip/distribution/ControlPlaneMessage.java
+++ b/src/main/java/slateslip/distribution/ControlPlaneMessage.java
@@ -4,7 +4,7 @@
 
 /** What a control agent tells a data plane on its stream. */
 public sealed interface ControlPlaneMessage {
-  /** A whole configuration, as JSON. */
+  /** A complete configuration, as JSON. */
   record ConfigurationSnapshot(long version, byte[] document) implements ControlPlaneMessage {}
 
   /** A change from one version to the next: the body of the operator's {@code PATCH}. */
--- a/src/main/java/slateslip/distribution/delivery/PeerProgress.java
+++ b/src/main/java/slateslip/distribution/delivery/PeerProgress.java
@@ -5,8 +5,8 @@
 
 /**
  * How far the data planes at the other control agents are, as these agents have said to this one in
- * its present tenure as primary. What a peer's earlier process said, or what was said in an earlier
- * tenure, says nothing about the data planes that are there now.
+ * its present term as primary. What a peer's earlier process said, or what was said in an earlier
+ * term, says nothing about the data planes that are there now.
  */
 public final class PeerProgress {
   private final Map<String, Long> incarnations = new HashMap<>();
@@ -26,7 +26,7 @@
    * A peer has said how far its data planes are.
    *
    * @param incarnation of the process that has said so
-   * @param epoch of the view in which this agent was told
+   * @param epoch of the view in which this agent received it
    * @param slowestVersion lowest version acknowledged there; {@link DeliveryProgress#NOBODY} if
    *     there are no data planes
    */
--- a/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
+++ b/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
@@ -16,7 +16,7 @@
 public final class SubscriberDelivery {
   private static final long NOTHING_SENT = -1;
 
-  /** Patches sent in a row; beyond, the whole configuration is shorter. */
+  /** Patches sent in a row; beyond, the complete configuration is shorter. */
   private static final int MAX_PATCHES = 8;
 
   private final ConfigurationSource configurations;
--- a/src/main/java/slateslip/distribution/peer/ConfigurationStateSnapshot.java
+++ b/src/main/java/slateslip/distribution/peer/ConfigurationStateSnapshot.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The replicated configuration state, whole.
+ * The replicated configuration state, complete.
  *
  * @param changes the newest committed changes, oldest first
  * @param document the newest configuration as JSON; empty if there is none
--- a/src/main/java/slateslip/distribution/peer/ControlPeerMessage.java
+++ b/src/main/java/slateslip/distribution/peer/ControlPeerMessage.java
@@ -19,8 +19,8 @@
   /**
    * Sent several times a second.
    *
-   * @param number rises with each beat
-   * @param acknowledgedNumber number of the newest beat that came from the receiver; 0 if none
+   * @param number rises with each heartbeat
+   * @param acknowledgedNumber number of the newest heartbeat that came from the receiver; 0 if none
    * @param complete whether the sender's session table holds all that live
    * @param knownAgents IPv4 addresses of the control agents that it knows
    */
@@ -30,7 +30,8 @@
   /**
    * Sessions that are new or changed, and those that ended.
    *
-   * @param number to be told back by {@link SessionChangesAcknowledged}; 0 if nobody waits for it
+   * @param number to be acknowledged by {@link SessionChangesAcknowledged}; 0 if nobody waits for
+   *     it
    * @param fullTable whether these are all that the sender has
    * @param entries new or changed ones
    * @param deregistered ids of backends that have said that they are gone
--- a/src/main/java/slateslip/distribution/peer/OperatorRequest.java
+++ b/src/main/java/slateslip/distribution/peer/OperatorRequest.java
@@ -12,7 +12,7 @@
   public enum Method {
     /** The newest configuration. */
     GET,
-    /** A whole configuration. */
+    /** A complete configuration. */
     PUT,
     /** Changes of named items. */
     PATCH
--- a/src/main/java/slateslip/distribution/peer/OperatorResponse.java
+++ b/src/main/java/slateslip/distribution/peer/OperatorResponse.java
@@ -22,15 +22,15 @@
   /** Another version is current. */
   public static final int CONFLICT = 412;
 
-  /** No clear answer. */
+  /** No clear response. */
   public static final int UNAVAILABLE = 503;
 
-  /** An answer with a message. */
+  /** A response with a message. */
   public static OperatorResponse of(int status, long version, String message) {
     return new OperatorResponse(status, version, message.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** No clear answer, and why. */
+  /** No clear response, and why. */
   public static OperatorResponse unavailable(String reason) {
     return of(UNAVAILABLE, 0, reason);
   }
--- a/src/main/java/slateslip/distribution/peer/Reachability.java
+++ b/src/main/java/slateslip/distribution/peer/Reachability.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * Which control agents this one hears, and which hear it, by their beats. The number of a beat is
- * the steady time at which it was sent, counted from a base that is drawn at random for each life
- * of the process, so that an echoed number tells how old the echo is, and the echo of an earlier
- * life's beat is known as such. Times are in microseconds.
+ * Which control agents this one hears, and which hear it, by their heartbeats. The number of a
+ * heartbeat is the steady time at which it was sent, counted from a base that is drawn at random
+ * for each incarnation of the process, so that an echoed number tells how old the echo is, and the
+ * echo of an earlier incarnation's heartbeat is known as such. Times are in microseconds.
  */
 public final class Reachability {
   /** A peer that was not heard, or has not heard, for this long is out of reach. */
@@ -34,12 +34,12 @@
     numberBase = incarnation >>> 2; // leaves room above for times
   }
 
-  /** Number of a beat that is sent now. */
+  /** Number of a heartbeat that is sent now. */
   public long heartbeatNumber(long nowMicros) {
     return numberBase + nowMicros;
   }
 
-  /** When the newest beat was sent that the peer is known to have; 0 if none is. */
+  /** When the newest heartbeat was sent that the peer is known to have; 0 if none is. */
   public long acknowledgedMicros(String peer) {
     PeerContact contact = contacts.get(peer);
     return contact == null ? 0 : contact.acknowledgedMicros;
@@ -57,7 +57,7 @@
     return added;
   }
 
-  /** Takes note of a beat. */
+  /** Takes note of a heartbeat. */
   public void heartbeatReceived(
       long nowMicros, String peer, ControlPeerMessage.Heartbeat heartbeat) {
     PeerContact contact = contacts.computeIfAbsent(peer, key -> new PeerContact(nowMicros));
@@ -68,13 +68,13 @@
         Math.max(contact.acknowledgedMicros, sentMicros(nowMicros, heartbeat.acknowledgedNumber()));
   }
 
-  /** When the beat of this number was sent; 0 if an earlier life of this process sent it. */
+  /** When the beat of this number was sent; 0 if an earlier incarnation of this process sent it. */
   private long sentMicros(long nowMicros, long number) {
     long micros = number - numberBase;
     return micros > 0 && micros <= nowMicros ? micros : 0;
   }
 
-  /** What the next beat to a peer echoes. */
+  /** What the next heartbeat to a peer echoes. */
   public long lastHeartbeatNumber(String peer) {
     PeerContact contact = contacts.get(peer);
     return contact == null ? 0 : contact.lastHeartbeatNumber;
--- a/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
@@ -17,19 +17,19 @@
  * <p>A state machine without a clock; one instance divides for all data planes. A fraction that
  * shrinks takes effect at once; one that grows takes only what the others gave up at least {@link
  * #PROPAGATION_MICROS} ago, so that the fractions in force never sum above 1 as long as a message
- * takes less than that. A data plane that is silent keeps its last fraction, which it lowers to the
- * equal share by itself ({@link #ALLOCATION_TTL_MICROS}), until it is removed.
+ * takes less than that. A data plane that is unresponsive keeps its last fraction, which it lowers
+ * to the equal share by itself ({@link #ALLOCATION_TTL_MICROS}), until it is removed.
  */
 public final class QuotaAllocator {
   /**
-   * Without news of its shares for this long a data plane falls back to the equal share where it
-   * had more. Danger: at 3 s a change of the primary, with nobody cut off, leaves a data plane that
-   * has a third of the clients with a sixth of the quotas.
+   * Without an update of its shares for this long a data plane falls back to the equal share where
+   * it had more. Danger: at 3 s a change of the primary, with nobody cut off, leaves a data plane
+   * that has a third of the clients with a sixth of the quotas.
    */
   public static final long ALLOCATION_TTL_MICROS = 10_000_000;
 
   /**
-   * A fraction that was told counts as in force for once to twice this after a lower one was told.
+   * An assigned fraction counts as in force for once to twice this after a lower one was assigned.
    */
   public static final long PROPAGATION_MICROS = 400_000;
 
@@ -61,7 +61,7 @@
     double demand;
     double assigned;
 
-    /** Highest fractions told in the present and in the last settling period. */
+    /** Highest fractions assigned in the present and in the last propagation period. */
     double highestAssigned;
 
     double previousHighestAssigned;
@@ -129,7 +129,9 @@
     }
   }
 
-  /** The data plane's stream has ended for good; what it was told stays reserved for a while. */
+  /**
+   * The data plane's stream has ended for good; what it was assigned stays reserved for a while.
+   */
   public void removed(long nowMicros, String dataPlane) {
     DataPlaneState state = dataPlanes.get(dataPlane);
     if (state != null && state.removedMicros == Long.MAX_VALUE) {
@@ -189,13 +191,14 @@
   }
 
   /**
-   * What a silent data plane may still be using; without news it has lowered its fraction by
-   * itself.
+   * What a unresponsive data plane may still be using; without an update it has lowered its
+   * fraction by itself.
    */
   private double reservedFraction(
       DataPlaneState dataPlane, TenantState tenantState, double equalShare, long nowMicros) {
     if (nowMicros - dataPlane.reportedMicros > ALLOCATION_TTL_MICROS + PROPAGATION_MICROS) {
-      // Danger: were this forgotten when it reports again, it would be told more than the others
+      // Danger: were this forgotten when it reports again, it would be assigned more than the
+      // others
       // left.
       tenantState.capAt(equalShare);
     }
--- a/src/main/java/slateslip/distribution/sessions/HeartbeatResult.java
+++ b/src/main/java/slateslip/distribution/sessions/HeartbeatResult.java
@@ -6,7 +6,7 @@
   CHANGED,
   /**
    * It renewed a session that was known from another agent. A peer may have missed what that agent
-   * said, so it is to be replicated whole.
+   * said, so it is to be replicated in full.
    */
   ADOPTED,
   /** It renewed the session; to be replicated with others. */
--- a/src/main/java/slateslip/distribution/sessions/HintedHandoff.java
+++ b/src/main/java/slateslip/distribution/sessions/HintedHandoff.java
@@ -6,10 +6,10 @@
 
 /**
  * What a peer that is away has missed: ids of sessions that were heard, changed or ended meanwhile.
- * If there are too many, it needs the whole table.
+ * If there are too many, it needs the full table.
  */
 public final class HintedHandoff {
-  /** Above this, the whole table takes hardly more than the hints. */
+  /** Above this, the full table takes hardly more than the hints. */
   static final int MAX_HINTS = 4_096;
 
   private final Set<String> ids = new LinkedHashSet<>();
@@ -26,13 +26,13 @@
     }
   }
 
-  /** The peer needs the whole table, as after its start. */
+  /** The peer needs the full table, as after its start. */
   public void requireFullTable() {
     overflowed = true;
     ids.clear();
   }
 
-  /** Whether the peer needs the whole table. */
+  /** Whether the peer needs the full table. */
   public boolean needsFullTable() {
     return overflowed;
   }
--- a/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
@@ -7,9 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/**
- * The newest changes of a table, so that a reader that has an older revision is told just these.
- */
+/** The newest changes of a table, so that a reader that has an older revision gets just these. */
 final class SessionChangeLog {
   private static final int MAX_CHANGES = 4_096;
 
@@ -24,7 +22,7 @@
     add(id, true);
   }
 
-  /** Forgets all changes: every reader has to take the table whole. */
+  /** Forgets all changes: every reader has to take the full table. */
   void restart() {
     revision++;
     entries.clear();
--- a/src/main/java/slateslip/distribution/sessions/SessionReplication.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionReplication.java
@@ -105,7 +105,7 @@
   /**
    * Sessions have changed here, by calls of their backends.
    *
-   * @param number to be told back by each peer that gets it; 0 if nobody waits
+   * @param number to be acknowledged by each peer that gets it; 0 if nobody waits
    */
   public List<OutboundMessage> changed(long nowMicros, long number, List<String> ids) {
     ids.forEach(renewedIds::remove);
--- a/src/main/java/slateslip/distribution/sessions/SessionTable.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTable.java
@@ -12,13 +12,13 @@
 /**
  * The sessions that one control agent knows: from backends that call it, and from other agents.
  *
- * <p>An incarnation id names one life of a backend. Its {@code sequence} orders what it says; an
- * older call changes nothing. Once it has said that it is gone, it never comes back. A session that
- * was not renewed for {@code expiryMicros} is dropped, and may come back.
+ * <p>An incarnation id names one incarnation of a backend. Its {@code sequence} orders what it
+ * says; an older call changes nothing. Once it has said that it is gone, it never comes back. A
+ * session that was not renewed for {@code expiryMicros} is dropped, and may come back.
  *
  * <p>Of two incarnations at one address the one that was registered later is in the table. Ages
- * told by a peer that was held up may name the wrong one, so this is never final: the other one
- * comes back when it is heard and the one in the table has been silent for longer than live
+ * reported by a peer that had stalled may name the wrong one, so this is never final: the other one
+ * comes back when it is heard and the one in the table has been unresponsive for longer than live
  * backends are. Times are of the host's steady clock, in microseconds.
  */
 public final class SessionTable {
@@ -189,7 +189,7 @@
 
   /**
    * What a peer was the last to tell of does not expire for one expiry time from now: its backends
-   * may call the peer, whose news do not come, until they call another agent.
+   * may call the peer, whose updates do not arrive, until they call another agent.
    */
   public void suspendExpiry(long nowMicros, String peer) {
     for (TrackedSession trackedSession : tracked.values()) {
@@ -222,12 +222,12 @@
     return changeLog.changesAfter(revision);
   }
 
-  /** A session as data planes are told of it, if it is there. */
+  /** A session as published to data planes, if it is there. */
   public Optional<BackendSession> session(String id) {
     return Optional.ofNullable(tracked.get(id)).map(TrackedSession::publishedSession);
   }
 
-  /** All sessions as data planes are told of them. */
+  /** All sessions as published to data planes. */
   public List<BackendSession> sessions() {
     return tracked.values().stream().map(TrackedSession::publishedSession).toList();
   }
@@ -318,7 +318,7 @@
     /** Whether it has come back by a renewal, which does not tell its newest call. */
     private boolean revived;
 
-    /** Address of the peer that told of its newest call; {@link #LOCAL} if the call came here. */
+    /** Address of the peer that reported its newest heartbeat; {@link #LOCAL} if it came here. */
     private String heardFrom;
 
     private TrackedSession(
@@ -337,7 +337,7 @@
     }
 
     /**
-     * As data planes are told of it. They were told that one that has come back was gone, so they
+     * As published to data planes. They were notified that one that has come back was gone, so they
      * take it only with a higher number; its backend has called again since, so that is true.
      */
     private BackendSession publishedSession() {
--- a/src/main/java/slateslip/protocol/Decoded.java
+++ b/src/main/java/slateslip/protocol/Decoded.java
@@ -6,7 +6,7 @@
  * @param <T> kind of message that was looked for
  */
 public sealed interface Decoded<T> {
-  /** A whole message. */
+  /** A complete message. */
   record Message<T>(T value) implements Decoded<T> {}
 
   /**
--- a/src/main/java/slateslip/protocol/peer/OperatorResponseCodec.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorResponseCodec.java
@@ -4,13 +4,13 @@
 import slateslip.distribution.peer.OperatorResponse;
 import slateslip.protocol.Decoded;
 
-/** An answer to the operator by itself, as the replicated state hands it through. */
+/** A response to the operator by itself, as the replicated state hands it through. */
 public final class OperatorResponseCodec {
   private static final long NO_REQUEST_ID = 0;
 
   private OperatorResponseCodec() {}
 
-  /** Bytes of an answer. */
+  /** Bytes of a response. */
   public static byte[] encode(OperatorResponse response) {
     return new ControlPeerCodec()
         .encode(new ControlPeerMessage.ForwardedResponse(NO_REQUEST_ID, response));
--- a/src/main/java/slateslip/routing/quota/QuotaWindow.java
+++ b/src/main/java/slateslip/routing/quota/QuotaWindow.java
@@ -45,7 +45,8 @@
   /**
    * A window in which nothing has been taken.
    *
-   * @param startMicros start of the process: what it took in an earlier life is not known any more
+   * @param startMicros start of the process: what it took in an earlier incarnation is not known
+   *     any more
    */
   QuotaWindow(QuotaBounds bounds, long startMicros) {
     this.bounds = bounds;
--- a/src/main/java/slateslip/settings/SettingsFileWatcher.java
+++ b/src/main/java/slateslip/settings/SettingsFileWatcher.java
@@ -9,8 +9,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Reads the settings file again when it has changed or when it is told to. A file that is not
- * usable changes nothing.
+ * Reads the settings file again when it has changed or on request. A file that is not usable
+ * changes nothing.
  */
 public final class SettingsFileWatcher {
   private static final Logger LOG = Logger.getLogger(SettingsFileWatcher.class);
@@ -23,7 +23,7 @@
   /**
    * A watch that does not look yet.
    *
-   * @param onChange is told new settings, on any thread
+   * @param onChange receives new settings, on any thread
    */
   public SettingsFileWatcher(Path file, Consumer<NodeSettings> onChange) {
     this.file = file;
--- a/src/main/java/slateslip/storage/RecordFormat.java
+++ b/src/main/java/slateslip/storage/RecordFormat.java
@@ -69,7 +69,7 @@
             buffer.getInt(), buffer.get(), buffer.getLong(), buffer.getLong(), buffer.getInt()));
   }
 
-  /** The payload at a position if a whole record of that generation and index is there. */
+  /** The payload at a position if a complete record of that generation and index is there. */
   static Optional<byte[]> payload(StorageFile file, long position, long generation, long index)
       throws IOException {
     Optional<Header> found = header(file, position);
--- a/src/main/java/slateslip/storage/RingStorage.java
+++ b/src/main/java/slateslip/storage/RingStorage.java
@@ -10,7 +10,7 @@
 /**
  * A ring of preallocated files that hold records behind a snapshot. After {@link #open} and after
  * each failure nothing is taken until {@link #beginFile} has succeeded, in another file than the
- * one that holds the newest whole chain; so a torn or failed write never harms what was durable.
+ * one that holds the newest complete chain; so a torn or failed write never harms what was durable.
  */
 public final class RingStorage implements AutoCloseable {
   private static final int PREALLOCATION_CHUNK_BYTES = 256 * 1024;
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Payloads found by {@link #open}: the newest whole snapshot and the records behind it. */
+  /** Payloads found by {@link #open}: the newest complete snapshot and the records behind it. */
   public List<byte[]> recovered() {
     return List.copyOf(recovered);
   }
--- a/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
+++ b/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
@@ -5,9 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/**
- * What peers say of their data planes counts only for the process and the tenure it was said in.
- */
+/** What peers say of their data planes counts only for the process and the term it was said in. */
 class PeerProgressTest {
   private static final String PEER = "10.2.0.1";
   private static final long EPOCH = 4;
--- a/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
+++ b/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who is in reach, by beats both ways. */
+/** Who is in reach, by heartbeats both ways. */
 class ReachabilityTest {
   private static final String SELF = "10.1.0.1";
   private static final String PEER = "10.2.0.1";
--- a/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
+++ b/src/test/java/slateslip/simulation/agents/LaggingReplicaTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.simulation.agents.AgentFault.Kind;
 
-/** Members, guests and data planes that were away for hundreds of changes. */
+/** Members, learner and data planes that were away for hundreds of changes. */
 final class LaggingReplicaTest {
   private static final long SECOND = DirectedRun.SECOND;
   private static final long LONG = 1_000 * SECOND;
