--- a/src/main/java/slateslip/dataplane/DataPlaneMetrics.java
+++ b/src/main/java/slateslip/dataplane/DataPlaneMetrics.java
@@ -5,7 +5,7 @@
   /** Requests read whole. */
   public long requests;
 
-  /** Requests whose client left before its answer was complete. */
+  /** Requests whose client left before its response was complete. */
   public long clientsGone;
 
   /** Answers of the data plane's own. */
@@ -23,7 +23,7 @@
   /** Connections to backends that were dialled. */
   public long dialled;
 
-  /** Attempts that were sent on a kept connection. */
+  /** Attempts that were sent on an idle connection. */
   public long reused;
 
   /** Answers of backends that belonged to no request. */
--- a/src/main/java/slateslip/dataplane/HeaderNames.java
+++ b/src/main/java/slateslip/dataplane/HeaderNames.java
@@ -39,7 +39,7 @@
   /** Parts of the prompt in order. */
   public static final AsciiString PROMPT_PREFIX = AsciiString.cached("X-Prompt-Prefix");
 
-  /** Mark of an answer that a backend made. */
+  /** Mark of a response that a backend made. */
   public static final AsciiString RESPONSE_STAMP = AsciiString.cached("X-Response-Stamp");
 
   /** Says that a backend did not run the request. */
--- a/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
@@ -27,7 +27,7 @@
    */
   private static final int CONNECT_LATE_MILLIS = 60;
 
-  /** A kept connection that breaks so soon after a write was dead before it. */
+  /** An idle connection that breaks so soon after a write was dead before it. */
   private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private final BackendPools pools;
@@ -40,7 +40,7 @@
   private long idledNanos = -1;
   private boolean written;
 
-  /** Whether an answer of its own has begun, maybe before the backend had the whole request. */
+  /** Whether a response of its own has begun, maybe before the backend had the whole request. */
   private boolean responseStarted;
 
   private boolean started;
@@ -172,7 +172,7 @@
             });
   }
 
-  /** The head of an answer of its own has come. */
+  /** The head of a response of its own has come. */
   void responseStarted() {
     responseStarted = true;
   }
@@ -235,7 +235,7 @@
     end(mayHaveRun() ? AttemptOutcome.Kind.TIMEOUT : AttemptOutcome.Kind.NOT_SENT);
   }
 
-  /** The connection has ended under the attempt, or what came is no answer. */
+  /** The connection has ended under the attempt, or what came is no response. */
   void broken() {
     end(mayHaveRun() ? AttemptOutcome.Kind.BROKEN : AttemptOutcome.Kind.NOT_SENT);
   }
--- a/src/main/java/slateslip/dataplane/backend/BackendConnection.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendConnection.java
@@ -11,7 +11,7 @@
 
 /** One connection to a backend; it serves one attempt at a time. */
 final class BackendConnection extends ChannelInitializer<InspectableSocketChannel> {
-  /** Bytes of a status line, and of an answer's headers. */
+  /** Bytes of a status line, and of a response's headers. */
   private static final int MAX_HEAD_BYTES = 16 * 1024;
 
   /** How long one is kept whose backend states no time: it may be under a second. */
--- a/src/main/java/slateslip/dataplane/backend/BackendPool.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPool.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Takes the most recently used connection that is open, silent and not old; null if there is
-   * none.
+   * Takes the most recently used connection that is open, has nothing to read and is not old; null
+   * if there is none.
    */
   BackendConnection take(long learntLimitNanos) {
     while (!idle.isEmpty()) {
--- a/src/main/java/slateslip/dataplane/backend/BackendResponse.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendResponse.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * An answer of a backend.
+ * A response of a backend.
  *
  * @param status as sent
  * @param headers without hop-by-hop ones
--- a/src/main/java/slateslip/dataplane/backend/OutgoingRequest.java
+++ b/src/main/java/slateslip/dataplane/backend/OutgoingRequest.java
@@ -10,7 +10,7 @@
  * @param uri as the client sent it
  * @param headers all but {@code X-Deadline-Ms} and {@code Content-Length}
  * @param body whole body
- * @param attemptId {@code X-Attempt-Id} that the answer has to carry; empty for a probe, whose
+ * @param attemptId {@code X-Attempt-Id} that the response has to carry; empty for a probe, whose
  *     answer carries none
  * @param deadlineMillis what is left when it is handed over; 0 leaves the header out
  * @param firstEventTimeoutMicros until the first event or whole answer; 0 for none
--- a/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
+++ b/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
@@ -22,8 +22,8 @@
 import slateslip.routing.RouterInput.BackendLoad;
 
 /**
- * Turns what arrives on a backend connection into the outcome of its attempt. An answer counts only
- * if it carries the id of the request, and a success only with a stamp and whole.
+ * Turns what arrives on a backend connection into the outcome of its attempt. A response counts
+ * only if it carries the id of the request, and a success only with a stamp and whole.
  */
 final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
   /** Longest answer that is no stream; it is collected whole before it goes on. */
@@ -40,7 +40,7 @@
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private EventSplitter splitter;
 
-  /** The answer that is coming in belongs to an earlier request. */
+  /** The response that is coming in belongs to an earlier request. */
   private boolean surplus;
 
   private int surplusCount;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Takes a part of an answer; false if it can be none of this attempt's. */
+  /** Takes a part of a response; false if it can be none of this attempt's. */
   private boolean read(BackendAttempt attempt, HttpObject part) {
     boolean early = !attempt.isWritten() && attempt.request().attemptId().isEmpty();
     if (part.decoderResult().isFailure() || early) {
@@ -244,7 +244,8 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // before the close: an answer whose length is told by the end of its connection is not whole
+    // before the close: a response whose length is told by the end of its connection is not
+    // complete
     // then
     if (connection.attempt != null) {
       connection.attempt.broken();
--- a/src/main/java/slateslip/dataplane/forwarding/ForwardedRequest.java
+++ b/src/main/java/slateslip/dataplane/forwarding/ForwardedRequest.java
@@ -7,7 +7,7 @@
 import slateslip.dataplane.ingress.ClientExchange;
 import slateslip.dataplane.ingress.ClientRequest;
 
-/** A request that is under way: its answer is owed, or an attempt of it has not ended. */
+/** A request that is under way: its response is owed, or an attempt of it has not ended. */
 final class ForwardedRequest {
   /** Of {@link #lastEventId} while no event was passed on. */
   static final long NO_EVENT = -1;
--- a/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
@@ -41,9 +41,9 @@
     READING_HEAD,
     /** A body has begun to come. */
     READING_BODY,
-    /** An answer is owed, or waits to be. */
+    /** A response is owed, or waits to be. */
     ANSWERING,
-    /** The last answer is being written or read. */
+    /** The last response is being written or read. */
     CLOSING
   }
 
@@ -51,7 +51,7 @@
   private static final int MAX_PIPELINED = 16;
 
   /**
-   * How long a connection with unread bytes is kept after its last answer, so that no reset
+   * How long a connection with unread bytes is kept after its last response, so that no reset
    * overtakes it.
    */
   private static final long LINGER_MILLIS = 500;
@@ -265,7 +265,7 @@
     }
   }
 
-  /** After the last byte of an answer has been written to the channel. */
+  /** After the last byte of a response has been written to the channel. */
   void finish(ClientExchange exchange, ChannelFuture written, boolean last) {
     if (current != exchange) {
       return;
--- a/src/main/java/slateslip/dataplane/ingress/ClientExchange.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientExchange.java
@@ -16,7 +16,7 @@
 import slateslip.dataplane.HeaderNames;
 
 /**
- * One request and the answer that it is owed. What comes after the end, or after the client left,
+ * One request and the response that it is owed. What comes after the end, or after the client left,
  * is dropped.
  */
 public final class ClientExchange {
@@ -38,13 +38,14 @@
     this.headOnly = headOnly;
   }
 
-  /** Whether a part of the answer has been written. */
+  /** Whether a part of the response has been written. */
   public boolean isStarted() {
     return started;
   }
 
   /**
-   * Whether nothing more can be written: the answer is complete, broken off, or the client is gone.
+   * Whether nothing more can be written: the response is complete, broken off, or the client is
+   * gone.
    */
   public boolean isEnded() {
     return ended || !connection.owes(this);
@@ -56,7 +57,7 @@
   }
 
   /**
-   * Gives an answer of the data plane's own, without a body.
+   * Gives a response of the data plane's own, without a body.
    *
    * @param retryAfterMicros what {@code Retry-After} says; 0 leaves it out
    */
@@ -145,7 +146,7 @@
     connection.finish(this, written, last);
   }
 
-  /** Ends the connection, so that what was sent of the answer cannot look complete. */
+  /** Ends the connection, so that what was sent of the response cannot look complete. */
   public void breakOff() {
     if (!isEnded()) {
       ended = true;
--- a/src/main/java/slateslip/dataplane/ingress/IngressListener.java
+++ b/src/main/java/slateslip/dataplane/ingress/IngressListener.java
@@ -2,10 +2,10 @@
 
 /** What is told of client connections; all on the event loop. */
 public interface IngressListener {
-  /** A whole request has been read; one answer is owed through its exchange. */
+  /** A complete request has been read; one answer is owed through its exchange. */
   void requestArrived(ClientRequest request, ClientExchange exchange);
 
-  /** The client closed its connection before its answer was complete. */
+  /** The client closed its connection before its response was complete. */
   void clientGone(ClientExchange exchange);
 
   /** The client has read on: more may be written. */
--- a/src/main/java/slateslip/dataplane/stream/EventSplitter.java
+++ b/src/main/java/slateslip/dataplane/stream/EventSplitter.java
@@ -7,7 +7,7 @@
 import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
- * Cuts the bytes of a {@code text/event-stream} into whole events; keeps back what is not whole.
+ * Cuts the bytes of a {@code text/event-stream} into whole events; keeps back what is not complete.
  */
 public final class EventSplitter {
   /** Longest event; a stream with a longer one is broken. */
@@ -46,7 +46,7 @@
     return true;
   }
 
-  /** Whether bytes of an event that is not whole are kept back. */
+  /** Whether bytes of an event that is not complete are kept back. */
   public boolean hasPartialEvent() {
     return length > 0;
   }
--- a/src/main/java/slateslip/dataplane/subscription/Subscription.java
+++ b/src/main/java/slateslip/dataplane/subscription/Subscription.java
@@ -43,7 +43,7 @@
 
   /**
    * Two ticks that are further apart mean that this process was held up, not that its peers were
-   * silent.
+   * unresponsive.
    */
   private static final long STALL_THRESHOLD_MILLIS = 300;
 
@@ -376,7 +376,8 @@
       apply(document.committedPatch(patch.patch()));
       acknowledge(stream);
     } else {
-      subscribe(stream, stream == active); // says which version is here, so that a whole one comes
+      subscribe(
+          stream, stream == active); // says which version is here, so that a complete one comes
     }
   }
 
--- a/src/main/java/slateslip/experiment/ResultPlot.java
+++ b/src/main/java/slateslip/experiment/ResultPlot.java
@@ -11,7 +11,7 @@
 
 /**
  * Draws results as one SVG: for each class a panel with the quantiles of the time to the first
- * event, of the longest pause, and bars for kept parts and refusals.
+ * event, of the longest pause, and bars for cached parts and refusals.
  */
 final class ResultPlot {
   private static final int PANEL_WIDTH = 300;
--- a/src/main/java/slateslip/experiment/ResultTable.java
+++ b/src/main/java/slateslip/experiment/ResultTable.java
@@ -14,7 +14,7 @@
 
   private ResultTable() {}
 
-  /** The whole table, in Markdown. */
+  /** The full table, in Markdown. */
   static String format(List<VariantResult> results) {
     StringBuilder table = new StringBuilder(HEAD);
     for (VariantResult result : results) {
--- a/src/main/java/slateslip/experiment/policy/KnownBackend.java
+++ b/src/main/java/slateslip/experiment/policy/KnownBackend.java
@@ -39,7 +39,7 @@
     return waiting;
   }
 
-  /** Requests running or waiting there, by its last answer and by the own attempts. */
+  /** Requests running or waiting there, by its last response and by the own attempts. */
   int busy() {
     return Math.max(inFlight, load == null ? 0 : load.running() + load.waiting());
   }
--- a/src/main/java/slateslip/experiment/policy/PlacementPolicy.java
+++ b/src/main/java/slateslip/experiment/policy/PlacementPolicy.java
@@ -13,8 +13,8 @@
  *     because the other data planes send them there too
  * @param pendingWeight weight of the time that it takes to read the own attempts there that have
  *     not begun their answers
- * @param waitingMillis cost of each own attempt there that has not begun its answer
- * @param runningMillis cost of each request running or waiting there, by its last answer
+ * @param waitingMillis cost of each own attempt there that has not begun its response
+ * @param runningMillis cost of each request running or waiting there, by its last response
  * @param limitFactor a choice is passed over if it has more own attempts than this many times the
  *     mean, plus one; 0 for no bound
  */
--- a/src/main/java/slateslip/experiment/policy/PolicyRouter.java
+++ b/src/main/java/slateslip/experiment/policy/PolicyRouter.java
@@ -277,7 +277,7 @@
     outputs.add(new RouterOutput.CancelAttempt(request.id, request.attempts - 1));
   }
 
-  /** A request that is owed an answer. */
+  /** A request that is owed a response. */
   private static final class Open {
     private final long id;
     private final RequestAttributes attributes;
--- a/src/main/java/slateslip/loadbalancer/Admission.java
+++ b/src/main/java/slateslip/loadbalancer/Admission.java
@@ -32,7 +32,7 @@
   private static final double MIN_TOTAL_LIMIT = 6;
 
   /**
-   * An answer slower than this many times the unhurried time says that the server has too much in
+   * A response slower than this many times the unhurried time says that the server has too much in
    * hand.
    */
   private static final double SLOW_MULTIPLE = 1.45;
@@ -44,7 +44,7 @@
    */
   private static final double SLOW_TIMEOUT_FRACTION = 0.65;
 
-  /** To a light agent an answer within this part of the aim is never slow. */
+  /** To a light agent a response within this part of the aim is never slow. */
   private static final double FAST_TARGET_FRACTION = 0.4;
 
   /**
@@ -113,7 +113,8 @@
         && (outcome != Outcome.TIMEOUT || now - elapsed > target.respondedAt)) {
       // Danger: a server that fails at once always has the fewest in flight and would draw
       // everything;
-      // and of many agents none sends a silent server enough to fill the window. But one failure of
+      // and of many agents none sends an unresponsive server enough to fill the window. But one
+      // failure of
       // another kind between answers is no reason: with one in ten half the servers would rest.
       int previousFailures =
           outcome == Outcome.TIMEOUT ? target.consecutiveFailures : target.consecutiveFailures - 1;
@@ -153,7 +154,7 @@
   }
 
   /**
-   * Whether an answer was slow for its class and its server's nature. Danger: where the aim leaves
+   * Whether a response was slow for its class and its server's nature. Danger: where the aim leaves
    * room for many times the work, a short queue does no harm, and to pause for it leaves servers
    * idle; so does holding small machines to the pace of the large ones. Danger: a light agent sees
    * the few answers of one class for so long that it takes a jam for their usual time; all classes
--- a/src/main/java/slateslip/loadbalancer/ClassPriorities.java
+++ b/src/main/java/slateslip/loadbalancer/ClassPriorities.java
@@ -1,6 +1,6 @@
 package slateslip.loadbalancer;
 
-/** Which class of requests goes first where room is short. */
+/** Which class of requests goes first where capacity is short. */
 final class ClassPriorities {
   private static final long SECOND = 1_000_000;
 
--- a/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -77,7 +77,7 @@
     long latencyTarget =
         type.latencyTarget() + (long) (type.latencyTargetPerCost() * request.cost());
     long elapsed = state.elapsedBeforeArrival(request, now, agent.settings.tick());
-    // Danger: work for an answer already too late. Where that is only reckoned, not marked, such a
+    // Danger: work for a response already too late. Where that is only reckoned, not marked, such a
     // request is still served while nobody waits: a client may be hasty by nature.
     boolean alreadyLate =
         elapsed > 0
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Sends a request if its history permits and a server has room. */
+  /** Sends a request if its history permits and a server has capacity. */
   private boolean dispatch(PendingRequest pendingRequest, long now) {
     if (pendingRequest.attempts.size() >= agent.settings.permits().maxAttempts()
         || now >= pendingRequest.endAt) {
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Sends what was held for want of room, the newest of each class first. Danger: oldest first, in
-   * a long queue each is sent when it is just too late, and the servers work for nobody.
+   * Sends what was held for lack of capacity, the newest of each class first. Danger: oldest first,
+   * in a long queue each is sent when it is just too late, and the servers work for nobody.
    */
   private void dispatchQueued(long now) {
     for (RequestClassState state : classes.byPriority()) {
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Whether an answer would come too late to be worth the work. */
+  /** Whether a response would come too late to be worth the work. */
   private boolean cannotFinishInTime(PendingRequest pendingRequest, long now) {
     return now + (long) pendingRequest.state.latencies.value() > pendingRequest.endAt;
   }
--- a/src/main/java/slateslip/loadbalancer/DiscoveryPoller.java
+++ b/src/main/java/slateslip/loadbalancer/DiscoveryPoller.java
@@ -11,7 +11,7 @@
    */
   private static final long MAX_DOUBLE_DELAY = 5 * SECOND;
 
-  /** And each at the least: a discovery that turns calls away is not to be flooded with more. */
+  /** And each at the least: a discovery that rejects calls is not to be flooded with more. */
   private static final long MIN_POLL_DELAY = SECOND / 2;
 
   /**
@@ -39,7 +39,7 @@
 
   /**
    * Discovery could not be reached. Danger: waits that grow leave an old list in use; equal ones
-   * keep the agents in step, and those who were turned away together are turned away again.
+   * keep the agents in step, and those who were rejected together are rejected again.
    */
   void retryLater() {
     pollDelay =
--- a/src/main/java/slateslip/loadbalancer/Endpoint.java
+++ b/src/main/java/slateslip/loadbalancer/Endpoint.java
@@ -33,7 +33,7 @@
   /** When that was last measured. */
   long slowdownAt;
 
-  /** A quantile of its answer times, each as a multiple of its class's lowest. */
+  /** A quantile of its response times, each as a multiple of its class's lowest. */
   final QuantileEstimator slownessQuantile = new QuantileEstimator(LatencyTracker.QUANTILE);
 
   /** When it last answered. */
@@ -55,7 +55,7 @@
   double warmupSpent;
   long warmupUpdatedAt;
 
-  /** A broken connection or a dead probe was seen and no answer since. */
+  /** A broken connection or a dead probe was seen and no response since. */
   boolean suspectedRestart;
 
   /** When that was first seen. */
--- a/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
@@ -15,7 +15,8 @@
   private static final long SECOND = 1_000_000;
 
   /**
-   * Between two probes of a server, by all that share it: a silent one is found for a small price.
+   * Between two probes of a server, by all that share it: an unresponsive one is found for a small
+   * price.
    */
   private static final long PROBE_INTERVAL = SECOND;
 
--- a/src/main/java/slateslip/loadbalancer/EndpointSelector.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointSelector.java
@@ -113,7 +113,7 @@
     return (long) ((req.endAt - req.arrivedAt) * Math.min(1, agent.settings.prices().crossZone()));
   }
 
-  /** The two-draw pick among servers with room; where: 1 own zone, 0 other zones, -1 all. */
+  /** The two-draw pick among servers with capacity; where: 1 own zone, 0 other zones, -1 all. */
   private Endpoint selectAmong(PendingRequest req, long now, boolean onlyHealthy, int zoneFilter) {
     candidates.clear();
     double capacity = 0;
--- a/src/main/java/slateslip/loadbalancer/LatencyTracker.java
+++ b/src/main/java/slateslip/loadbalancer/LatencyTracker.java
@@ -37,13 +37,13 @@
   /** By kind of server, what {@link ListedEndpoint#slowdown} is for one. */
   private final Map<Integer, Double> slowdownByKind = new HashMap<>();
 
-  /** The answer times of a class, or of all where it has been seen too seldom. */
+  /** The response times of a class, or of all where it has been seen too seldom. */
   QuantileEstimator of(RequestClassState state) {
     return state.latencies.known() ? state.latencies : allLatencies;
   }
 
   /**
-   * An answer's time, against the class's and in part the request's own cost, for a hint may be
+   * A response's time, against the class's and in part the request's own cost, for a hint may be
    * rough.
    */
   void recordLatency(PendingRequest req, Endpoint target, long elapsed, long now) {
--- a/src/main/java/slateslip/loadbalancer/LoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/LoadBalancer.java
@@ -60,7 +60,7 @@
     ERROR(false),
     /** Turned away unseen. */
     FULL(true),
-    /** No answer in the time given. */
+    /** No response in the time given. */
     TIMEOUT(false),
     /** No connection. */
     CONNECT_FAILED(true),
@@ -106,11 +106,11 @@
   /**
    * A class of requests.
    *
-   * @param latencyTarget an answer within this time of the request's arrival has its full worth
+   * @param latencyTarget a response within this time of the request's arrival has its full worth
    * @param latencyTargetPerCost the aim grows by this multiple of the request's own cost
    * @param timeout how long a client waits in all
    * @param window how long the group drops repeats of a keyed request, from its first send
-   * @param value what an answer in time is worth
+   * @param value what a response in time is worth
    * @param lateValueFraction the part of the worth that a late answer still has
    * @param streaming whether answers arrive in parts
    */
@@ -141,7 +141,7 @@
       boolean messages,
       long maxRetryAfter) {}
 
-  /** What the rules on draining and on cold servers say. */
+  /** What the rules on draining and on servers that are warming up say. */
   record Obligations(
       long responseSlack,
       long drainGrace,
@@ -188,8 +188,8 @@
       long id, int zone, int cell, int kind, Phase phase, double weight, long startedAt) {}
 
   /**
-   * A client's request. Key and cost are 0 if unknown; {@code deadline} is when this try is given
-   * up.
+   * A client's request. Key and cost are 0 if unknown; {@code deadline} is when this attempt is
+   * given up.
    */
   record Request(
       long id,
@@ -281,9 +281,9 @@
 
   /**
    * Other settings are in force from now on. What has been learnt of servers and classes stays with
-   * them, and so do deadlines, timers and what is saved up for retries and cold servers; an open
-   * request goes on as it was taken, but is sent again only where the old and the new settings both
-   * permit it. For all else the new settings hold for what comes after.
+   * them, and so do deadlines, timers and what is saved up for retries and servers that are warming
+   * up; an open request goes on as it was taken, but is sent again only where the old and the new
+   * settings both permit it. For all else the new settings hold for what comes after.
    *
    * @param now the time
    * @param next settings of the same agent in the same zone
@@ -308,7 +308,7 @@
   void request(long now, Request request);
 
   /**
-   * The answer to a streamed request has begun; no deadline applies any more.
+   * The response to a streamed request has begun; no deadline applies any more.
    *
    * @param now the time
    * @param request its id
--- a/src/main/java/slateslip/loadbalancer/QueueReport.java
+++ b/src/main/java/slateslip/loadbalancer/QueueReport.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.function.Predicate;
 
-/** Tells on-call staff, now and then, what stands between the requests held and the servers. */
+/** Tells on-call staff, now and then, what stands between the requests queued and the servers. */
 final class QueueReport {
   /** How often it is told why requests wait, in microseconds. */
   private static final long PERIOD = 5_000_000;
@@ -22,7 +22,7 @@
   /**
    * The line for the log.
    *
-   * @param queued requests held for want of room
+   * @param queued requests queued for lack of capacity
    * @param available whether a server may get requests by its health
    */
   static String line(
--- a/src/main/java/slateslip/loadbalancer/RequestClassState.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClassState.java
@@ -7,7 +7,7 @@
 
 /** What one agent knows of one class of requests. State only; others decide. */
 final class RequestClassState {
-  /** Ticks by which the time that first tries bring may differ. */
+  /** Ticks by which the time that first attempts bring may differ. */
   private static final int SAME_TICKS = 4;
 
   /** Votes for that time at the most; half of them make it sure. */
@@ -16,7 +16,7 @@
   /** As the settings in force have it; requests that are open go by {@link PendingRequest#type}. */
   RequestClass type;
 
-  /** Its requests that wait in this agent for want of room. */
+  /** Its requests that wait in this agent for lack of capacity. */
   final Deque<PendingRequest> queued = new ArrayDeque<>();
 
   /** Requests come and requests served, as counts that fade. */
@@ -32,13 +32,13 @@
   /** The mean of its requests' cost hints. */
   double meanCost;
 
-  /** A quantile of its answer times. */
+  /** A quantile of its response times. */
   final QuantileEstimator latencies;
 
   /** How long a request unserved here had waited: what a client's repeat has behind it. */
   double unservedWait;
 
-  /** The time that most requests bring, a first try's, by a running majority vote. */
+  /** The time that most requests bring, a first attempt's, by a running majority vote. */
   private long typicalTimeLeft;
 
   private int typicalTimeVotes;
@@ -59,7 +59,7 @@
 
   /**
    * What a client's repeat has behind it. First tries of a class all bring the same time; a request
-   * that brings another is a repeat, and what it lacks of the time for all tries is spent.
+   * that brings another is a repeat, and what it lacks of the time for all attempts is spent.
    */
   long elapsedBeforeArrival(Request request, long now, long tick) {
     long timeLeft = request.deadline() - now;
--- a/src/main/java/slateslip/loadbalancer/RequestClasses.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClasses.java
@@ -29,7 +29,7 @@
     return byPriority;
   }
 
-  /** Whether requests are held for want of room. */
+  /** Whether requests are held for lack of capacity. */
   boolean hasQueued() {
     return byPriority.stream().anyMatch(state -> !state.queued.isEmpty());
   }
--- a/src/main/java/slateslip/loadbalancer/RetryAfterAdvice.java
+++ b/src/main/java/slateslip/loadbalancer/RetryAfterAdvice.java
@@ -13,9 +13,10 @@
   }
 
   /**
-   * When a refused client should come back: once those that wait now have had room, as answers come
-   * now, and not before one answer's time; nobody is told to wait longer than a client would for
-   * all tries. Danger: a time that is only long keeps clients away from servers that have room.
+   * When a refused client should come back: once those that wait now have been sent, as answers
+   * come now, and not before one answer's time; nobody is told to wait longer than a client would
+   * for all attempts. Danger: a time that is only long keeps clients away from servers that have
+   * capacity.
    */
   long micros(PendingRequest pendingRequest, long now) {
     long permitted = agent.settings.permits().maxRetryAfter();
--- a/src/main/java/slateslip/loadbalancer/SlowStart.java
+++ b/src/main/java/slateslip/loadbalancer/SlowStart.java
@@ -39,8 +39,8 @@
   /**
    * First answer after a break: it may have restarted, whatever the list says; treat it as cold.
    * Danger: a network that resets connections now and then makes every server cold, over and over,
-   * and the requests of all are turned away; a process does not come back within the time of one
-   * more try.
+   * and the requests of all are rejected; a process does not come back within the time of one more
+   * try.
    */
   void responseReceived(Endpoint target, long now) {
     if (target.suspectedRestart) {
@@ -66,13 +66,13 @@
     target.warmupStart = since;
     target.warmupEnd = until;
     target.warmupGranted =
-        agent.random.nextDouble(); // a whole one each: a thousand agents send a thousand
+        agent.random.nextDouble(); // one full request each: a thousand agents send a thousand
     target.warmupSpent = 0;
     target.warmupUpdatedAt = now;
     agent.servers.log(target, "cold: " + why);
   }
 
-  /** The part of its capacity that a cold server has at the least. */
+  /** The part of its capacity that a server that is warming up has at the least. */
   private double warmFraction(Endpoint target, long now) {
     Obligations rule = agent.settings.obligations();
     double share = Math.max(0, (double) (now - target.warmupStart) / rule.warmupTime());
@@ -87,12 +87,12 @@
   }
 
   /**
-   * Requests this agent may send to a cold server now. Danger: all agents together push it over.
-   * Each keeps to what it gets answered by a warm server, times the part that is surely warm.
-   * Danger: agents that could not use it for some seconds hold one each, however many they are, and
-   * all turn to it in the same moment. So what is not used is lost in time: all together hold no
-   * more than what the rule leaves beside the requests of one window, and half of what it puts down
-   * to chance.
+   * Requests this agent may send to a server that is warming up now. Danger: all agents together
+   * push it over. Each keeps to what it gets answered by a warm server, times the part that is
+   * surely warm. Danger: agents that could not use it for some seconds hold one each, however many
+   * they are, and all turn to it in the same moment. So what is not used is lost in time: all
+   * together hold no more than what the rule leaves beside the requests of one window, and half of
+   * what it puts down to chance.
    */
   double availableRequests(Endpoint target, long now) {
     Obligations rule = agent.settings.obligations();
--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -29,7 +29,7 @@
  * actions become bytes. One event loop thread owns the sockets, the timers and the module.
  */
 public final class Agent implements LoadBalancer.Actions {
-  /** Of the client's time, what the answer's way back and a late wake-up may take. */
+  /** Of the client's time, what the response's way back and a late wake-up may take. */
   private static final long MARGIN_MICROS = 10_000;
 
   /** Of that, what the module has before the guard takes its last moment for a fault. */
--- a/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
@@ -212,8 +212,8 @@
 
   /**
    * Reads the file of an agent that runs, but for the known list: it matters at the start alone,
-   * and may be by far the largest part. What is not whole is unusable, also where something follows
-   * its end: a shorter file may have been written over a longer one.
+   * and may be by far the largest part. What is not complete is unusable, also where something
+   * follows its end: a shorter file may have been written over a longer one.
    */
   static JsonNode readAgain(Path file) {
     try (InputStream from = Files.newInputStream(file);
--- a/src/main/java/slateslip/loadbalancer/net/AgentShutdown.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentShutdown.java
@@ -54,7 +54,7 @@
    * Not asked for yet.
    *
    * @param longestTimeoutMillis of all classes of requests in force
-   * @param openRequests how many are owed an answer
+   * @param openRequests how many are owed a response
    * @param timeOutRequests answers all of these
    * @param closeAll closes what is left once no client is connected, and calls {@link #ended}
    */
--- a/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
@@ -32,9 +32,9 @@
   private static final long SWEEP_SECONDS = 1;
 
   /**
-   * A connection rests for this long after an answer. Guards against a second copy or noise right
-   * behind the answer, which would be taken for the answer of the next request: it shows in that
-   * time.
+   * A connection rests for this long after a response. Guards against a second copy or noise right
+   * behind the response, which would be taken for the response of the next request: it shows in
+   * that time.
    */
   private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
@@ -173,7 +173,10 @@
     return connections < maxConnections;
   }
 
-  /** Takes the most recently used connection that has rested and was silent meanwhile, or none. */
+  /**
+   * Takes the most recently used connection that has rested and had nothing to read meanwhile, or
+   * none.
+   */
   BackendConnection takeReusable(BackendPool pool) {
     for (BackendConnection each : List.copyOf(pool.idle)) {
       if (System.nanoTime() - each.idleSince() >= pool.reuseDelayNanos) {
--- a/src/main/java/slateslip/loadbalancer/net/BackendResponseHandler.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendResponseHandler.java
@@ -33,7 +33,8 @@
   private final StrictHttpDecoders.Responses decoder;
 
   /**
-   * The answer that is coming in, or null; one with a status of 1xx goes ahead of the one awaited.
+   * The response that is coming in, or null; one with a status of 1xx goes ahead of the one
+   * awaited.
    */
   private HttpResponse head;
 
@@ -52,7 +53,7 @@
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     BackendAttempt attempt = connection.attempt();
     if (attempt == null) {
-      ctx.close(); // an answer to nothing
+      ctx.close(); // a response to nothing
       return;
     }
     String fault = faultOf(attempt, part);
@@ -68,13 +69,13 @@
     }
   }
 
-  /** Takes a part of an answer; says what is wrong with it, or null. */
+  /** Takes a part of a response; says what is wrong with it, or null. */
   private String faultOf(BackendAttempt attempt, HttpObject part) {
     if (part.decoderResult().isFailure()) {
       return "unreadable: " + part.decoderResult().cause().getMessage();
     }
     if (!attempt.isWritten()) {
-      return "early"; // before the request has left whole it cannot be an answer to it
+      return "early"; // before the request has left whole it cannot be a response to it
     }
     if (part instanceof HttpResponse first && !beginResponse(first)) {
       return "status "
@@ -85,7 +86,7 @@
     return part instanceof HttpContent content && !addBody(content) ? "too long" : null;
   }
 
-  /** Takes the head of an answer; false if it cannot end well. */
+  /** Takes the head of a response; false if it cannot end well. */
   private boolean beginResponse(HttpResponse first) {
     head = first;
     int status = first.status().code();
@@ -146,7 +147,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    // Guards against a body cut short that passes for a whole one: with no length given the end
+    // Guards against a body cut short that passes for a complete one: with no length given the end
     // of
     // its connection ends it, and a reset is no such end.
     if (connection.attempt() != null) {
--- a/src/main/java/slateslip/loadbalancer/net/ClientConnection.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientConnection.java
@@ -43,10 +43,10 @@
   private final StrictHttpDecoders.Requests decoder;
   private final Deque<ParsedRequest> pipelined = new ArrayDeque<>();
 
-  /** The exchange that is owed an answer, or null. */
+  /** The exchange that is owed a response, or null. */
   private ClientExchange current;
 
-  /** The set that tells what it is at, while it is owed no answer, and since when. */
+  /** The set that tells what it is at, while it is owed no response, and since when. */
   private Set<ClientConnection> phaseSet;
 
   private long phaseSinceNanos;
@@ -83,7 +83,7 @@
     return channel;
   }
 
-  /** Whether this exchange is the one that is owed an answer. */
+  /** Whether this exchange is the one that is owed a response. */
   boolean owes(ClientExchange exchange) {
     return current == exchange;
   }
@@ -225,7 +225,8 @@
 
   /**
    * What came is no request. Guards against answering it out of turn, where the client would take
-   * the error for the answer to what it asked before, and against reading on what nobody will use.
+   * the error for the response to what it asked before, and against reading on what nobody will
+   * use.
    */
   void reject(HttpResponseStatus error) {
     readingStopped = true;
@@ -301,13 +302,15 @@
         server.listener().request(request, exchange);
       }
     } catch (RuntimeException e) {
-      // Guards against a fault here that would leave the client without its answer.
+      // Guards against a fault here that would leave the client without its response.
       Agent.say("request failed: " + e);
       exchange.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     }
   }
 
-  /** After an answer: the connection ends or is in no use, or what was asked in advance is next. */
+  /**
+   * After a response: the connection ends or is in no use, or what was asked in advance is next.
+   */
   void responded(ClientExchange exchange, ChannelFuture written, boolean last) {
     current = null;
     heldBodyBytes -= exchange.bodyBytes();
@@ -317,7 +320,7 @@
       readingStopped = true;
       clearPipelined();
       move(connections.writingLastResponse);
-      // Guards against a reset for what was not read, which would overtake the answer.
+      // Guards against a reset for what was not read, which would overtake the response.
       written.addListener(unread ? done -> linger() : ChannelFutureListener.CLOSE);
     } else {
       // Guards against the end, or want of room, closing it between this and what is taken next.
--- a/src/main/java/slateslip/loadbalancer/net/ClientConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientConnections.java
@@ -29,7 +29,9 @@
    */
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** How long one that has had an answer is kept while there is room, and while there is little. */
+  /**
+   * How long one that has had a response is kept while there is room, and while there is little.
+   */
   private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   private static final long MIN_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -37,7 +39,9 @@
   /** How long a new connection may say nothing at the least: its first request is on the way. */
   static final long MIN_FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** How long one that ends may take until its last answer is written, and then over reading it. */
+  /**
+   * How long one that ends may take until its last response is written, and then over reading it.
+   */
   private static final long RESPONSE_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -63,13 +67,13 @@
   /** Half a request sent. */
   final Set<ClientConnection> readingRequest = new LinkedHashSet<>();
 
-  /** Kept after an answer. */
+  /** Kept after a response. */
   final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Its last answer is being written. */
+  /** Its last response is being written. */
   final Set<ClientConnection> writingLastResponse = new LinkedHashSet<>();
 
-  /** Its last answer is being read. */
+  /** Its last response is being read. */
   final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   private long bufferedBodyBytes;
@@ -152,9 +156,9 @@
 
   /**
    * Keeps the connections under the limit on sockets. Guards against running out of descriptors,
-   * which would end the agent, and against silent or forgotten connections shutting the others out:
-   * they make room, the longest silent first. While none can go none is accepted: one in use must
-   * not be closed unannounced, for its next request may be on the way.
+   * which would end the agent, and against idle or forgotten connections shutting the others out:
+   * they make room, the longest idle first. While none can go none is accepted: one in use must not
+   * be closed unannounced, for its next request may be on the way.
    */
   void enforceLimit() {
     long now = nanoClock.getAsLong();
@@ -193,8 +197,8 @@
   }
 
   /**
-   * Whether room gets scarce: clients that keep their connections without need then have to dial
-   * again.
+   * Whether capacity gets scarce: clients that keep their connections without need then have to
+   * dial again.
    */
   boolean underPressure() {
     return connections.size() >= PRESSURE_FRACTION * maxConnections;
--- a/src/main/java/slateslip/loadbalancer/net/ClientExchange.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientExchange.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** One request and the answer it is owed. */
+/** One request and the response it is owed. */
 final class ClientExchange {
   private static final String SETTINGS_VERSION = "Settings-Version";
   private static final double MICROS_PER_SECOND = 1e6;
--- a/src/main/java/slateslip/loadbalancer/net/ClientServer.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientServer.java
@@ -20,7 +20,7 @@
 
 /**
  * The application's side: requests in, final answers out. Each exchange is answered once; what is
- * asked in advance on a connection waits for the answer before it. What is no request as the
+ * asked in advance on a connection waits for the response before it. What is no request as the
  * protocol has it is answered with an error in its turn, and its connection ends. All of it runs on
  * the agent's event loop.
  */
--- a/src/main/java/slateslip/loadbalancer/net/Discovery.java
+++ b/src/main/java/slateslip/loadbalancer/net/Discovery.java
@@ -57,16 +57,16 @@
   public record Listing(long index, boolean snapshot, List<ListedEndpoint> endpoints) {}
 
   /**
-   * How long a watch waits for news. A change that a silent one misses counts as told 6 s after it:
-   * this, with the time to find out and the module's wait if the next call is refused, has to fit
-   * into that.
+   * How long a watch waits for news. A change that an unresponsive one misses counts as told 6 s
+   * after it: this, with the time to find out and the module's wait if the next call is refused,
+   * has to fit into that.
    */
   static final long WATCH_TIMEOUT_MS = 3_000;
 
   /** How long a call for the whole list may take. */
   private static final long RESPONSE_TIMEOUT_MS = 2_000;
 
-  /** How much longer than its wait a watch may take before it has fallen silent. */
+  /** How much longer than its wait a watch may take before it has timed out. */
   static final long INACTIVITY_TIMEOUT_MS = 500;
 
   private static final long MIN_BACKOFF_MS = 50;
@@ -141,7 +141,7 @@
   /**
    * Tells which list is held, so that the first call is a watch for what is newer. Guards against
    * two calls of each agent where one will do: those of agents that start together fill discovery's
-   * queue, and most are turned away.
+   * queue, and most are rejected.
    */
   public void holds(Listing known) {
     index = known.endpoints().isEmpty() ? -1 : known.index();
@@ -260,7 +260,7 @@
   }
 
   /**
-   * A watch has fallen silent: it is opened anew on another connection, at once and without asking
+   * A watch has timed out: it is opened anew on another connection, at once and without asking
    * when. Guards against the wait after a failed call, which would leave the agent with an old list
    * for too long.
    */
--- a/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
+++ b/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A socket that can be asked whether its peer has been silent. */
+/** A socket that can be asked whether its peer has been unresponsive. */
 public class InspectableSocketChannel extends NioSocketChannel {
   /** One that is not connected yet. */
   public InspectableSocketChannel() {}
--- a/src/main/java/slateslip/loadbalancer/net/LoadReport.java
+++ b/src/main/java/slateslip/loadbalancer/net/LoadReport.java
@@ -32,7 +32,9 @@
 
   private LoadReport() {}
 
-  /** The load report of an answer, in the order of the settings' fields; empty if there is none. */
+  /**
+   * The load report of a response, in the order of the settings' fields; empty if there is none.
+   */
   static double[] of(AgentConfig config, String uri, HttpHeaders headers, byte[] body) {
     String text = headers.get("Server-Load");
     if (text == null && uri.equals("/load")) {
--- a/src/main/java/slateslip/loadbalancer/net/RequestParser.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestParser.java
@@ -80,7 +80,7 @@
 
   /**
    * The request as the agent takes it, or null if it is not as the protocol has it. Guards against
-   * passing on what a server would turn away, or would close a connection for on which more is
+   * passing on what a server would reject, or would close a connection for on which more is
    * waiting.
    */
   static IncomingRequest parse(AgentConfig config, HttpRequest request) {
--- a/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
@@ -61,7 +61,7 @@
     unsent += attempts == 0 && disposition != Disposition.LEFT ? 1 : 0;
   }
 
-  /** The module has left a request without an answer until its last moment. */
+  /** The module has left a request without a response until its last moment. */
   void givenUp() {
     givenUp++;
   }
@@ -112,7 +112,7 @@
     immediateResets += immediate ? 1 : 0;
   }
 
-  /** An answer was not one as the protocol has it; its attempt counts among the resets. */
+  /** A response was not one as the protocol has it; its attempt counts among the resets. */
   void recordMalformed(String why) {
     malformed++;
     malformedReasons.merge(
--- a/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
+++ b/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
@@ -156,7 +156,7 @@
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
         throws Exception {
       if (atStart && in.isReadable()) {
-        if (in.getByte(in.readerIndex()) != 'H') { // Guards against noise before an answer.
+        if (in.getByte(in.readerIndex()) != 'H') { // Guards against noise before a response.
           in.skipBytes(in.readableBytes());
           ctx.close();
           return;
--- a/src/main/java/slateslip/routing/Admission.java
+++ b/src/main/java/slateslip/routing/Admission.java
@@ -15,7 +15,7 @@
 
   private static final long MAX_QUOTA_WAIT_MICROS = 2_000_000;
 
-  /** The outcome: a request to be served, or the answer that ends it. */
+  /** The outcome: a request to be served, or the response that ends it. */
   sealed interface Verdict {
     /** To be served. */
     record Admitted(PendingRequest request) implements Verdict {}
--- a/src/main/java/slateslip/routing/Attempt.java
+++ b/src/main/java/slateslip/routing/Attempt.java
@@ -31,7 +31,7 @@
     return choice.firstMicros();
   }
 
-  /** Whether its answer has begun. */
+  /** Whether its response has begun. */
   boolean started() {
     return started;
   }
--- a/src/main/java/slateslip/routing/Dispatcher.java
+++ b/src/main/java/slateslip/routing/Dispatcher.java
@@ -21,7 +21,8 @@
   private static final long MICROS_PER_MILLI = 1_000;
 
   /**
-   * A stream is silent for too long after so many of its longest pauses, and this time at least.
+   * A stream is unresponsive for too long after so many of its longest pauses, and this time at
+   * least.
    */
   private static final long IDLE_TIMEOUT_GAPS = 4;
 
--- a/src/main/java/slateslip/routing/FleetRouter.java
+++ b/src/main/java/slateslip/routing/FleetRouter.java
@@ -18,8 +18,7 @@
 /** The router of one data plane: life of each request, from its arrival to its one final answer. */
 public final class FleetRouter implements RequestRouter {
   /**
-   * When a client is asked to come back whose request a backend turned away, or none could be
-   * reached.
+   * When a client is asked to come back whose request a backend rejected, or none could be reached.
    */
   private static final long RETRY_AFTER_MICROS = 100_000;
 
@@ -33,7 +32,7 @@
   /** How often probes that are due and answers that are overdue are looked at. */
   private static final long TICK_MICROS = 50_000;
 
-  /** An answer is overdue this long after it was expected; then its backend is probed. */
+  /** A response is overdue this long after it was expected; then its backend is probed. */
   private static final long OVERDUE_MICROS = 250_000;
 
   /** A stream that runs for so long with nothing else heard from its backend makes it be probed. */
@@ -252,7 +251,8 @@
   }
 
   /**
-   * Has a silent backend probed, and leaves it with what can go on elsewhere once it seems down.
+   * Has an unresponsive backend probed, and leaves it with what can go on elsewhere once it seems
+   * down.
    */
   private void checkOverdue(long now, PendingRequest request) {
     for (int number = 0; number < request.attempts.size(); number++) {
--- a/src/main/java/slateslip/routing/PendingRequest.java
+++ b/src/main/java/slateslip/routing/PendingRequest.java
@@ -45,7 +45,7 @@
   /** Whether a retry's place in the budget is taken already. */
   boolean retryCharged;
 
-  /** Whether an answer has begun to be passed on. */
+  /** Whether a response has begun to be passed on. */
   boolean started;
 
   /** Whether a backend may have worked on it. */
--- a/src/main/java/slateslip/routing/RouterInput.java
+++ b/src/main/java/slateslip/routing/RouterInput.java
@@ -17,13 +17,13 @@
   record QuotaAllocationChanged(QuotaAllocation allocation) implements RouterInput {}
 
   /**
-   * A whole request has been read from a client.
+   * A complete request has been read from a client.
    *
    * @param request identifies it in later inputs and outputs; not in use
    */
   record RequestArrived(long request, RequestAttributes attributes) implements RouterInput {}
 
-  /** The client closed its connection before its answer was complete; nothing more is owed. */
+  /** The client closed its connection before its response was complete; nothing more is owed. */
   record ClientGone(long request) implements RouterInput {}
 
   /**
@@ -65,7 +65,7 @@
     UNHEALTHY,
     /** It turned the probe away unseen: full. */
     FULL,
-    /** No answer in the time given. */
+    /** No response in the time given. */
     TIMEOUT,
     /** No connection, or it broke. */
     UNREACHABLE,
@@ -92,9 +92,9 @@
       OTHER_INSTANCE,
       /** No byte of the request can have reached the backend. */
       NOT_SENT,
-      /** The connection broke, or the answer was no valid answer, after bytes had been sent. */
+      /** The connection broke, or the response was no valid answer, after bytes had been sent. */
       BROKEN,
-      /** No answer in the time given, after bytes had been sent. */
+      /** No response in the time given, after bytes had been sent. */
       TIMEOUT,
       /** Ended by {@link RouterOutput.CancelAttempt}. */
       CANCELLED
--- a/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
+++ b/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
@@ -81,7 +81,7 @@
     suspected = false;
   }
 
-  /** A request ended with an answer of its own. */
+  /** A request ended with a response of its own. */
   public void requestSucceeded(long nowMicros) {
     signOfLife(nowMicros);
     consecutiveBroken = 0;
@@ -94,7 +94,7 @@
     failed(nowMicros, peers);
   }
 
-  /** A connection broke, or what came was no answer. */
+  /** A connection broke, or what came was no response. */
   public void requestBroken(long nowMicros, Collection<BackendHealth> peers) {
     consecutiveBroken++;
     if (consecutiveBroken >= MAX_CONSECUTIVE_BROKEN) {
@@ -104,7 +104,7 @@
     failed(nowMicros, peers);
   }
 
-  /** A request had no answer in its time. */
+  /** A request had no response in its time. */
   public void timedOut(long nowMicros, long sentMicros, Collection<BackendHealth> peers) {
     if (heardMicros < sentMicros) {
       suspect();
@@ -160,7 +160,7 @@
     health.probeSucceeded();
   }
 
-  /** A probe was turned away because the backend is full: it lives. */
+  /** A probe was rejected because the backend is full: it lives. */
   public void probeRejected(long nowMicros) {
     probePending = false;
     signOfLife(nowMicros);
--- a/src/main/java/slateslip/routing/placement/Backend.java
+++ b/src/main/java/slateslip/routing/placement/Backend.java
@@ -6,7 +6,7 @@
 
 /** What this data plane knows of one incarnation of a backend. */
 public final class Backend {
-  /** Time in which what a backend told of its load falls to 1/e: about an answer's time. */
+  /** Time in which what a backend told of its load falls to 1/e: about a response's time. */
   private static final double LOAD_FADE_MICROS = 300_000;
 
   private final long hash;
--- a/src/main/java/slateslip/routing/placement/Placement.java
+++ b/src/main/java/slateslip/routing/placement/Placement.java
@@ -13,7 +13,7 @@
  * Picks the backend of a request.
  *
  * <p>Ordinary path: two random draws in the own zone, and the one with fewer requests in flight;
- * other zones only when the own has no room. For prompts, kept parts go first: all data planes
+ * other zones only when the own has no room. For prompts, cached parts go first: all data planes
  * order the backends of a service alike by the hash of the deepest shared part, and of the first
  * few the one is taken that will have read the prompt soonest.
  */
@@ -49,7 +49,7 @@
    * @param service its service
    * @param prompt parts of its prompt; empty if it has none
    * @param promptTokens all of them, as told or added up
-   * @param objectiveMicros within which an answer earns its full worth
+   * @param objectiveMicros within which a response earns its full worth
    * @param agents data planes that send to the same backends
    */
   public record Demand(
--- a/src/main/java/slateslip/routing/placement/PrefixCacheModel.java
+++ b/src/main/java/slateslip/routing/placement/PrefixCacheModel.java
@@ -13,7 +13,7 @@
  * planes, fit into the backend's memory.
  */
 final class PrefixCacheModel {
-  /** Part of the memory that kept parts have beside running requests. */
+  /** Part of the memory that cached parts have beside running requests. */
   private static final double CACHE_MEMORY_FRACTION = 0.8;
 
   /** Entries at which those that are dropped by now are cleared out. */
--- a/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
+++ b/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
@@ -7,7 +7,7 @@
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** A client's request over all of its tries; it retries as the protocol allows. */
-@SuppressWarnings("ReferenceEquality") // each try is an object of its own
+@SuppressWarnings("ReferenceEquality") // each attempt is an object of its own
 final class ClientRequest {
   private static final long MIN_IDLE_TIMEOUT_MICROS = 2_000_000;
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
@@ -213,7 +213,7 @@
     retryOrEnd(mayRetry, retryAfterMicros, promise ? Outcome.REFUSED : Outcome.FAILED);
   }
 
-  /** The connection has ended before the answer was whole. */
+  /** The connection has ended before the response was whole. */
   void broken(ClientAttempt of) {
     if (!done && current == of) {
       current = null;
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -20,7 +20,7 @@
 import slateslip.simulation.dataplane.Violation.Rule;
 
 /** Stands for the sockets of one data plane: feeds its router and carries out what it asks for. */
-@SuppressWarnings("ReferenceEquality") // each try is an object of its own
+@SuppressWarnings("ReferenceEquality") // each attempt is an object of its own
 final class DataPlaneHost {
   /** How long after trouble rules with a time bound do not hold. */
   private static final long CONTACT_MICROS = 3_000_000;
--- a/src/main/java/slateslip/simulation/dataplane/Measurements.java
+++ b/src/main/java/slateslip/simulation/dataplane/Measurements.java
@@ -66,7 +66,7 @@
       return count(Outcome.LATE);
     }
 
-    /** Requests whose last answer was a refusal. */
+    /** Requests whose last response was a refusal. */
     public long refused() {
       return count(Outcome.REFUSED);
     }
--- a/src/main/java/slateslip/simulation/dataplane/RequestClass.java
+++ b/src/main/java/slateslip/simulation/dataplane/RequestClass.java
@@ -18,11 +18,11 @@
  * @param maxAttempts backends that one try may be sent to
  * @param retries further tries of a client
  * @param share of all requests, relative to the other classes
- * @param value of an answer in time
+ * @param value of a response in time
  * @param lateValue of a later answer
  * @param sharedParts parts of prompts that requests share, in order
  * @param ownTokens the last part of a prompt, the request's own
- * @param outputEvents events of an answer
+ * @param outputEvents events of a response
  * @param workMillis time in a slot of a backend that is no engine
  * @param errorShare fraction of requests that such a backend answers with 500
  */
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Whether a try may run more than once. */
+  /** Whether an attempt may run more than once. */
   public boolean repeatable() {
     return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAMING && resumable);
   }
--- a/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
+++ b/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
@@ -33,7 +33,7 @@
     violations.add(new Violation(rule, loop.nowMicros(), detail));
   }
 
-  /** A client has sent a try. */
+  /** A client has sent an attempt. */
   void sent(ClientAttempt sent) {
     attempts.put(
         sent.attemptId(), new TryRecord(sent.requestClass(), sent.tenant(), sent.tokens()));
@@ -56,7 +56,7 @@
     }
   }
 
-  /** A backend has begun to work on a try. */
+  /** A backend has begun to work on an attempt. */
   void ran(BackendCall call, SimulatedBackend backend) {
     TryRecord record = attempts.get(call.attemptId());
     record.runs++;
@@ -82,12 +82,12 @@
     }
   }
 
-  /** A backend crashed while it worked on a try: it does not count as one of its backends. */
+  /** A backend crashed while it worked on an attempt: it does not count as one of its backends. */
   void crashedDuring(BackendCall call, SimulatedBackend backend) {
     attempts.get(call.attemptId()).crashed.add(backend.id());
   }
 
-  /** A data plane has promised that a try has not run. */
+  /** A data plane has promised that an attempt has not run. */
   void promised(String attemptId) {
     TryRecord record = attempts.get(attemptId);
     record.promised = true;
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedNetwork.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedNetwork.java
@@ -9,7 +9,7 @@
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
   private static final long LATEST_RESET_MICROS = 150_000;
 
-  /** Share of calls that find no kept connection. */
+  /** Share of calls that find no idle connection. */
   private static final double NEW_CONNECTION_SHARE = 0.5;
 
   private final WorldPlan plan;
--- a/src/main/java/slateslip/simulation/dataplane/WorldPlan.java
+++ b/src/main/java/slateslip/simulation/dataplane/WorldPlan.java
@@ -10,7 +10,7 @@
  * @param durationMicros how long clients send
  * @param zones number of zones; data planes and backends are spread over them in turn
  * @param dataPlanes that run from the start
- * @param requestsPerSecond first tries of all clients together
+ * @param requestsPerSecond first attempts of all clients together
  * @param classes of requests
  * @param backends groups of backends, one for each service
  * @param tenants who sends
--- a/src/main/java/slateslip/simulation/engine/EngineJob.java
+++ b/src/main/java/slateslip/simulation/engine/EngineJob.java
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Memory missing for one more token; 0 if it has room. */
+  /** Memory missing for one more token; 0 if it has capacity. */
   long tokensNeededForNext(PrefixCache memory) {
     return memory.inBlocks(outputTokens + 1) - generatedReserved;
   }
--- a/src/main/java/slateslip/simulation/engine/EngineOutput.java
+++ b/src/main/java/slateslip/simulation/engine/EngineOutput.java
@@ -2,7 +2,7 @@
 
 /** What an {@link EngineModel} tells its host. */
 public sealed interface EngineOutput {
-  /** Why a request was turned away without having run. */
+  /** Why a request was rejected without having run. */
   enum Reason {
     /** No slot and no place in the queue, or more tokens than the whole memory. */
     FULL,
--- a/src/main/java/slateslip/standin/Heartbeats.java
+++ b/src/main/java/slateslip/standin/Heartbeats.java
@@ -77,7 +77,7 @@
     return JsonMapper.builder().build().toJson(fields);
   }
 
-  /** Says that the backend leaves; waits for no answer that does not come. */
+  /** Says that the backend leaves; waits for no response that does not come. */
   @Override
   public void close() {
     thread.shutdownNow();
--- a/src/main/java/slateslip/standin/SampleRequest.java
+++ b/src/main/java/slateslip/standin/SampleRequest.java
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Sends it and prints the events as they come; whether the answer was whole. A data plane may be
-   * ready before it knows the first backend of a service: 503 says that the request has not run,
+   * Sends it and prints the events as they come; whether the response was whole. A data plane may
+   * be ready before it knows the first backend of a service: 503 says that the request has not run,
    * and it is sent again with another attempt id.
    */
   static boolean send(String frontUrl, PrintStream out) throws InterruptedException {
--- a/src/main/java/slateslip/standin/StandInServer.java
+++ b/src/main/java/slateslip/standin/StandInServer.java
@@ -78,7 +78,7 @@
     return draining;
   }
 
-  /** Sets the headers of an answer to a request that runs. */
+  /** Sets the headers of a response to a request that runs. */
   HttpServletResponse responseHead(Context context, int status) {
     HttpServletResponse response = context.res();
     response.setStatus(status);
--- a/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
@@ -39,11 +39,11 @@
   /**
    * How long a class's calls take: a log-normal time.
    *
-   * @param medianMicros its median; 0 for an answer at once
+   * @param medianMicros its median; 0 for a response at once
    * @param sigma the deviation of its logarithm
    */
   public record Work(double medianMicros, double sigma) {
-    /** An answer at once. */
+    /** A response at once. */
     public static final Work NONE = new Work(0, 0);
 
     long nanos(long seed, String target) {
@@ -58,7 +58,7 @@
    *
    * @param classes the work of each class, by its name
    * @param concurrent how many calls one works on at a time
-   * @param queueLimit how many may wait; one more is turned away
+   * @param queueLimit how many may wait; one more is rejected
    * @param warmupFactor how much longer a call takes right after the start; falls to 1 evenly
    * @param warmupMillis how long the start has its effect
    * @param seed for the times
@@ -80,13 +80,13 @@
   public enum Mode {
     /** Works. */
     SERVES,
-    /** Completes what it has and turns away what is new. */
+    /** Completes what it has and rejects what is new. */
     DRAINING,
     /** Reads and never answers. */
     HANGS
   }
 
-  /** So far: calls begun, probes, calls turned away, connections accepted. */
+  /** So far: calls begun, probes, calls rejected, connections accepted. */
   public record Counts(long calls, long probes, long turnedAway, long connections) {}
 
   private static final int CALL_BYTES_MAX = 64 << 10;
--- a/src/scale/java/slateslip/loadbalancer/scale/ClientLoad.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/ClientLoad.java
@@ -59,7 +59,7 @@
     FAILED,
     /** The connection ended without a whole answer. */
     LOST,
-    /** No answer within its time. */
+    /** No response within its time. */
     TIMED_OUT,
     /** No connection came up. */
     UNREACHED
@@ -444,7 +444,7 @@
     }
 
     /**
-     * A kept connection may close just as a call is written: the protocol has it sent again, once.
+     * An idle connection may close just as a call is written: the protocol has it sent again, once.
      */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
--- a/src/scale/java/slateslip/loadbalancer/scale/DelayedResponseQueue.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/DelayedResponseQueue.java
@@ -15,7 +15,7 @@
 final class DelayedResponseQueue {
   /** A call to be answered. */
   interface Call {
-    /** How long its answer takes, in nanoseconds, as things are now. */
+    /** How long its response takes, in nanoseconds, as things are now. */
     long costNanos();
 
     /** Its turn has come and its time has been spent. */
@@ -59,7 +59,7 @@
     run();
   }
 
-  /** Forgets all that wait, without an answer. */
+  /** Forgets all that wait, without a response. */
   void clear() {
     waiting.clear();
   }
--- a/src/scale/java/slateslip/loadbalancer/scale/DiscoveryStandIn.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/DiscoveryStandIn.java
@@ -78,7 +78,7 @@
    * Answers one after another.
    *
    * @param callMicros what each answer takes
-   * @param lineNanos what each entry in an answer takes besides
+   * @param lineNanos what each entry in a response takes besides
    * @param queueLimit how many calls may wait for their turn; one more gets 503
    * @param queueMillis how long a call may wait for its turn; then it gets 503
    */
@@ -274,7 +274,8 @@
   }
 
   /**
-   * Is cut off: connections stay open and silent, and nothing asked on old or new ones is answered.
+   * Is cut off: connections stay open and unresponsive, and nothing asked on old or new ones is
+   * answered.
    */
   public void disconnect() {
     on(
--- a/src/scale/java/slateslip/loadbalancer/scale/FleetOutcome.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/FleetOutcome.java
@@ -17,7 +17,7 @@
  * @param real how many real agents there were
  * @param realAgree how many of them had the last version at the end
  * @param realRequests what was sent to them; negative if nothing had to be
- * @param realLost requests that they had taken and ended without an answer
+ * @param realLost requests that they had taken and ended without a response
  * @param realLate requests that came to backends later than the grace after all real agents were
  *     told
  * @param realDied how many of their processes had ended before they were told to
--- a/src/scale/java/slateslip/loadbalancer/scale/FleetPlan.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/FleetPlan.java
@@ -74,7 +74,7 @@
     SETTINGS,
     /** Discovery resets all connections and refuses new ones, and comes back. */
     DOWN,
-    /** Discovery is silent, then resets all connections and answers again. */
+    /** Discovery is unresponsive, then resets all connections and answers again. */
     UNRESPONSIVE,
     /** Discovery's process is killed, and another goes on with the same list. */
     KILL
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowAgent.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowAgent.java
@@ -29,7 +29,7 @@
  * same order; all of it runs on one event loop, which it shares with other hollow agents.
  */
 final class HollowAgent implements LoadBalancer.Actions {
-  /** Of the client's time, what a real agent keeps for the answer's way back. */
+  /** Of the client's time, what a real agent keeps for the response's way back. */
   private static final long MARGIN_MICROS = 10_000;
 
   /** By so much every time limit of the protocol is extended: then the request is lost. */
@@ -297,7 +297,7 @@
     event(() -> balancer.request(now(), request));
   }
 
-  /** Its time is over, and the module has given no answer. */
+  /** Its time is over, and the module has given no response. */
   private void lose(Pending pending) {
     if (!pending.responded) {
       counts.lost++;
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowLoad.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowLoad.java
@@ -8,7 +8,7 @@
  *
  * @param perSecond requests of one agent a second in the mean, 0 for none; they come as a Poisson
  *     process
- * @param medianMicros the median time of an answer
+ * @param medianMicros the median time of a response
  * @param sigma the spread of its logarithm; 0 for always the median
  */
 record HollowLoad(double perSecond, long medianMicros, double sigma) {
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowProcess.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowProcess.java
@@ -41,7 +41,7 @@
             "hollow",
             "--loops",
             "" + loops);
-    // Discovery's code of the agent says there when a watch falls silent: thousands of lines.
+    // Discovery's code of the agent says there when a watch times out: thousands of lines.
     process =
         children.start(new ProcessBuilder(line).redirectError(ProcessBuilder.Redirect.DISCARD));
     replies = process.inputReader(StandardCharsets.UTF_8);
--- a/src/scale/java/slateslip/loadbalancer/scale/RealAgentLoad.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/RealAgentLoad.java
@@ -246,7 +246,7 @@
     return load == null ? 0 : load.counts().values().stream().mapToLong(Long::longValue).sum();
   }
 
-  /** Calls whose connection ended, or that had no answer when their time was over. */
+  /** Calls whose connection ended, or that had no response when their time was over. */
   long lost() {
     return count(Outcome.LOST) + count(Outcome.TIMED_OUT);
   }
--- a/src/scale/java/slateslip/loadbalancer/scale/ServerLog.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/ServerLog.java
@@ -21,7 +21,7 @@
   private record Change(long version, List<ServerEntry> entries) {}
 
   /**
-   * An answer, shared: who writes it takes a retained duplicate.
+   * A response, shared: who writes it takes a retained duplicate.
    *
    * @param full whether it is the whole list
    * @param lines how many entries it has
--- a/src/scale/java/slateslip/loadbalancer/scale/Watchers.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/Watchers.java
@@ -32,7 +32,7 @@
 final class Watchers implements AutoCloseable {
   private static final Pattern INDEX = Pattern.compile("^\\{\"index\":(\\d+)");
 
-  /** So much of an answer holds its version. */
+  /** So much of a response holds its version. */
   private static final int BEGIN = 40;
 
   /** The hosts are 127.BLOCK.x.y. */
--- a/src/scale/java/slateslip/scale/LoopTurnTimes.java
+++ b/src/scale/java/slateslip/scale/LoopTurnTimes.java
@@ -62,7 +62,7 @@
     print("restore", restores);
   }
 
-  /** A whole configuration at first and each tenth time, else a change of one route. */
+  /** A complete configuration at first and each tenth time, else a change of one route. */
   private static OperatorRequest change(int version) {
     boolean complete = version % 10 == 1;
     String body =
--- a/src/scale/java/slateslip/scale/Operator.java
+++ b/src/scale/java/slateslip/scale/Operator.java
@@ -66,7 +66,7 @@
     throw new IOException(method + " from version " + from + " was not acknowledged");
   }
 
-  /** The status of the answer; 0 without one. */
+  /** The status of the response; 0 without one. */
   private int status(HttpRequest request) throws InterruptedException {
     try {
       return client.send(request, BodyHandlers.discarding()).statusCode();
--- a/src/scale/java/slateslip/scale/WireSizes.java
+++ b/src/scale/java/slateslip/scale/WireSizes.java
@@ -44,7 +44,7 @@
     return String.join(" | ", slope.row(name, 0));
   }
 
-  /** Bytes of a whole table of sessions, its length field included. */
+  /** Bytes of a full table of sessions, its length field included. */
   static int snapshotBytes(int size) {
     return Framing.LENGTH_BYTES + snapshot(size).length;
   }
--- a/src/test/java/slateslip/controlplane/ControlPlaneCluster.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneCluster.java
@@ -97,7 +97,7 @@
     return client.send(request.build(), BodyHandlers.ofString());
   }
 
-  /** Sends a call until its answer is clear, as operators and backends do. */
+  /** Sends a call until its response is clear, as operators and backends do. */
   HttpResponse<String> callUntilClear(
       int index, String method, String path, String ifMatch, String body)
       throws IOException, InterruptedException {
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -21,7 +21,7 @@
 import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput;
 
-/** Clients of every manner: what goes on to a backend, and what is turned away. */
+/** Clients of every manner: what goes on to a backend, and what is rejected. */
 class ClientsTest {
   private static final String HEAD = "POST /a/b HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n";
 
--- a/src/test/java/slateslip/dataplane/ConnectionRaceTest.java
+++ b/src/test/java/slateslip/dataplane/ConnectionRaceTest.java
@@ -19,7 +19,7 @@
 
 /**
  * A request that may not be repeated meets one behaviour of a backend, and what goes on elsewhere
- * meets another: it runs once at most, its answer is its own, and the connection that it leaves
+ * meets another: it runs once at most, its response is its own, and the connection that it leaves
  * behind spoils no later request.
  */
 class ConnectionRaceTest {
@@ -32,17 +32,17 @@
     RESPONDS(true, 200),
     /** Runs it and fails. */
     FAILS(true, 500),
-    /** Runs it, and its answer is lost with the connection. */
+    /** Runs it, and its response is lost with the connection. */
     RESETS(true, NOT_REPEATED),
     /** Runs it and says nothing. */
     NEVER_RESPONDS(true, NOT_REPEATED),
-    /** Runs it and breaks its answer off. */
+    /** Runs it and breaks its response off. */
     BREAKS_OFF(true, NOT_REPEATED),
-    /** Runs it, and sends an answer to an earlier request before its own. */
+    /** Runs it, and sends a response to an earlier request before its own. */
     OTHER_RESPONSE_FIRST(true, 200),
-    /** Runs it, and sends bytes behind its answer. */
+    /** Runs it, and sends bytes behind its response. */
     SURPLUS_RESPONSE(true, 200),
-    /** Runs it, and only an answer to another request comes. */
+    /** Runs it, and only a response to another request comes. */
     ONLY_OTHER_RESPONSE(true, NOT_REPEATED),
     /** Is full, and says that it has not run it. */
     IS_FULL(false, 0),
--- a/src/test/java/slateslip/dataplane/DataPlaneFixture.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneFixture.java
@@ -187,7 +187,7 @@
   }
 
   /**
-   * An answer as a client reads it.
+   * A response as a client reads it.
    *
    * @param complete whether its end has come as its head said
    */
--- a/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
@@ -317,7 +317,7 @@
     assertEquals(2, host.target(host.request()));
   }
 
-  // ---- cold servers ----
+  // ---- servers that are warming up ----
 
   private static int sentTo(FakeHost host, long server, long id0) {
     return (int)
--- a/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
+++ b/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
@@ -109,8 +109,8 @@
   }
 
   /**
-   * When each agent has its answer from a discovery that takes calls in turn, and how many were
-   * turned away.
+   * When each agent has its response from a discovery that takes calls in turn, and how many were
+   * rejected.
    */
   private record Fleet(List<Long> responded, int turnedAway) {
     /**
--- a/src/test/java/slateslip/loadbalancer/LoadBalancerMechanismTest.java
+++ b/src/test/java/slateslip/loadbalancer/LoadBalancerMechanismTest.java
@@ -396,7 +396,7 @@
     failProbes(host, 1, 3); // the first is excused by the answers before it
     host.pass(SECOND);
     host.balancer.probed(host.now, 1, Outcome.OK, 1000, NO_LOAD);
-    host.serve(50_000); // the one request a cold server may have at once
+    host.serve(50_000); // the one request a server that is warming up may have at once
     assertEquals(-1, host.target(host.request()));
     host.pass(6 * SECOND);
     for (int i = 0; i < 3; i++) {
@@ -432,8 +432,8 @@
   }
 
   /**
-   * First tries bring 3 of the 4 s for all tries; returns a hand with one busy server and requests
-   * held.
+   * First tries bring 3 of the 4 s for all attempts; returns a hand with one busy server and
+   * requests held.
    */
   private static FakeHost afterManyFirstTries(boolean busy) {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
@@ -797,8 +797,8 @@
   }
 
   /**
-   * Failed before: an answer was slow past half the aim, which is a second, though the work took as
-   * long.
+   * Failed before: a response was slow past half the aim, which is a second, though the work took
+   * as long.
    */
   @Test
   void workThatOftenTakesHalfTheAimLeavesAnIdleServerItsRoom() {
--- a/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
@@ -152,8 +152,8 @@
   }
 
   /**
-   * A class's learned time, by which a request that comes too late for it is turned away, goes by
-   * its name.
+   * A class's learned time, by which a request that comes too late for it is rejected, goes by its
+   * name.
    */
   @Test
   void whatIsLearntOfAClassStaysWithItWhenItsPlaceChanges() {
--- a/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
+++ b/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
@@ -16,9 +16,10 @@
 import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
- * The rule on cold servers for the sum of all agents, on one clock. A cold server's budget in a
- * window of the settings' length is N = fall-multiple x its capacity at the window's start x that
- * length; beyond N only 2 x root of N + 2 requests are put down to chance.
+ * The rule on servers that are warming up for the sum of all agents, on one clock. A server that is
+ * warming up's budget in a window of the settings' length is N = fall-multiple x its capacity at
+ * the window's start x that length; beyond N only 2 x root of N + 2 requests are put down to
+ * chance.
  */
 class SlowStartFleetTest {
   private static final long SECOND = FakeHost.SECOND;
--- a/src/test/java/slateslip/loadbalancer/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -236,7 +236,7 @@
     assertEquals(0, fixture.arrived());
   }
 
-  /** Guards against half an answer being served as a whole one. */
+  /** Guards against half a response being served as a complete one. */
   @Test
   void anAnswerCutOffIsNotServed() throws IOException {
     twoServersThatFirst(CUTS_OFF);
@@ -496,8 +496,8 @@
   }
 
   /**
-   * Guards against requests to a server whose drain a silent watch missed: it counts as told 2 s
-   * after the watch's wait, so the next watch must not wait as after a failed call.
+   * Guards against requests to a server whose drain an unresponsive watch missed: it counts as told
+   * 2 s after the watch's wait, so the next watch must not wait as after a failed call.
    */
   @Test
   void aWatchThatFellSilentIsOpenedAnewAtOnce() throws Exception {
@@ -646,8 +646,8 @@
   }
 
   /**
-   * Guards against a request lost on a kept connection that is closed for room while it is on its
-   * way; one that has to go is told so with its answer.
+   * Guards against a request lost on an idle connection that is closed for room while it is on its
+   * way; one that has to go is told so with its response.
    */
   @Test
   void atTheLimitOnSocketsKeptConnectionsAreNotClosedUnannounced() throws Exception {
@@ -711,7 +711,7 @@
     }
     assertThrows(EOFException.class, () -> ScriptedPeer.read(idle.getInputStream()));
     LoopbackCluster.await(
-        () -> { // it no longer listens, but still owes an answer
+        () -> { // it no longer listens, but still owes a response
           try {
             return !fixture.dial().isBound();
           } catch (IOException e) {
--- a/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
@@ -143,7 +143,8 @@
   }
 
   /**
-   * Guards against an error being taken for the answer to what was asked before on the connection.
+   * Guards against an error being taken for the response to what was asked before on the
+   * connection.
    */
   @Test
   void anErrorWaitsItsTurn() throws Exception {
@@ -212,7 +213,8 @@
   }
 
   /**
-   * Guards against silent connections by the hundred shutting out those who have something to ask.
+   * Guards against unresponsive connections by the hundred shutting out those who have something to
+   * ask.
    */
   @Test
   void silentConnectionsMakeRoom() throws Exception {
--- a/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Failed before: the space that ends a status line with no reason was unreadable, and the answer
-   * a reset.
+   * Failed before: the space that ends a status line with no reason was unreadable, and the
+   * response a reset.
    */
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 200 all is well "})
@@ -116,7 +116,7 @@
   }
 
   /**
-   * Guards against half an answer being served: neither a reset nor the agent's own close is its
+   * Guards against half a response being served: neither a reset nor the agent's own close is its
    * end.
    */
   @Test
@@ -143,7 +143,7 @@
   }
 
   /**
-   * Two servers; the first two requests get an answer with no length, of which the body has begun,
+   * Two servers; the first two requests get a response with no length, of which the body has begun,
    * and this.
    */
   private void responsesStarted(String body, ConnectionEnd connectionEnd) throws IOException {
@@ -188,7 +188,7 @@
     assertEquals(1, turn.get());
   }
 
-  /** Guards against what comes right behind an answer being served as the next answer. */
+  /** Guards against what comes right behind a response being served as the next answer. */
   @Test
   void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
     fixture.server(
--- a/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Guards against a peer that is silent for almost as long as it may be, and as long again over
-   * half a request: it is owed an error or a close within 3 s of its connecting.
+   * Guards against a peer that is unresponsive for almost as long as it may be, and as long again
+   * over half a request: it is owed an error or a close within 3 s of its connecting.
    */
   @Test
   void aPeerThatIsSilentAndThenSendsHalfARequestIsNotWaitedForTwice() throws Exception {
@@ -95,7 +95,7 @@
   }
 
   /**
-   * Guards against a new connection that is closed with no answer where the end comes between its
+   * Guards against a new connection that is closed with no response where the end comes between its
    * being accepted and its first request; one on which nothing comes is not waited for.
    */
   @Test
--- a/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
@@ -78,8 +78,8 @@
   }
 
   /**
-   * The first server goes and one is listed that has room: what waits would go to it, as the next
-   * request does.
+   * The first server goes and one is listed that has capacity: what waits would go to it, as the
+   * next request does.
    */
   private void assertOnlyTheNextIsSent(String firstAddress) throws Exception {
     ScriptedPeer fresh =
@@ -287,7 +287,7 @@
     assertEquals(1, full.requests.size());
   }
 
-  /** A client that asks much and reads nothing, until no answer can be written, and then goes. */
+  /** A client that asks much and reads nothing, until no response can be written, and then goes. */
   @ParameterizedTest
   @ValueSource(ints = {3, 60})
   void noneIsSentForAClientThatReadsNoAnswersOnceItLeft(int ahead) throws Exception {
--- a/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
+++ b/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
@@ -167,7 +167,7 @@
         + body;
   }
 
-  /** Sends a request on a new connection and returns its answer. */
+  /** Sends a request on a new connection and returns its response. */
   ScriptedPeer.Message call(String type) throws IOException {
     return exchange(dial(), request(type, 8000, "body"));
   }
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Connects to a listener with room for one that nobody accepts from: the next who dials has to
-   * wait.
+   * Connects to a listener with capacity for one that nobody accepts from: the next who dials has
+   * to wait.
    */
   static List<Socket> fill(ServerSocket full) {
     List<Socket> filling = new ArrayList<>();
@@ -196,7 +196,7 @@
     await(
         () ->
             filling.stream().filter(Socket::isConnected).count()
-                >= 2); // one more than it has room for
+                >= 2); // one more than it has capacity for
     return filling;
   }
 
--- a/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
+++ b/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
@@ -16,7 +16,7 @@
 
 /** A small peer on a loopback port that does with each message what the test's script says. */
 public final class ScriptedPeer implements Closeable {
-  /** What to do with a message; returning without an answer leaves the peer silent. */
+  /** What to do with a message; returning without a response leaves the peer unresponsive. */
   public interface Script {
     void handle(Message message, Socket socket) throws Exception;
   }
@@ -124,7 +124,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** An answer with a body. */
+  /** A response with a body. */
   public static void answer(Socket socket, int status, String headers, String body)
       throws IOException {
     write(
--- a/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
+++ b/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
@@ -24,7 +24,9 @@
 import slateslip.distribution.TenantDemand;
 import slateslip.protocol.Decoded;
 
-/** What is written is read back; what is not whole or not known is told apart and harms nothing. */
+/**
+ * What is written is read back; what is not complete or not known is told apart and harms nothing.
+ */
 class DistributionCodecTest {
   private static final int CONTENT_LENGTH_OFFSET = 8 + 8;
   private static final BackendSession SESSION =
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -140,7 +140,7 @@
     return message;
   }
 
-  /** What an agent takes for the answer to a message of its own, before any has come. */
+  /** What an agent takes for the response to a message of its own, before any has come. */
   Optional<ReplicaFrame> expectedResponse(String to, byte[] message) {
     if (this == SERVES_UNCONFIRMED
         && MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
--- a/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
+++ b/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
@@ -20,7 +20,7 @@
     long base, long version, String marker, boolean valid, OperatorRequest call) {
   private static final String SERVICE = "pool";
 
-  /** A whole configuration. */
+  /** A complete configuration. */
   static ConfigurationChange complete(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[%s]}"
@@ -36,7 +36,7 @@
     return change(OperatorRequest.Method.PATCH, base, version, marker, true, body);
   }
 
-  /** A whole configuration with routes of about this many bytes in all. */
+  /** A complete configuration with routes of about this many bytes in all. */
   static ConfigurationChange large(long base, long version, String marker, int bytes) {
     StringBuilder routes = new StringBuilder(route("first", "/first/"));
     for (int number = 0; routes.length() < bytes; number++) {
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -56,7 +56,7 @@
     return world.controlMachines().stream().filter(other -> other != machine).toList();
   }
 
-  /** Sends an order to one agent once; null without an answer in time. */
+  /** Sends an order to one agent once; null without a response in time. */
   OperatorResponse send(ControlMachine machine, ConfigurationChange change) {
     world.history().sent(change);
     long newestAtCall = world.history().newestAcknowledged();
@@ -67,7 +67,7 @@
     return response;
   }
 
-  /** Makes a call once; null without an answer in time. */
+  /** Makes a call once; null without a response in time. */
   OperatorResponse call(ControlMachine machine, OperatorRequest call) {
     OperatorResponse[] got = {null};
     world.call(machine, call, response -> got[0] = response);
--- a/src/test/java/slateslip/simulation/agents/FleetHistory.java
+++ b/src/test/java/slateslip/simulation/agents/FleetHistory.java
@@ -42,7 +42,7 @@
     return acknowledgedAt.size();
   }
 
-  /** An operator has an answer to an order. */
+  /** An operator has a response to an order. */
   void answered(
       long now, ConfigurationChange change, long newestAtCall, OperatorResponse response) {
     if (response.status() == OperatorResponse.OK) {
--- a/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
+++ b/src/test/java/slateslip/simulation/agents/MisroutedResponseTest.java
@@ -8,12 +8,12 @@
 import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
-/** An answer reaches only the call that it is to, also over the lives of the agent in between. */
+/** A response reaches only the call that it is to, also over the lives of the agent in between. */
 final class MisroutedResponseTest {
   private static final long SECOND = DirectedRun.SECOND;
 
   /**
-   * An agent forwards an order and is killed; the commit waits for a slow disk, and the answer
+   * An agent forwards an order and is killed; the commit waits for a slow disk, and the response
    * comes to the agent's next life, which has forwarded another order meanwhile.
    */
   @Test
--- a/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
@@ -238,7 +238,7 @@
     extraDelay.clear();
   }
 
-  /** A request over HTTP, and its answer: each takes a moment. */
+  /** A request over HTTP, and its response: each takes a moment. */
   <T> void request(
       SimulatedMachine target,
       Consumer<Consumer<T>> handle,
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -9,8 +9,8 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * Reads the configuration, changes it, and sends a change without a clear answer again, unchanged,
- * to any agent; at times to several at once, and at times long after it was taken.
+ * Reads the configuration, changes it, and sends a change without a clear response again,
+ * unchanged, to any agent; at times to several at once, and at times long after it was taken.
  */
 final class SimulatedOperator {
   private static final long PATIENCE = 1_000_000;
@@ -155,7 +155,7 @@
     goOn(current, clear ? LONG_DELAY : SHORT_DELAY);
   }
 
-  /** Sends an order again that was taken before, as if its answer had been lost. */
+  /** Sends an order again that was taken before, as if its response had been lost. */
   private void repeatOne() {
     if (random.nextInt(REPEATED_EVERY) == 0) {
       ConfigurationChange old = committedChanges.get(random.nextInt(committedChanges.size()));
--- a/src/test/java/slateslip/simulation/agents/SimulatedSocket.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedSocket.java
@@ -4,7 +4,7 @@
 final class SimulatedSocket {
   /** Takes what comes in; called on the event loop of the end's process. */
   interface Listener {
-    /** A whole message has come. */
+    /** A complete message has come. */
     void received(byte[] message);
 
     /** The connection has ended, and not by this end. */
--- a/src/test/java/slateslip/simulation/control/ExhaustiveCrashTest.java
+++ b/src/test/java/slateslip/simulation/control/ExhaustiveCrashTest.java
@@ -12,7 +12,7 @@
 
 /** Three nodes, two changes, one crash at every message, in every way. */
 final class ExhaustiveCrashTest {
-  /** Two changes to two members, each with its answer, and some heartbeats. */
+  /** Two changes to two members, each with its response, and some heartbeats. */
   private static final int MIN_MESSAGES = 12;
 
   private static final int MAX_MESSAGES = 120;
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -6,7 +6,7 @@
 import slateslip.coordination.ReplicaInput;
 import slateslip.simulation.EventQueue;
 
-/** Sends changes one after the other; without a clear answer the same again, to any node. */
+/** Sends changes one after the other; without a clear response the same again, to any node. */
 final class SimulatedOperator implements Caller {
   private static final long PATIENCE = 1_000_000;
   private static final long LONG_DELAY = 250_000;
@@ -75,7 +75,7 @@
     }
   }
 
-  /** An answer reached the world; whether it reaches the operator is decided there. */
+  /** A response reached the world; whether it reaches the operator is decided there. */
   @Override
   public void answered(SimulatedNode node, long token, ClientResult result) {
     if (token != callToken) {
