--- a/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
+++ b/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
@@ -105,7 +105,7 @@
     connection.learnKeepTime(headers);
     if (isStream(response)) {
       splitter = new EventSplitter();
-      attempt.streamBegan(answer(Unpooled.EMPTY_BUFFER), load(headers));
+      attempt.streamBegan(respond(Unpooled.EMPTY_BUFFER), load(headers));
     } else {
       body = Unpooled.buffer(Math.max(0, (int) length));
     }
@@ -159,7 +159,7 @@
       connection.malformedResponse();
       return false;
     }
-    BackendResponse complete = splitter == null ? answer(body) : null;
+    BackendResponse complete = splitter == null ? respond(body) : null;
     var outcome = new AttemptOutcome(kind, head.status().code());
     BackendLoad load = splitter == null ? load(head.headers()) : null;
     var result = new AttemptResult(outcome, load, complete);
@@ -200,7 +200,7 @@
         : AttemptOutcome.Kind.ERROR_RESPONSE;
   }
 
-  private BackendResponse answer(ByteBuf bytes) {
+  private BackendResponse respond(ByteBuf bytes) {
     HttpHeaders headers = new DefaultHttpHeaders().set(head.headers());
     HeaderNames.removeHopByHop(headers);
     headers.remove(HeaderNames.BACKEND_LOAD);
--- a/src/main/java/slateslip/dataplane/status/StatusServer.java
+++ b/src/main/java/slateslip/dataplane/status/StatusServer.java
@@ -94,11 +94,11 @@
         head = request;
       }
       if (part instanceof LastHttpContent) {
-        answer(context, head);
+        respond(context, head);
       }
     }
 
-    private void answer(ChannelHandlerContext context, HttpRequest request) {
+    private void respond(ChannelHandlerContext context, HttpRequest request) {
       if (!request.method().equals(HttpMethod.GET)) {
         write(context, request, HttpResponseStatus.METHOD_NOT_ALLOWED, "");
       } else if (request.uri().equals("/ready")) {
--- a/src/main/java/slateslip/dataplane/subscription/Subscription.java
+++ b/src/main/java/slateslip/dataplane/subscription/Subscription.java
@@ -170,11 +170,11 @@
   }
 
   private void closeIfDead(long now, ControlStream stream) {
-    long silentMillis = now - stream.heardMillis;
+    long idleMillis = now - stream.heardMillis;
     boolean dead =
-        (stream.isOpen() && silentMillis > STREAM_TIMEOUT_MILLIS)
+        (stream.isOpen() && idleMillis > STREAM_TIMEOUT_MILLIS)
             || (stream.state == ControlStream.State.DIALLING
-                && silentMillis > CONNECT_TIMEOUT_MILLIS);
+                && idleMillis > CONNECT_TIMEOUT_MILLIS);
     if (dead) {
       close(now, stream);
     }
--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -457,7 +457,7 @@
   private void timeOut(Pending pending, HttpResponseStatus status) {
     if (!pending.completed) {
       statistics.givenUp();
-      answer(pending, status, 0);
+      respond(pending, status, 0);
       event(() -> balancer.clientLeft(now(), pending.id));
       cancelAttempts(pending);
     }
@@ -508,7 +508,7 @@
         () -> {
           IncomingRequest current = clients.reparse(incoming);
           if (current == null) {
-            answer(pending, HttpResponseStatus.BAD_REQUEST, 0);
+            respond(pending, HttpResponseStatus.BAD_REQUEST, 0);
             return;
           }
           pending.request = current;
@@ -552,7 +552,7 @@
     // Guards against asking every server what one has found to be no good, and against blaming it.
     boolean bad = result.rejection() != null;
     if (bad) {
-      answer(pending, result.rejection(), 0);
+      respond(pending, result.rejection(), 0);
     }
     LoadBalancer.Outcome outcome = bad ? LoadBalancer.Outcome.CANCELLED : result.outcome();
     removeIfDone(pending);
@@ -570,7 +570,7 @@
                 result.load()));
   }
 
-  private void answer(Pending pending, HttpResponseStatus status, long retryAfter) {
+  private void respond(Pending pending, HttpResponseStatus status, long retryAfter) {
     if (!pending.completed) {
       pending.exchange.respond(status, null, retryAfter);
       boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -634,7 +634,7 @@
   public void refuse(long request, long retryAfter) {
     Pending pending = pendingById.get(request);
     if (pending != null) {
-      answer(
+      respond(
           pending,
           HttpResponseStatus.SERVICE_UNAVAILABLE,
           retryAfter > 0 ? retryAfter : RETRY_AFTER_MICROS);
@@ -645,7 +645,7 @@
   public void fail(long request) {
     Pending pending = pendingById.get(request);
     if (pending != null) {
-      answer(pending, HttpResponseStatus.BAD_GATEWAY, 0);
+      respond(pending, HttpResponseStatus.BAD_GATEWAY, 0);
     }
   }
 
--- a/src/main/java/slateslip/routing/Attempt.java
+++ b/src/main/java/slateslip/routing/Attempt.java
@@ -56,7 +56,7 @@
     }
     started = true;
     backend().noLongerAwaiting();
-    backend().healthMonitor().signOfLife(nowMicros);
+    backend().healthMonitor().activity(nowMicros);
     if (choice.newTokens() > 0) {
       backend()
           .engine()
--- a/src/main/java/slateslip/routing/FleetRouter.java
+++ b/src/main/java/slateslip/routing/FleetRouter.java
@@ -203,7 +203,7 @@
     BackendTable.reported(now, backend, ended.load());
     switch (ended.outcome().kind()) {
       case SUCCESS, ERROR_RESPONSE -> healthMonitor.requestSucceeded(now);
-      case NOT_EXECUTED -> healthMonitor.signOfLife(now);
+      case NOT_EXECUTED -> healthMonitor.activity(now);
       case OTHER_INSTANCE -> backend.replaced();
       case NOT_SENT -> healthMonitor.connectFailed(now, backends.peers(backend));
       case BROKEN -> healthMonitor.requestBroken(now, backends.peers(backend));
--- a/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
+++ b/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
@@ -76,14 +76,14 @@
   }
 
   /** Anything came from it: it lives. */
-  public void signOfLife(long nowMicros) {
+  public void activity(long nowMicros) {
     heardMicros = nowMicros;
     suspected = false;
   }
 
   /** A request ended with a response of its own. */
   public void requestSucceeded(long nowMicros) {
-    signOfLife(nowMicros);
+    activity(nowMicros);
     consecutiveBroken = 0;
     health.requestEnded(nowMicros, false);
   }
@@ -156,14 +156,14 @@
   public void probeSucceeded(long nowMicros) {
     probePending = false;
     consecutiveBroken = 0;
-    signOfLife(nowMicros);
+    activity(nowMicros);
     health.probeSucceeded();
   }
 
   /** A probe was rejected because the backend is full: it lives. */
   public void probeRejected(long nowMicros) {
     probePending = false;
-    signOfLife(nowMicros);
+    activity(nowMicros);
     health.probeInconclusive();
   }
 
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -270,7 +270,7 @@
     if (output instanceof RouterOutput.SendAttempt send) {
       send(send);
     } else if (output instanceof RouterOutput.Respond response) {
-      answer(response);
+      respond(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       relay(relay);
     } else if (output instanceof RouterOutput.AbortConnection breakOff) {
@@ -347,7 +347,7 @@
     }
   }
 
-  private void answer(RouterOutput.Respond response) {
+  private void respond(RouterOutput.Respond response) {
     Exchange exchange = finalResponse(response.request());
     if (exchange == null) {
       return;
--- a/src/main/java/slateslip/standin/EngineServer.java
+++ b/src/main/java/slateslip/standin/EngineServer.java
@@ -68,7 +68,7 @@
     BlockingQueue<Told> reported = new LinkedBlockingQueue<>();
     engine.submit(engineRequest(id, context), new Queueing(reported));
     try {
-      answer(context, reported);
+      respond(context, reported);
     } catch (IOException gone) {
       engine.cancel(id); // the caller has closed the connection: nothing more is owed
     } catch (InterruptedException stopped) {
@@ -77,7 +77,7 @@
     }
   }
 
-  private void answer(Context context, BlockingQueue<Told> reported)
+  private void respond(Context context, BlockingQueue<Told> reported)
       throws IOException, InterruptedException {
     Told first = reported.take();
     if (first.kind() == Told.Kind.REJECTED) {
--- a/src/main/java/slateslip/standin/LocalFleet.java
+++ b/src/main/java/slateslip/standin/LocalFleet.java
@@ -109,10 +109,10 @@
   }
 
   private Outcome awaitReady() throws InterruptedException {
-    Delay pause = new Delay(START_SECONDS);
+    Delay delay = new Delay(START_SECONDS);
     for (int i = 0; i < FleetAddresses.DATA_PLANES; i++) {
       while (!isReady(i)) {
-        if (!pause.another()) {
+        if (!delay.another()) {
           return new Outcome.Failed(dataPlanes.get(i).name() + " is not ready:\n" + logs());
         }
       }
--- a/src/main/java/slateslip/standin/Operator.java
+++ b/src/main/java/slateslip/standin/Operator.java
@@ -14,12 +14,12 @@
 
   private final OkHttpClient client;
   private final List<String> controlAddresses;
-  private final Delay pause;
+  private final Delay delay;
 
-  Operator(OkHttpClient client, List<String> controlAddresses, Delay pause) {
+  Operator(OkHttpClient client, List<String> controlAddresses, Delay delay) {
     this.client = client;
     this.controlAddresses = controlAddresses;
-    this.pause = pause;
+    this.delay = delay;
   }
 
   /** What came of a configuration. */
@@ -33,7 +33,7 @@
 
   Outcome put(byte[] configuration) throws InterruptedException {
     String last = "no agent was asked";
-    for (int i = 0; pause.another(); i++) {
+    for (int i = 0; delay.another(); i++) {
       String address = controlAddresses.get(i % controlAddresses.size());
       Request request =
           new Request.Builder()
--- a/src/main/java/slateslip/standin/SampleRequest.java
+++ b/src/main/java/slateslip/standin/SampleRequest.java
@@ -55,9 +55,9 @@
    * and it is sent again with another attempt id.
    */
   static boolean send(String frontUrl, PrintStream out) throws InterruptedException {
-    Delay pause = new Delay(TimeUnit.MILLISECONDS.toSeconds(DEADLINE_MILLIS));
+    Delay delay = new Delay(TimeUnit.MILLISECONDS.toSeconds(DEADLINE_MILLIS));
     Outcome outcome = Outcome.NOT_YET;
-    while (outcome == Outcome.NOT_YET && pause.another()) {
+    while (outcome == Outcome.NOT_YET && delay.another()) {
       outcome = sendOnce(frontUrl, out);
     }
     if (outcome == Outcome.NOT_YET) {
--- a/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/BackendStandIns.java
@@ -222,7 +222,7 @@
       boolean busy = working >= options.concurrent();
       if (mode == Mode.DRAINING || (busy && queue.size() >= options.queueLimit())) {
         turnedAway.increment();
-        call.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, true);
+        call.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, true);
       } else if (busy) {
         queue.add(call);
       } else {
@@ -234,14 +234,14 @@
       calls.increment();
       long nanos = nanos(call.target);
       if (nanos == 0) {
-        call.answer(HttpResponseStatus.OK, false);
+        call.respond(HttpResponseStatus.OK, false);
         return;
       }
       working++;
       loop.schedule(
           () -> {
             working--;
-            call.answer(HttpResponseStatus.OK, false);
+            call.respond(HttpResponseStatus.OK, false);
             while (working < options.concurrent() && !queue.isEmpty()) {
               Call next = queue.poll();
               if (next.channel.isActive()) {
@@ -261,14 +261,14 @@
         if (request.uri().equals("/healthz")) {
           probes.increment();
           if (mode != Mode.HANGS) {
-            call.answer(
+            call.respond(
                 mode == Mode.SERVES
                     ? HttpResponseStatus.OK
                     : HttpResponseStatus.SERVICE_UNAVAILABLE,
                 false);
           }
         } else if (!request.headers().contains(ClientLoad.REQUEST_ID)) {
-          call.answer(HttpResponseStatus.NOT_FOUND, false);
+          call.respond(HttpResponseStatus.NOT_FOUND, false);
         } else if (mode != Mode.HANGS) {
           accept(call);
         }
@@ -283,7 +283,7 @@
 
   /** A call on its connection. */
   private record Call(Channel channel, String target) {
-    void answer(HttpResponseStatus status, boolean notStarted) {
+    void respond(HttpResponseStatus status, boolean notStarted) {
       ByteBuf body =
           status.equals(HttpResponseStatus.OK) ? BODY.duplicate() : Unpooled.EMPTY_BUFFER;
       var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
--- a/src/scale/java/slateslip/loadbalancer/scale/DelayedResponseQueue.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/DelayedResponseQueue.java
@@ -19,7 +19,7 @@
     long costNanos();
 
     /** Its turn has come and its time has been spent. */
-    void answer();
+    void respond();
 
     /** It has waited too long, or too many wait. */
     void refuse();
@@ -79,7 +79,7 @@
         return;
       }
       freeAt = until;
-      waiting.poll().call.answer();
+      waiting.poll().call.respond();
     }
   }
 
--- a/src/scale/java/slateslip/loadbalancer/scale/DiscoveryStandIn.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/DiscoveryStandIn.java
@@ -389,7 +389,7 @@
 
     void due() {
       drop();
-      caller.answer(since);
+      caller.respond(since);
     }
 
     void drop() {
@@ -485,7 +485,7 @@
       if (since == log.version() && waitMs > 0) {
         new PendingWatch(this, since, waitMs);
       } else {
-        answer(since);
+        respond(since);
       }
     }
 
@@ -495,7 +495,7 @@
     }
 
     /** Answers now, or when its turn comes. */
-    void answer(long since) {
+    void respond(long since) {
       if (queue == null) {
         give(owed(since));
         return;
@@ -509,7 +509,7 @@
             }
 
             @Override
-            public void answer() {
+            public void respond() {
               give(owed(since));
             }
 
--- a/src/test/java/slateslip/cli/CommandLineTest.java
+++ b/src/test/java/slateslip/cli/CommandLineTest.java
@@ -153,7 +153,7 @@
 
     ControlAgent() throws IOException {
       server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-      server.createContext("/", this::answer);
+      server.createContext("/", this::respond);
       server.start();
     }
 
@@ -166,7 +166,7 @@
       return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void respond(HttpExchange exchange) throws IOException {
       String base = exchange.getRequestHeaders().getFirst("If-Match");
       byte[] sent = exchange.getRequestBody().readAllBytes();
       calls.add(
--- a/src/test/java/slateslip/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/slateslip/configuration/ConfigurationDocumentTest.java
@@ -25,7 +25,7 @@
 final class ConfigurationDocumentTest {
   private static final ObjectMapper OTHER_LIBRARY = new ObjectMapper();
 
-  private static String whole(String routes, String services, String more) {
+  private static String complete(String routes, String services, String more) {
     return "{\"version\":8,\"routes\":" + routes + ",\"services\":" + services + more + "}";
   }
 
@@ -92,7 +92,8 @@
   void nullIsAMissingField() {
     String route = ROUTE_LOG.replace("}", ",\"traffic_split\":null,\"priority\":null}");
     assertThat(
-        parsed(whole("[" + route + "]", SERVICES, ",\"tenants\":null,\"limits\":null")).version(),
+        parsed(complete("[" + route + "]", SERVICES, ",\"tenants\":null,\"limits\":null"))
+            .version(),
         equalTo(8L));
   }
 
@@ -100,7 +101,7 @@
   void weightsMayBeFractions() {
     String route = ROUTE_CHAT.replace("90", "0.75").replace("\"weight\":10", "\"weight\":0.25");
     FleetConfiguration configuration =
-        parsed(whole("[" + route + "]", SERVICES, "")).configuration();
+        parsed(complete("[" + route + "]", SERVICES, "")).configuration();
     List<Route.WeightedService> targets = configuration.routes().get(0).targets();
     assertThat(targets.get(0).weight(), equalTo(3 * targets.get(1).weight() - 2));
   }
@@ -109,7 +110,7 @@
   void unknownKindIsNonIdempotent() {
     String route = ROUTE_CHAT.replace("streaming", "bidirectional");
     FleetConfiguration configuration =
-        parsed(whole("[" + route + "]", SERVICES, "")).configuration();
+        parsed(complete("[" + route + "]", SERVICES, "")).configuration();
     assertThat(configuration.routes().get(0).kind(), equalTo(RouteKind.NON_IDEMPOTENT));
   }
 
@@ -173,7 +174,7 @@
         containsString("routes \"chat\": traffic_split has weights that add up to 0"));
     String empty = ROUTE_CHAT.replaceAll("\\[.*]", "[]");
     assertThat(
-        invalid(ConfigurationDocument.parse(bytes(whole("[" + empty + "]", SERVICES, "")))),
+        invalid(ConfigurationDocument.parse(bytes(complete("[" + empty + "]", SERVICES, "")))),
         allOf(containsString("routes \"chat\""), containsString("service")));
   }
 
@@ -201,7 +202,7 @@
 
   @Test
   void partsMayBeEmpty() {
-    FleetConfiguration configuration = parsed(whole("[]", "[]", "")).configuration();
+    FleetConfiguration configuration = parsed(complete("[]", "[]", "")).configuration();
     assertThat(configuration.routes(), hasSize(0));
     assertThat(configuration.limits(), equalTo(IngressLimits.DEFAULT));
   }
--- a/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
@@ -36,10 +36,10 @@
 
   @Test
   void aChangeAtAnyAgentIsKnownAtAll() throws Exception {
-    assertThat(config(2, "0", OperatorDocuments.whole(3)), is(200));
-    assertThat(config(1, "3", OperatorDocuments.whole(5)), is(200));
-    assertThat(config(0, "3", OperatorDocuments.whole(6)), is(412));
-    assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
+    assertThat(config(2, "0", OperatorDocuments.complete(3)), is(200));
+    assertThat(config(1, "3", OperatorDocuments.complete(5)), is(200));
+    assertThat(config(0, "3", OperatorDocuments.complete(6)), is(412));
+    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
       HttpResponse<String> read = fixture.callUntilClear(agent, "GET", "/config", null, null);
       assertThat(read.body(), containsString("\"version\":5"));
@@ -48,7 +48,7 @@
 
   @Test
   void dataPlanesAtAllAgentsAreUpdated() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
+    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
       try (DataPlaneStandIn dataPlane =
           new DataPlaneStandIn(fixture.internalSocket(agent), "edge-" + agent)) {
@@ -66,7 +66,7 @@
 
   @Test
   void acknowledgedPatchIsInForceAtDataPlane() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
+    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
     try (DataPlaneStandIn dataPlane = new DataPlaneStandIn(fixture.internalSocket(1), "edge")) {
       dataPlane.await(message -> message instanceof ControlPlaneMessage.ConfigurationSnapshot);
       HttpResponse<String> response =
@@ -80,9 +80,9 @@
 
   @Test
   void acknowledgedSurvivesLossOfAgentAndAllProcesses() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
+    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
     fixture.stop(0);
-    assertThat(config(1, "3", OperatorDocuments.whole(5)), is(200));
+    assertThat(config(1, "3", OperatorDocuments.complete(5)), is(200));
     fixture.stop(1);
     fixture.stop(2);
     for (int agent = 0; agent < AGENTS; agent++) {
@@ -90,12 +90,12 @@
     }
     HttpResponse<String> read = fixture.callUntilClear(0, "GET", "/config", null, null);
     assertThat(read.body(), containsString("\"version\":5"));
-    assertThat(config(2, "3", OperatorDocuments.whole(5)), is(200));
+    assertThat(config(2, "3", OperatorDocuments.complete(5)), is(200));
   }
 
   @Test
   void allocationReturnsToReportingDataPlane() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.whole(3)), is(200));
+    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
       try (DataPlaneStandIn dataPlane =
           new DataPlaneStandIn(fixture.internalSocket(agent), "edge-" + agent)) {
--- a/src/test/java/slateslip/controlplane/ControlPlaneTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneTest.java
@@ -41,11 +41,11 @@
   @Test
   void changesReadsAndRepeats() throws Exception {
     assertThat(fixture.callUntilClear(0, "GET", CONFIG, null, null).statusCode(), is(404));
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
     assertStatus(200, "PATCH", "\"3\"", OperatorDocuments.patch(7, "added"));
-    assertStatus(412, "PUT", "3", OperatorDocuments.whole(8));
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
+    assertStatus(412, "PUT", "3", OperatorDocuments.complete(8));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
     HttpResponse<String> read = fixture.callUntilClear(0, "GET", CONFIG, null, null);
     assertThat(read.statusCode(), is(200));
     assertThat(read.body(), containsString("\"version\":7"));
@@ -55,8 +55,8 @@
 
   @Test
   void rejectedChangeNamesTheFault() throws Exception {
-    assertStatus(400, "PUT", null, OperatorDocuments.whole(3));
-    assertStatus(400, "PUT", "x", OperatorDocuments.whole(3));
+    assertStatus(400, "PUT", null, OperatorDocuments.complete(3));
+    assertStatus(400, "PUT", "x", OperatorDocuments.complete(3));
     assertStatus(400, "PUT", "0", "{\"version\":");
     HttpResponse<String> unknown =
         fixture.callUntilClear(
@@ -64,7 +64,7 @@
             "PUT",
             CONFIG,
             "0",
-            OperatorDocuments.whole(3).replace("\"service\":\"s\"", "\"service\":\"t\""));
+            OperatorDocuments.complete(3).replace("\"service\":\"s\"", "\"service\":\"t\""));
     assertThat(unknown.statusCode(), is(400));
     assertThat(unknown.body(), containsString("t"));
     assertThat(fixture.callUntilClear(0, "GET", CONFIG, null, null).statusCode(), is(404));
@@ -73,7 +73,7 @@
   @Test
   void oversizedBodyIsRejectedAndNextAccepted() throws Exception {
     assertStatus(413, "PUT", "0", " ".repeat(4 * 1024 * 1024 + 1));
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
   }
 
   @Test
@@ -112,14 +112,14 @@
 
   @Test
   void whatIsCommittedIsOnDisk() throws Exception {
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
     assertStatus(200, "PATCH", "3", OperatorDocuments.patch(7, "added"));
     fixture.stop(0);
     fixture.restart(0);
     HttpResponse<String> read = fixture.callUntilClear(0, "GET", CONFIG, null, null);
     assertThat(read.body(), containsString("\"version\":7"));
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
-    assertStatus(412, "PUT", "3", OperatorDocuments.whole(9));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
+    assertStatus(412, "PUT", "3", OperatorDocuments.complete(9));
   }
 
   @Test
@@ -179,7 +179,7 @@
   }
 
   private void assertServes() throws Exception {
-    assertStatus(200, "PUT", "0", OperatorDocuments.whole(3));
+    assertStatus(200, "PUT", "0", OperatorDocuments.complete(3));
     assertThat(put(OperatorDocuments.instance("ready", 1)), is(200));
   }
 
--- a/src/test/java/slateslip/controlplane/OperatorDocuments.java
+++ b/src/test/java/slateslip/controlplane/OperatorDocuments.java
@@ -4,7 +4,7 @@
 final class OperatorDocuments {
   private OperatorDocuments() {}
 
-  static String whole(long version) {
+  static String complete(long version) {
     return "{\"version\":"
         + version
         + ",\"routes\":["
--- a/src/test/java/slateslip/dataplane/BackendsTest.java
+++ b/src/test/java/slateslip/dataplane/BackendsTest.java
@@ -101,11 +101,11 @@
     fixture.router.repeatable = false;
     fixture.backend(
         (message, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket, 503, DataPlaneFixture.idOf(message) + "X-Not-Executed: 1\r\n", ""));
     fixture.backend(
         (message, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket, 421, DataPlaneFixture.idOf(message) + "X-Instance-Id: i-9\r\n", ""));
     good();
     assertThat(fixture.call("a1").body(), is("good"));
@@ -116,7 +116,7 @@
   void relaysAFailureUnchanged() throws IOException {
     fixture.backend(
         (message, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket, 500, DataPlaneFixture.stamped(message) + "X-Why: w\r\n", "broken inside"));
     ClientResponse response = fixture.call("a1");
     assertThat(response.status(), is(500));
@@ -131,7 +131,7 @@
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) -> {
-              ScriptedPeer.answer(
+              ScriptedPeer.respond(
                   socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
               DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=5\r\n", "mine");
             });
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void reusesAConnectionThatIsKept() throws IOException {
+  void idleConnectionIsReused() throws IOException {
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) ->
@@ -197,7 +197,7 @@
   }
 
   @Test
-  void givesUpOnASilentBackendInTime() throws IOException {
+  void unresponsiveBackendTimesOut() throws IOException {
     fixture.router.firstEventTimeoutMicros =
         1_000_000; // well above what a connection takes to come up
     ScriptedPeer unresponsive = fixture.backend((message, socket) -> {});
@@ -236,13 +236,13 @@
   @Test
   void readsWhatAProbeFinds() throws Exception {
     fixture.backend(
-        (message, socket) -> ScriptedPeer.answer(socket, 200, "X-Instance-Id: b-1\r\n", ""));
+        (message, socket) -> ScriptedPeer.respond(socket, 200, "X-Instance-Id: b-1\r\n", ""));
     fixture.backend(
-        (message, socket) -> ScriptedPeer.answer(socket, 503, "X-Instance-Id: b-2\r\n", ""));
+        (message, socket) -> ScriptedPeer.respond(socket, 503, "X-Instance-Id: b-2\r\n", ""));
     fixture.backend(
-        (message, socket) -> ScriptedPeer.answer(socket, 503, "X-Not-Executed: 1\r\n", ""));
+        (message, socket) -> ScriptedPeer.respond(socket, 503, "X-Not-Executed: 1\r\n", ""));
     fixture.backend(
-        (message, socket) -> ScriptedPeer.answer(socket, 200, "X-Instance-Id: b-9\r\n", ""));
+        (message, socket) -> ScriptedPeer.respond(socket, 200, "X-Instance-Id: b-9\r\n", ""));
     fixture.deadBackend();
     List<ProbeOutcome> outcomes = new java.util.concurrent.CopyOnWriteArrayList<>();
     for (int i = 1; i <= 5; i++) {
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void answersHeadWithoutABody() throws IOException {
+  void headResponseHasNoBody() throws IOException {
     fixture.backend(
         (message, socket) ->
             ScriptedPeer.write(
--- a/src/test/java/slateslip/dataplane/ConnectionRaceTest.java
+++ b/src/test/java/slateslip/dataplane/ConnectionRaceTest.java
@@ -103,7 +103,7 @@
     String keep = "Keep-Alive: timeout=60\r\n";
     switch (behaviour) {
       case RESPONDS -> DataPlaneFixture.serve(message, socket, keep, id);
-      case FAILS -> ScriptedPeer.answer(socket, 500, DataPlaneFixture.stamped(message) + keep, id);
+      case FAILS -> ScriptedPeer.respond(socket, 500, DataPlaneFixture.stamped(message) + keep, id);
       case RESETS -> ScriptedPeer.reset(socket);
       case NEVER_RESPONDS -> {}
       case BREAKS_OFF -> {
@@ -116,7 +116,7 @@
         socket.close();
       }
       case OTHER_RESPONSE_FIRST -> {
-        ScriptedPeer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
+        ScriptedPeer.respond(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
         DataPlaneFixture.serve(message, socket, keep, id);
       }
       case SURPLUS_RESPONSE ->
@@ -131,12 +131,12 @@
                   + id
                   + "HTTP/1.1 200 OK\r\nX-Attempt-Id: later-1\r\nContent-Length: 0\r\n\r\n");
       case ONLY_OTHER_RESPONSE ->
-          ScriptedPeer.answer(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
+          ScriptedPeer.respond(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
       case IS_FULL ->
-          ScriptedPeer.answer(
+          ScriptedPeer.respond(
               socket, 503, DataPlaneFixture.idOf(message) + keep + "X-Not-Executed: 1\r\n", "");
       case IS_ANOTHER ->
-          ScriptedPeer.answer(
+          ScriptedPeer.respond(
               socket, 421, DataPlaneFixture.idOf(message) + keep + "X-Instance-Id: i-9\r\n", "");
     }
   }
@@ -151,7 +151,7 @@
 
   @ParameterizedTest
   @MethodSource("pairs")
-  void onAConnectionThatWasKept(Behaviour first, Behaviour second) throws IOException {
+  void onReusedConnection(Behaviour first, Behaviour second) throws IOException {
     backend(first);
     assertThat(fixture.call("before").body(), is("before"));
     backend(second);
--- a/src/test/java/slateslip/dataplane/DataPlaneFixture.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneFixture.java
@@ -131,7 +131,7 @@
   /** A backend's success with the id of the request. */
   static void serve(ScriptedPeer.Message message, Socket socket, String headers, String body)
       throws IOException {
-    ScriptedPeer.answer(socket, 200, stamped(message) + headers, body);
+    ScriptedPeer.respond(socket, 200, stamped(message) + headers, body);
   }
 
   static String stamped(ScriptedPeer.Message message) {
--- a/src/test/java/slateslip/dataplane/EarlyResponseTest.java
+++ b/src/test/java/slateslip/dataplane/EarlyResponseTest.java
@@ -96,7 +96,7 @@
   void anEarlyRejectionSaysThatItHasNotRun() throws IOException {
     backendThatReadsHeads(
         (id, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket, 503, "X-Attempt-Id: " + id + "\r\nX-Not-Executed: 1\r\n", ""));
     good();
     assertThat(callWithLongBody("a1").body(), is("good"));
@@ -107,7 +107,7 @@
   void anEarlyFailureIsPassedOnAndNotRepeated() throws IOException {
     backendThatReadsHeads(
         (id, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket, 500, "X-Attempt-Id: " + id + "\r\nX-Response-Stamp: s\r\n", "failed"));
     ScriptedPeer other = good();
     assertThat(callWithLongBody("a1").status(), is(500));
@@ -136,7 +136,7 @@
   void aConnectionWhoseBodyIsNotOutIsNotUsedAgain() throws IOException {
     backendThatReadsHeads(
         (id, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket,
                 200,
                 "X-Attempt-Id: " + id + "\r\nX-Response-Stamp: s\r\nKeep-Alive: timeout=60\r\n",
--- a/src/test/java/slateslip/dataplane/StreamsTest.java
+++ b/src/test/java/slateslip/dataplane/StreamsTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void passesEachWholeEventOnAtOnce() throws Exception {
+  void completeEventsAreForwardedAtOnce() throws Exception {
     BlockingQueue<String> parts = new LinkedBlockingQueue<>();
     fixture.backend(
         (message, socket) -> {
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void sendsTheClientsOwnLastEventIdWhileNothingWasPassedOn() throws IOException {
+  void clientsLastEventIdIsForwardedUnchanged() throws IOException {
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -230,7 +230,7 @@
         });
     fixture.backend(
         (message, socket) ->
-            ScriptedPeer.answer(socket, 500, DataPlaneFixture.stamped(message), "no"));
+            ScriptedPeer.respond(socket, 500, DataPlaneFixture.stamped(message), "no"));
     assertThat(fixture.call("a1").complete(), is(false));
   }
 
@@ -265,14 +265,14 @@
   @Test
   void aSlowClientHoldsItsBackendUp() throws IOException {
     int maxBytes = 64 << 20;
-    String piece = "data: " + "x".repeat(1 << 16) + "\n\n";
+    String event = "data: " + "x".repeat(1 << 16) + "\n\n";
     long[] sent = new long[1];
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
           while (sent[0] < maxBytes) {
-            DataPlaneFixture.chunk(socket, piece);
-            sent[0] += piece.length();
+            DataPlaneFixture.chunk(socket, event);
+            sent[0] += event.length();
           }
           DataPlaneFixture.lastChunk(socket);
         });
--- a/src/test/java/slateslip/dataplane/forwarding/RouterDriverTest.java
+++ b/src/test/java/slateslip/dataplane/forwarding/RouterDriverTest.java
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void anInputThatArisesWhileOutputsAreCarriedOutComesAfterThem() {
+  void nestedInputIsHandledAfterOutputs() {
     RouterOutput probe = new RouterOutput.Probe("b");
     RouterOutput end = new RouterOutput.AbortConnection(1);
     decisions =
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void wakesAtEachTimeAskedFor() {
+  void wakesAtEachRequestedTime() {
     decisions =
         input ->
             input instanceof RouterInput.ShutdownStarted
--- a/src/test/java/slateslip/dataplane/stream/EventSplitterTest.java
+++ b/src/test/java/slateslip/dataplane/stream/EventSplitterTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void cutsWholeEventsAndKeepsTheRest() {
+  void emitsCompleteEventsAndBuffersTheRest() {
     feed("id: 1\ndata: a\n\nid:2\ndata: b\n\nid: 3\n");
     assertThat(texts(), contains("id: 1\ndata: a\n\n", "id:2\ndata: b\n\n"));
     assertThat(ids(), contains(1L, 2L));
--- a/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void agentsThatHeartbeatsNameAreDialledWhenAStreamIsFree() {
+  void agentsNamedInHeartbeatsAreConnected() {
     feed(new SubscriptionInput.Disconnected(FARTHER));
     connect(NEAR, FAR);
     outputs.clear();
@@ -202,7 +202,7 @@
   }
 
   @Test
-  void theNearestTakesOverAgainOnceItHasBeenGoodForAWhile() {
+  void preferredAgentBecomesActiveOnceStable() {
     makeNearActive();
     heartbeat(new HeartbeatSample(NEAR, false, 0, List.of(NEAR, FAR, FARTHER)));
     outputs.clear();
--- a/src/test/java/slateslip/experiment/ExperimentFileTest.java
+++ b/src/test/java/slateslip/experiment/ExperimentFileTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void sameExperimentGivesTheSameLinesWithAnyNumberOfThreads() throws IOException {
+  void linesDoNotDependOnThreadCount() throws IOException {
     Path file = folder.resolve("small.json");
     Files.writeString(file, small());
     Experiment experiment = ((Reading.Valid) ExperimentFile.read(file)).experiment();
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void wrongUseIsToldAndEndsWithTwo() throws IOException {
+  void wrongUsageExitsWithTwo() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     assertThat(run(out), is(2));
     assertThat(run(out, "--nonsense"), is(2));
--- a/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
@@ -29,7 +29,7 @@
   // ---- one final answer, in time ----
 
   @Test
-  void anAttemptThatNeverEndsStillGetsOneFinalAnswerBeforeTheDeadline() {
+  void endlessAttemptGetsFinalResponse() {
     FakeHost host = two(Semantics.SAFE, Scope.ALL);
     long id = host.request();
     host.pass(2 * SECOND);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void outcomesTimersAndDeparturesOfClosedRequestsArePassedOver() {
+  void eventsOfClosedRequestsAreIgnored() {
     FakeHost host = two(Semantics.SAFE, Scope.ALL);
     long id = host.request();
     host.end(id, 0, Outcome.OK, 1000);
@@ -74,7 +74,7 @@
    * away longer.
    */
   @Test
-  void aRequestWhoseClientLeftNoLongerCountsAmongThoseThatWait() {
+  void departedClientLeavesQueue() {
     long[] notified = new long[2];
     for (int leaving = 0; leaving < 2; leaving++) {
       FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
@@ -166,7 +166,7 @@
 
   /** Guards against more work for servers that all have too much. */
   @Test
-  void aRequestThatAllTurnedAwayAsFullDoesNotGoThereAgain() {
+  void rejectedEverywhereIsNotResentThere() {
     FakeHost host =
         new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL))
             .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
@@ -180,7 +180,7 @@
 
   /** Guards against the same server being tried over and over while another has only no room. */
   @Test
-  void aServerItHasNotBeenToIsWaitedForBeforeOneNotReached() {
+  void untriedServerIsPreferredToUnreached() {
     FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request();
@@ -292,7 +292,7 @@
   // ---- drains ----
 
   @Test
-  void nothingGoesToADrainingOrGoneServerNotEvenWhenItIsTheOnlyOne() {
+  void drainingServerGetsNothingEvenIfAlone() {
     for (Phase phase : List.of(Phase.DRAINING, Phase.GONE)) {
       FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
       host.list(ListKind.DELTA, FakeHost.server(1, 0, phase, 0));
@@ -303,7 +303,7 @@
   }
 
   @Test
-  void aServerMissingFromAFullListIsGoneAndOneReadyAgainIsUsed() {
+  void fullListRemovesMissingAndRestoresReady() {
     FakeHost host = two(Semantics.SAFE, Scope.ALL);
     host.full(FakeHost.server(2, 0));
     for (int i = 0; i < 6; i++) {
@@ -325,7 +325,7 @@
   }
 
   @Test
-  void aColdServerGetsItsSurePartOfAWarmServersRateAndNoBurst() {
+  void warmingServerGetsItsFractionWithoutBurst() {
     FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 200; i++) {
@@ -344,7 +344,7 @@
   }
 
   @Test
-  void aColdServerIsNotFloodedWhenItIsAloneButIsNotStarvedEither() {
+  void loneWarmingServerIsNeitherFloodedNorStarved() {
     FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 200; i++) {
@@ -360,7 +360,7 @@
   }
 
   @Test
-  void aServerThatAnswersAgainAfterABreakIsTreatedAsColdWhateverTheListSays() {
+  void serverBackAfterOutageWarmsUp() {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     host.serve(25_000);
     long one = host.request();
@@ -377,7 +377,7 @@
    * time.
    */
   @Test
-  void brokenConnectionsAloneAreNoRestartHoweverLongTheServerRested() {
+  void resetsAloneAreNoRestart() {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     host.serve(25_000);
     long one = host.request();
@@ -416,7 +416,7 @@
    * first moment, and took the rate of the few servers it had just met for that of all.
    */
   @Test
-  void manyLightAgentsTogetherSendAColdServerItsSurePartOfAWarmOnesRate() {
+  void lightAgentsTogetherRespectWarmupRate() {
     for (int agents : new int[] {40, 400}) {
       Server[] list = new Server[20];
       for (int i = 0; i < list.length; i++) {
@@ -460,7 +460,7 @@
   }
 
   @Test
-  void entriesForUnknownOrAlreadyGoneServersAndRepeatsChangeNothing() {
+  void staleEntriesChangeNothing() {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     host.list(ListKind.DELTA, FakeHost.server(9, 0, Phase.GONE, 0));
     host.list(
--- a/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
+++ b/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void afterAnAnswerTheWaitsBeginAnew() {
+  void responseResetsDelays() {
     FakeHost host = agent(1);
     untilCall(host);
     for (int i = 0; i < 200; i++) {
@@ -162,7 +162,7 @@
 
   /** Discovery is down for 8 s, and all have called in vain again and again when it returns. */
   @Test
-  void agentsThatCalledInVainHaveTheListInTimeOnceDiscoveryIsBack() {
+  void agentsRecoverListAfterDiscoveryReturns() {
     Fleet fleet = Fleet.play(150_000, 8 * SECOND);
     assertTrue(
         fleet.responded.stream().allMatch(each -> each <= 8 * SECOND + TOLD), fleet.toString());
--- a/src/test/java/slateslip/loadbalancer/LoadBalancerMechanismTest.java
+++ b/src/test/java/slateslip/loadbalancer/LoadBalancerMechanismTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void everyServerOfTheOwnZoneIsProbedOnTheIntervalAndNotInStep() {
+  void localServersAreProbedOnIntervalOutOfStep() {
     // A single agent, so that the whole interval is its own.
     FakeHost host =
         new FakeHost(
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void failedProbesInARowMakeUnhealthyAndOneSuccessHealthy() {
+  void consecutiveFailedProbesMakeUnhealthy() {
     FakeHost host = four();
     failProbes(host, 1, 1);
     assertFalse(host.logged("active Unhealthy"));
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void aLateProbeOfAServerThatAnswersRealRequestsDoesNotCount() {
+  void lateProbeIsIgnoredWhileRequestsSucceed() {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 4; i++) {
       host.serve(10_000);
@@ -165,7 +165,7 @@
   }
 
   @Test
-  void failuresOverTheLimitMakeThePassiveStateUnhealthyUntilReactivation() {
+  void failureRatioEjectsUntilReactivation() {
     FakeHost host = four();
     failOnServerOne(host, 4, Outcome.TIMEOUT);
     assertFalse(host.logged("passive Unhealthy"), "below the minimum count");
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void theOwnZoneIsTakenWhileItHasRoomAndOthersOnceTheWaitIsWorthTheCrossing() {
+  void localZoneIsPreferredUntilWaitExceedsPrice() {
     FakeHost host = four();
     List<Long> ids = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -253,7 +253,7 @@
   }
 
   @Test
-  void aServerThatFailsAtOnceRestsAndDoesNotDrawEverything() {
+  void failingServerBacksOff() {
     FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 20; i++) {
@@ -292,7 +292,7 @@
   }
 
   @Test
-  void aServerThatTimesOutAndAnswersNothingElseRestsButOneHeavyRequestAmongOthersDoesNotMatter() {
+  void timingOutServerBacksOffUnlessOthersSucceed() {
     FakeHost unresponsive = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     long lost = unresponsive.request();
     unresponsive.pass(SECOND / 2);
@@ -335,7 +335,7 @@
   }
 
   @Test
-  void aMarkedRepeatWhoseTimeIsAlreadySpentIsRefusedAtOnceAndNotWorkedFor() {
+  void expiredMarkedRetryIsRejectedAtOnce() {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 60; i++) {
       host.serve(300_000);
@@ -351,7 +351,7 @@
   }
 
   @Test
-  void ofTheHeldTheNewestThatMayCrossDoesAndNotTheOneWithLeastTimeLeft() {
+  void newestQueuedRequestCrossesZones() {
     FakeHost host = four();
     for (int i = 0; i < 40; i++) {
       host.request();
@@ -372,7 +372,7 @@
   }
 
   @Test
-  void aColdServerGetsNothingThatItCannotBeExpectedToAnswerInTime() {
+  void warmingServerGetsOnlyWhatItCanFinish() {
     FakeHost host =
         new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     for (int i = 0; i < 40; i++) {
@@ -405,7 +405,7 @@
   }
 
   @Test
-  void aLimitBelowOnePausesTheServerAndAFewFastAnswersEndThat() {
+  void limitBelowOneBacksOffUntilFastResponses() {
     FakeHost host =
         new FakeHost(
                 FakeHost.settings(
@@ -435,7 +435,7 @@
    * First tries bring 3 of the 4 s for all attempts; returns a hand with one busy server and
    * requests held.
    */
-  private static FakeHost afterManyFirstTries(boolean busy) {
+  private static FakeHost afterManyFirstAttempts(boolean busy) {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     for (int i = 0; i < 60; i++) {
       host.serve(100_000);
@@ -457,25 +457,25 @@
   }
 
   @Test
-  void anUnmarkedRepeatIsKnownByTheTimeItBringsAndNotWorkedForWhileOthersWait() {
+  void unmarkedRetryIsDetectedByTimeLeft() {
     assertEquals(
         "refuse",
-        bring(afterManyFirstTries(true), 2 * SECOND).what(),
+        bring(afterManyFirstAttempts(true), 2 * SECOND).what(),
         "two of four seconds are spent");
-    assertEquals(null, bring(afterManyFirstTries(true), 3 * SECOND), "a first try is held");
+    assertEquals(null, bring(afterManyFirstAttempts(true), 3 * SECOND), "a first try is held");
     assertEquals(
         null,
-        bring(afterManyFirstTries(true), 3 * SECOND + 900_000),
+        bring(afterManyFirstAttempts(true), 3 * SECOND + 900_000),
         "an early repeat has time left");
     assertEquals(
         "send",
-        bring(afterManyFirstTries(false), 2 * SECOND).what(),
+        bring(afterManyFirstAttempts(false), 2 * SECOND).what(),
         "while nobody waits it is served");
   }
 
   @Test
-  void firstTriesAreNotTakenForRepeatsWhenEarlyRepeatsBringMore() {
-    FakeHost host = afterManyFirstTries(false);
+  void firstAttemptsAreNotTakenForRetries() {
+    FakeHost host = afterManyFirstAttempts(false);
     for (int i = 0; i < 3; i++) {
       host.balancer.request(
           host.now,
@@ -543,7 +543,7 @@
   }
 
   @Test
-  void ofAKeysTwoServersTheLessBusyIsTakenAndTheFirstWhenEven() {
+  void lessBusyOfKeysTwoServersIsSelected() {
     FakeHost host = new FakeHost(keyed(1), 1);
     host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
     List<Long> sent = new ArrayList<>();
@@ -555,7 +555,7 @@
   }
 
   @Test
-  void whenRequestsMustWaitOutThePriceTheSameKeysCrossAtOnce() {
+  void sameKeysCrossZonesUnderPressure() {
     FakeHost host = new FakeHost(keyed(2), 1);
     host.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
     Set<Long> early = crossers(host);
@@ -594,7 +594,7 @@
   }
 
   @Test
-  void aServerThatLeftAndComesBackWithARequestOutIsListedOnceAndLeavesWhole() {
+  void returningServerIsListedOnce() {
     FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
     long out = host.request();
     host.full(FakeHost.server(2, 0));
@@ -628,7 +628,7 @@
 
   /** Failed before: a light agent among hundreds opened a connection to every server there was. */
   @Test
-  void aLightAgentAmongManyKeepsToAFewServersAndAHeavyOneUsesMore() {
+  void subsetGrowsWithLoad() {
     FakeHost light = oneOfMany(400, 40);
     for (int i = 0; i < 60; i++) {
       light.serve(50_000);
@@ -694,7 +694,7 @@
   }
 
   @Test
-  void ofTwoWithAsManyInFlightTheOneWithShorterAnswersIsTakenMoreOften() {
+  void fasterOfEquallyLoadedIsPreferred() {
     FakeHost host =
         new FakeHost(
                 FakeHost.settings(
@@ -734,7 +734,7 @@
 
   /** Failed before: a late answer paused a server for no longer than a merely slow one. */
   @Test
-  void anAnswerPastTheAimPausesAServerForALightAgentForLonger() {
+  void lateResponseBacksOffLightAgentLonger() {
     long[] sentAgainAfter = new long[2];
     for (int late = 0; late < 2; late++) {
       FakeHost host = oneOfMany(100, 1);
@@ -801,7 +801,7 @@
    * as long.
    */
   @Test
-  void workThatOftenTakesHalfTheAimLeavesAnIdleServerItsRoom() {
+  void halfTargetWorkKeepsIdleCapacity() {
     int sent =
         capacityAfter(
             300_000, 550_000, 400_000, 600_000, 350_000, 500_000, 680_000, 450_000, 630_000);
@@ -813,7 +813,7 @@
    * for the usual time, as long as that was within two thirds of the aim.
    */
   @Test
-  void beforeAnyClassIsKnownAnswersSlowerThanTheFirstOfAllClassesCloseAServer() {
+  void unknownClassUsesAllLatencies() {
     var type = FakeHost.type(Semantics.SAFE, Scope.ALL);
     FakeHost host =
         new FakeHost(
--- a/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
+++ b/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
@@ -9,7 +9,7 @@
 
 class QuantileEstimatorTest {
   @Test
-  void aFirstValueFarBelowTheOthersLeavesNoTraceInTheLowest() {
+  void lowFirstValueDoesNotDistortLowest() {
     QuantileEstimator quantile = new QuantileEstimator(0.8);
     quantile.add(0.01);
     for (int i = 0; i < 200; i++) {
--- a/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
@@ -125,7 +125,7 @@
 
   /** Guards against its standing before others in the queue until its time is up. */
   @Test
-  void aRequestHeldThatMayNotGoAgainAnyMoreIsAnsweredAtOnce() {
+  void queuedRequestWithoutRetryIsAnsweredAtOnce() {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
     host.full(FakeHost.server(1, 0));
     long id = host.request();
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void deadlinesGivenStayAndRequestsOfARemovedClassThatAreHeldAreServed() {
+  void removedClassKeepsDeadlinesAndQueue() {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
     long queued = host.request(1, 0);
     long late = host.request(1, 0);
@@ -156,7 +156,7 @@
    * name.
    */
   @Test
-  void whatIsLearntOfAClassStaysWithItWhenItsPlaceChanges() {
+  void classStateFollowsItsName() {
     for (boolean swapped : new boolean[] {false, true}) {
       FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
       host.full(FakeHost.server(1, 0));
@@ -210,7 +210,7 @@
   }
 
   @Test
-  void aChangeEarnsAColdServerNothing() {
+  void reloadDoesNotGrantWarmingServer() {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
     host.full(FakeHost.server(1, 0, Phase.READY, host.now));
     host.pass(3 * SECOND);
@@ -264,7 +264,7 @@
 
   /** Guards against a server that only a probe could have made available again. */
   @Test
-  void probesThatAreNotPermittedAnyMoreLeaveNoServerShutAndBeginWhereTheyAre() {
+  void reloadedProbePermissionResetsHealth() {
     Permits none = new Permits(4, false, true, false, false, SECOND);
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
     host.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
--- a/src/test/java/slateslip/loadbalancer/SettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void anEmptyListForAWhileHoldsRequestsAndServesThemOnceServersCome() {
+  void requestsQueueWhileListIsEmpty() {
     FakeHost host = new FakeHost(FakeHost.safe()).full();
     long id = host.request();
     host.pass(SECOND / 10);
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aPriceOverOneNeverCrossesWhileTheOwnZoneIsAvailable() {
+  void crossZonePriceAboveOneStaysLocal() {
     FakeHost host =
         new FakeHost(with(FakeHost.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
             .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void withFiveZonesTheOwnOneIsTakenFirstAndAnyOtherWhenItIsGone() {
+  void localZoneFirstThenAnyOther() {
     FakeHost host = host(FakeHost.type(Semantics.SAFE, Scope.ALL), ALL, 5);
     List<Server> servers = new ArrayList<>();
     for (int zone = 0; zone < 5; zone++) {
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void withoutCancelARequestOutOfTimeIsAnsweredOnceAndItsAttemptLeftAlone() {
+  void withoutCancelExpiredRequestIsAnsweredOnce() {
     FakeHost host =
         host(
             FakeHost.type(Semantics.SAFE, Scope.ALL),
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void aStreamedAnswerThatHasBegunIsLeftToEndAndIsNotAnsweredAgain() {
+  void startedStreamIsNotAnsweredAgain() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
     FakeHost host = host(streamed, ALL, 1);
--- a/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
+++ b/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
@@ -111,7 +111,7 @@
     }
   }
 
-  private void assertBudgetKept() {
+  private void assertWithinBudget() {
     for (int first = 0; first < sentWhileWarmingUp.size(); first++) {
       long from = sentWhileWarmingUp.get(first);
       long sent =
@@ -137,7 +137,7 @@
     pass(10 * SECOND, WARM * CAPACITY, work);
     join();
     pass(15 * SECOND, WARM * CAPACITY, work);
-    assertBudgetKept();
+    assertWithinBudget();
     assertTrue(sentWhileWarmingUp.size() > CAPACITY, "it is starved: " + sentWhileWarmingUp.size());
   }
 
@@ -152,7 +152,7 @@
       hands.forEach(each -> request(each, 20_000));
     }
     pass(2 * SECOND, 3 * WARM * CAPACITY, 20_000);
-    assertBudgetKept();
+    assertWithinBudget();
   }
 
   /**
@@ -171,6 +171,6 @@
       hands.forEach(each -> request(each, 600_000));
     }
     pass(2 * SECOND, 2 * WARM * CAPACITY, 600_000);
-    assertBudgetKept();
+    assertWithinBudget();
   }
 }
--- a/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void outcomesOfUnknownRequestsAndAttemptsAndOutcomesToldTwiceAreNamed() {
+  void unknownAndRepeatedOutcomesAreReported() {
     listTwo(checked);
     assertEquals(
         "request 4 is not known, or has ended",
--- a/src/test/java/slateslip/loadbalancer/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -33,7 +33,7 @@
 /** The agent over loopback sockets, against scripted peers. */
 class AgentTest {
   private static final ScriptedPeer.Script SERVES =
-      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+      (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
   private static final ScriptedPeer.Script SILENT = (message, socket) -> {};
   private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
   private static final ScriptedPeer.Script CUTS_OFF =
@@ -70,11 +70,11 @@
   // ---- Passing on ----
 
   @Test
-  void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() throws IOException {
+  void requestAndResponsePassUnchanged() throws IOException {
     String body = "b\u0000\u00ff".repeat(20_000);
     ScriptedPeer server =
         fixture.server(
-            (message, socket) -> ScriptedPeer.answer(socket, 200, "Content-Type: x/y\r\n", body));
+            (message, socket) -> ScriptedPeer.respond(socket, 200, "Content-Type: x/y\r\n", body));
     fixture.start();
     ScriptedPeer.Message response =
         LoopbackCluster.exchange(fixture.dial(), fixture.request("pay", 5000, body));
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void connectionsAreKeptOnBothSides() throws Exception {
+  void connectionsAreReusedOnBothSides() throws Exception {
     ScriptedPeer server = fixture.server(SERVES);
     fixture.start();
     Socket client = fixture.dial();
@@ -145,7 +145,7 @@
   @Test
   void requestsSentInAdvanceAreAnsweredInTheirOrder() throws IOException {
     fixture.server(
-        (message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
+        (message, socket) -> ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
     fixture.start();
     Socket client = fixture.dial();
     StringBuilder all = new StringBuilder();
@@ -160,7 +160,7 @@
 
   /** Guards against the first requests meeting code that is not even loaded. */
   @Test
-  void thePathIsRunOverSocketsBeforeTheAgentIsReadyAndLeavesNothingBehind() throws Exception {
+  void warmupRunsBeforeReadyAndLeavesNothing() throws Exception {
     fixture.start();
     // Failed before: 150 were too few, and the first seconds of service went to the compiler.
     assertTrue(fixture.agent.warmedBy() > 200, "warmed by " + fixture.agent.warmedBy());
@@ -174,7 +174,7 @@
   @ValueSource(strings = {"lookup", "pay", "order"})
   void whatWasTurnedAwayUnseenIsSentAgain(String type) throws IOException {
     twoServersThatFirst(
-        (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+        (message, socket) -> ScriptedPeer.respond(socket, 503, "Not-Started: 1\r\n", ""));
     assertEquals(200, fixture.call(type).status());
     assertEquals(2, fixture.arrived());
   }
@@ -182,7 +182,7 @@
   /** Guards against an effect twice: only Not-Started proves that a 503 has not run. */
   @Test
   void aBare503MayHaveRun() throws IOException {
-    twoServersThatFirst((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+    twoServersThatFirst((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
     assertEquals(502, fixture.call("order").status());
     assertEquals(1, fixture.arrived());
   }
@@ -211,8 +211,7 @@
    * sent.
    */
   @Test
-  void aKeyedRequestIsNotSentAgainWhereItsWindowMayBeOverOnceTheConnectionIsUp()
-      throws IOException {
+  void keyedRequestIsNotRetriedNearWindowEnd() throws IOException {
     fixture.settings("caps", caps -> caps.put("dial-timeout-us", 400_000));
     ((ObjectNode) fixture.config.get("settings").get("classes").get(1)).put("window-us", 400_000);
     twoServersThatFirst(RESETS);
@@ -225,7 +224,7 @@
    * failure.
    */
   @Test
-  void aRequestWithNoTimeLeftIsRefusedByTheModuleAndNotFailedByTheGuard() throws IOException {
+  void expiredRequestIsRejectedNotFailed() throws IOException {
     fixture.server(SERVES);
     fixture.start();
     for (int i = 0; i < 20; i++) {
@@ -238,7 +237,7 @@
 
   /** Guards against half a response being served as a complete one. */
   @Test
-  void anAnswerCutOffIsNotServed() throws IOException {
+  void truncatedResponseIsNotServed() throws IOException {
     twoServersThatFirst(CUTS_OFF);
     ScriptedPeer.Message response = fixture.call("lookup");
     assertEquals(200, response.status());
@@ -259,15 +258,15 @@
   }
 
   @Test
-  void anAnswerThatIsNotHttpOrTooLargeFailsItsAttemptOnly() throws IOException {
+  void malformedOrOversizedResponseFailsOnlyItsAttempt() throws IOException {
     AtomicInteger turn = new AtomicInteger();
     for (int i = 0; i < 3; i++) {
       fixture.server(
           (message, socket) -> {
             switch (turn.getAndIncrement()) {
               case 0 -> ScriptedPeer.write(socket, "I am not HTTP\r\n\r\n");
-              case 1 -> ScriptedPeer.answer(socket, 200, "", "x".repeat(100_000));
-              default -> ScriptedPeer.answer(socket, 200, "", "served");
+              case 1 -> ScriptedPeer.respond(socket, 200, "", "x".repeat(100_000));
+              default -> ScriptedPeer.respond(socket, 200, "", "served");
             }
           });
     }
@@ -277,7 +276,7 @@
   }
 
   @Test
-  void aServerThatRefusesConnectionsCostsAnUnsafeRequestNothing() throws IOException {
+  void refusedConnectionAllowsUnsafeRetry() throws IOException {
     fixture.server(SERVES).listener.close();
     fixture.server(SERVES);
     fixture.start();
@@ -296,7 +295,7 @@
   }
 
   @Test
-  void aSilentServerIsGivenUpInTimeAndItsConnectionClosed() throws IOException {
+  void unresponsiveServerTimesOutAndIsClosed() throws IOException {
     fixture.settings("caps", caps -> caps.put("probes", false));
     ScriptedPeer server = fixture.server(SILENT);
     fixture.start();
@@ -450,7 +449,7 @@
     fixture.server(SERVES);
     fixture.start();
     int before = fixture.discovery.requests.size();
-    fixture.update.add((message, socket) -> ScriptedPeer.answer(socket, 200, "", body));
+    fixture.update.add((message, socket) -> ScriptedPeer.respond(socket, 200, "", body));
     LoopbackCluster.await(
         () ->
             fixture.discovery.requests.stream()
@@ -464,12 +463,12 @@
     ScriptedPeer server = new ScriptedPeer(SERVES);
     fixture.servers.add(server);
     fixture.start();
-    fixture.update.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+    fixture.update.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
     fixture.update.add(RESETS);
     fixture.update.add((message, socket) -> socket.close());
     fixture.update.add(
         (message, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket,
                 200,
                 "Connection: close\r\n",
@@ -480,12 +479,12 @@
   }
 
   @Test
-  void whereDiscoveryIsAskedTheModuleSaysWhenAfterAFailure() throws Exception {
+  void loadBalancerTimesDiscoveryRetries() throws Exception {
     ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
     ScriptedPeer server = new ScriptedPeer(SERVES);
     fixture.servers.add(server);
     fixture.start();
-    fixture.update.add((message, socket) -> ScriptedPeer.answer(socket, 503, "", ""));
+    fixture.update.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
     fixture.update.add(
         LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
     LoopbackCluster.await(
@@ -504,7 +503,7 @@
     ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
     ScriptedPeer drained = fixture.server(SERVES);
     ScriptedPeer other =
-        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "other"));
     AtomicInteger failures = new AtomicInteger();
     fixture.start(
         fixture.overheard(
@@ -549,7 +548,7 @@
             .peer(
                 (message, socket) -> {
                   ready.await();
-                  ScriptedPeer.answer(socket, 200, "", fixture.config.get("known").toString());
+                  ScriptedPeer.respond(socket, 200, "", fixture.config.get("known").toString());
                 })
             .address());
     ((ObjectNode) fixture.config.get("settings"))
@@ -625,7 +624,7 @@
     fixture.server(
         (message, socket) -> {
           open.await();
-          ScriptedPeer.answer(socket, 200, "", "served");
+          ScriptedPeer.respond(socket, 200, "", "served");
         });
     fixture.start();
     List<CompletableFuture<Integer>> responses = new ArrayList<>();
@@ -650,7 +649,7 @@
    * way; one that has to go is told so with its response.
    */
   @Test
-  void atTheLimitOnSocketsKeptConnectionsAreNotClosedUnannounced() throws Exception {
+  void socketLimitKeepsUsedConnections() throws Exception {
     ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
     fixture.server(SERVES);
     fixture.start();
@@ -685,14 +684,14 @@
   }
 
   @Test
-  void anAgentToldToEndServesOnForAMomentAndFinishesWhatItHolds() throws Exception {
+  void shutdownServesOnAndFinishes() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     fixture.server(
         (message, socket) -> {
           if (message.target().startsWith("/order")) {
             go.await();
           }
-          ScriptedPeer.answer(socket, 200, "", "served");
+          ScriptedPeer.respond(socket, 200, "", "served");
         });
     fixture.start();
     Socket queued = fixture.dial();
@@ -746,11 +745,11 @@
    * Guards against what is still open when the agent is killed, 0.7 s after the longest deadline.
    */
   @Test
-  void anAgentToldToEndGivesItsLastAnswersBeforeItIsKilled() throws Exception {
+  void shutdownAnswersBeforeKill() throws Exception {
     for (JsonNode each : fixture.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
     }
-    fixture.start(AgentTest::neverAnswers); // and a client that waits for longer than the test
+    fixture.start(AgentTest::neverResponds); // and a client that waits for longer than the test
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("order", 2 * LoopbackCluster.GENEROUS_MS, "body"));
     Thread.sleep(100);
@@ -764,11 +763,11 @@
    * signal at the latest, whatever the deadlines are.
    */
   @Test
-  void anAgentToldToEndAnswersBeforeTheKillHoweverLongTheDeadlinesAre() throws Exception {
+  void shutdownAnswersBeforeKillWithLongDeadlines() throws Exception {
     for (JsonNode each : fixture.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("give-up-us", 3_000 * LoopbackCluster.GENEROUS_MS);
     }
-    fixture.start(AgentTest::neverAnswers);
+    fixture.start(AgentTest::neverResponds);
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("order", 3 * LoopbackCluster.GENEROUS_MS, "body"));
     ScriptedPeer.daemon(fixture.agent::stop);
@@ -777,7 +776,7 @@
   }
 
   /** A module that leaves its requests open. */
-  private static LoadBalancer neverAnswers(Agent unusedAgent) {
+  private static LoadBalancer neverResponds(Agent unusedAgent) {
     return (LoadBalancer)
         Proxy.newProxyInstance(
             LoadBalancer.class.getClassLoader(),
@@ -797,7 +796,7 @@
   void reportsAreReadInTheSettingsOrder() throws Exception {
     fixture.server(
         (message, socket) ->
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
     fixture.start(
--- a/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
@@ -24,7 +24,7 @@
 class BadClientsTest {
   private static final String GET = "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\n";
   private static final ScriptedPeer.Script SERVES =
-      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+      (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
 
   private LoopbackCluster fixture;
 
@@ -78,7 +78,7 @@
         "\u0016\u0003\u0001\r\n",
         "{\"not\": \"http\"}\r\n"
       })
-  void whatIsNoRequestIsAnswered400(String head) throws IOException {
+  void malformedRequestGets400(String head) throws IOException {
     fixture.server(SERVES);
     fixture.start();
     assertTurnedAway(400, head + "\r\n");
@@ -152,7 +152,7 @@
     fixture.server(
         (message, socket) -> {
           go.await();
-          ScriptedPeer.answer(socket, 200, "", "served");
+          ScriptedPeer.respond(socket, 200, "", "served");
         });
     fixture.start();
     Socket client = fixture.dial();
@@ -172,12 +172,12 @@
 
   /** Guards against an effect twice, and against one client getting another's answer. */
   @Test
-  void theIdOfAnOpenRequestIsRefusedAndThatRequestUnharmed() throws Exception {
+  void duplicateOpenIdIsRejected() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     fixture.server(
         (message, socket) -> {
           go.await();
-          ScriptedPeer.answer(socket, 200, "", "served");
+          ScriptedPeer.respond(socket, 200, "", "served");
         });
     fixture.start();
     Socket first = fixture.dial();
@@ -217,7 +217,7 @@
    * ask.
    */
   @Test
-  void silentConnectionsMakeRoom() throws Exception {
+  void idleConnectionsMakeRoom() throws Exception {
     ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
     fixture.server(SERVES);
     fixture.start();
@@ -250,7 +250,7 @@
   }
 
   @Test
-  void aClientThatAsksFirstWhetherToSendItsBodyIsToldToGoOn() throws IOException {
+  void expectContinueGets100() throws IOException {
     fixture.server(SERVES);
     fixture.start();
     Socket client = fixture.dial();
--- a/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
@@ -44,7 +44,7 @@
             if (turn.getAndIncrement() == 0) {
               ScriptedPeer.write(socket, bytes);
             } else {
-              ScriptedPeer.answer(socket, 200, "", "served");
+              ScriptedPeer.respond(socket, 200, "", "served");
             }
           });
     }
@@ -120,7 +120,7 @@
    * end.
    */
   @Test
-  void anAnswerWithNoLengthThatIsResetOnTheWayIsNotServedAndMayHaveRun() throws IOException {
+  void resetUnboundedResponseIsNotServed() throws IOException {
     responsesStarted("x".repeat(100), ScriptedPeer::reset);
     assertEquals(502, fixture.call("order").status());
     assertEquals("served", fixture.call("lookup").text());
@@ -154,7 +154,7 @@
               ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
               connectionEnd.of(socket);
             } else {
-              ScriptedPeer.answer(socket, 200, "", "served");
+              ScriptedPeer.respond(socket, 200, "", "served");
             }
           });
     }
@@ -231,7 +231,7 @@
   void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
     fixture.server(
         (message, socket) ->
-            ScriptedPeer.answer(socket, 200, "Server-Load: " + report + "\r\n", "good"));
+            ScriptedPeer.respond(socket, 200, "Server-Load: " + report + "\r\n", "good"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
     fixture.start(
         fixture.overheard(
@@ -251,7 +251,7 @@
   @Test
   void nothingIsKeptForServersThatAreGone() throws Exception {
     ScriptedPeer first =
-        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
     fixture.start();
     assertEquals(200, fixture.call("order").status());
     for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
@@ -283,7 +283,7 @@
           if (resets.getAndDecrement() > 0) {
             ScriptedPeer.reset(socket);
           } else {
-            ScriptedPeer.answer(socket, 200, "", "served");
+            ScriptedPeer.respond(socket, 200, "", "served");
           }
         });
     fixture.start();
--- a/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
@@ -78,7 +78,7 @@
    * over half a request: it is owed an error or a close within 3 s of its connecting.
    */
   @Test
-  void aPeerThatIsSilentAndThenSendsHalfARequestIsNotWaitedForTwice() throws Exception {
+  void idleThenPartialRequestTimesOutOnce() throws Exception {
     try (Socket peer = dial()) {
       LoopbackCluster.await(
           () -> !group.next().submit(clients::isEmpty).syncUninterruptibly().getNow());
@@ -99,7 +99,7 @@
    * being accepted and its first request; one on which nothing comes is not waited for.
    */
   @Test
-  void theEndBetweenANewConnectionAndItsFirstRequestLosesNothing() throws Exception {
+  void shutdownBeforeFirstRequestLosesNothing() throws Exception {
     listener =
         new ClientServer.Listener() {
           @Override
@@ -127,7 +127,7 @@
    * between them.
    */
   @Test
-  void theEndBetweenAnAnswerAndTheRequestReadBehindItLosesNothing() throws Exception {
+  void shutdownWithPipelinedRequestLosesNothing() throws Exception {
     listener =
         new ClientServer.Listener() {
           private boolean first = true;
--- a/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
@@ -34,7 +34,7 @@
  */
 class DescriptorsTest {
   private static final ScriptedPeer.Script SERVES =
-      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+      (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
   private static final int EACH = 12;
 
   private final EventLoopGroup group =
@@ -145,10 +145,10 @@
    * return is had and used.
    */
   @Test
-  void idleClientsThatFillTheDescriptorsKeepNobodyFromServersAndDiscovery() throws Exception {
-    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+  void idleClientsLeaveDescriptorsForOthers() throws Exception {
+    fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     ScriptedPeer replacement =
-        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
     int port = fixture.discovery.listener.getLocalPort();
     fixture.discovery.close();
     fixture.agent = Agent.start(AgentConfig.of(fixture.config));
@@ -172,7 +172,7 @@
               // Whatever the agent held: the one before may have been asked in the moment in which
               // it closed.
               if (!message.target().contains("since=7")) {
-                ScriptedPeer.answer(socket, 200, "", list);
+                ScriptedPeer.respond(socket, 200, "", list);
               }
             });
     fixture.peers.add(back);
--- a/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
@@ -31,7 +31,7 @@
   private static final long NOTIFIED_MICROS = 6_000_000;
 
   private static final ScriptedPeer.Script REFUSES =
-      (message, socket) -> ScriptedPeer.answer(socket, 503, "", "");
+      (message, socket) -> ScriptedPeer.respond(socket, 503, "", "");
   private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
 
   /** The module's waits before each call, microseconds. */
@@ -45,8 +45,8 @@
   void set() throws IOException {
     fixture = new LoopbackCluster();
     ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
-    drained = fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "drained"));
-    other = fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
+    drained = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "drained"));
+    other = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "other"));
   }
 
   @AfterEach
@@ -103,7 +103,7 @@
    * once.
    */
   @Test
-  void theFirstCallIsAWatchForWhatIsNewerThanTheKnownList() throws Exception {
+  void firstCallWatchesFromKnownVersion() throws Exception {
     ((ObjectNode) fixture.config.get("known")).put("index", 3);
     fixture.start(this::hurried);
     fixture.update.add(drain());
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void aChangeIsKnownAfterARefusedFirstCallAndRefusedRepeats() throws Exception {
+  void changeIsRecognizedAfterRejectedAttempts() throws Exception {
     fixture.update.addAll(List.of(REFUSES, REFUSES, RESETS, REFUSES, drain()));
     fixture.start(this::hurried);
     assertDrainKnown(fixture.discovery);
@@ -164,7 +164,7 @@
    * undone.
    */
   @Test
-  void theKnownListComesBeforeDiscoverysAlsoWhereTheModuleAsksAtOnce() throws Exception {
+  void knownListPrecedesDiscovery() throws Exception {
     List<Object> lists = new CopyOnWriteArrayList<>();
     Function<Agent, LoadBalancer> overheard =
         fixture.overheard(
@@ -221,7 +221,7 @@
 
   /** Failed before: the end of the connection that ended the list counted as a call that failed. */
   @Test
-  void aListWithNoLengthEndsWithItsConnectionAndIsNoFailure() throws Exception {
+  void listWithoutLengthEndsWithConnection() throws Exception {
     fixture.update.add(
         (message, socket) -> {
           ScriptedPeer.write(
--- a/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
@@ -85,7 +85,7 @@
     ScriptedPeer fresh =
         fixture.peer(
             (message, socket) ->
-                ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
+                ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
     fixture.update.add(
         LoopbackCluster.delta(
             1,
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aRequestThatWaitsForRoomIsNotSentOnceItsClientLeft() throws Exception {
+  void departedClientCancelsQueuedRequest() throws Exception {
     start();
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
@@ -112,10 +112,10 @@
   }
 
   @Test
-  void aRequestThatWaitsForItsRepeatIsNotSentOnceItsClientLeft() throws Exception {
+  void departedClientCancelsPendingRetry() throws Exception {
     ScriptedPeer full =
         fixture.server(
-            (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+            (message, socket) -> ScriptedPeer.respond(socket, 503, "Not-Started: 1\r\n", ""));
     start();
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aRequestThatWaitsForItsDialIsNotSentOnceItsClientLeft() throws Exception {
+  void departedClientCancelsPendingConnect() throws Exception {
     fixture.settings(
         "caps", caps -> caps.put("dial-timeout-us", 1000 * LoopbackCluster.GENEROUS_MS));
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -207,7 +207,7 @@
   @ValueSource(booleans = {false, true})
   void aRequestIsNotSentWhoseClientLeftBeforeItWasRead(boolean onANewConnection) throws Exception {
     fixture.server(
-        (message, socket) -> ScriptedPeer.answer(socket, 200, "", message.header("Request-Id")));
+        (message, socket) -> ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
     CountDownLatch go = holdTheLoop();
     Socket client = onANewConnection ? null : fixture.dial();
     if (client != null) {
@@ -242,7 +242,7 @@
               if (message.header("Request-Id").equals("id1")) {
                 hold(go);
               }
-              ScriptedPeer.answer(socket, 200, "", message.header("Request-Id"));
+              ScriptedPeer.respond(socket, 200, "", message.header("Request-Id"));
             });
     start();
     Socket client = fixture.dial();
@@ -274,7 +274,7 @@
   void aCloseBehindWhatIsNoRequestIsSeen(String noise) throws Exception {
     ScriptedPeer full =
         fixture.server(
-            (message, socket) -> ScriptedPeer.answer(socket, 503, "Not-Started: 1\r\n", ""));
+            (message, socket) -> ScriptedPeer.respond(socket, 503, "Not-Started: 1\r\n", ""));
     start();
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("lookup", 8000, "") + noise);
@@ -293,7 +293,7 @@
   void noneIsSentForAClientThatReadsNoAnswersOnceItLeft(int ahead) throws Exception {
     String large = "x".repeat(60_000);
     ScriptedPeer server =
-        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", large));
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", large));
     start();
     Socket client = new Socket();
     client.setReceiveBufferSize(2048);
--- a/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
@@ -22,7 +22,7 @@
 
   /** Failed before: a request in seven was written to a connection that the network had dropped. */
   @Test
-  void agesFromWhichConnectionsBreakAtOnceAreNotUsedAgain() {
+  void agesWithImmediateResetsAreAvoided() {
     use(50, 40, 12, 1000);
     use(50, 70, 12, 1000);
     use(8, 150, 2, 1000);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void theYoungestAreAlwaysUsedAndTheRestIsTriedAgainInTime() {
+  void youngestAreAlwaysReusedAndLimitRecovers() {
     use(40, 30, 1, 1000);
     assertEquals(MAX, age.limitNanos());
     use(8, 150, 1, 1000);
--- a/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
@@ -62,7 +62,7 @@
 
   @BeforeEach
   void set() throws IOException {
-    server = new ScriptedPeer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "served"));
+    server = new ScriptedPeer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
   }
 
   /** Connections may take so long to come up. */
@@ -115,7 +115,7 @@
 
   /** Failed before: the attempt ended as one that could not connect. */
   @Test
-  void besideAConnectionThatNeverComesUpAnotherIsDialledInTime() throws Exception {
+  void hangingConnectGetsSecondConnect() throws Exception {
     start(DIAL_MICROS);
     late = 1;
     assertEquals(Outcome.OK, send(0));
@@ -125,7 +125,7 @@
 
   /** Both dials together take no longer than one may: a repeat's window depends on that. */
   @Test
-  void whereNeitherComesUpTheAttemptEndsOnceAndInTheTimeOfOne() throws Exception {
+  void twoHangingConnectsEndOnce() throws Exception {
     start(DIAL_MICROS);
     late = 2;
     assertEquals(Outcome.CONNECT_FAILED, send(0));
@@ -143,7 +143,7 @@
 
   /** Failed before: it was closed, and the next request had to dial again. */
   @Test
-  void aConnectionThatComesUpWhenItsAttemptIsOverServesTheNextRequest() throws Exception {
+  void lateConnectionServesNextRequest() throws Exception {
     start(60_000_000);
     late = 1;
     assertEquals(Outcome.TIMEOUT, send(1_000));
@@ -158,7 +158,7 @@
   }
 
   @Test
-  void aConnectionThatComesUpForAServerThatHasGoneIsClosed() throws Exception {
+  void connectionToRemovedServerIsClosed() throws Exception {
     start(60_000_000);
     late = 1;
     loop.submit(() -> backends.send(1, outgoing(), 0, result -> outcomes.add(result.outcome())))
--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
@@ -35,7 +35,7 @@
 /** Settings with a version, taken over while the agent runs, over loopback sockets. */
 class LiveSettingsTest {
   private static final ScriptedPeer.Script SERVES =
-      (message, socket) -> ScriptedPeer.answer(socket, 200, "", "served");
+      (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
 
   @TempDir private Path dir;
   private final PrintStream usualLog = System.err;
@@ -114,7 +114,7 @@
   // ---- Taken ----
 
   @Test
-  void classesAreAddedMovedAndRemovedByNameAndTheVersionIsShown() throws Exception {
+  void classesReloadByName() throws Exception {
     ScriptedPeer server = fixture.server(SERVES);
     fixture.start();
     assertEquals(400, status("extra"));
@@ -138,7 +138,7 @@
 
   /** Guards against the class of one list being taken for what has its place in the next. */
   @Test
-  void aRequestWhoseBodyComesAfterTheChangeIsOfTheClassThatItNames() throws Exception {
+  void bodyAfterReloadUsesNamedClass() throws Exception {
     ScriptedPeer server = fixture.server(SERVES);
     fixture.start();
     Socket[] halves = new Socket[2];
@@ -220,7 +220,7 @@
               go.await();
               ScriptedPeer.reset(socket);
             } else {
-              ScriptedPeer.answer(socket, 200, "", "served");
+              ScriptedPeer.respond(socket, 200, "", "served");
             }
           });
     }
@@ -268,7 +268,7 @@
     fixture.server(SERVES);
     fixture.start();
     ScriptedPeer other =
-        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "other"));
+        fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "other"));
     take(
         42,
         config -> {
@@ -334,7 +334,7 @@
         fixture.peer(
             (message, socket) -> {
               if (!message.target().contains("since")) {
-                ScriptedPeer.answer(socket, 200, "", fixture.config.get("known").toString());
+                ScriptedPeer.respond(socket, 200, "", fixture.config.get("known").toString());
               }
             });
     fixture.start();
@@ -388,7 +388,7 @@
   }
 
   @Test
-  void theSameVersionWithTheSameContentIsNothingNewButDiscoveryMoves() throws Exception {
+  void sameVersionOnlyMovesDiscovery() throws Exception {
     ScriptedPeer server = fixture.server(SERVES);
     ScriptedPeer elsewhere = fixture.peer((message, socket) -> {});
     fixture.start();
@@ -401,7 +401,7 @@
   }
 
   @Test
-  void withoutLiveSettingsOnlyDiscoveryIsTakenAndNoVersionIsShown() throws Exception {
+  void withoutLiveSettingsOnlyDiscoveryReloads() throws Exception {
     fixture.config.remove("live_settings");
     fixture.server(SERVES);
     ScriptedPeer elsewhere = fixture.peer((message, socket) -> {});
@@ -484,7 +484,7 @@
    * A read that is under way takes in what is asked for meanwhile: one more read, of the last file.
    */
   @Test
-  void whatIsAskedForDuringAReadIsOneMoreReadAndTheLastWins() throws Exception {
+  void requestsDuringReadCauseOneMoreRead() throws Exception {
     fixture.server(SERVES);
     fixture.start();
     Path pipe = pipe();
--- a/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
+++ b/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
@@ -55,7 +55,7 @@
               if (message.target().contains("since")) {
                 update.take().handle(message, socket);
               } else {
-                ScriptedPeer.answer(socket, 200, "", config.get("known").toString());
+                ScriptedPeer.respond(socket, 200, "", config.get("known").toString());
               }
             });
     config.put("discovery", discovery.address());
@@ -93,7 +93,7 @@
   static ScriptedPeer.Script delta(int index, ObjectNode... entries) {
     ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
     list.putArray("endpoints").addAll(List.of(entries));
-    return (message, socket) -> ScriptedPeer.answer(socket, 200, "", list.toString());
+    return (message, socket) -> ScriptedPeer.respond(socket, 200, "", list.toString());
   }
 
   LoopbackCluster settings(String group, Consumer<ObjectNode> change) {
--- a/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
@@ -50,7 +50,7 @@
     return fixture.peer(
         (message, socket) -> {
           if (!message.target().contains("since")) {
-            ScriptedPeer.answer(
+            ScriptedPeer.respond(
                 socket,
                 200,
                 "",
@@ -66,16 +66,16 @@
   }
 
   @Test
-  void theWholeListIsFetchedAtTheNewAddressAndNoRequestIsDisturbed() throws Exception {
+  void movedDiscoveryFetchesFullListUndisturbed() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     ScriptedPeer old =
         fixture.server(
             (message, socket) -> {
               go.await();
-              ScriptedPeer.answer(socket, 200, "", "old");
+              ScriptedPeer.respond(socket, 200, "", "old");
             });
     ScriptedPeer fresh =
-        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
     ScriptedPeer other = discoveryOf(fresh);
     fixture.start();
     Socket queued = fixture.dial();
@@ -99,9 +99,9 @@
   /** Guards against an agent without servers while the new discovery is not up yet. */
   @Test
   void theOldListStaysUntilTheNewOneComes() throws Exception {
-    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     ScriptedPeer fresh =
-        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
     ScriptedPeer up = discoveryOf(fresh);
     ScriptedPeer down = fixture.peer((message, socket) -> ScriptedPeer.reset(socket));
     fixture.start();
@@ -120,11 +120,11 @@
    * is owed within 4 s, and a discovery that all agents call at once may turn some away.
    */
   @Test
-  void callsThatFailAfterAMoveAreMadeAgainWithoutTheWaitOfOthers() throws Exception {
+  void failedCallsAfterMoveRetryWithoutDelay() throws Exception {
     ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
-    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     ScriptedPeer fresh =
-        fixture.peer((message, socket) -> ScriptedPeer.answer(socket, 200, "", "new"));
+        fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
     ScriptedPeer busy =
         fixture.peer(
             (message, socket) -> {
@@ -132,9 +132,9 @@
                 return;
               }
               if (requested(fixture.peers.get(1)).size() <= 3) {
-                ScriptedPeer.answer(socket, 503, "", "");
+                ScriptedPeer.respond(socket, 503, "", "");
               } else {
-                ScriptedPeer.answer(
+                ScriptedPeer.respond(
                     socket,
                     200,
                     "",
@@ -161,7 +161,7 @@
 
   @Test
   void anUnusableFileChangesNothing() throws Exception {
-    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+    fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     fixture.start();
     for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
       Files.writeString(file, text);
@@ -182,7 +182,7 @@
   @Test
   void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
     ScriptedPeer old =
-        fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", "old"));
+        fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     ScriptedPeer other = discoveryOf(old);
     write(fixture.discovery.address());
     Process process = program("-Xmx48m");
@@ -234,7 +234,7 @@
    */
   @Test
   void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
-    fixture.server((message, socket) -> ScriptedPeer.answer(socket, 200, "", ""));
+    fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", ""));
     write(fixture.discovery.address());
     Process process = program("-Xlog:class+load");
     try {
--- a/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
+++ b/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
@@ -125,7 +125,7 @@
   }
 
   /** A response with a body. */
-  public static void answer(Socket socket, int status, String headers, String body)
+  public static void respond(Socket socket, int status, String headers, String body)
       throws IOException {
     write(
         socket,
--- a/src/test/java/slateslip/loadbalancer/net/StrictHttpDecodersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/StrictHttpDecodersTest.java
@@ -27,7 +27,7 @@
    * good answer.
    */
   @Test
-  void headersAreReadStrictlyBehindAStatusLineWithNoReason() {
+  void strictHeadersAfterEmptyReason() {
     EmbeddedChannel channel = new EmbeddedChannel(new StrictHttpDecoders.Responses());
     String good = "HTTP/1.1 200 \r\nContent-Length: 4\r\n\r\ngood";
     assertEquals(List.of(true, true), readable(channel, good));
--- a/src/test/java/slateslip/loadbalancer/policy/BackendHealthTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/BackendHealthTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void twoFailedProbesInARowMakeItUnhealthyAndOneSuccessHealthy() {
+  void twoFailedProbesMakeUnhealthyOneSuccessHealthy() {
     assertThat(health.probeFailed(), is(false));
     assertThat(health.available(), is(true));
     assertThat(health.probeFailed(), is(true));
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void anEjectedOneIsNotEjectedAgainAndItsTimeDoesNotGrow() {
+  void repeatedEjectionDoesNotExtendTime() {
     count(health, START, 10, 10);
     health.ejectIfFailing(START, List.of());
     assertThat(health.ejectIfFailing(START + SECOND, List.of()), is(false));
--- a/src/test/java/slateslip/loadbalancer/policy/RetryTokenBucketTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/RetryTokenBucketTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void noMoreThanTheMostIsSavedUp() {
+  void tokensAreCapped() {
     RetryTokenBucket allowance = new RetryTokenBucket(0.5, 3);
     for (int i = 0; i < 1000; i++) {
       allowance.earn();
--- a/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void callsAreServedTurnedAwayOrTimeOutAsTheBackendWants() throws Exception {
+  void callsEndAsBackendDecides() throws Exception {
     try (BackendStandIns backends = new BackendStandIns(group, BackendStandIns.Options.atOnce())) {
       var backend = backends.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       var served = load(backend.address(), 50, KINDS);
--- a/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
@@ -49,7 +49,7 @@
     return new ServerEntry(name, "127.0.0.1:3000", "a", "small", 0, status, 1, 0);
   }
 
-  private void assertTold(String notified, String query) {
+  private void assertNotified(String notified, String query) {
     assertEquals(notified, notified(ask(query).join()));
   }
 
@@ -82,18 +82,18 @@
     discovery.change(List.of(entry("a", Status.TERMINATING)));
     discovery.change(List.of(entry("a", Status.GONE), entry("c", Status.READY)));
 
-    assertTold("10 whole b=Ready c=Ready", "");
-    assertTold("10 changes a=Gone c=Ready", "?since=8&timeout_ms=1000");
-    assertTold("10 whole b=Ready c=Ready", "?since=7&timeout_ms=1000"); // before the log
-    assertTold("10 whole b=Ready c=Ready", "?since=11&timeout_ms=1000"); // not yet there
-    assertTold("10 changes", "?since=10&timeout_ms=1");
+    assertNotified("10 whole b=Ready c=Ready", "");
+    assertNotified("10 changes a=Gone c=Ready", "?since=8&timeout_ms=1000");
+    assertNotified("10 whole b=Ready c=Ready", "?since=7&timeout_ms=1000"); // before the log
+    assertNotified("10 whole b=Ready c=Ready", "?since=11&timeout_ms=1000"); // not yet there
+    assertNotified("10 changes", "?since=10&timeout_ms=1");
     discovery.change(List.of(entry("b", Status.GONE)));
-    assertTold("11 whole c=Ready", "?since=8&timeout_ms=1000"); // no longer in the bounded log
-    assertTold("11 changes a=Gone c=Ready b=Gone", "?since=9&timeout_ms=1");
+    assertNotified("11 whole c=Ready", "?since=8&timeout_ms=1000"); // no longer in the bounded log
+    assertNotified("11 changes a=Gone c=Ready b=Gone", "?since=9&timeout_ms=1");
   }
 
   @Test
-  void watchWaitsForNewsAndTheNextCallShowsThatTheAgentHasIt() throws Exception {
+  void watchWaitsForUpdateAndAcknowledgesIt() throws Exception {
     var watch = ask("?since=7&timeout_ms=60000");
     assertEquals(7, has.take());
     assertEquals(8, discovery.change(List.of(entry("a", Status.READY), entry("b", Status.READY))));
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void deathResetsWatchesAndALaterProcessGoesOnFromItsVersion() throws Exception {
+  void crashResetsWatchesAndKeepsVersion() throws Exception {
     var watch = ask("?since=7&timeout_ms=60000");
     has.take();
     discovery.down();
@@ -127,12 +127,12 @@
     assertTrue(connect.getCause() instanceof IOException, () -> "refused: " + connect);
     discovery.up();
     discovery.restore(40, List.of(entry("a", Status.READY)));
-    assertTold("40 whole a=Ready", "?since=7&timeout_ms=60000");
-    assertTold("40 changes", "?since=40&timeout_ms=1");
+    assertNotified("40 whole a=Ready", "?since=7&timeout_ms=60000");
+    assertNotified("40 changes", "?since=40&timeout_ms=1");
   }
 
   @Test
-  void whatIsCutOffSaysNothingUntilItsConnectionsAreReset() throws Exception {
+  void disconnectedIsUnresponsiveUntilReset() throws Exception {
     // A plain socket: the library's client would ask again by itself after the reset.
     try (Socket watch =
         new Socket(InetAddress.getLoopbackAddress(), discovery.address().getPort())) {
@@ -145,11 +145,11 @@
       assertThrows(
           IOException.class, () -> watch.getInputStream().read(), "no byte before the reset");
     }
-    assertTold("8 changes a=Ready", "?since=7&timeout_ms=60000");
+    assertNotified("8 changes a=Ready", "?since=7&timeout_ms=60000");
   }
 
   @Test
-  void aProcessThatIsKilledIsFollowedByOneAtTheSameAddressWithTheSameVersion() throws Exception {
+  void killedProcessRestartsWithSameAddressAndVersion() throws Exception {
     List<ServerEntry> servers = List.of(entry("a", Status.READY), entry("b", Status.READY));
     try (Children children = new Children()) {
       DiscoveryProcess first = new DiscoveryProcess(children, List.of());
@@ -171,7 +171,7 @@
   }
 
   @Test
-  void fixedCapacityAnswersInTurnAndRefusesWhoWaitsTooLong() {
+  void fixedCapacityServesInOrderAndRejectsLate() {
     long[] now = {0};
     List<String> did = new ArrayList<>();
     EmbeddedChannel host = new EmbeddedChannel();
@@ -186,7 +186,7 @@
             }
 
             @Override
-            public void answer() {
+            public void respond() {
               did.add(name + now[0]);
             }
 
--- a/src/test/java/slateslip/loadbalancer/scale/DrainMonitorTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DrainMonitorTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void whatWasNotToldToAllIsNotJudged() {
+  void unacknowledgedDrainIsNotJudged() {
     watch.drainStartedAt("a", 7);
     watch.drainStartedAt("b", 9);
     watch.notified(8, 1_000);
--- a/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void servesWhatServersAnswer() {
+  void servesResponsesOfServers() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
     agent.request(LOOKUP);
     assertEquals(1, agent.open());
--- a/src/test/java/slateslip/loadbalancer/scale/SpreadTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/SpreadTest.java
@@ -8,7 +8,7 @@
   private static final long MILLI = 1_000_000;
 
   @Test
-  void anAgentHasAVersionFromItsFirstCallWithThatOneOrANewer() {
+  void agentHasVersionFromFirstCall() {
     Spread spread = new Spread();
     for (String agent : new String[] {"a", "b", "c", "d"}) {
       spread.has(agent, 1, 0);
--- a/src/test/java/slateslip/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/slateslip/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -25,12 +25,12 @@
   }
 
   @Test
-  void anEmptyBatchIsAnsweredEmpty() throws IOException {
+  void emptyBatchGetsEmptyResponse() throws IOException {
     assertEquals(List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
   }
 
   @Test
-  void aRequestIsSentToAListedServerAndItsOutcomeClosesIt() throws IOException {
+  void requestIsSentAndClosedByOutcome() throws IOException {
     var replies =
         new Frames()
             .spawn(3)
--- a/src/test/java/slateslip/routing/RandomHost.java
+++ b/src/test/java/slateslip/routing/RandomHost.java
@@ -159,7 +159,7 @@
       }
       seen.mayHaveRun |= ended.outcome().mayHaveRun();
       if (ended.outcome().kind() == Kind.SUCCESS && !seen.clientGone) {
-        finalAnswer(ended.request(), seen);
+        finalResponse(ended.request(), seen);
       }
     } else if (input instanceof RouterInput.AttemptStarted started) {
       Seen seen = requests.get(started.request());
@@ -185,11 +185,11 @@
     if (output instanceof RouterOutput.SendAttempt send) {
       sendAttempt(send);
     } else if (output instanceof RouterOutput.Respond response) {
-      answer(response);
+      respond(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
-      finalAnswer(relay.request(), requests.get(relay.request()));
+      finalResponse(relay.request(), requests.get(relay.request()));
     } else if (output instanceof RouterOutput.AbortConnection truncated) {
-      finalAnswer(truncated.request(), requests.get(truncated.request()));
+      finalResponse(truncated.request(), requests.get(truncated.request()));
     } else if (output instanceof RouterOutput.CancelAttempt cancel) {
       schedule(0, ended(cancel.request(), cancel.attempt(), Kind.CANCELLED));
     } else if (output instanceof RouterOutput.Probe probe) {
@@ -258,7 +258,7 @@
     }
   }
 
-  private void answer(RouterOutput.Respond response) {
+  private void respond(RouterOutput.Respond response) {
     Seen seen = requests.get(response.request());
     statuses.add(response.status());
     boolean promise = response.status() == 503 || response.status() == 429;
@@ -271,10 +271,10 @@
       assertThat("a promise says when to come back", response.retryAfterMicros() > 0, is(true));
     }
     assertThat("answered after its answer began", seen.started, is(false));
-    finalAnswer(response.request(), seen);
+    finalResponse(response.request(), seen);
   }
 
-  private void finalAnswer(long id, Seen seen) {
+  private void finalResponse(long id, Seen seen) {
     assertThat("nothing is owed to a client that left", seen.clientGone, is(false));
     seen.finals++;
     assertThat("final answers of request " + id, seen.finals, is(1));
--- a/src/test/java/slateslip/routing/health/BackendHealthMonitorTest.java
+++ b/src/test/java/slateslip/routing/health/BackendHealthMonitorTest.java
@@ -15,7 +15,7 @@
   private final BackendHealthMonitor watch = new BackendHealthMonitor(0);
 
   @Test
-  void oneFailedConnectionRaisesSuspicionAndOneProbeEndsIt() {
+  void failedConnectionSuspectsUntilProbe() {
     watch.connectFailed(SECOND, NO_PEERS);
     assertThat(watch.trusted(SECOND), is(false));
     assertThat("still available", watch.available(SECOND), is(true));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void twoFailedProbesMakeItUnhealthyAndOneSuccessHealthy() {
+  void twoFailedProbesMakeUnhealthyOneSuccessHealthy() {
     watch.probeSent(SECOND);
     watch.probeFailed();
     assertThat(watch.available(SECOND), is(true));
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void tooManyFailuresInTheWindowEjectItUntilReactivation() {
+  void failuresInWindowEjectUntilReactivation() {
     for (int i = 0; i < 6; i++) {
       watch.requestSucceeded(SECOND + i);
     }
--- a/src/test/java/slateslip/routing/placement/PlacementTest.java
+++ b/src/test/java/slateslip/routing/placement/PlacementTest.java
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void aKeyThatManyAskForSpillsOnceItsBackendHasMuchToRead() {
+  void hotKeySpillsOverBusyBackend() {
     Set<String> used = new HashSet<>();
     for (long own = 0; own < 40; own++) {
       used.add(send(prompt(1, 1_000 + own)).backend().id());
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aBackendThatIsSuspectedIsNoFirstChoiceButBetterThanNone() {
+  void suspectedBackendIsLastResort() {
     Backend first = placement.pick(NOW, prompt(1, 1_000), models, each -> true).backend();
     first.healthMonitor().connectFailed(NOW, List.of());
     Backend next = placement.pick(NOW, prompt(1, 1_000), models, each -> true).backend();
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void allUnhealthyBackendsAreEligibleWhenNoneIsAvailable() {
+  void unhealthyBackendsAreEligibleAsLastResort() {
     for (Backend backend : models) {
       backend.healthMonitor().probeFailed();
       backend.healthMonitor().probeFailed();
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void partsAreKeptOnlyBehindTheirPredecessorsAndUntilOthersDisplaceThem() {
+  void partsAreCachedBehindPredecessorsUntilEvicted() {
     PrefixCacheModel retained = new PrefixCacheModel();
     PromptPart first = new PromptPart(1, 1_000);
     PromptPart second = new PromptPart(2, 500);
--- a/src/test/java/slateslip/routing/retry/RetryBudgetTest.java
+++ b/src/test/java/slateslip/routing/retry/RetryBudgetTest.java
@@ -14,7 +14,7 @@
   private static final RetryBounds BOUNDS = RetryBounds.DEFAULT;
 
   @Test
-  void sumOverAgentsHoldsInEveryWindowWithHardlyAnyRequests() {
+  void quotaHoldsInEveryWindowAtLowRate() {
     int agents = 6;
     List<Long> spent = new ArrayList<>();
     List<RetryBudget> budgets = new ArrayList<>();
--- a/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
+++ b/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
@@ -102,13 +102,13 @@
   /** Whether most of the core is connected, and this machine has a path to all of that part. */
   private boolean reachesCore(DataPlaneMachine dataPlane) {
     List<ControlMachine> connected =
-        world.controlMachines().stream().filter(this::reachesMostOfTheCore).toList();
+        world.controlMachines().stream().filter(this::reachesMajorityOfCore).toList();
     return !connected.isEmpty()
         && connected.stream()
             .allMatch(agent -> world.network().passes(dataPlane.address(), agent.address()));
   }
 
-  private boolean reachesMostOfTheCore(ControlMachine machine) {
+  private boolean reachesMajorityOfCore(ControlMachine machine) {
     if (!machine.isWell()) {
       return false;
     }
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -62,7 +62,7 @@
     long newestAtCall = world.history().newestAcknowledged();
     OperatorResponse response = call(machine, change.call());
     if (response != null) {
-      world.history().answered(now(), change, newestAtCall, response);
+      world.history().responded(now(), change, newestAtCall, response);
     }
     return response;
   }
--- a/src/test/java/slateslip/simulation/agents/FleetHistory.java
+++ b/src/test/java/slateslip/simulation/agents/FleetHistory.java
@@ -43,7 +43,7 @@
   }
 
   /** An operator has a response to an order. */
-  void answered(
+  void responded(
       long now, ConfigurationChange change, long newestAtCall, OperatorResponse response) {
     if (response.status() == OperatorResponse.OK) {
       if (!change.valid()) {
--- a/src/test/java/slateslip/simulation/agents/ProbingOperator.java
+++ b/src/test/java/slateslip/simulation/agents/ProbingOperator.java
@@ -78,7 +78,7 @@
         machine,
         sent.call(),
         response -> {
-          world.history().answered(world.events().nowMicros(), sent, newestAtCall, response);
+          world.history().responded(world.events().nowMicros(), sent, newestAtCall, response);
           done |= response.status() == OperatorResponse.OK;
           if (response.status() != OperatorResponse.UNAVAILABLE && sent.equals(change)) {
             change = null; // taken, or an earlier change has come into force since the read
--- a/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
+++ b/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
@@ -33,7 +33,7 @@
                   machine,
                   rival.call(),
                   response -> {
-                    run.world().history().answered(run.now(), rival, 3, response);
+                    run.world().history().responded(run.now(), rival, 3, response);
                     responses.add(response);
                   });
         }
@@ -61,7 +61,7 @@
             .call(
                 machine,
                 change.call(),
-                response -> run.world().history().answered(run.now(), change, 3, response));
+                response -> run.world().history().responded(run.now(), change, 3, response));
       }
       run.pass(seed * 250);
       run.fault(Kind.KILL_PRIMARY, 0, 100_000);
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -117,7 +117,7 @@
     int copies = random.nextInt(SEVERAL_AT_ONCE_EVERY) == 0 ? world.controlMachines().size() : 1;
     for (int copy = 0; copy < copies; copy++) {
       ConfigurationChange sent = change;
-      sendOnce(sent, response -> answered(current, sent, response));
+      sendOnce(sent, response -> responded(current, sent, response));
     }
   }
 
@@ -130,7 +130,7 @@
         response -> {
           boolean lost = random.nextInt(RESPONSE_LOST_EVERY) == 0;
           if (!lost) {
-            history.answered(events.nowMicros(), sent, newestAtCall, response);
+            history.responded(events.nowMicros(), sent, newestAtCall, response);
             if (response.status() == OperatorResponse.OK) {
               world.rules().acknowledged(sent.version());
             }
@@ -139,7 +139,7 @@
         });
   }
 
-  private void answered(long current, ConfigurationChange sent, OperatorResponse response) {
+  private void responded(long current, ConfigurationChange sent, OperatorResponse response) {
     if (current != call || !sent.equals(change)) {
       return;
     }
--- a/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
@@ -24,7 +24,7 @@
   private SimulatedSocket socket;
   private boolean greeted;
   private boolean closed;
-  private long pause = INITIAL_BACKOFF;
+  private long backoff = INITIAL_BACKOFF;
 
   SimulatedPeerConnection(
       SimulatedNetwork network,
@@ -54,8 +54,8 @@
 
   private void dialLater() {
     if (!closed) {
-      process.schedule(pause, this::dial);
-      pause = Math.min(MAX_BACKOFF, 2 * pause);
+      process.schedule(backoff, this::dial);
+      backoff = Math.min(MAX_BACKOFF, 2 * backoff);
     }
   }
 
@@ -131,7 +131,7 @@
     public void received(byte[] message) {
       if (socket == own && !greeted) {
         greeted = true;
-        pause = INITIAL_BACKOFF;
+        backoff = INITIAL_BACKOFF;
         listener.connected(message);
       }
     }
--- a/src/test/java/slateslip/simulation/control/Caller.java
+++ b/src/test/java/slateslip/simulation/control/Caller.java
@@ -5,5 +5,5 @@
 /** Makes calls to nodes. */
 interface Caller {
   /** A call was answered. */
-  void answered(SimulatedNode node, long token, ClientResult result);
+  void responded(SimulatedNode node, long token, ClientResult result);
 }
--- a/src/test/java/slateslip/simulation/control/ControlWorld.java
+++ b/src/test/java/slateslip/simulation/control/ControlWorld.java
@@ -64,7 +64,7 @@
     NodeAddress address = new NodeAddress(FIRST_ADDRESS + addresses++);
     SimulatedNode node =
         new SimulatedNode(
-            events, random.split(), network, history, this::answered, address, mutation);
+            events, random.split(), network, history, this::responded, address, mutation);
     mutation.apply(node.disk());
     nodes.add(node);
     return node;
@@ -174,7 +174,7 @@
     node.deliver(frame);
   }
 
-  private void answered(SimulatedNode node, ClientResult result) {
+  private void responded(SimulatedNode node, ClientResult result) {
     if (result instanceof ClientResult.Committed committed) {
       ReferenceState.Change change = node.state().changes().get((int) committed.sequence() - 1);
       history.committedBy(node.role().self(), node.role().epoch(), change);
@@ -187,7 +187,7 @@
     injector.acknowledged(node, result);
     Caller caller = callers.remove(result.clientToken());
     if (random.nextInt(RESPONSE_LOST_EVERY) != 0) {
-      events.after(1_000, () -> caller.answered(node, result.clientToken(), result));
+      events.after(1_000, () -> caller.responded(node, result.clientToken(), result));
     }
   }
 
--- a/src/test/java/slateslip/simulation/control/ReferenceState.java
+++ b/src/test/java/slateslip/simulation/control/ReferenceState.java
@@ -57,19 +57,19 @@
   public PreparedCommand prepare(byte[] command) {
     Change change = Change.decode(command);
     if (changes.contains(change)) {
-      return answer(Response.TAKEN_BEFORE);
+      return respond(Response.TAKEN_BEFORE);
     }
     if (change.base() != version()) {
-      return answer(Response.OTHER_VERSION);
+      return respond(Response.OTHER_VERSION);
     }
     return new PreparedCommand.Change(command);
   }
 
-  private static PreparedCommand answer(Response response) {
+  private static PreparedCommand respond(Response response) {
     return new PreparedCommand.Response(response.name().getBytes(StandardCharsets.US_ASCII));
   }
 
-  static Response answer(byte[] bytes) {
+  static Response respond(byte[] bytes) {
     return Response.valueOf(new String(bytes, StandardCharsets.US_ASCII));
   }
 
--- a/src/test/java/slateslip/simulation/control/ScriptedClient.java
+++ b/src/test/java/slateslip/simulation/control/ScriptedClient.java
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public void answered(SimulatedNode node, long respondedToken, ClientResult result) {
+  public void responded(SimulatedNode node, long respondedToken, ClientResult result) {
     if (respondedToken != token) {
       return;
     }
@@ -57,7 +57,7 @@
     boolean accepted =
         result instanceof ClientResult.Committed
             || (result instanceof ClientResult.Responded response
-                && ReferenceState.answer(response.response())
+                && ReferenceState.respond(response.response())
                     == ReferenceState.Response.TAKEN_BEFORE);
     if (accepted) {
       world.history().acknowledged(change());
--- a/src/test/java/slateslip/simulation/control/SimulatedNode.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNode.java
@@ -21,7 +21,7 @@
 final class SimulatedNode {
   /** Takes what a replica answers. */
   interface Clients {
-    void answered(SimulatedNode node, ClientResult result);
+    void responded(SimulatedNode node, ClientResult result);
   }
 
   private static final RingOptions RING = new RingOptions(3, 0);
@@ -132,7 +132,7 @@
         return;
       }
     }
-    effects.results().forEach(result -> clients.answered(this, result));
+    effects.results().forEach(result -> clients.responded(this, result));
     wakeAt(effects.wakeAtMicros());
   }
 
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -77,7 +77,7 @@
 
   /** A response reached the world; whether it reaches the operator is decided there. */
   @Override
-  public void answered(SimulatedNode node, long token, ClientResult result) {
+  public void responded(SimulatedNode node, long token, ClientResult result) {
     if (token != callToken) {
       return;
     }
@@ -85,7 +85,7 @@
     if (result instanceof ClientResult.Committed) {
       accepted();
     } else if (result instanceof ClientResult.Responded responded) {
-      answered(ReferenceState.answer(responded.response()));
+      responded(ReferenceState.respond(responded.response()));
     } else if (result instanceof ClientResult.Confirmed) {
       read(node.state().version());
     }
@@ -102,7 +102,7 @@
     change = random.nextInt(4) == 0 ? null : next();
   }
 
-  private void answered(ReferenceState.Response response) {
+  private void responded(ReferenceState.Response response) {
     if (response == ReferenceState.Response.TAKEN_BEFORE) {
       accepted();
     } else {
--- a/src/test/java/slateslip/simulation/dataplane/Mutants.java
+++ b/src/test/java/slateslip/simulation/dataplane/Mutants.java
@@ -109,7 +109,7 @@
   }
 
   /** Takes the quotas of the whole fleet for its own. */
-  static DataPlaneWorld.RouterFactory takesWholeQuotas() {
+  static DataPlaneWorld.RouterFactory takesFullQuotas() {
     return withInputs(
         input ->
             input instanceof RouterInput.QuotaAllocationChanged notified
@@ -123,7 +123,7 @@
   }
 
   /** Takes the retry budget of the whole fleet for its own. */
-  static DataPlaneWorld.RouterFactory takesTheWholeRetryBudget() {
+  static DataPlaneWorld.RouterFactory takesFullRetryBudget() {
     return withInputs(
         input ->
             input instanceof RouterInput.QuotaAllocationChanged notified
@@ -133,7 +133,7 @@
   }
 
   /** Gives each of its own answers twice. */
-  static DataPlaneWorld.RouterFactory answersTwice() {
+  static DataPlaneWorld.RouterFactory respondsTwice() {
     return withOutputs(
         output ->
             output instanceof RouterOutput.Respond ? Stream.of(output, output) : Stream.of(output));
@@ -149,7 +149,7 @@
   }
 
   /** Says nothing when a request's time is over. */
-  static DataPlaneWorld.RouterFactory silentAtTheTimeout() {
+  static DataPlaneWorld.RouterFactory idleAtTimeout() {
     return withOutputs(
         output -> {
           boolean timedOut =
--- a/src/test/java/slateslip/simulation/dataplane/MutationTest.java
+++ b/src/test/java/slateslip/simulation/dataplane/MutationTest.java
@@ -37,7 +37,7 @@
 
   @Test
   void answeringTwiceIsCaught() {
-    assertThat(caught(Mutants.answersTwice(), Rule.ANSWERS), is(true));
+    assertThat(caught(Mutants.respondsTwice(), Rule.ANSWERS), is(true));
   }
 
   @Test
@@ -46,8 +46,8 @@
   }
 
   @Test
-  void silenceAtTheTimeoutIsCaught() {
-    assertThat(caught(Mutants.silentAtTheTimeout(), Rule.HELD), is(true));
+  void idleAtTimeoutIsCaught() {
+    assertThat(caught(Mutants.idleAtTimeout(), Rule.HELD), is(true));
   }
 
   @Test
@@ -56,13 +56,13 @@
   }
 
   @Test
-  void takingWholeQuotasIsCaught() {
-    assertThat(caught(Mutants.takesWholeQuotas(), Rule.QUOTA), is(true));
+  void takingFullQuotasIsCaught() {
+    assertThat(caught(Mutants.takesFullQuotas(), Rule.QUOTA), is(true));
   }
 
   @Test
   void takingTheWholeRetryBudgetIsCaught() {
-    assertThat(caught(Mutants.takesTheWholeRetryBudget(), Rule.RETRY_BUDGET), is(true));
+    assertThat(caught(Mutants.takesFullRetryBudget(), Rule.RETRY_BUDGET), is(true));
   }
 
   @Test
--- a/src/test/java/slateslip/simulation/engine/EngineModelTest.java
+++ b/src/test/java/slateslip/simulation/engine/EngineModelTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void keptPartsAreNotReadAgain() {
+  void cachedPartsAreNotPrefilledAgain() {
     EngineModel engine = new EngineModel(SIMPLE);
     submit(engine, 0, request(1, 1, part(7, 1_000), part(8, 500)));
     run(engine);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void newestOfTheLeastUrgentIsPreemptedWhenMemoryRunsOutAndReadAnew() {
+  void newestOfLowestPriorityIsPreempted() {
     // Room for 100 tokens: two prompts of 40, each with one block of 10 for output.
     EngineModel engine = new EngineModel(SIMPLE.withCapacity(2, 1, 100));
     submit(engine, 0, request(1, 12, part(1, 40)));
--- a/src/test/java/slateslip/standin/StandInServerTest.java
+++ b/src/test/java/slateslip/standin/StandInServerTest.java
@@ -25,20 +25,20 @@
 class StandInServerTest {
   private final OkHttpClient client = new OkHttpClient();
   private EngineServer engine;
-  private AppendLogServer ledger;
+  private AppendLogServer appendLog;
 
   @BeforeEach
   void start() throws IOException {
     engine = new EngineServer(description("engines", 64), EngineParameters.DENSE_70B);
     engine.start();
-    ledger = new AppendLogServer(description("ledger", 6));
-    ledger.start();
+    appendLog = new AppendLogServer(description("ledger", 6));
+    appendLog.start();
   }
 
   @AfterEach
   void stop() {
     engine.close();
-    ledger.close();
+    appendLog.close();
   }
 
   @Test
@@ -114,11 +114,11 @@
   }
 
   @Test
-  void ledgerNumbersItsEntries() throws IOException {
-    try (Response response = send(request(ledger))) {
+  void logNumbersItsEntries() throws IOException {
+    try (Response response = send(request(appendLog))) {
       assertThat(response.body().string(), containsString("{\"entry\":1}"));
     }
-    try (Response response = send(request(ledger))) {
+    try (Response response = send(request(appendLog))) {
       assertThat(response.body().string(), containsString("{\"entry\":2}"));
       assertThat(response.header("X-Response-Stamp"), notNullValue());
     }
