--- a/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
@@ -191,7 +191,7 @@
   }
 
   /**
-   * What a unresponsive data plane may still be using; without an update it has lowered its
+   * What an unresponsive data plane may still be using; without an update it has lowered its
    * fraction by itself.
    */
   private double reservedFraction(
