--- a/src/main/java/slateslip/loadbalancer/net/ClientConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientConnections.java
@@ -14,24 +14,25 @@
  */
 final class ClientConnections {
   /**
-   * Requests read ahead on a connection before it is left alone: by any; on all together; and by
-   * one while those are fewer. Guards against working for a client that asked much at once and
-   * went, for its close lies behind what it asked; and against heads by the thousand that take the
-   * memory.
+   * Requests that a connection may pipeline in any case. Guards against working for a client that
+   * asked much at once and went, for its close lies behind what it asked; and against heads by the
+   * thousand that take the memory.
    */
   private static final int MIN_PIPELINED = 4;
 
+  /** Requests that all connections together may pipeline before each is held to the minimum. */
   private static final int MAX_PIPELINED_TOTAL = 512;
+
+  /** Requests that a connection may pipeline while all together are below the total. */
   private static final int MAX_PIPELINED = 64;
 
   /**
-   * How long a connection may take until its first request is whole, or over sending a later one.
+   * How long a connection may take until its first request is complete, or over sending a later
+   * one.
    */
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /**
-   * How long one that has had a response is kept while there is room, and while there is little.
-   */
+  /** How long a connection may be idle after a response; under pressure the minimum below. */
   private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   private static final long MIN_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -48,12 +49,12 @@
   static final int MAX_LINGERING = 16;
 
   /**
-   * From this part of the room on those kept are closed sooner, and each answer is a connection's
-   * last.
+   * From this fraction of the limit on, idle connections are closed sooner, and each response is
+   * its connection's last.
    */
   private static final double PRESSURE_FRACTION = 0.6;
 
-  /** The part of the heap that bodies of requests may take. */
+  /** Bodies of requests may take one part in so many of the heap. */
   private static final int BODY_HEAP_DIVISOR = 6;
 
   private final LongSupplier nanoClock;
@@ -61,19 +62,19 @@
   private int maxConnections;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Of these, the longest there first: nothing said yet. */
+  /** Phase: no byte has come yet. Each phase has the longest there first. */
   final Set<ClientConnection> awaitingFirstRequest = new LinkedHashSet<>();
 
-  /** Half a request sent. */
+  /** Phase: a part of a request has come. */
   final Set<ClientConnection> readingRequest = new LinkedHashSet<>();
 
-  /** Kept after a response. */
+  /** Phase: idle after a response. */
   final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Its last response is being written. */
+  /** Phase: its last response is being written. */
   final Set<ClientConnection> writingLastResponse = new LinkedHashSet<>();
 
-  /** Its last response is being read. */
+  /** Phase: its last response is being read by the client. */
   final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   private long bufferedBodyBytes;
@@ -85,7 +86,7 @@
    * No connections yet.
    *
    * @param nanoClock steady time in nanoseconds
-   * @param accepting told whether new connections may be accepted
+   * @param accepting called with whether new connections may be accepted
    */
   ClientConnections(int maxConnections, LongSupplier nanoClock, Consumer<Boolean> accepting) {
     this.maxConnections = maxConnections;
@@ -148,7 +149,7 @@
     List.copyOf(idle).forEach(ClientConnection::close);
   }
 
-  /** Closes connections of which no whole request has come. */
+  /** Closes connections of which no complete request has come. */
   void closeIncomplete() {
     List.copyOf(awaitingFirstRequest).forEach(ClientConnection::close);
     List.copyOf(readingRequest).forEach(ClientConnection::close);
