--- a/src/scale/java/slateslip/loadbalancer/scale/ShortCommand.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/ShortCommand.java
@@ -15,7 +15,7 @@
   private static final String PLAN =
       """
         {"name": "short", "scale": "40 hollow and 2 real agents, 24 servers",
-         "events": "zone settings down silent kill",
+         "events": "zone settings down unresponsive kill",
          "hollow": 40, "real": 2, "servers": 24, "zones": 4, "discovery": "alternating",
          "per-s": 5, "real-per-s": 20, "spread-ms": 500, "change-ms": 300,
          "before-s": 2, "event-s": 2, "after-s": 2, "versions": 20}""";
