--- a/src/main/java/slateslip/controlplane/state/ConfigurationState.java
+++ b/src/main/java/slateslip/controlplane/state/ConfigurationState.java
@@ -22,32 +22,43 @@
 import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
- * The operator's configuration as replicated state: a command is a call of the operator's, a record
- * is the call once it has been found valid on top of the newest version.
+ * Holds the operator's configuration as replicated state. A command is an encoded {@link
+ * OperatorRequest}; a record is a request that the primary has validated against the newest
+ * version.
  */
 public final class ConfigurationState implements ReplicatedState {
-  /** Committed changes by which a call that is sent again is known. */
-  static final int MAX_REMEMBERED_CHANGES = 4_096;
+  /** Limits how many committed changes are retained to recognize a request that is sent again. */
+  static final int MAX_RETAINED_CHANGES = 4_096;
 
-  /** Newest changes that are handed to data planes as patches. */
+  /** Limits how many of the newest changes are kept as patches for data planes. */
   private static final int MAX_PATCHES = 16;
 
   private final Map<ChangeDigest, CommittedChange> changes = new LinkedHashMap<>();
   private final Map<Long, ConfigurationSource.Patch> patches = new LinkedHashMap<>();
   private ConfigurationDocument document;
+
+  /**
+   * The last request that {@link #prepare} validated, with its parsed outcome; null after {@link
+   * #apply}.
+   */
   private ValidatedRequest validated;
 
-  /** The newest configuration; empty before the first. */
+  /** Returns the newest configuration; empty before the first configuration is committed. */
   public Optional<ConfigurationDocument> document() {
     return Optional.ofNullable(document);
   }
 
-  /** Version of the newest configuration; 0 before the first. */
+  /**
+   * Returns the version of the newest configuration; 0 before the first configuration is committed.
+   */
   public long version() {
     return document == null ? 0 : document.version();
   }
 
-  /** The change that led on from a version, if it was a patch and is still kept. */
+  /**
+   * Returns the patch that was applied to a version; empty if the change was not a patch or is no
+   * longer kept.
+   */
   public Optional<ConfigurationSource.Patch> patchFrom(long version) {
     return Optional.ofNullable(patches.get(version));
   }
@@ -66,7 +77,7 @@
     if (request.baseVersion() != version()) {
       return respond(OperatorResponse.CONFLICT, "the current version is " + version());
     }
-    ConfigurationOutcome outcome = read(request);
+    ConfigurationOutcome outcome = parse(request);
     if (outcome instanceof ConfigurationOutcome.Invalid invalid) {
       return respond(OperatorResponse.INVALID, invalid.message());
     }
@@ -82,7 +93,7 @@
     return new PreparedCommand.Response(OperatorResponseCodec.encode(response));
   }
 
-  private ConfigurationOutcome read(OperatorRequest request) {
+  private ConfigurationOutcome parse(OperatorRequest request) {
     if (request.method() == OperatorRequest.Method.PUT) {
       return ConfigurationDocument.parse(request.body(), version());
     }
@@ -96,41 +107,48 @@
   public void apply(byte[] record) {
     if (!(OperatorRequestCodec.decode(record)
         instanceof Decoded.Message<OperatorRequest> message)) {
-      throw new IllegalStateException("a committed record that is no change");
+      throw new IllegalStateException(
+          "a committed record cannot be decoded as an operator request");
     }
     OperatorRequest request = message.value();
     if (!(outcomeOf(request) instanceof ConfigurationOutcome.Parsed parsed)) {
-      throw new IllegalStateException("a committed change that cannot be read");
+      throw new IllegalStateException("the document of a committed change cannot be parsed");
     }
     document = parsed.document();
-    remember(request);
+    recordCommitted(request);
   }
 
-  /** What reading the call gave; the primary has read it once already. */
+  /**
+   * Returns the parsed request. The primary reuses the outcome of its validation instead of parsing
+   * the request again.
+   */
   private ConfigurationOutcome outcomeOf(OperatorRequest request) {
     ValidatedRequest previous = validated;
     validated = null;
     if (previous != null && digest(previous.request()).equals(digest(request))) {
       return previous.outcome();
     }
-    return readCommitted(request);
+    return parseCommitted(request);
   }
 
-  /** Whether the change is valid was decided by the primary that took it. */
-  private ConfigurationOutcome readCommitted(OperatorRequest request) {
+  /**
+   * Parses a committed request without validating it: the primary that accepted the request has
+   * already validated it.
+   */
+  private ConfigurationOutcome parseCommitted(OperatorRequest request) {
     return request.method() == OperatorRequest.Method.PUT || document == null
         ? ConfigurationDocument.committed(request.body())
         : document.committedPatch(request.body());
   }
 
-  private void remember(OperatorRequest request) {
+  private void recordCommitted(OperatorRequest request) {
     ChangeDigest digest = digest(request);
     ByteBuffer digestBytes = ByteBuffer.wrap(digest.toBytes());
     changes.put(
         digest,
         new CommittedChange(
             request.baseVersion(), version(), digestBytes.getLong(), digestBytes.getLong()));
-    dropOldest(changes, MAX_REMEMBERED_CHANGES);
+    dropOldest(changes, MAX_RETAINED_CHANGES);
     if (request.method() == OperatorRequest.Method.PATCH) {
       patches.put(request.baseVersion(), new ConfigurationSource.Patch(version(), request.body()));
       dropOldest(patches, MAX_PATCHES);
@@ -166,18 +184,18 @@
         instanceof Decoded.Message<ConfigurationStateSnapshot> message) {
       return message.value();
     }
-    throw new IllegalStateException("a snapshot that is none");
+    throw new IllegalStateException("the snapshot of the configuration state cannot be decoded");
   }
 
-  private void restore(ConfigurationStateSnapshot image) {
-    List<CommittedChange> committed = image.changes();
+  private void restore(ConfigurationStateSnapshot snapshot) {
+    List<CommittedChange> committed = snapshot.changes();
     committed.forEach(change -> changes.put(digest(change), change));
-    if (image.document().length == 0) {
+    if (snapshot.document().length == 0) {
       return;
     }
-    if (!(ConfigurationDocument.committed(image.document())
+    if (!(ConfigurationDocument.committed(snapshot.document())
         instanceof ConfigurationOutcome.Parsed parsed)) {
-      throw new IllegalStateException("a snapshot whose configuration cannot be read");
+      throw new IllegalStateException("the configuration document of a snapshot cannot be parsed");
     }
     document = parsed.document();
   }
--- a/src/main/java/slateslip/controlplane/state/package-info.java
+++ b/src/main/java/slateslip/controlplane/state/package-info.java
@@ -1,2 +1,5 @@
-/** The replicated state of the control plane: the configuration and the changes that made it. */
+/**
+ * Contains the replicated state of the control plane: the configuration and the committed changes
+ * that produced it.
+ */
 package slateslip.controlplane.state;
--- a/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
+++ b/src/test/java/slateslip/controlplane/state/ConfigurationStateTest.java
@@ -16,23 +16,24 @@
 import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
- * Changes on top of the newest version, repeats of earlier ones, races, and copies of the state.
+ * Tests changes based on the newest version, repeated requests, conflicting requests, and copies of
+ * the state made from snapshots.
  */
 class ConfigurationStateTest {
   private final ConfigurationState state = new ConfigurationState();
 
   @Test
-  void aValidChangeIsCommittedAndKnownAgain() {
+  void validChangeIsCommittedAndItsRepetitionIsAcknowledged() {
     OperatorRequest first = put(0, 3);
     commit(first);
     assertThat(state.version(), is(3L));
-    OperatorResponse again = respond(first);
-    assertThat(again.status(), is(OperatorResponse.OK));
-    assertThat(again.version(), is(3L));
+    OperatorResponse repeated = respond(first);
+    assertThat(repeated.status(), is(OperatorResponse.OK));
+    assertThat(repeated.version(), is(3L));
   }
 
   @Test
-  void anEarlierChangeIsKnownAfterLaterOnes() {
+  void repetitionOfEarlierChangeAfterLaterChangesIsAcknowledged() {
     OperatorRequest first = put(0, 3);
     commit(first);
     commit(put(3, 5));
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void theSecondOfTwoOnTheSameVersionIsRefused() {
+  void secondChangeBasedOnSameVersionIsRejected() {
     commit(put(0, 3));
     commit(put(3, 5));
     assertThat(respond(put(3, 6)).status(), is(OperatorResponse.CONFLICT));
@@ -52,8 +53,11 @@
     assertThat(state.version(), is(5L));
   }
 
+  /**
+   * A change that a primary of another software version committed may be invalid for this version.
+   */
   @Test
-  void committedChangeOfOtherVersionIsApplied() {
+  void committedChangeInvalidForThisSoftwareVersionIsApplied() {
     commit(put(0, 3));
     String unusable =
         "{\"version\":4,\"upsert\":{\"routes\":[{\"name\":\"new-kind\",\"timeout_ms\":0}]}}";
@@ -73,7 +77,7 @@
   }
 
   @Test
-  void anInvalidChangeIsRefusedWithItsReason() {
+  void invalidChangeIsRejectedWithReason() {
     commit(put(0, 3));
     assertThat(respond(put(3, 3)).status(), is(OperatorResponse.INVALID));
     OperatorResponse truncated =
@@ -84,17 +88,17 @@
   }
 
   @Test
-  void aPatchWithoutAConfigurationIsRefused() {
+  void patchBeforeFirstConfigurationIsRejected() {
     assertThat(respond(patch(0, 3)).status(), is(OperatorResponse.INVALID));
   }
 
   @Test
-  void bytesThatAreNoChangeAreRefused() {
+  void undecodableCommandIsRejected() {
     assertThat(state.prepare(new byte[] {1, 2, 3}), is(instanceOf(PreparedCommand.Response.class)));
   }
 
   @Test
-  void aCopyKnowsWhatTheOriginalKnows() {
+  void stateRestoredFromSnapshotRecognizesCommittedChanges() {
     OperatorRequest first = put(0, 3);
     OperatorRequest second = patch(3, 7);
     commit(first);
@@ -109,7 +113,7 @@
   }
 
   @Test
-  void sameRecordsGiveSameState() {
+  void sameRecordsProduceSameState() {
     ConfigurationState follower = new ConfigurationState();
     for (OperatorRequest request : new OperatorRequest[] {put(0, 3), patch(3, 7), put(7, 8)}) {
       byte[] record = prepared(request);
@@ -120,7 +124,7 @@
   }
 
   @Test
-  void emptySnapshotIsInitialState() {
+  void restoringEmptySnapshotResetsState() {
     commit(put(0, 3));
     state.restore(new byte[0]);
     assertThat(state.version(), is(0L));
@@ -138,7 +142,7 @@
   }
 
   @Test
-  void uncommittedPreparedChangeLeavesNoTrace() {
+  void uncommittedPreparedChangeDoesNotAffectState() {
     commit(put(0, 3));
     prepared(put(3, 5));
     commit(put(3, 6));
