--- a/src/main/java/slateslip/controlplane/ControlApi.java
+++ b/src/main/java/slateslip/controlplane/ControlApi.java
@@ -21,8 +21,9 @@
 import slateslip.distribution.peer.OperatorResponse;
 
 /**
- * The HTTP interface of a control agent: the operator's configuration, calls of backends, status
- * and metrics. Its few threads only read and write; all decisions are made on the event loop.
+ * The HTTP interface of a control agent: the operator's configuration, heartbeats of backends,
+ * status and metrics. The HTTP threads only read requests and write responses; all decisions are
+ * made on the event loop.
  */
 final class ControlApi {
   private static final int MAX_THREADS = 10;
@@ -47,11 +48,12 @@
   private final Javalin server;
 
   /**
-   * Not listening yet.
+   * Creates an interface that does not listen before {@link #start}.
    *
+   * @param address address to listen on
    * @param eventLoop runs tasks on the agent's event loop
-   * @param status JSON; called on the event loop
-   * @param metrics in Prometheus' text format; called on the event loop
+   * @param status returns the status as JSON; called on the event loop
+   * @param metrics returns the metrics in the Prometheus text format; called on the event loop
    */
   ControlApi(
       InetSocketAddress address,
@@ -100,10 +102,12 @@
     return connector;
   }
 
+  /** Starts to listen. Throws a runtime exception if the address cannot be used. */
   void start() {
     server.start();
   }
 
+  /** Stops listening and ends the HTTP threads. */
   void stop() {
     server.stop();
   }
@@ -125,15 +129,13 @@
 
   private CompletableFuture<?> submit(Context context, OperatorRequest request) {
     return submitToLoop(
-        completion -> agent.handleOperatorRequest(request, completion),
-        (OperatorResponse completion) -> {
-          if (completion.status() == OperatorResponse.OK) {
-            context.contentType(JSON).result(completion.body());
+        onComplete -> agent.handleOperatorRequest(request, onComplete),
+        (OperatorResponse response) -> {
+          if (response.status() == OperatorResponse.OK) {
+            context.contentType(JSON).result(response.body());
           } else {
             sendError(
-                context,
-                completion.status(),
-                new String(completion.body(), StandardCharsets.UTF_8));
+                context, response.status(), new String(response.body(), StandardCharsets.UTF_8));
           }
         });
   }
@@ -144,13 +146,13 @@
         context, MAX_INSTANCE_BYTES, body -> heartbeat(context, InstanceParser.parse(id, body)));
   }
 
-  private CompletableFuture<?> heartbeat(Context context, InstanceParseResult reading) {
-    if (reading instanceof InstanceParseResult.Valid valid) {
+  private CompletableFuture<?> heartbeat(Context context, InstanceParseResult parsed) {
+    if (parsed instanceof InstanceParseResult.Valid valid) {
       return submitToLoop(
-          acknowledged -> agent.dataPlaneHeartbeat(valid.session(), acknowledged),
+          onComplete -> agent.backendHeartbeat(valid.session(), onComplete),
           (Boolean acknowledged) -> acknowledge(context, acknowledged));
     }
-    sendError(context, BAD_REQUEST, ((InstanceParseResult.Invalid) reading).message());
+    sendError(context, BAD_REQUEST, ((InstanceParseResult.Invalid) parsed).message());
     return CompletableFuture.completedFuture(null);
   }
 
@@ -159,7 +161,7 @@
     context.future(
         () ->
             submitToLoop(
-                acknowledged -> agent.deregister(id, acknowledged),
+                onComplete -> agent.deregister(id, onComplete),
                 (Boolean acknowledged) -> acknowledge(context, acknowledged)));
   }
 
@@ -175,11 +177,14 @@
     context.future(
         () ->
             submitToLoop(
-                (Consumer<String> completion) -> completion.accept(source.get()),
-                (String found) -> context.contentType(type).result(found)));
+                (Consumer<String> onComplete) -> onComplete.accept(source.get()),
+                (String text) -> context.contentType(type).result(text)));
   }
 
-  /** Reads the body without holding a thread, then goes on with it. */
+  /**
+   * Reads the body of a request without blocking a thread, then calls {@code next} with the body.
+   * Responds with an error if the body is too large or incomplete.
+   */
   private static void withBody(
       Context context, int limit, Function<byte[], CompletableFuture<?>> next) {
     context.future(
@@ -201,15 +206,18 @@
       context.header("Connection", "close");
       sendError(context, TOO_LARGE, failure.getMessage());
     } else {
-      // The order may have been taken before, at another agent, so this must not look like a
-      // refusal.
+      // Another agent may already have accepted the same request, so the status must not mean that
+      // the request was rejected.
       context.header("Connection", "close");
       sendError(context, REQUEST_TIMEOUT, "the body did not come whole");
     }
     return CompletableFuture.completedFuture(null);
   }
 
-  /** Hands a task to the event loop, and its response back to the call without holding a thread. */
+  /**
+   * Runs a task on the event loop and calls {@code write} with the result, without blocking a
+   * thread.
+   */
   private <T> CompletableFuture<?> submitToLoop(Consumer<Consumer<T>> task, Consumer<T> write) {
     CompletableFuture<T> completion = new CompletableFuture<>();
     eventLoop.execute(() -> task.accept(completion::complete));
--- a/src/main/java/slateslip/controlplane/agent/AgentSettings.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentSettings.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a control agent needs of its process's settings.
+ * The settings of the process that a control agent uses.
  *
- * @param node name of its machine
- * @param address IPv4 address of its machine
- * @param seeds IPv4 addresses of control agents
- * @param bootstrap whether the whole system starts for the first time
- * @param faultTolerance machines that may be lost at once
- * @param heartbeatMillis between two calls of a backend
- * @param leasedKeys whether data planes serve keys only by a lease, which needs a confirmed version
- * @param quotaWindowMicros window in which quotas are counted
+ * @param node name of the node that the agent runs on
+ * @param address IPv4 address of the agent's machine
+ * @param seeds IPv4 addresses of the seed agents, to which the agent always connects
+ * @param bootstrap whether the complete system starts for the first time
+ * @param faultTolerance number of machines that may fail at the same time
+ * @param heartbeatMillis interval between two heartbeats of a backend, in milliseconds
+ * @param leasedKeys whether data planes accept API keys only while they hold a lease, which
+ *     requires a confirmed configuration version
+ * @param quotaWindowMicros length of the window in which quotas are counted, in microseconds
  */
 public record AgentSettings(
     String node,
--- a/src/main/java/slateslip/controlplane/agent/AgentStatus.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentStatus.java
@@ -4,20 +4,22 @@
 import slateslip.distribution.quota.QuotaAllocatorStatus;
 
 /**
- * Figures of a control agent.
+ * A snapshot of the state of a control agent, for status and metrics.
  *
- * @param node its name
- * @param epoch newest decided epoch that it knows
- * @param primary that epoch's primary
- * @param serving whether it is the primary and takes changes
- * @param current whether it is in contact with the primary and a majority
- * @param configurationVersion newest committed version that it knows
- * @param sessions backends that it knows
- * @param sessionsComplete whether these are all that live
- * @param sessionRevision of its session table
- * @param streams of data planes
- * @param peers control agents in reach
- * @param quotas how quotas stand, if this agent divides them
+ * @param node name of the agent's node
+ * @param epoch newest decided epoch known to the agent
+ * @param primary primary of the epoch
+ * @param serving whether the agent is the primary and accepts changes
+ * @param current whether the agent is in contact with the primary and reaches a majority of the
+ *     witnesses
+ * @param configurationVersion newest committed configuration version known to the agent; 0 if none
+ * @param sessions number of backends in the session table
+ * @param sessionsComplete whether the session table contains all live backends
+ * @param sessionRevision revision of the session table
+ * @param streams number of data plane streams, active or not
+ * @param peers IPv4 addresses of the other control agents in reach
+ * @param quotas status of the quota allocator; {@link QuotaAllocatorStatus#NONE} if this agent is
+ *     not the allocator
  */
 public record AgentStatus(
     String node,
--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -27,16 +27,18 @@
 import slateslip.protocol.coordination.ReplicaFrame;
 
 /**
- * One control agent: makes its components and connects them. It decides nothing itself; see {@link
- * ReplicaHost} for the replicated state, {@link SessionService} for backends, {@link
- * OperatorRequestHandler} and {@link RolloutTracker} for the configuration, and {@link
- * QuotaService} for quotas. Confined to the event loop.
+ * One control agent. This class creates the components and connects them; all decisions are made by
+ * the components: see {@link ReplicaHost} for the replicated state, {@link SessionService} for
+ * backends, {@link OperatorRequestHandler} and {@link RolloutTracker} for the configuration, and
+ * {@link QuotaService} for quotas. Confined to the event loop.
  */
 public final class ControlAgent implements IncomingConnection.Listener {
   private static final Logger LOG = Logger.getLogger(ControlAgent.class);
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** A backend may miss this many calls. */
+  /**
+   * Number of heartbeat intervals without a heartbeat after which the session of a backend expires.
+   */
   private static final int EXPIRY_HEARTBEATS = 3;
 
   private static final long PEER_HEARTBEAT_INTERVAL_MICROS = 150_000;
@@ -64,10 +66,10 @@
   private AgentSettings settings;
 
   /**
-   * A control agent that does nothing before {@link #start}.
+   * Creates a control agent that does nothing before {@link #start}.
    *
-   * @param brokenInvariant has to end the process: its replica of the control state is not to be
-   *     trusted any more
+   * @param onBrokenInvariant called when an invariant of the replica is violated; must end the
+   *     process, because its replica of the control state can no longer be trusted
    */
   public ControlAgent(
       Scheduler scheduler,
@@ -75,7 +77,7 @@
       AgentSettings settings,
       AgentIdentity identity,
       WriteAheadLog writeAheadLog,
-      Consumer<RuntimeException> brokenInvariant) {
+      Consumer<RuntimeException> onBrokenInvariant) {
     this.scheduler = scheduler;
     this.settings = settings;
     startedMicros = scheduler.nowMicros();
@@ -93,7 +95,7 @@
             writeAheadLog,
             (to, message) -> links.send(to.toString(), message),
             this::configurationChanged,
-            brokenInvariant);
+            onBrokenInvariant);
     subscribers =
         new DataPlaneSubscriptions(
             new CommittedConfigurations(),
@@ -137,7 +139,10 @@
         SNAPSHOT_THRESHOLD_BYTES);
   }
 
-  /** Starts; on the event loop. */
+  /**
+   * Connects to the seed agents and starts the replica and the periodic tasks. Must be called on
+   * the event loop.
+   */
   public void start() {
     links.connectTo(settings.seeds());
     replica.start();
@@ -149,47 +154,55 @@
   }
 
   /**
-   * The process is asked to end.
+   * Asks the other agents to take over this agent's role in the view, so that the process can end.
    *
-   * @param timeoutMicros after this time it ends in any case
-   * @param released called once, when the view no longer counts on this agent's copy of the state
+   * @param timeoutMicros time after which {@code onReleased} is called in any case, in microseconds
+   * @param onReleased called once on the event loop, when the view no longer counts this agent's
+   *     copy of the state
    */
-  public void shutDownGracefully(long timeoutMicros, Runnable released) {
+  public void shutDownGracefully(long timeoutMicros, Runnable onReleased) {
     replica.shutDown();
-    awaitRelease(scheduler.nowMicros() + timeoutMicros, released);
+    awaitRelease(scheduler.nowMicros() + timeoutMicros, onReleased);
   }
 
-  private void awaitRelease(long deadlineMicros, Runnable released) {
+  private void awaitRelease(long deadlineMicros, Runnable onReleased) {
     if (!replica.isMember() || scheduler.nowMicros() >= deadlineMicros) {
-      released.run();
+      onReleased.run();
     } else {
       scheduler.schedule(
-          SHUTDOWN_CHECK_INTERVAL_MICROS, () -> awaitRelease(deadlineMicros, released));
+          SHUTDOWN_CHECK_INTERVAL_MICROS, () -> awaitRelease(deadlineMicros, onReleased));
     }
   }
 
-  /** Takes over seeds that have changed. */
+  /** Replaces the settings and connects to the seed agents that are not known yet. */
   public void settingsChanged(AgentSettings changed) {
     settings = changed;
     links.connectTo(settings.seeds());
   }
 
-  /** A heartbeat of a backend; {@code acknowledged} is called once with the result. */
-  public void dataPlaneHeartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
-    sessions.heartbeat(session, acknowledged);
+  /**
+   * Handles a heartbeat of a backend; {@code onComplete} is called once with whether the heartbeat
+   * is acknowledged.
+   */
+  public void backendHeartbeat(BackendSession session, Consumer<Boolean> onComplete) {
+    sessions.heartbeat(session, onComplete);
   }
 
-  /** A backend is gone; {@code acknowledged} is called once with the result. */
-  public void deregister(String id, Consumer<Boolean> acknowledged) {
-    sessions.deregister(id, acknowledged);
+  /**
+   * Removes a backend that has stopped; {@code onComplete} is called once with whether the removal
+   * is acknowledged.
+   */
+  public void deregister(String id, Consumer<Boolean> onComplete) {
+    sessions.deregister(id, onComplete);
   }
 
-  /** A call of the operator's; answered once. */
-  public void handleOperatorRequest(OperatorRequest request, Consumer<OperatorResponse> response) {
-    operatorRequests.handleRequest(request, response);
+  /** Handles a request of the operator; {@code onResponse} is called exactly once. */
+  public void handleOperatorRequest(
+      OperatorRequest request, Consumer<OperatorResponse> onResponse) {
+    operatorRequests.handleRequest(request, onResponse);
   }
 
-  /** Figures of this agent. */
+  /** Returns the current state of this agent. Must be called on the event loop. */
   public AgentStatus status() {
     return new AgentStatus(
         settings.node(),
@@ -215,8 +228,8 @@
   }
 
   private void expireSessions() {
-    boolean allBackendsHadTime = scheduler.nowMicros() - startedMicros > expiryMicros();
-    if (allBackendsHadTime && reachesMajority()) {
+    boolean expiryElapsedSinceStart = scheduler.nowMicros() - startedMicros > expiryMicros();
+    if (expiryElapsedSinceStart && reachesMajority()) {
       sessionTable.markComplete();
     }
     sessions.expire();
@@ -226,7 +239,9 @@
     return EXPIRY_HEARTBEATS * settings.heartbeatMillis() * MICROS_PER_MILLI;
   }
 
-  /** Addresses of those whose majority decides who leads. */
+  /**
+   * Returns the IPv4 addresses of the witnesses, whose majority decides which agent is the primary.
+   */
   private Collection<String> witnessAddresses() {
     List<String> addresses = new ArrayList<>();
     for (NodeId witness : replica.view().witnesses()) {
@@ -241,7 +256,10 @@
         && links.reachability().reachesMajority(scheduler.nowMicros(), witnessAddresses);
   }
 
-  /** Without keys there is nothing to lease. */
+  /**
+   * Returns whether data planes need a key lease. A configuration without tenants has no API keys
+   * and therefore needs no lease.
+   */
   private boolean hasLeasedKeys() {
     return settings.leasedKeys()
         && state.document().filter(ConfigurationDocument::hasTenants).isPresent();
@@ -259,8 +277,9 @@
   }
 
   /**
-   * Names the agents in reach. One that is cut off from the majority names all witnesses, too: a
-   * data plane may reach those that it doesn't.
+   * Returns a heartbeat for data planes that lists the control agents in reach. An agent that is
+   * cut off from the primary or the majority also lists all witnesses, because a data plane may
+   * reach witnesses that this agent does not reach.
    */
   private ControlPlaneMessage.Heartbeat dataPlaneHeartbeat() {
     Set<String> agents =
@@ -299,7 +318,7 @@
     peerMessages.dispatch(sender, message);
   }
 
-  /** The committed configurations. */
+  /** Provides the committed configurations for delivery to data planes. */
   private final class CommittedConfigurations implements ConfigurationSource {
     @Override
     public long version() {
@@ -337,7 +356,7 @@
     }
   }
 
-  /** The primary divides the fleet-wide limits. */
+  /** Assigns the role of quota allocator to the primary. */
   private final class PrimaryAllocatorRole implements QuotaService.AllocatorRole {
     @Override
     public String address() {
--- a/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
+++ b/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
@@ -17,7 +17,9 @@
 import slateslip.distribution.sessions.SessionTable;
 import slateslip.protocol.distribution.DistributionCodec;
 
-/** The streams of data planes at this agent. Confined to the event loop. */
+/**
+ * Manages the streams of data planes that are connected to this agent. Confined to the event loop.
+ */
 final class DataPlaneSubscriptions {
   private static final Logger LOG = Logger.getLogger(DataPlaneSubscriptions.class);
 
@@ -28,16 +30,18 @@
   private final Supplier<ControlPlaneMessage.Heartbeat> heartbeat;
   private final Listener listener;
   private final BooleanSupplier leasedKeys;
-  private final Consumer<LongConsumer> confirmation;
+  private final Consumer<LongConsumer> versionConfirmation;
 
-  /** Is notified of what data planes report. */
+  /** Receives notifications about the messages of data planes. */
   interface Listener {
-    /** An active stream has come, gone or acknowledged something. */
+    /**
+     * Called after an active stream was opened or closed, or after a data plane sent an
+     * acknowledgement.
+     */
     void progressChanged();
 
-    /** A data plane tells its demand. */
-    void demandReceived(
-        DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demandReceived);
+    /** Called when a data plane reports its demand for quota. */
+    void demandReceived(DataPlaneMessage.Subscribe subscriber, DataPlaneMessage.Demand demand);
   }
 
   DataPlaneSubscriptions(
@@ -46,13 +50,13 @@
       Supplier<ControlPlaneMessage.Heartbeat> heartbeat,
       Listener listener,
       BooleanSupplier leasedKeys,
-      Consumer<LongConsumer> confirmation) {
+      Consumer<LongConsumer> versionConfirmation) {
     this.configurations = configurations;
     this.sessions = sessions;
     this.heartbeat = heartbeat;
     this.listener = listener;
     this.leasedKeys = leasedKeys;
-    this.confirmation = confirmation;
+    this.versionConfirmation = versionConfirmation;
   }
 
   void received(DataPlaneStream stream, DataPlaneMessage message) {
@@ -64,10 +68,8 @@
     } else if (message instanceof DataPlaneMessage.Acknowledge acknowledge) {
       delivery.acknowledge(acknowledge);
       listener.progressChanged();
-    } else if (message instanceof DataPlaneMessage.Demand demandReceived) {
-      delivery
-          .subscription()
-          .ifPresent(subscriber -> listener.demandReceived(subscriber, demandReceived));
+    } else if (message instanceof DataPlaneMessage.Demand demand) {
+      delivery.subscription().ifPresent(subscriber -> listener.demandReceived(subscriber, demand));
     } else if (message instanceof DataPlaneMessage.Ping ping) {
       respond(stream, ping);
     }
@@ -75,18 +77,18 @@
 
   private void respond(DataPlaneStream stream, DataPlaneMessage.Ping ping) {
     if (leasedKeys.getAsBoolean()) {
-      confirmation.accept(version -> confirmed(stream, ping, version));
+      versionConfirmation.accept(version -> sendConfirmedPong(stream, ping, version));
     } else {
       send(stream, new ControlPlaneMessage.Pong(ping.nonce()));
     }
   }
 
   /**
-   * Responds to a ping where keys are leased. The heartbeat before the pong names a version that no
-   * configuration acknowledged before the ping is newer than; a data plane's lease depends on that
-   * order.
+   * Responds to a ping if API keys are leased. The heartbeat that precedes the pong carries a
+   * version that is at least as new as every configuration acknowledged before the ping. The lease
+   * of the data plane depends on this order of heartbeat and pong.
    */
-  private void confirmed(DataPlaneStream stream, DataPlaneMessage.Ping ping, long version) {
+  private void sendConfirmedPong(DataPlaneStream stream, DataPlaneMessage.Ping ping, long version) {
     if (!streams.containsKey(stream)) {
       return;
     }
@@ -120,12 +122,12 @@
     }
   }
 
-  /** Sends what has changed to all active streams that take more. */
+  /** Sends pending configurations and sessions to all active streams that are writable. */
   void deliverPending() {
     streams.forEach(this::deliverPending);
   }
 
-  /** The stream takes more again. */
+  /** Sends pending configurations and sessions to a stream that has become writable again. */
   void writable(DataPlaneStream stream) {
     SubscriberDelivery delivery = streams.get(stream);
     if (delivery != null) {
@@ -143,13 +145,16 @@
     stream.flush();
   }
 
-  /** Sends a heartbeat on every stream that takes more. */
+  /** Sends a heartbeat on every writable stream. */
   void sendHeartbeats() {
     byte[] encoded = codec.encode(heartbeat.get());
     streams.keySet().forEach(stream -> send(stream, encoded));
   }
 
-  /** Sends a message to the active stream of a data plane. */
+  /**
+   * Sends a message on the active stream of a data plane; the message is dropped if the stream is
+   * not writable.
+   */
   void sendTo(String node, ControlPlaneMessage message) {
     streams.forEach(
         (stream, delivery) -> {
@@ -170,12 +175,15 @@
     }
   }
 
-  /** How far the active streams are. */
+  /**
+   * Returns the lowest configuration version and session revision acknowledged by the active
+   * streams.
+   */
   DeliveryProgress progress() {
     return DeliveryProgress.of(streams.values());
   }
 
-  /** All streams. */
+  /** Returns the delivery state of all streams, active or not. */
   Collection<SubscriberDelivery> streams() {
     return List.copyOf(streams.values());
   }
--- a/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
+++ b/src/main/java/slateslip/controlplane/agent/IncomingConnection.java
@@ -11,9 +11,9 @@
 import slateslip.protocol.peer.ControlPeerCodec;
 
 /**
- * One connection that came in at the port for other agents: the stream of a data plane, or a peer's
- * messages. The schema of the first message tells which. A connection that sends what is no message
- * is closed.
+ * One incoming connection at the port for other agents, either a data plane or a peer. The schema
+ * of the first message distinguishes data planes from peers. A connection that sends a malformed
+ * message is closed.
  */
 public final class IncomingConnection {
   private static final Logger LOG = Logger.getLogger(IncomingConnection.class);
@@ -26,28 +26,29 @@
   private ControlPeerMessage.Hello peer;
   private boolean isDataPlane;
 
-  /** Takes what comes in. */
+  /** Receives the decoded messages and state changes of incoming connections. */
   public interface Listener {
-    /** A message of a data plane. */
+    /** Called for each message of a data plane. */
     void dataPlaneMessageReceived(DataPlaneStream stream, DataPlaneMessage message);
 
-    /** The stream of a data plane takes more again. */
+    /** Called when the stream of a data plane is writable again. */
     void dataPlaneWritable(DataPlaneStream stream);
 
-    /** The stream of a data plane has ended. */
+    /** Called when the stream of a data plane is closed. */
     void dataPlaneClosed(DataPlaneStream stream);
 
-    /** A peer's message; {@code sender} is the greeting of the connection that it came on. */
+    /** Called for each message of a peer; {@code sender} is the hello message of the connection. */
     void peerMessageReceived(ControlPeerMessage.Hello sender, ControlPeerMessage message);
 
-    /** A message about the replicated control state. */
+    /** Called for each message about the replicated control state. */
     void replicaMessageReceived(ReplicaFrame frame);
   }
 
   /**
-   * Nothing has come yet.
+   * Creates a connection that has not received a message.
    *
-   * @param encodedHello encoded, sent back to a peer that has greeted
+   * @param encodedHello encoded hello message of this agent, sent in response to the hello of a
+   *     peer
    */
   public IncomingConnection(DataPlaneStream stream, byte[] encodedHello, Listener listener) {
     this.stream = stream;
@@ -55,7 +56,7 @@
     this.listener = listener;
   }
 
-  /** Takes one encoded message. */
+  /** Decodes one message and hands the result to the listener. */
   public void received(byte[] message) {
     if (peer != null) {
       peerMessageReceived(message);
@@ -66,14 +67,14 @@
     }
   }
 
-  /** The connection takes more again. */
+  /** Handles that the connection is writable again. */
   public void writable() {
     if (isDataPlane) {
       listener.dataPlaneWritable(stream);
     }
   }
 
-  /** The connection has ended. */
+  /** Handles that the connection is closed. */
   public void closed() {
     if (isDataPlane) {
       listener.dataPlaneClosed(stream);
@@ -88,7 +89,7 @@
       stream.flush();
       listener.peerMessageReceived(peer, hello);
     } else {
-      close("no greeting");
+      close("the first message of the peer is not a valid hello");
     }
   }
 
@@ -100,7 +101,7 @@
     } else if (decoded instanceof Decoded.Malformed<DataPlaneMessage> malformed) {
       close(malformed.reason());
     } else if (!isDataPlane) {
-      close("a first message of another protocol");
+      close("the first message belongs to an unknown protocol");
     }
   }
 
--- a/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
+++ b/src/main/java/slateslip/controlplane/agent/OperatorRequestHandler.java
@@ -17,16 +17,20 @@
 import slateslip.protocol.peer.OperatorResponseCodec;
 
 /**
- * Handles requests of the operator: the primary itself, every other agent by forwarding them to the
- * primary. Each request is answered exactly once. Confined to the event loop.
+ * Handles requests of the operator. The primary processes requests itself; every other agent
+ * forwards requests to the primary. Each request gets exactly one response. Confined to the event
+ * loop.
  */
 final class OperatorRequestHandler {
   private static final Logger LOG = Logger.getLogger(OperatorRequestHandler.class);
 
-  /** Callers try another agent after a second without a response. */
+  /**
+   * Limits how long the response to a forwarded request may take. The limit is below one second,
+   * because callers try another agent after one second without a response.
+   */
   private static final long FORWARD_TIMEOUT_MICROS = 900_000;
 
-  /** How long an acknowledgement waits for data planes to put the version in force. */
+  /** Limits how long an acknowledgement waits for data planes to put the version into force. */
   private static final long ROLLOUT_TIMEOUT_MILLIS = 400;
 
   private static final byte[] NO_BODY = new byte[0];
@@ -38,23 +42,30 @@
   private final ConfigurationRollout rollout;
   private final Map<Long, PendingForward> pendingForwards = new HashMap<>();
 
-  /** Begins at a number drawn at random, so that no two incarnations of an agent use one id. */
+  /**
+   * Id of the last forwarded request. The first id is drawn at random, so that two incarnations of
+   * an agent do not use the same id.
+   */
   private long lastRequestId;
 
-  /** A call that another agent was asked to answer. */
+  /** A request that was forwarded to a peer and has no response yet. */
   private record PendingForward(String peer, Consumer<OperatorResponse> responseHandler) {}
 
-  /** Waits for deliveries at all agents. */
+  /** Waits until data planes of all agents have put a configuration into force. */
   interface ConfigurationRollout {
-    /** Calls back once all data planes in reach have this version (true), or after the bound. */
+    /**
+     * Calls {@code onComplete} once: with true when all data planes in reach have this version, or
+     * with false after the timeout.
+     */
     void await(long version, long timeoutMillis, Consumer<Boolean> onComplete);
   }
 
   /**
-   * No calls yet.
+   * Creates a handler without pending requests.
    *
-   * @param incarnation of this process, drawn at random: a response to a call that an earlier
-   *     process forwarded must not be taken for the response to a call of this one
+   * @param incarnation incarnation of this process, drawn at random, from which request ids start:
+   *     the response to a request that an earlier process forwarded must not be mistaken for the
+   *     response to a request of this process
    */
   OperatorRequestHandler(
       long incarnation,
@@ -71,7 +82,10 @@
     this.rollout = rollout;
   }
 
-  /** A call that came to this agent; answered once. */
+  /**
+   * Handles a request that an operator sent to this agent; {@code responseHandler} is called
+   * exactly once.
+   */
   void handleRequest(OperatorRequest request, Consumer<OperatorResponse> responseHandler) {
     if (replica.isServing()) {
       handleAsPrimary(request, responseHandler);
@@ -97,7 +111,7 @@
     }
   }
 
-  /** A call that came to another agent. */
+  /** Handles a request that a peer forwarded to this agent as the primary. */
   void forwardedRequestReceived(String peer, ControlPeerMessage.ForwardedRequest message) {
     Consumer<OperatorResponse> respond =
         response ->
@@ -110,7 +124,10 @@
     }
   }
 
-  /** The response of the agent that a call was forwarded to. */
+  /**
+   * Handles a peer's response to a forwarded request; the response is ignored if the request has
+   * timed out or was forwarded to another peer.
+   */
   void forwardedResponseReceived(String peer, ControlPeerMessage.ForwardedResponse message) {
     PendingForward pending = pendingForwards.get(message.requestId());
     if (pending != null && pending.peer.equals(peer)) {
@@ -161,7 +178,10 @@
     }
   }
 
-  /** A committed change is acknowledged once it is in force, as far as that is seen in time. */
+  /**
+   * Acknowledges a committed change once all data planes in reach have put the version into force,
+   * or after the timeout.
+   */
   private void acknowledge(long version, Consumer<OperatorResponse> responseHandler) {
     byte[] body = ("{\"version\":" + version + "}").getBytes(StandardCharsets.UTF_8);
     rollout.await(
--- a/src/main/java/slateslip/controlplane/agent/PeerConnector.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerConnector.java
@@ -1,34 +1,35 @@
 package slateslip.controlplane.agent;
 
-/** Opens connections to other control agents. */
+/** Opens outgoing connections to other control agents. */
 public interface PeerConnector {
   /**
-   * Begins to connect, and connects anew whenever the connection breaks, until it is closed.
+   * Starts to connect to a peer and reconnects whenever the connection breaks, until {@link
+   * PeerConnection#close} is called.
    *
    * @param address IPv4 address of the peer
-   * @param encodedHello first message on each connection, encoded
-   * @param listener notified, on the event loop, of what becomes of the connection
+   * @param encodedHello encoded hello message of this agent, sent first on each connection
+   * @param listener notified on the event loop when the connection is established or broken
    */
   PeerConnection connect(String address, byte[] encodedHello, Listener listener);
 
-  /** The connection on which this agent sends to one peer. */
+  /** The connection on which this agent sends messages to one peer. */
   interface PeerConnection {
-    /** Sends an encoded message if the connection is up; else the message is lost. */
+    /** Sends an encoded message if the connection is established; otherwise the message is lost. */
     void send(byte[] message);
 
-    /** Breaks the connection off, to connect anew. */
+    /** Closes the current connection and connects again. */
     void reset();
 
-    /** Breaks the connection off for good. */
+    /** Closes the connection permanently. */
     void close();
   }
 
-  /** Is notified of the changes of a connection. */
+  /** Receives notifications about the state of a connection. */
   interface Listener {
-    /** The peer has answered with its greeting, encoded. */
+    /** Called when the peer has responded with its encoded hello message. */
     void connected(byte[] encodedPeerHello);
 
-    /** The connection was up and has broken. */
+    /** Called when an established connection is broken. */
     void disconnected();
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -10,8 +10,8 @@
 import slateslip.protocol.peer.ControlPeerCodec;
 
 /**
- * The links to all other control agents, and which of them are in reach. Confined to the event
- * loop.
+ * Manages the outgoing connections to all other control agents and tracks which agents are in
+ * reach. Confined to the event loop.
  */
 final class PeerLinks {
   private final Scheduler scheduler;
@@ -23,16 +23,19 @@
   private final Map<String, PeerConnector.PeerConnection> links = new TreeMap<>();
   private final Listener listener;
 
-  /** Is notified when a link comes up or goes down. */
+  /** Receives notifications about connections to peers. */
   interface Listener {
+    /** Called when the peer has sent its hello message with its incarnation. */
     void peerConnected(String peer, long incarnation);
 
+    /** Called when an established connection to the peer is broken. */
     void peerDisconnected(String peer);
 
+    /** Called when the peer is removed after a long silence. */
     void peerRemoved(String peer);
   }
 
-  /** No links yet. */
+  /** Creates an instance without connections. */
   PeerLinks(
       Scheduler scheduler,
       ControlPeerMessage.Hello self,
@@ -49,14 +52,17 @@
     return reachability;
   }
 
-  /** Dials agents that were not known. */
+  /** Connects to those of the given IPv4 addresses that are not known yet. */
   void connectTo(Collection<String> addresses) {
     for (String address : reachability.learn(scheduler.nowMicros(), addresses)) {
       links.put(address, connector.connect(address, codec.encode(self), new LinkListener(address)));
     }
   }
 
-  /** A heartbeat has arrived. */
+  /**
+   * Records a heartbeat of a peer and connects to the agents that the heartbeat lists and that are
+   * not known yet.
+   */
   void heartbeatReceived(String peer, ControlPeerMessage.Heartbeat heartbeat) {
     connectTo(List.of(peer));
     reachability.heartbeatReceived(scheduler.nowMicros(), peer, heartbeat);
@@ -64,13 +70,17 @@
   }
 
   /**
-   * Sends heartbeats, breaks off links that lead nowhere, and forgets agents that are long gone.
+   * Sends a heartbeat to every known peer, resets connections that are established although the
+   * peer is out of reach, and removes peers that have been silent for long.
+   *
+   * @param complete whether the session table of this agent contains all live backends
+   * @param retainedAgents IPv4 addresses of the agents that are never removed
    */
   void sendHeartbeats(boolean complete, Collection<String> retainedAgents) {
     long now = scheduler.nowMicros();
-    for (String peerRemoved : reachability.removeExpired(now, retainedAgents)) {
-      links.remove(peerRemoved).close();
-      listener.peerRemoved(peerRemoved);
+    for (String removed : reachability.removeExpired(now, retainedAgents)) {
+      links.remove(removed).close();
+      listener.peerRemoved(removed);
     }
     List<String> knownAgents = reachability.knownPeers();
     long number = reachability.heartbeatNumber(now);
@@ -86,18 +96,19 @@
 
   private void resetIfUnreachable(long now, String peer, PeerConnector.PeerConnection link) {
     Long since = connectedSinceMicros.get(peer);
-    boolean wasUpLongEnough = since != null && now - since > 2 * Reachability.PEER_TIMEOUT_MICROS;
-    if (wasUpLongEnough && !reachability.isReachable(now, peer)) {
+    boolean establishedLongEnough =
+        since != null && now - since > 2 * Reachability.PEER_TIMEOUT_MICROS;
+    if (establishedLongEnough && !reachability.isReachable(now, peer)) {
       link.reset();
     }
   }
 
-  /** Sends a message; it may be lost. */
+  /** Sends a message to a peer; the message may be lost. */
   void send(String peer, ControlPeerMessage message) {
     send(peer, codec.encode(message));
   }
 
-  /** Sends an encoded message; it may be lost. */
+  /** Sends an encoded message to a peer; the message may be lost. */
   void send(String peer, byte[] message) {
     PeerConnector.PeerConnection link = links.get(peer);
     if (link != null) {
@@ -105,7 +116,7 @@
     }
   }
 
-  /** Whether the link is up and the peer in reach. */
+  /** Returns whether the connection to the peer is established and the peer is in reach. */
   boolean isUsable(String peer) {
     return connectedSinceMicros.containsKey(peer)
         && reachability.isReachable(scheduler.nowMicros(), peer);
--- a/src/main/java/slateslip/controlplane/agent/PeerMessageDispatcher.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerMessageDispatcher.java
@@ -7,8 +7,8 @@
 import slateslip.distribution.sessions.SessionTable;
 
 /**
- * Hands each message of another control agent to the component that it concerns. Confined to the
- * event loop.
+ * Hands each message of another control agent to the component that handles this type of message.
+ * Confined to the event loop.
  */
 final class PeerMessageDispatcher {
   private final SessionTable sessionTable;
@@ -18,7 +18,7 @@
   private final RolloutTracker rollout;
   private final QuotaService quotas;
 
-  /** Peers whose full session table has been merged. */
+  /** IPv4 addresses of the peers whose full session table has been merged. */
   private final Set<String> fullTablesReceivedFrom = new HashSet<>();
 
   PeerMessageDispatcher(
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Handles one message.
+   * Handles one message of a peer.
    *
-   * @param sender the hello of the connection that it came on
+   * @param sender the hello message of the connection on which the message arrived
    */
   void dispatch(ControlPeerMessage.Hello sender, ControlPeerMessage message) {
     String peer = sender.address();
--- a/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
+++ b/src/main/java/slateslip/controlplane/agent/PendingAcknowledgements.java
@@ -7,7 +7,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Answers that wait for deliveries, each for a bounded time. Confined to the event loop. */
+/**
+ * Holds acknowledgements that wait for deliveries, each for a bounded time. Confined to the event
+ * loop.
+ */
 final class PendingAcknowledgements {
   private static final long MICROS_PER_MILLI = 1_000;
 
@@ -21,8 +24,11 @@
   /**
    * Waits for a condition.
    *
-   * @param condition whether it holds now; asked at each {@link #recheck}
-   * @param onComplete called once with whether the condition held in time
+   * @param condition returns whether the condition holds; evaluated at once and at each {@link
+   *     #recheck}
+   * @param timeoutMillis how long to wait, in milliseconds
+   * @param onComplete called once: with true when the condition holds, or with false after the
+   *     timeout
    */
   void await(BooleanSupplier condition, long timeoutMillis, Consumer<Boolean> onComplete) {
     if (condition.getAsBoolean()) {
@@ -34,7 +40,10 @@
     scheduler.schedule(timeoutMillis * MICROS_PER_MILLI, () -> complete(acknowledgement, false));
   }
 
-  /** Something was delivered, or somebody has gone who was waited for. */
+  /**
+   * Evaluates all pending conditions again. Must be called after each delivery and after a peer or
+   * data plane has disconnected.
+   */
   void recheck() {
     List<PendingAcknowledgement> satisfied = new ArrayList<>();
     for (PendingAcknowledgement acknowledgement : pending) {
@@ -45,9 +54,9 @@
     satisfied.forEach(acknowledgement -> complete(acknowledgement, true));
   }
 
-  private void complete(PendingAcknowledgement acknowledgement, boolean condition) {
+  private void complete(PendingAcknowledgement acknowledgement, boolean satisfied) {
     if (pending.remove(acknowledgement)) {
-      acknowledgement.onComplete.accept(condition);
+      acknowledgement.onComplete.accept(satisfied);
     }
   }
 
--- a/src/main/java/slateslip/controlplane/agent/QuotaService.java
+++ b/src/main/java/slateslip/controlplane/agent/QuotaService.java
@@ -16,19 +16,22 @@
 import slateslip.distribution.quota.QuotaAllocatorStatus;
 
 /**
- * Carries reports of data planes to the agent that divides the fleet-wide limits, and allocations
- * back. Confined to the event loop.
+ * Forwards demand reports of data planes to the agent that allocates the fleet-wide quotas, and
+ * forwards allocations from that agent to the data planes. Confined to the event loop.
  */
 final class QuotaService {
   private static final Logger LOG = Logger.getLogger(QuotaService.class);
 
   /**
-   * Without tenants an allocation says only how many data planes there are, and is made in one of
-   * so many ticks.
+   * Number of ticks between two allocations while no data plane has reported a tenant. Such an
+   * allocation carries only the number of data planes.
    */
   private static final long TICKS_WITHOUT_TENANTS = 4;
 
-  /** Requests that begin to wait within this time are answered together. */
+  /**
+   * Delay between the first report of waiting requests and the allocation for them. One allocation
+   * serves all data planes that report waiting requests within this time.
+   */
   private static final long WAITING_BATCH_MICROS = 20_000;
 
   private final String self;
@@ -45,18 +48,21 @@
   private boolean completionLogged;
   private long ticks;
 
-  /** The agent to which each data plane that reports is connected. */
+  /**
+   * Maps the name of each reporting data plane to the IPv4 address of the agent that the data plane
+   * is connected to.
+   */
   private final Map<String, String> peerOfDataPlane = new HashMap<>();
 
-  /** Says which agent divides the limits. */
+  /** Determines which agent allocates the quotas. */
   interface AllocatorRole {
-    /** Its IPv4 address. */
+    /** Returns the IPv4 address of the agent that allocates the quotas. */
     String address();
 
-    /** Whether that is this agent, and nobody else can hold the role. */
+    /** Returns whether this agent allocates the quotas and no other agent can hold this role. */
     boolean isSelf();
 
-    /** The term in which this agent holds the role. */
+    /** Returns the term in which this agent allocates the quotas. */
     AllocatorTerm term();
   }
 
@@ -76,7 +82,8 @@
   }
 
   /**
-   * A data plane at this agent reports. What waits there is told at once, else at the next tick.
+   * Handles a demand report of a data plane that is connected to this agent. The report is
+   * forwarded at once if requests wait at the data plane, otherwise at the next tick.
    */
   void demandReceived(DataPlaneMessage.Subscribe from, DataPlaneMessage.Demand demand) {
     DataPlaneDemand report = new DataPlaneDemand(from.node(), from.incarnation(), demand.report());
@@ -86,18 +93,18 @@
     }
   }
 
-  /** Another agent passes on reports of its data planes. */
+  /** Handles the demand reports of data planes that are connected to another agent. */
   void demandReportReceived(String peer, ControlPeerMessage.DemandReport report) {
     updateRole();
     report.dataPlanes().forEach(demand -> report(peer, demand));
   }
 
-  /** The allocator allots to data planes here. */
+  /** Delivers allocations to data planes that are connected to this agent. */
   void allocationsReceived(ControlPeerMessage.QuotaAllocations allocations) {
     allocations.dataPlanes().forEach(this::deliver);
   }
 
-  /** Passes reports on and, at the allocator, divides. */
+  /** Forwards pending reports and, if this agent is the allocator, allocates the quotas. */
   void tick() {
     ticks++;
     flushReports();
@@ -107,7 +114,10 @@
     }
   }
 
-  /** Until then only what known data planes hold is moved between them. */
+  /**
+   * Logs once that the allocator knows all data planes that hold quotas. Until then the allocator
+   * only moves quotas between known data planes.
+   */
   private void logCompletion() {
     if (!completionLogged && allocator.isComplete()) {
       completionLogged = true;
@@ -117,7 +127,10 @@
     }
   }
 
-  /** How the quotas stand, if this agent divides them. */
+  /**
+   * Returns the state of the quota allocator, or {@link QuotaAllocatorStatus#NONE} if this agent is
+   * not the allocator.
+   */
   QuotaAllocatorStatus status() {
     return allocating ? allocator.status(scheduler.nowMicros()) : QuotaAllocatorStatus.NONE;
   }
@@ -134,8 +147,9 @@
   }
 
   /**
-   * Whoever takes the role begins with a new allocator. An agent goes on with its own if nobody
-   * else can have held the role since.
+   * Updates whether this agent is the allocator. An agent that takes the role creates a new
+   * allocator, except if the agent was the allocator before and no other agent can have held the
+   * role since.
    */
   private void updateRole() {
     allocating = allocatorRole.isSelf();
@@ -144,9 +158,9 @@
     }
     AllocatorTerm term = allocatorRole.term();
     if (allocator == null || !term.continues(allocatorTerm)) {
-      LOG.infof("quota allocator begins: epoch=%d founding=%b", term.number(), term.isFounding());
+      LOG.infof("quota allocator begins: epoch=%d founding=%b", term.number(), term.isFirst());
       allocator =
-          new QuotaAllocator(term.number(), term.isFounding(), windowMicros, scheduler.nowMicros());
+          new QuotaAllocator(term.number(), term.isFirst(), windowMicros, scheduler.nowMicros());
       peerOfDataPlane.clear();
       completionLogged = false;
     }
--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -19,7 +19,10 @@
 import slateslip.protocol.coordination.ReplicaFrame;
 import slateslip.protocol.coordination.ReplicaMessageCodec;
 
-/** Carries out what the replica of the control state asks for. Confined to the event loop. */
+/**
+ * Runs the replica of the control state and executes its effects: disk writes, messages, results
+ * and timers. Confined to the event loop.
+ */
 final class ReplicaHost {
   private static final Logger LOG = Logger.getLogger(ReplicaHost.class);
 
@@ -34,17 +37,18 @@
   private RoleStatus role;
   private Scheduler.Timer wakeTimer;
 
-  /** Sends a message to a peer; it may be lost. */
+  /** Sends messages to peers. */
   interface PeerSender {
+    /** Sends an encoded message to a peer; the message may be lost. */
     void send(NodeAddress to, byte[] message);
   }
 
   /**
-   * A replica that has not started.
+   * Creates a host whose replica is not started.
    *
    * @param onApplied called after the committed state has changed
-   * @param onBrokenInvariant notified of a failure in the middle of an input: the replica's state
-   *     is then not to be trusted, and the process has to end
+   * @param onBrokenInvariant called with an exception that the replica threw while it handled an
+   *     input; must end the process, because the state of the replica can no longer be trusted
    */
   ReplicaHost(
       Scheduler scheduler,
@@ -70,44 +74,56 @@
     handle(new ReplicaInput.Received(frame.from(), frame.message()));
   }
 
-  /** Proposes a command; the result comes later, on the loop. */
-  void propose(byte[] command, Consumer<ClientResult> result) {
-    long token = nextToken(result);
+  /**
+   * Proposes a command; {@code onResult} is called once on the event loop, possibly before this
+   * method returns.
+   */
+  void propose(byte[] command, Consumer<ClientResult> onResult) {
+    long token = nextToken(onResult);
     handle(new ReplicaInput.Propose(token, command));
   }
 
-  /** Asks whether the state is current; the result comes later, on the loop. */
-  void confirm(Consumer<ClientResult> result) {
-    long token = nextToken(result);
+  /**
+   * Requests confirmation that the state is current; {@code onResult} is called once on the event
+   * loop, possibly before this method returns.
+   */
+  void confirm(Consumer<ClientResult> onResult) {
+    long token = nextToken(onResult);
     handle(new ReplicaInput.Confirm(token));
   }
 
-  /** This node's place; null before {@link #start}. */
+  /** Returns the role of this node; null before {@link #start}. */
   RoleStatus role() {
     return role;
   }
 
-  /** Whether this node leads and takes commands. */
+  /** Returns whether this node is the primary and accepts commands. */
   boolean isServing() {
     return role != null && role.serving();
   }
 
-  /** The newest term in which this node led. */
+  /**
+   * Returns the newest term in which this node was the primary; {@link PrimaryTerm#NONE} if there
+   * is none.
+   */
   PrimaryTerm term() {
     return replica.primaryTerm();
   }
 
-  /** Whether this node leads or has heard the newest view's primary lately. */
+  /**
+   * Returns whether this node is the primary or has recently received a message of the newest
+   * view's primary.
+   */
   boolean hearsPrimary() {
     return replica.hearsPrimary();
   }
 
-  /** Others are to take over what this node does in the view. */
+  /** Asks the other nodes to take over this node's role in the view. */
   void shutDown() {
     handle(new ReplicaInput.Shutdown());
   }
 
-  /** Whether the newest view counts on this node's copy of the state. */
+  /** Returns whether the newest view counts this node's copy of the state. */
   boolean isMember() {
     return replica.isMember();
   }
@@ -116,9 +132,9 @@
     return replica.view();
   }
 
-  private long nextToken(Consumer<ClientResult> result) {
+  private long nextToken(Consumer<ClientResult> onResult) {
     lastToken++;
-    pendingResults.put(lastToken, result);
+    pendingResults.put(lastToken, onResult);
     return lastToken;
   }
 
@@ -141,24 +157,25 @@
     scheduleWake(effects.wakeAtMicros());
   }
 
-  /** Says who leads since when; what an engineer on call looks for first. */
-  private void logRoleChange(RoleStatus now) {
+  /** Logs changes of the epoch and of the primary, which an engineer on call looks for first. */
+  private void logRoleChange(RoleStatus newRole) {
     boolean wasServing = isServing();
-    boolean newEpoch = role == null || now.epoch() != role.epoch();
-    if (!newEpoch && now.serving() == wasServing) {
+    boolean newEpoch = role == null || newRole.epoch() != role.epoch();
+    if (!newEpoch && newRole.serving() == wasServing) {
       return;
     }
-    LogContext.epoch(now.epoch());
+    LogContext.epoch(newRole.epoch());
     View view = replica.view();
     if (newEpoch) {
       LOG.infof(
           "view changed: epoch=%d primary=%s members=%s witnesses=%s",
-          now.epoch(), now.primary(), memberNodes(view), view.witnesses());
+          newRole.epoch(), newRole.primary(), memberNodes(view), view.witnesses());
     }
-    if (now.serving() && !wasServing) {
-      LOG.infof("became primary: epoch=%d committed=%d", now.epoch(), now.committedSequence());
-    } else if (wasServing && !now.serving()) {
-      LOG.infof("stepped down: epoch=%d primary=%s", now.epoch(), now.primary());
+    if (newRole.serving() && !wasServing) {
+      LOG.infof(
+          "became primary: epoch=%d committed=%d", newRole.epoch(), newRole.committedSequence());
+    } else if (wasServing && !newRole.serving()) {
+      LOG.infof("stepped down: epoch=%d primary=%s", newRole.epoch(), newRole.primary());
     }
   }
 
--- a/src/main/java/slateslip/controlplane/agent/RolloutTracker.java
+++ b/src/main/java/slateslip/controlplane/agent/RolloutTracker.java
@@ -5,9 +5,9 @@
 import slateslip.distribution.peer.ControlPeerMessage;
 
 /**
- * Follows how far the data planes of all agents have put committed configurations into force. The
- * primary waits here before it acknowledges a change; every other agent reports its own progress to
- * the primary. Confined to the event loop.
+ * Tracks which committed configuration versions the data planes of all agents have put into force.
+ * The primary waits for this progress before it acknowledges a change; every other agent reports
+ * the progress of its data planes to the primary. Confined to the event loop.
  */
 final class RolloutTracker implements OperatorRequestHandler.ConfigurationRollout {
   private final Scheduler scheduler;
@@ -32,9 +32,11 @@
   }
 
   /**
-   * Reports the progress of this agent's data planes to the primary; the primary reports nothing.
+   * Sends the primary the lowest configuration version in force at this agent's data planes. The
+   * primary itself sends nothing.
    *
-   * @param evenIfUnchanged whether to report again what was reported last
+   * @param evenIfUnchanged whether to send a report even if the version is the same as in the last
+   *     report
    */
   void reportProgress(boolean evenIfUnchanged) {
     long version = subscriptions.progress().slowestVersion();
@@ -46,25 +48,32 @@
     links.send(primary, new ControlPeerMessage.DeliveryReport(version));
   }
 
-  /** A data plane here has come, gone or acknowledged, or a configuration was committed. */
+  /**
+   * Sends a report if the progress has changed, and checks pending acknowledgements again. Must be
+   * called after a data plane of this agent has connected, disconnected or acknowledged, and after
+   * a configuration was committed.
+   */
   void progressChanged() {
     reportProgress(false);
     pendingAcknowledgements.recheck();
   }
 
-  /** A peer's process has introduced itself. */
+  /**
+   * Records the incarnation of a peer that has sent its hello message. Reports of an earlier
+   * incarnation are discarded.
+   */
   void peerStarted(String peer, long incarnation) {
     peerProgress.peerStarted(peer, incarnation);
   }
 
-  /** A peer has reported the progress of its data planes. */
+  /** Records a peer's report of the progress of its data planes. */
   void reportReceived(ControlPeerMessage.Hello sender, ControlPeerMessage.DeliveryReport report) {
     peerProgress.recordReport(
         sender.address(), sender.incarnation(), replica.role().epoch(), report.slowestVersion());
     pendingAcknowledgements.recheck();
   }
 
-  /** A peer exists no more. */
+  /** Discards the reports of a peer that was removed. */
   void peerRemoved(String peer) {
     peerProgress.remove(peer);
   }
--- a/src/main/java/slateslip/controlplane/agent/Scheduler.java
+++ b/src/main/java/slateslip/controlplane/agent/Scheduler.java
@@ -1,19 +1,21 @@
 package slateslip.controlplane.agent;
 
-/** Steady time and timers of the event loop that a control agent is confined to. */
+/**
+ * Provides the monotonic time and the timers of the event loop that a control agent is confined to.
+ */
 public interface Scheduler {
-  /** Steady time in microseconds; never below 1. */
+  /** Returns the monotonic time in microseconds; at least 1. */
   long nowMicros();
 
-  /** Runs a task once on the event loop, after a delay in microseconds. */
+  /** Runs a task once on the event loop after a delay in microseconds. */
   Timer schedule(long delayMicros, Runnable task);
 
-  /** Runs a task on the event loop over and over, with a period in microseconds. */
+  /** Runs a task repeatedly on the event loop with a period in microseconds. */
   void scheduleAtFixedRate(long periodMicros, Runnable task);
 
-  /** A task that is scheduled. */
+  /** A scheduled task. */
   interface Timer {
-    /** The task does not run any more. */
+    /** Cancels the task unless the task has already run. */
     void cancel();
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -13,12 +13,17 @@
 import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
 import slateslip.distribution.sessions.SessionTable;
 
-/** Heartbeats of backends, and session updates of other agents. Confined to the event loop. */
+/**
+ * Handles heartbeats of backends and session updates of other agents. Confined to the event loop.
+ */
 final class SessionService {
-  /** How long the response to a backend that leaves waits for those that route to it. */
+  /**
+   * Limits how long the response to a draining or stopped backend waits for the agents and data
+   * planes that may route to the backend.
+   */
   private static final long DRAIN_ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 300;
 
-  /** How long a peer's response waits for its own data planes. */
+  /** Limits how long the acknowledgement to a peer waits for the data planes of this agent. */
   private static final long PEER_ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 200;
 
   private final Scheduler scheduler;
@@ -28,21 +33,31 @@
   private final DataPlaneSubscriptions subscribers;
   private final PendingAcknowledgements pendingAcknowledgements;
   private final Majority majority;
+
+  /**
+   * Maps the number of each pending change to the IPv4 addresses of the peers that have not
+   * acknowledged it.
+   */
   private final Map<Long, Set<String>> unacknowledgedPeers = new TreeMap<>();
 
-  /** Begins at a number drawn at random, so that no two incarnations of an agent use one. */
+  /**
+   * Number of the last change. The first number is drawn at random, so that two incarnations of an
+   * agent do not use the same number.
+   */
   private long lastChangeNumber;
 
-  /** Whether this agent reaches a majority of those that keep the control state. */
+  /** Determines whether this agent reaches a majority of the witnesses of the control state. */
   interface Majority {
+    /** Returns whether this agent reaches a majority now. */
     boolean isReached();
   }
 
   /**
-   * No calls yet.
+   * Creates a service without pending changes.
    *
-   * @param incarnation of this process, drawn at random: what a peer has stored for an earlier
-   *     process must not be taken for an acknowledgement to this one
+   * @param incarnation incarnation of this process, drawn at random, from which change numbers
+   *     start: a peer's acknowledgement to an earlier process must not be mistaken for an
+   *     acknowledgement to this process
    */
   SessionService(
       long incarnation,
@@ -63,16 +78,20 @@
   }
 
   /**
-   * A heartbeat of a backend; {@code acknowledged} is called once with the result. An agent that
-   * reaches no majority does not acknowledge it: the others do not hear of the call and would let
-   * the session expire, so the backend has to call one of them. Nor does such an agent take note of
-   * it, since what it hands to the others when it reaches them again would be older than it looks;
-   * only that a known backend leaves, which is never wrong later.
+   * Handles a heartbeat of a backend; {@code onComplete} is called once with whether the heartbeat
+   * is acknowledged.
+   *
+   * <p>An agent that reaches no majority does not acknowledge heartbeats: the other agents do not
+   * receive the heartbeat and would let the session expire, so the backend has to send its
+   * heartbeat to one of the other agents. Such an agent does not record the heartbeat either,
+   * because the session that the agent sends to its peers after the partition would be older than
+   * it appears. The only exception is a known backend that is draining: this information is still
+   * correct after the partition.
    */
-  void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
+  void heartbeat(BackendSession session, Consumer<Boolean> onComplete) {
     boolean drainingKnownBackend = session.draining() && table.session(session.id()).isPresent();
     if (!majority.isReached() && !drainingKnownBackend) {
-      acknowledged.accept(false);
+      onComplete.accept(false);
       return;
     }
     HeartbeatResult result = table.heartbeat(scheduler.nowMicros(), session);
@@ -80,26 +99,32 @@
       replication.recordRenewal(session.id());
     }
     if (session.draining()) {
-      acknowledgeOnceReplicated(session.id(), acknowledged);
+      acknowledgeOnceReplicated(session.id(), onComplete);
       return;
     }
     if (result == HeartbeatResult.CHANGED || result == HeartbeatResult.ADOPTED) {
       replicateChange(0, session.id());
     }
-    acknowledged.accept(majority.isReached());
+    onComplete.accept(majority.isReached());
   }
 
-  /** A backend says that it is gone. */
-  void deregister(String id, Consumer<Boolean> acknowledged) {
+  /**
+   * Removes the session of a backend that has stopped; {@code onComplete} is called once with
+   * whether the removal is acknowledged.
+   */
+  void deregister(String id, Consumer<Boolean> onComplete) {
     table.deregister(scheduler.nowMicros(), id);
-    acknowledgeOnceReplicated(id, acknowledged);
+    acknowledgeOnceReplicated(id, onComplete);
   }
 
-  /** Acknowledged once all that may route to the backend know, or after a bounded time. */
-  private void acknowledgeOnceReplicated(String id, Consumer<Boolean> acknowledged) {
+  /**
+   * Sends a change to peers and data planes, and acknowledges the change once all peers and data
+   * planes that may route to the backend have acknowledged it, or after a bounded time.
+   */
+  private void acknowledgeOnceReplicated(String id, Consumer<Boolean> onComplete) {
     if (!majority.isReached()) {
       replicateChange(0, id);
-      acknowledged.accept(false);
+      onComplete.accept(false);
       return;
     }
     long number = nextChangeNumber();
@@ -111,11 +136,14 @@
         DRAIN_ACKNOWLEDGEMENT_TIMEOUT_MILLIS,
         inTime -> {
           unacknowledgedPeers.remove(number);
-          acknowledged.accept(majority.isReached());
+          onComplete.accept(majority.isReached());
         });
   }
 
-  /** A number that is not 0, which stands for a message that nobody waits for. */
+  /**
+   * Returns the next change number, which is never 0: the number 0 marks a message that needs no
+   * acknowledgement.
+   */
   private long nextChangeNumber() {
     lastChangeNumber++;
     if (lastChangeNumber == 0) {
@@ -138,7 +166,10 @@
     messages.forEach(outbound -> links.send(outbound.peer(), outbound.message()));
   }
 
-  /** Changes at another agent. */
+  /**
+   * Merges session changes of a peer. A change with a number other than 0 is acknowledged once the
+   * data planes of this agent have the change, or after a bounded time.
+   */
   void merge(String peer, ControlPeerMessage.SessionChanges changes) {
     long now = scheduler.nowMicros();
     changes.entries().forEach(entry -> table.merge(now, peer, entry));
@@ -155,13 +186,13 @@
     }
   }
 
-  /** Renewals at another agent. */
+  /** Merges session renewals of a peer. */
   void merge(String peer, ControlPeerMessage.SessionRenewals renewals) {
     long now = scheduler.nowMicros();
     renewals.renewals().forEach(renewal -> table.merge(now, peer, renewal));
   }
 
-  /** A peer has what was sent to it under this number. */
+  /** Records that a peer has acknowledged the change with this number. */
   void changesAcknowledged(String peer, long number) {
     Set<String> peers = unacknowledgedPeers.get(number);
     if (peers != null && peers.remove(peer)) {
@@ -169,10 +200,15 @@
     }
   }
 
+  /** Sends a newly connected peer the sessions that the peer has missed. */
   void connected(String peer, long incarnation) {
     send(replication.connected(scheduler.nowMicros(), peer, incarnation));
   }
 
+  /**
+   * Suspends the expiry of sessions that the disconnected peer reported, and stops waiting for
+   * acknowledgements of the peer.
+   */
   void disconnected(String peer) {
     replication.disconnected(peer);
     table.suspendExpiry(scheduler.nowMicros(), peer);
@@ -180,21 +216,28 @@
     pendingAcknowledgements.recheck();
   }
 
+  /** Discards the replication state of a peer that was removed. */
   void peerRemoved(String peer) {
     replication.remove(peer);
   }
 
-  /** A peer has received all that was sent before this time. */
+  /**
+   * Records that a peer has received all messages that were sent to the peer before this time, in
+   * microseconds.
+   */
   void heartbeatAcknowledged(String peer, long sentBeforeMicros) {
     replication.acknowledged(peer, sentBeforeMicros);
   }
 
-  /** Sends the renewals of the last while. */
+  /** Sends the renewals since the previous call to all connected peers in one batch. */
   void flushRenewals() {
     send(replication.flushRenewals(scheduler.nowMicros()));
   }
 
-  /** Drops sessions that were not renewed, unless that is for want of hearing. */
+  /**
+   * Removes sessions that were not renewed in time. While this agent reaches no majority, expiry is
+   * suspended, because backends may send their heartbeats to agents that this agent does not reach.
+   */
   void expire() {
     long now = scheduler.nowMicros();
     if (!majority.isReached()) {
--- a/src/main/java/slateslip/controlplane/agent/VersionConfirmation.java
+++ b/src/main/java/slateslip/controlplane/agent/VersionConfirmation.java
@@ -8,12 +8,16 @@
 import slateslip.distribution.peer.OperatorResponse;
 
 /**
- * Finds out which configuration is the newest: the primary says it after a majority has confirmed
- * that it still is the primary. One question is under way at most; it answers all that were waiting
- * when it was sent, and none that came later. Confined to the event loop.
+ * Queries the primary for the newest configuration version. The primary responds after a majority
+ * has confirmed that it is still the primary. At most one query is in flight; its response serves
+ * all callers that were waiting when the query was sent, and no later caller. Confined to the event
+ * loop.
  */
 final class VersionConfirmation {
-  /** Between two questions, so that their number does not grow with that of data planes. */
+  /**
+   * Minimum time between two queries, so that the number of queries does not grow with the number
+   * of data planes.
+   */
   private static final long MIN_INTERVAL_MICROS = 100_000;
 
   private static final byte[] NO_BODY = new byte[0];
@@ -22,9 +26,14 @@
   private final OperatorRequestHandler operatorRequests;
   private final LongSupplier ownVersion;
   private List<LongConsumer> waiting = new ArrayList<>();
+
+  /** Whether a query is in flight or the minimum time since the last response has not elapsed. */
   private boolean busy;
 
-  /** A confirmation that has asked nothing yet; {@code ownVersion} is what this agent has. */
+  /**
+   * Creates an instance that has sent no query; {@code ownVersion} returns the configuration
+   * version of this agent.
+   */
   VersionConfirmation(
       Scheduler scheduler, OperatorRequestHandler operatorRequests, LongSupplier ownVersion) {
     this.scheduler = scheduler;
@@ -33,37 +42,37 @@
   }
 
   /**
-   * Calls back with a version that no acknowledged configuration of before this call is newer than;
-   * not at all if that cannot be found out.
+   * Calls {@code onConfirmed} with a version that is at least as new as every configuration
+   * acknowledged before this call. The callback is never called if the version cannot be confirmed.
    */
   void confirm(LongConsumer onConfirmed) {
     waiting.add(onConfirmed);
     if (!busy) {
-      ask();
+      sendQuery();
     }
   }
 
-  private void ask() {
+  private void sendQuery() {
     busy = true;
-    List<LongConsumer> served = waiting;
+    List<LongConsumer> callbacks = waiting;
     waiting = new ArrayList<>();
     var read = new OperatorRequest(OperatorRequest.Method.GET, ownVersion.getAsLong(), NO_BODY);
-    operatorRequests.handleRequest(read, response -> responded(response, served));
+    operatorRequests.handleRequest(read, response -> responseReceived(response, callbacks));
   }
 
-  private void responded(OperatorResponse response, List<LongConsumer> served) {
+  private void responseReceived(OperatorResponse response, List<LongConsumer> callbacks) {
     boolean confirmed =
         response.status() == OperatorResponse.OK || response.status() == OperatorResponse.NOT_FOUND;
     if (confirmed) {
-      served.forEach(onConfirmed -> onConfirmed.accept(response.version()));
+      callbacks.forEach(onConfirmed -> onConfirmed.accept(response.version()));
     }
-    scheduler.schedule(MIN_INTERVAL_MICROS, this::askAgain);
+    scheduler.schedule(MIN_INTERVAL_MICROS, this::queryAgain);
   }
 
-  private void askAgain() {
+  private void queryAgain() {
     busy = false;
     if (!waiting.isEmpty()) {
-      ask();
+      sendQuery();
     }
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/WriteAheadLog.java
+++ b/src/main/java/slateslip/controlplane/agent/WriteAheadLog.java
@@ -4,18 +4,21 @@
 import java.util.function.Consumer;
 import slateslip.coordination.DurableRecord;
 
-/** The records that a control agent keeps on disk. */
+/** Stores the records of a control agent on disk. */
 public interface WriteAheadLog {
-  /** What was on disk when it was opened, from the newest snapshot on. */
+  /**
+   * Returns the records that were on disk when the log was opened, starting with the newest
+   * snapshot.
+   */
   List<DurableRecord> recovered();
 
-  /** Takes writes from now on. */
+  /** Starts to execute writes. */
   void start();
 
   /**
-   * Starts a write; writes complete in the order of the calls.
+   * Queues a write; writes complete in the order of the calls.
    *
-   * @param done called on the event loop with whether the record is durable
+   * @param onComplete called on the event loop with whether the record is durable
    */
-  void write(DurableRecord record, Consumer<Boolean> done);
+  void write(DurableRecord record, Consumer<Boolean> onComplete);
 }
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -168,7 +168,7 @@
   }
 
   void heartbeat(BackendSession session, Consumer<Boolean> acknowledged) {
-    agent.dataPlaneHeartbeat(session, acknowledged);
+    agent.backendHeartbeat(session, acknowledged);
   }
 
   void deregister(String id, Consumer<Boolean> acknowledged) {
