--- a/src/main/java/slateslip/controlplane/AsyncBodyReader.java
+++ b/src/main/java/slateslip/controlplane/AsyncBodyReader.java
@@ -8,13 +8,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Reads the body of a call as its bytes come: a caller that is slow holds no thread. */
+/**
+ * Reads the body of a request asynchronously as bytes arrive, so that a slow client does not block
+ * a thread.
+ */
 final class AsyncBodyReader implements ReadListener {
   private static final int CHUNK_BYTES = 16 * 1024;
 
   /**
-   * How long a body may take to come. A bound on its rate would turn small ones away on a busy
-   * machine: between the first byte and the look at it some milliseconds may pass.
+   * Limits how long a body may take to arrive. A minimum data rate would instead reject small
+   * bodies on a busy machine, where some milliseconds may pass between the arrival of the first
+   * byte and the check of the rate.
    */
   private static final long MAX_SECONDS = 10;
 
@@ -29,10 +33,11 @@
   }
 
   /**
-   * Begins to read; the call must be asynchronous already.
+   * Starts to read the body of a request, which must already be in asynchronous mode.
    *
-   * @return completes with the body, or with a {@link BodyTooLargeException} if it is longer than
-   *     the limit, or with another exception if it does not come whole in time
+   * @return completes with the body, or with a {@link BodyTooLargeException} if the body is longer
+   *     than {@code maxBytes}, or with another exception if the body does not arrive completely in
+   *     time
    */
   static CompletableFuture<byte[]> read(HttpServletRequest request, int maxBytes) {
     try {
@@ -69,7 +74,7 @@
     result.completeExceptionally(failure);
   }
 
-  /** The body is longer than it may be. */
+  /** Signals that a body is longer than its limit. */
   static final class BodyTooLargeException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/slateslip/controlplane/ControlPlane.java
+++ b/src/main/java/slateslip/controlplane/ControlPlane.java
@@ -19,7 +19,7 @@
 import slateslip.settings.NodeSettings;
 import slateslip.storage.RingOptions;
 
-/** A control agent with its sockets, disk and threads. */
+/** Runs a control agent with its sockets, disk and threads. */
 public final class ControlPlane {
   private static final Logger LOG = Logger.getLogger(ControlPlane.class);
   private static final int BROKEN_INVARIANT_STATUS = 70;
@@ -62,7 +62,10 @@
             () -> StatusReport.metrics(agent.status(), wakeUps, ProcessorTime.ofThisProcess()));
   }
 
-  /** The platform starts the process again, on what its disk holds. */
+  /**
+   * Ends the process after a broken invariant. The platform restarts the process, which recovers
+   * its state from disk.
+   */
   private static void halt(RuntimeException broken) {
     LOG.fatal("a broken invariant ends this process", broken);
     Runtime.getRuntime().halt(BROKEN_INVARIANT_STATUS);
@@ -92,7 +95,7 @@
   /**
    * Starts a control agent.
    *
-   * @throws IOException if its disk or ports cannot be used
+   * @throws IOException if the agent's disk or ports cannot be used
    */
   public static ControlPlane start(NodeSettings settings) throws IOException {
     ControlPlane started = new ControlPlane(settings);
@@ -102,23 +105,25 @@
     return started;
   }
 
-  /** Takes over what may change while it runs: the seeds. */
+  /** Applies the setting that may change while the agent runs: the seed nodes. */
   public void settingsChanged(NodeSettings settings) {
     eventLoop.execute(() -> agent.settingsChanged(agentSettings(settings)));
   }
 
   /**
-   * Has the others take over what this agent does for the control state, and serves until then.
+   * Asks the other agents to take over this agent's role for the control state. The agent keeps
+   * serving until then.
    *
-   * @param timeoutMillis after this time it ends in any case
-   * @param released called once, on the event loop
+   * @param timeoutMillis time after which {@code onReleased} is called in any case, in milliseconds
+   * @param onReleased called once on the event loop, when the control state no longer needs this
+   *     agent's copy
    */
-  public void shutDownGracefully(long timeoutMillis, Runnable released) {
+  public void shutDownGracefully(long timeoutMillis, Runnable onReleased) {
     eventLoop.execute(
-        () -> agent.shutDownGracefully(TimeUnit.MILLISECONDS.toMicros(timeoutMillis), released));
+        () -> agent.shutDownGracefully(TimeUnit.MILLISECONDS.toMicros(timeoutMillis), onReleased));
   }
 
-  /** Stops taking calls and ends all threads. */
+  /** Stops accepting requests and ends all threads. */
   public void stop() {
     api.stop();
     internal.close();
--- a/src/main/java/slateslip/controlplane/ControlPlaneMain.java
+++ b/src/main/java/slateslip/controlplane/ControlPlaneMain.java
@@ -9,19 +9,27 @@
 import slateslip.settings.SettingsFileWatcher;
 import sun.misc.Signal;
 
-/** Entry point of the control plane binary. */
+/** Entry point of the control plane program. */
 public final class ControlPlaneMain {
-  /** Copying the state to another member takes less, also on a slow disk. */
+  /**
+   * Limits the time of a graceful shutdown. Copying the state to another member takes less time,
+   * even on a slow disk.
+   */
   private static final long MAX_SHUTDOWN_MILLIS = 3_000;
 
   private ControlPlaneMain() {}
 
-  /** Starts the control plane, which ends with SIGTERM, or carries out a command. */
+  /**
+   * Starts the control plane, which runs until SIGTERM, or executes a command of the command line.
+   */
   public static void main(String[] arguments) {
     CommandLine.main(Program.CONTROL_PLANE, ControlPlaneMain::start, arguments);
   }
 
-  /** Ends within the grace period, once the control state does not need this agent's copy. */
+  /**
+   * Ends the process within the grace period, as soon as the control state no longer needs this
+   * agent's copy.
+   */
   private static void shutDownGracefully(ControlPlane controlPlane, NodeSettings settings) {
     long graceMillis = settings.bounds().gracePeriodMillis();
     long timeoutMillis = Math.min(MAX_SHUTDOWN_MILLIS, graceMillis / 2);
--- a/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
+++ b/src/main/java/slateslip/controlplane/DiskWriteAheadLog.java
@@ -21,13 +21,16 @@
 import slateslip.storage.StorageOutcome;
 
 /**
- * The disk of a control agent, with a thread of its own that writes in the order of the calls.
- * Records that wait together are synced together.
+ * Stores the records of a control agent on disk. A dedicated thread writes the records in the order
+ * of the calls. All queued records up to the next snapshot are synced to disk together.
  */
 final class DiskWriteAheadLog implements WriteAheadLog {
   private static final Logger LOG = Logger.getLogger(DiskWriteAheadLog.class);
 
-  /** Between two parts of the preallocation: writes that come meanwhile go first. */
+  /**
+   * Time without a write after which the next part of the ring is preallocated, so that writes take
+   * precedence over the preallocation.
+   */
   private static final long PREALLOCATION_INTERVAL_MILLIS = 50;
 
   private final RingStorage ring;
@@ -43,10 +46,10 @@
   }
 
   /**
-   * Opens the ring in a folder, which is made if it is missing.
+   * Opens the ring in a folder, which is created if it is missing.
    *
-   * @param eventLoop the event loop, on which outcomes of writes are reported
-   * @throws IOException if the folder cannot be read, or holds what this program cannot read
+   * @param eventLoop the event loop on which the outcomes of writes are reported
+   * @throws IOException if the folder cannot be read or contains a record that cannot be decoded
    */
   static DiskWriteAheadLog open(Path folder, RingOptions options, Executor eventLoop)
       throws IOException {
@@ -55,7 +58,7 @@
     List<DurableRecord> recovered = new ArrayList<>();
     for (byte[] payload : ring.recovered()) {
       if (!(DurableRecordCodec.decode(payload) instanceof Decoded.Message<DurableRecord> record)) {
-        throw new IOException("a record on disk that cannot be read");
+        throw new IOException("a record on disk cannot be decoded");
       }
       recovered.add(record.value());
     }
@@ -67,14 +70,14 @@
     return recovered;
   }
 
-  /** Starts the thread that writes. */
+  /** Starts the writer thread. */
   @Override
   public void start() {
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Ends the thread; writes that wait are not done. */
+  /** Ends the writer thread; queued writes are not executed. */
   void stop() {
     thread.interrupt();
     try {
@@ -104,7 +107,10 @@
     }
   }
 
-  /** Takes a part of the room for later writes; once there is no more to take, waits for writes. */
+  /**
+   * Preallocates the next part of the ring; if the ring is fully preallocated, waits for the next
+   * write and executes it.
+   */
   private void preallocate() throws InterruptedException {
     if (!ring.preallocateNext()) {
       write(queue.take());
--- a/src/main/java/slateslip/controlplane/EventLoopScheduler.java
+++ b/src/main/java/slateslip/controlplane/EventLoopScheduler.java
@@ -7,7 +7,10 @@
 import slateslip.eventloop.WakeUpCause;
 import slateslip.eventloop.WakeUpCounter;
 
-/** Steady time and timers of a Netty event loop. */
+/**
+ * Provides the monotonic time and the timers of a Netty event loop, and counts the wake-ups that
+ * timers cause.
+ */
 final class EventLoopScheduler implements Scheduler {
   private final EventLoop eventLoop;
   private final MonotonicClock clock;
--- a/src/main/java/slateslip/controlplane/IfMatchHeader.java
+++ b/src/main/java/slateslip/controlplane/IfMatchHeader.java
@@ -1,10 +1,13 @@
 package slateslip.controlplane;
 
-/** The {@code If-Match} header: the version that a change builds on. */
+/** Parses the {@code If-Match} header, which contains the version that a change is based on. */
 final class IfMatchHeader {
   private IfMatchHeader() {}
 
-  /** The version, with or without quotes; null if the header is missing or no whole number. */
+  /**
+   * Returns the version of a header with or without quotes; null if the header is missing or is not
+   * a non-negative whole number.
+   */
   static Long version(String header) {
     if (header == null) {
       return null;
--- a/src/main/java/slateslip/controlplane/InstanceParseResult.java
+++ b/src/main/java/slateslip/controlplane/InstanceParseResult.java
@@ -2,11 +2,14 @@
 
 import slateslip.distribution.BackendSession;
 
-/** Result of reading a backend's call. */
+/** Result of parsing the body of a backend's heartbeat. */
 sealed interface InstanceParseResult {
-  /** It is valid. */
+  /** The heartbeat is valid. */
   record Valid(BackendSession session) implements InstanceParseResult {}
 
-  /** It is not; {@code message} names the field. */
+  /**
+   * The heartbeat is invalid; {@code message} is the error message for the backend and names the
+   * invalid field.
+   */
   record Invalid(String message) implements InstanceParseResult {}
 }
--- a/src/main/java/slateslip/controlplane/InstanceParser.java
+++ b/src/main/java/slateslip/controlplane/InstanceParser.java
@@ -6,7 +6,10 @@
 import slateslip.coordination.NodeAddress;
 import slateslip.distribution.BackendSession;
 
-/** Reads the body of {@code PUT /instances/ID}. Fields that are not known are skipped. */
+/**
+ * Parses the body of {@code PUT /instances/ID}, which is a heartbeat of a backend. Unknown fields
+ * are skipped.
+ */
 final class InstanceParser {
   private static final String DRAINING = "draining";
   private static final String READY = "ready";
@@ -27,7 +30,7 @@
     this.id = id;
   }
 
-  /** Reads a call of this instance. */
+  /** Parses a heartbeat of the instance with this id. */
   static InstanceParseResult parse(String id, byte[] body) {
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
       return new InstanceParseResult.Invalid("the instance's id is empty or too long");
@@ -36,21 +39,21 @@
     if (error != null) {
       return new InstanceParseResult.Invalid(error);
     }
-    InstanceParser reader = new InstanceParser(id);
+    InstanceParser parser = new InstanceParser(id);
     ValidationErrors errors = new ValidationErrors();
     try (FieldReader fields = new FieldReader(body, errors)) {
-      reader.readFields(fields);
+      parser.readFields(fields);
     }
-    error = errors.first() == null ? reader.firstError() : errors.first();
+    error = errors.first() == null ? parser.firstError() : errors.first();
     return error == null
-        ? new InstanceParseResult.Valid(reader.session())
+        ? new InstanceParseResult.Valid(parser.session())
         : new InstanceParseResult.Invalid(error);
   }
 
   private static boolean isObject(byte[] body) {
-    for (byte unit : body) {
-      if (unit > ' ') {
-        return unit == '{';
+    for (byte character : body) {
+      if (character > ' ') {
+        return character == '{';
       }
     }
     return false;
@@ -79,7 +82,10 @@
     }
   }
 
-  /** What is missing or wrong; null if nothing is. */
+  /**
+   * Returns an error message about the first missing or invalid field; null if all fields are
+   * valid.
+   */
   private String firstError() {
     if (service == null || service.isEmpty()) {
       return "service is missing";
--- a/src/main/java/slateslip/controlplane/InternalServer.java
+++ b/src/main/java/slateslip/controlplane/InternalServer.java
@@ -22,17 +22,24 @@
 import slateslip.protocol.Framing;
 
 /**
- * The port for other agents: streams of data planes, and links of control agents. The schema of the
- * first message tells which. A connection that sends what is no message, or nothing, is closed.
+ * Accepts the connections of data planes and of other control agents on the internal port. The
+ * schema of the first message distinguishes data planes from control agents. A connection that
+ * sends a malformed message, or nothing for the read timeout, is closed.
  */
 final class InternalServer {
   private static final Logger LOG = Logger.getLogger(InternalServer.class);
   private static final int BACKLOG = 1024;
 
-  /** Everybody sends something several times a second. */
+  /**
+   * Limits how long a connection may be silent. Every data plane and control agent sends messages
+   * several times per second.
+   */
   private static final long READ_TIMEOUT_MILLIS = 3_000;
 
-  /** Beyond this nothing is queued on a stream; what it misses comes later as one change. */
+  /**
+   * Number of unsent bytes above which no more messages are queued on a connection. A data plane
+   * later receives the missed changes combined into one change.
+   */
   private static final int MAX_UNSENT_BYTES = 256 * 1024;
 
   private final EventLoopGroup group;
@@ -42,9 +49,10 @@
   private Channel server;
 
   /**
-   * Not listening yet.
+   * Creates a server that does not listen before {@link #listen}.
    *
-   * @param encodedHello encoded, sent back to a peer that has greeted
+   * @param encodedHello encoded hello message of this agent, sent in response to the hello of a
+   *     peer
    */
   InternalServer(
       EventLoopGroup group,
@@ -58,9 +66,9 @@
   }
 
   /**
-   * Listens.
+   * Starts to listen on an address.
    *
-   * @throws IOException if the address is taken or not there
+   * @throws IOException if the address is in use or not an address of this machine
    */
   void listen(InetSocketAddress address) throws IOException {
     ServerBootstrap bootstrap = new ServerBootstrap();
@@ -90,7 +98,7 @@
     server = bindFuture.channel();
   }
 
-  /** Where it listens. */
+  /** Returns the address on which the server listens. */
   InetSocketAddress address() {
     return (InetSocketAddress) server.localAddress();
   }
@@ -99,7 +107,7 @@
     server.close();
   }
 
-  /** One connection that came in. */
+  /** Adapts one incoming Netty connection to an {@link IncomingConnection}. */
   private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
     private IncomingConnection connection;
 
--- a/src/main/java/slateslip/controlplane/MonotonicClock.java
+++ b/src/main/java/slateslip/controlplane/MonotonicClock.java
@@ -1,14 +1,14 @@
 package slateslip.controlplane;
 
-/** Steady time of this process. */
+/** Provides the monotonic time of this process. */
 final class MonotonicClock {
   private static final long NANOS_PER_MICRO = 1_000;
-  private static final long FIRST_MICROS = 1_000_000;
+  private static final long OFFSET_MICROS = 1_000_000;
 
   private final long startNanos = System.nanoTime();
 
-  /** Microseconds since the start of the process, and a second; never below 1. */
+  /** Returns the microseconds since the creation of this clock plus one second; at least 1. */
   long micros() {
-    return FIRST_MICROS + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
+    return OFFSET_MICROS + (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
   }
 }
--- a/src/main/java/slateslip/controlplane/NettyDataPlaneStream.java
+++ b/src/main/java/slateslip/controlplane/NettyDataPlaneStream.java
@@ -5,9 +5,9 @@
 import slateslip.protocol.Framing;
 
 /**
- * A stream on a TCP connection.
+ * Sends messages of a {@link DataPlaneStream} on a TCP connection.
  *
- * @param channel the connection, which frames what comes in
+ * @param channel the connection, whose pipeline splits incoming bytes into messages
  */
 record NettyDataPlaneStream(Channel channel) implements DataPlaneStream {
   @Override
--- a/src/main/java/slateslip/controlplane/ReconnectingPeerConnection.java
+++ b/src/main/java/slateslip/controlplane/ReconnectingPeerConnection.java
@@ -18,9 +18,9 @@
 import slateslip.protocol.Framing;
 
 /**
- * The connection on which this agent sends to one other agent. It is dialled again whenever it
- * breaks; the first message that comes back on it is the peer's greeting. Confined to the event
- * loop.
+ * The connection on which this agent sends messages to one peer. A broken connection is
+ * re-established with exponential backoff. The only message expected from the peer on this
+ * connection is its hello message. Confined to the event loop.
  */
 final class ReconnectingPeerConnection implements PeerConnector.PeerConnection {
   private static final Logger LOG = Logger.getLogger(ReconnectingPeerConnection.class);
@@ -28,7 +28,9 @@
   private static final long INITIAL_BACKOFF_MILLIS = 30;
   private static final long MAX_BACKOFF_MILLIS = 400;
 
-  /** A peer that leaves this much unread is not served on this connection any more. */
+  /**
+   * Number of unsent bytes above which the connection is closed, because the peer does not read.
+   */
   private static final int MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
   private final EventLoop eventLoop;
@@ -51,6 +53,7 @@
     this.listener = listener;
   }
 
+  /** Starts to connect to the peer. */
   void connect() {
     Bootstrap bootstrap = new Bootstrap();
     bootstrap.group(eventLoop).channel(NioSocketChannel.class);
--- a/src/main/java/slateslip/controlplane/StatusReport.java
+++ b/src/main/java/slateslip/controlplane/StatusReport.java
@@ -10,10 +10,11 @@
 import slateslip.eventloop.WakeUpCounter;
 import slateslip.logging.MetricLabel;
 
-/** Writes an {@link AgentStatus} for people and for Prometheus. */
+/** Formats an {@link AgentStatus} as JSON for operators and as metrics for Prometheus. */
 final class StatusReport {
   private StatusReport() {}
 
+  /** Returns the response body of {@code GET /status}. */
   static String json(AgentStatus status) {
     StringBuilder text = new StringBuilder("{\"node\":").append(Json.quoted(status.node()));
     append(text, "epoch", status.epoch());
@@ -34,7 +35,7 @@
     text.append(",\"").append(field).append("\":").append(value);
   }
 
-  /** Figures of an agent and of its process. */
+  /** Returns the metrics of an agent and of its process in the Prometheus text format. */
   static String metrics(AgentStatus status, WakeUpCounter wakeUps, ProcessorTime processorTime) {
     StringBuilder text = new StringBuilder();
     gauge(text, "epoch", "Newest decided epoch", status.epoch());
--- a/src/main/java/slateslip/controlplane/package-info.java
+++ b/src/main/java/slateslip/controlplane/package-info.java
@@ -1,2 +1,5 @@
-/** The control plane binary: sockets, threads and clocks around its state machines. */
+/**
+ * Contains the control plane program: HTTP interface, sockets, disk, threads and clocks around the
+ * control agent.
+ */
 package slateslip.controlplane;
--- a/src/test/java/slateslip/controlplane/ControlPlaneCluster.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneCluster.java
@@ -18,10 +18,16 @@
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
-/** Control agents on loopback addresses, with disks of their own, and callers. */
+/**
+ * Runs control agents on loopback addresses with separate data directories, and sends HTTP requests
+ * to them.
+ */
 final class ControlPlaneCluster implements AutoCloseable {
-  /** Ends a test that waits in vain; answers that are not clear come back within a millisecond. */
-  private static final int SERVING_ATTEMPTS = 20_000;
+  /**
+   * Limits the retries of a request, so that a test whose agents never become available ends. A
+   * response with status 503 arrives within a millisecond.
+   */
+  private static final int MAX_CALL_ATTEMPTS = 20_000;
 
   private final List<ControlPlane> agents = new ArrayList<>();
   private final HttpClient client = HttpClient.newHttpClient();
@@ -30,7 +36,7 @@
   private final int controlPort;
   private final int internalPort;
 
-  /** Starts as many agents as said; they tolerate the loss of one if there are three. */
+  /** Starts {@code size} agents; three or more agents tolerate the loss of one agent. */
   ControlPlaneCluster(Path folder, int size) throws IOException {
     this.folder = folder;
     this.size = size;
@@ -80,12 +86,12 @@
     agents.set(index, null);
   }
 
-  /** Starts an agent again on its disk. */
+  /** Starts a stopped agent with the contents of its data directory. */
   void restart(int index) throws IOException {
     agents.set(index, ControlPlane.start(settings(index, false)));
   }
 
-  /** Sends a call once. */
+  /** Sends a request once; {@code ifMatch} and {@code body} may be null. */
   HttpResponse<String> call(int index, String method, String path, String ifMatch, String body)
       throws IOException, InterruptedException {
     HttpRequest.Builder request =
@@ -97,23 +103,26 @@
     return client.send(request.build(), BodyHandlers.ofString());
   }
 
-  /** Sends a call until its response is clear, as operators and backends do. */
-  HttpResponse<String> callUntilClear(
+  /**
+   * Sends a request until the response status is not 503 (Service Unavailable), as operators and
+   * backends do.
+   */
+  HttpResponse<String> callUntilAvailable(
       int index, String method, String path, String ifMatch, String body)
       throws IOException, InterruptedException {
     HttpResponse<String> response = call(index, method, path, ifMatch, body);
-    for (int tried = 1; response.statusCode() == 503 && tried < SERVING_ATTEMPTS; tried++) {
+    for (int attempt = 1; response.statusCode() == 503 && attempt < MAX_CALL_ATTEMPTS; attempt++) {
       response = call(index, method, path, ifMatch, body);
     }
     return response;
   }
 
-  /** A raw connection to an agent's control port. */
+  /** Opens a TCP connection to an agent's HTTP port. */
   Socket controlSocket(int index) throws IOException {
     return connect(new InetSocketAddress(host(index), controlPort));
   }
 
-  /** A raw connection to an agent's port for other agents. */
+  /** Opens a TCP connection to an agent's port for data planes and other control agents. */
   Socket internalSocket(int index) throws IOException {
     return connect(new InetSocketAddress(host(index), internalPort));
   }
--- a/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
+++ b/src/test/java/slateslip/controlplane/ControlPlaneFleetTest.java
@@ -19,74 +19,79 @@
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.QuotaReport;
 
-/** Three control agents on loopback: calls at any of them, and data planes at each. */
+/**
+ * Tests three control agents on loopback addresses, with requests and data planes at each agent.
+ */
 class ControlPlaneFleetTest {
   private static final int AGENTS = 3;
-  private static final int MANY_CALLS = 100_000;
+  private static final int MAX_CALLS = 100_000;
 
   @TempDir Path folder;
-  private ControlPlaneCluster fixture;
+  private ControlPlaneCluster cluster;
 
   @BeforeEach
   void start() throws IOException {
-    fixture = new ControlPlaneCluster(folder, AGENTS);
+    cluster = new ControlPlaneCluster(folder, AGENTS);
   }
 
   @AfterEach
   void stop() {
-    fixture.close();
+    cluster.close();
   }
 
   @Test
-  void aChangeAtAnyAgentIsKnownAtAll() throws Exception {
-    assertThat(config(2, "0", OperatorDocuments.complete(3)), is(200));
-    assertThat(config(1, "3", OperatorDocuments.complete(5)), is(200));
-    assertThat(config(0, "3", OperatorDocuments.complete(6)), is(412));
-    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
+  void changeAtAnyAgentIsReadAtAllAgents() throws Exception {
+    assertThat(putConfiguration(2, "0", OperatorDocuments.complete(3)), is(200));
+    assertThat(putConfiguration(1, "3", OperatorDocuments.complete(5)), is(200));
+    assertThat(putConfiguration(0, "3", OperatorDocuments.complete(6)), is(412));
+    assertThat(putConfiguration(0, "0", OperatorDocuments.complete(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
-      HttpResponse<String> read = fixture.callUntilClear(agent, "GET", "/config", null, null);
+      HttpResponse<String> read = cluster.callUntilAvailable(agent, "GET", "/config", null, null);
       assertThat(read.body(), containsString("\"version\":5"));
     }
   }
 
   @Test
-  void dataPlanesAtAllAgentsAreUpdated() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
+  void dataPlanesAtAllAgentsReceiveSessionUpdates() throws Exception {
+    assertThat(putConfiguration(0, "0", OperatorDocuments.complete(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
-      try (DataPlaneStandIn dataPlane =
-          new DataPlaneStandIn(fixture.internalSocket(agent), "edge-" + agent)) {
+      try (FakeDataPlane dataPlane =
+          new FakeDataPlane(cluster.internalSocket(agent), "edge-" + agent)) {
         dataPlane.await(message -> message instanceof ControlPlaneMessage.ConfigurationSnapshot);
         String id = "i-" + agent;
         int other = (agent + 1) % AGENTS;
         String body = OperatorDocuments.instance("ready", 1).replace("10.1.0.9", "10.1.0." + agent);
-        assertThat(instance(other, "PUT", id, body), is(200));
+        assertThat(callInstance(other, "PUT", id, body), is(200));
         dataPlane.await(message -> isRegistered(message, id));
-        assertThat(instance(other, "DELETE", id, null), is(200));
-        dataPlane.await(message -> isGone(message, id));
+        assertThat(callInstance(other, "DELETE", id, null), is(200));
+        dataPlane.await(message -> isRemoved(message, id));
       }
     }
   }
 
-  /** UNASKED, related: ids and names keep their letters from each agent to the data planes. */
+  /**
+   * Ids and names that are not ASCII must reach data planes unchanged. Guards against a failure
+   * related to incident UNASKED, in which header values with such letters were corrupted.
+   */
   @Test
-  void lettersOfAnyAlphabetReachDataPlanes() throws Exception {
-    String letters = "\u017e \u6771+\ud83d\udeb0";
+  void nonAsciiIdsAndNamesReachDataPlanesUnchanged() throws Exception {
+    String idSuffix = "\u017e \u6771+\ud83d\udeb0";
     String name = "Z\u00f3na \u010c \u6771\ud83d\udeb0";
-    String escaped = URLEncoder.encode(letters, StandardCharsets.UTF_8).replace("+", "%20");
-    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
-    try (DataPlaneStandIn dataPlane = new DataPlaneStandIn(fixture.internalSocket(1), "edge")) {
+    String encodedSuffix = URLEncoder.encode(idSuffix, StandardCharsets.UTF_8).replace("+", "%20");
+    assertThat(putConfiguration(0, "0", OperatorDocuments.complete(3)), is(200));
+    try (FakeDataPlane dataPlane = new FakeDataPlane(cluster.internalSocket(1), "edge")) {
       for (int agent = 0; agent < AGENTS; agent++) {
-        String id = "i-" + agent + letters;
-        String path = "i-" + agent + escaped;
+        String id = "i-" + agent + idSuffix;
+        String path = "i-" + agent + encodedSuffix;
         String body = OperatorDocuments.instance("ready", 1);
-        assertThat(instance(agent, "PUT", path, body), is(200));
+        assertThat(callInstance(agent, "PUT", path, body), is(200));
         dataPlane.await(message -> isRegistered(message, id));
-        assertThat(instance(agent, "DELETE", path, null), is(200));
-        dataPlane.await(message -> isGone(message, id));
+        assertThat(callInstance(agent, "DELETE", path, null), is(200));
+        dataPlane.await(message -> isRemoved(message, id));
       }
       assertThat(
-          fixture
-              .callUntilClear(2, "PATCH", "/config", "3", OperatorDocuments.patch(4, name))
+          cluster
+              .callUntilAvailable(2, "PATCH", "/config", "3", OperatorDocuments.patch(4, name))
               .statusCode(),
           is(200));
       ControlPlaneMessage message =
@@ -97,18 +102,19 @@
       assertThat(patch, containsString(name));
     }
     for (int agent = 0; agent < AGENTS; agent++) {
-      HttpResponse<String> read = fixture.callUntilClear(agent, "GET", "/config", null, null);
+      HttpResponse<String> read = cluster.callUntilAvailable(agent, "GET", "/config", null, null);
       assertThat(read.body(), containsString(name));
     }
   }
 
   @Test
-  void acknowledgedPatchIsInForceAtDataPlane() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
-    try (DataPlaneStandIn dataPlane = new DataPlaneStandIn(fixture.internalSocket(1), "edge")) {
+  void acknowledgedPatchIsDeliveredToDataPlane() throws Exception {
+    assertThat(putConfiguration(0, "0", OperatorDocuments.complete(3)), is(200));
+    try (FakeDataPlane dataPlane = new FakeDataPlane(cluster.internalSocket(1), "edge")) {
       dataPlane.await(message -> message instanceof ControlPlaneMessage.ConfigurationSnapshot);
       HttpResponse<String> response =
-          fixture.callUntilClear(2, "PATCH", "/config", "3", OperatorDocuments.patch(4, "added"));
+          cluster.callUntilAvailable(
+              2, "PATCH", "/config", "3", OperatorDocuments.patch(4, "added"));
       assertThat(response.statusCode(), is(200));
       ControlPlaneMessage message =
           dataPlane.await(each -> each instanceof ControlPlaneMessage.ConfigurationPatch);
@@ -117,26 +123,26 @@
   }
 
   @Test
-  void acknowledgedSurvivesLossOfAgentAndAllProcesses() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
-    fixture.stop(0);
-    assertThat(config(1, "3", OperatorDocuments.complete(5)), is(200));
-    fixture.stop(1);
-    fixture.stop(2);
+  void acknowledgedChangeSurvivesLossOfOneAgentAndRestartOfAll() throws Exception {
+    assertThat(putConfiguration(0, "0", OperatorDocuments.complete(3)), is(200));
+    cluster.stop(0);
+    assertThat(putConfiguration(1, "3", OperatorDocuments.complete(5)), is(200));
+    cluster.stop(1);
+    cluster.stop(2);
     for (int agent = 0; agent < AGENTS; agent++) {
-      fixture.restart(agent);
+      cluster.restart(agent);
     }
-    HttpResponse<String> read = fixture.callUntilClear(0, "GET", "/config", null, null);
+    HttpResponse<String> read = cluster.callUntilAvailable(0, "GET", "/config", null, null);
     assertThat(read.body(), containsString("\"version\":5"));
-    assertThat(config(2, "3", OperatorDocuments.complete(5)), is(200));
+    assertThat(putConfiguration(2, "3", OperatorDocuments.complete(5)), is(200));
   }
 
   @Test
-  void allocationReturnsToReportingDataPlane() throws Exception {
-    assertThat(config(0, "0", OperatorDocuments.complete(3)), is(200));
+  void reportingDataPlaneReceivesQuotaLease() throws Exception {
+    assertThat(putConfiguration(0, "0", OperatorDocuments.complete(3)), is(200));
     for (int agent = 0; agent < AGENTS; agent++) {
-      try (DataPlaneStandIn dataPlane =
-          new DataPlaneStandIn(fixture.internalSocket(agent), "edge-" + agent)) {
+      try (FakeDataPlane dataPlane =
+          new FakeDataPlane(cluster.internalSocket(agent), "edge-" + agent)) {
         long epoch = 0;
         QuotaAllocation.Lease lease = null;
         for (long sent = 1; lease == null || lease.isClaim(); sent++) {
@@ -158,17 +164,17 @@
 
   @Test
   void agentWithoutMajorityRejectsRequests() throws Exception {
-    assertThat(instance(2, "PUT", "i-1", OperatorDocuments.instance("ready", 1)), is(200));
-    fixture.stop(0);
-    fixture.stop(1);
+    assertThat(callInstance(2, "PUT", "i-1", OperatorDocuments.instance("ready", 1)), is(200));
+    cluster.stop(0);
+    cluster.stop(1);
     int response = 200;
-    for (int sequence = 2; response == 200 && sequence < MANY_CALLS; sequence++) {
+    for (int sequence = 2; response == 200 && sequence < MAX_CALLS; sequence++) {
       String body = OperatorDocuments.instance("ready", sequence);
-      response = fixture.call(2, "PUT", "/instances/i-1", null, body).statusCode();
+      response = cluster.call(2, "PUT", "/instances/i-1", null, body).statusCode();
     }
     assertThat(response, is(503));
-    assertThat(fixture.call(2, "DELETE", "/instances/i-1", null, null).statusCode(), is(503));
-    assertThat(fixture.call(2, "GET", "/config", null, null).statusCode(), is(503));
+    assertThat(cluster.call(2, "DELETE", "/instances/i-1", null, null).statusCode(), is(503));
+    assertThat(cluster.call(2, "GET", "/config", null, null).statusCode(), is(503));
   }
 
   private static boolean isRegistered(ControlPlaneMessage message, String id) {
@@ -179,16 +185,16 @@
         && snapshot.sessions().stream().anyMatch(session -> session.id().equals(id));
   }
 
-  private static boolean isGone(ControlPlaneMessage message, String id) {
+  private static boolean isRemoved(ControlPlaneMessage message, String id) {
     return message instanceof ControlPlaneMessage.SessionDelta delta
         && delta.removedIds().contains(id);
   }
 
-  private int config(int agent, String base, String body) throws Exception {
-    return fixture.callUntilClear(agent, "PUT", "/config", base, body).statusCode();
+  private int putConfiguration(int agent, String base, String body) throws Exception {
+    return cluster.callUntilAvailable(agent, "PUT", "/config", base, body).statusCode();
   }
 
-  private int instance(int agent, String method, String id, String body) throws Exception {
-    return fixture.callUntilClear(agent, method, "/instances/" + id, null, body).statusCode();
+  private int callInstance(int agent, String method, String id, String body) throws Exception {
+    return cluster.callUntilAvailable(agent, method, "/instances/" + id, null, body).statusCode();
   }
 }
--- a/src/test/java/slateslip/controlplane/DataPlaneStandIn.java
+++ b/src/test/java/slateslip/controlplane/FakeDataPlane.java
@@ -13,9 +13,12 @@
 import slateslip.protocol.Decoded;
 import slateslip.protocol.distribution.DistributionCodec;
 
-/** A data plane's active stream at one control agent; it acknowledges what it gets. */
-final class DataPlaneStandIn implements AutoCloseable {
-  private static final long PATIENCE_SECONDS = 20;
+/**
+ * Simulates a data plane with an active stream at one control agent; acknowledges the newest
+ * configuration version and session revision after each message.
+ */
+final class FakeDataPlane implements AutoCloseable {
+  private static final long RECEIVE_TIMEOUT_SECONDS = 20;
 
   private final DistributionCodec encoder = new DistributionCodec();
   private final BlockingQueue<ControlPlaneMessage> received = new LinkedBlockingQueue<>();
@@ -23,28 +26,31 @@
   private long version;
   private long revision = -1;
 
-  DataPlaneStandIn(Socket socket, String node) throws IOException {
+  FakeDataPlane(Socket socket, String node) throws IOException {
     this.socket = socket;
     send(new DataPlaneMessage.Subscribe(node, 1, "z", 0, true));
-    Thread reader = new Thread(this::readForEver, "data plane stand-in");
+    Thread reader = new Thread(this::readUntilClosed, "fake data plane");
     reader.setDaemon(true);
     reader.start();
   }
 
-  /** The next message that fits; others before it are passed over. */
-  ControlPlaneMessage await(Predicate<ControlPlaneMessage> fits) throws InterruptedException {
+  /**
+   * Returns the next message that matches; earlier messages are discarded. Throws an assertion
+   * error if no message matches in time.
+   */
+  ControlPlaneMessage await(Predicate<ControlPlaneMessage> condition) throws InterruptedException {
     while (true) {
-      ControlPlaneMessage message = received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      ControlPlaneMessage message = received.poll(RECEIVE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (message == null) {
-        throw new AssertionError("nothing that fits has come");
+        throw new AssertionError("no matching message arrived before the timeout");
       }
-      if (fits.test(message)) {
+      if (condition.test(message)) {
         return message;
       }
     }
   }
 
-  private void readForEver() {
+  private void readUntilClosed() {
     DistributionCodec decoder = new DistributionCodec();
     try {
       DataInputStream input = new DataInputStream(socket.getInputStream());
@@ -52,14 +58,14 @@
         byte[] message = new byte[input.readInt()];
         input.readFully(message);
         Decoded<ControlPlaneMessage> decoded = decoder.decodeToDataPlane(message);
-        take(((Decoded.Message<ControlPlaneMessage>) decoded).value());
+        handle(((Decoded.Message<ControlPlaneMessage>) decoded).value());
       }
     } catch (IOException closed) {
-      // the stage closes streams
+      // the test or the agent has closed the connection
     }
   }
 
-  private void take(ControlPlaneMessage message) throws IOException {
+  private void handle(ControlPlaneMessage message) throws IOException {
     if (message instanceof ControlPlaneMessage.ConfigurationSnapshot snapshot) {
       version = snapshot.version();
     } else if (message instanceof ControlPlaneMessage.ConfigurationPatch patch) {
--- a/src/test/java/slateslip/controlplane/OperatorDocuments.java
+++ b/src/test/java/slateslip/controlplane/OperatorDocuments.java
@@ -1,6 +1,6 @@
 package slateslip.controlplane;
 
-/** Bodies of operators and backends. */
+/** Creates request bodies of operators and backends. */
 final class OperatorDocuments {
   private OperatorDocuments() {}
 
--- a/src/test/java/slateslip/controlplane/StatusReportTest.java
+++ b/src/test/java/slateslip/controlplane/StatusReportTest.java
@@ -12,9 +12,12 @@
 import slateslip.eventloop.WakeUpCounter;
 
 class StatusReportTest {
-  /** A label had escapes of JSON, which make the whole page unreadable for Prometheus. */
+  /**
+   * JSON escapes in a label value make the complete metrics page unreadable for Prometheus, so
+   * control characters and non-ASCII letters must appear unescaped.
+   */
   @Test
-  void labelsHaveTheNamesOfTenantsInAnyLetters() {
+  void tenantLabelsContainNamesWithoutJsonEscapes() {
     TenantAllocation tenant = new TenantAllocation("Z\u00f3na \u010c\u0001\t/", 0.5, 0.5, 0, 0);
     QuotaAllocatorStatus quotas = new QuotaAllocatorStatus(1, 1, true, List.of(tenant));
     AgentStatus status =
