--- a/src/main/java/slateslip/distribution/quota/EndedHoldings.java
+++ b/src/main/java/slateslip/distribution/quota/EndedHoldings.java
@@ -9,32 +9,33 @@
 import slateslip.distribution.Spending;
 
 /**
- * What processes held that have ended. It goes on to count for a window, less what leaves the
- * window of the spending that the process had told.
+ * Keeps the parts of quotas that ended data plane processes held. What an ended process held counts
+ * for one window after its end, less the reported spending that has left the window since.
  */
 final class EndedHoldings {
   /**
-   * One process.
+   * An ended process and its parts of the quotas. Times are in microseconds of the allocator's
+   * clock.
    *
-   * @param reportedMicros when it told its spending last
-   * @param endedMicros when it had ended at the latest
-   * @param expiresMicros when nothing of it counts
+   * @param reportedMicros when the allocator received the last report of the process
+   * @param endedMicros the latest time at which the process can have ended
+   * @param expiresMicros when nothing that the process held counts any more
    */
-  private record Ended(
+  private record EndedProcess(
       ProcessId process,
       long reportedMicros,
       long endedMicros,
       long expiresMicros,
       Map<String, Holding> holdings) {}
 
-  /** A process of a data plane. */
+  /** Identifies a process by the name of its data plane and its incarnation. */
   private record ProcessId(String dataPlane, long incarnation) {}
 
-  /** What it held of a tenant's quota. */
+  /** Holds the part of one tenant's quota that a process had when it ended. */
   private record Holding(double reserved, Spending spending) {}
 
   private final long windowMicros;
-  private final Deque<Ended> byExpiry = new ArrayDeque<>();
+  private final Deque<EndedProcess> byExpiry = new ArrayDeque<>();
   private final Set<ProcessId> processes = new HashSet<>();
 
   EndedHoldings(long windowMicros) {
@@ -42,9 +43,10 @@
   }
 
   /**
-   * A process has ended, as another one of its node has reported.
+   * Records that a process has ended. A report from a later process of the same data plane shows
+   * this.
    *
-   * @param endedMicros when the other one had started
+   * @param endedMicros when the later process started
    */
   void add(long nowMicros, long endedMicros, String dataPlane, QuotaHolder holder) {
     Map<String, Holding> holdings = new HashMap<>();
@@ -54,13 +56,16 @@
             (tenant, holding) ->
                 holdings.put(tenant, new Holding(holding.reserved(), holding.spending())));
     ProcessId process = new ProcessId(dataPlane, holder.incarnation());
-    long expiresMicros = nowMicros + QuotaTiming.endedMicros(windowMicros);
+    long expiresMicros = nowMicros + QuotaTiming.endedRetentionMicros(windowMicros);
     byExpiry.addLast(
-        new Ended(process, holder.reportedMicros(), endedMicros, expiresMicros, holdings));
+        new EndedProcess(process, holder.reportedMicros(), endedMicros, expiresMicros, holdings));
     processes.add(process);
   }
 
-  /** Whether a process has ended: its reports may still be on their way. */
+  /**
+   * Returns whether the process has ended. Reports that the process sent before its end may still
+   * arrive.
+   */
   boolean contains(String dataPlane, long incarnation) {
     return processes.contains(new ProcessId(dataPlane, incarnation));
   }
@@ -71,10 +76,10 @@
     }
   }
 
-  /** Fraction of a tenant's quota that counts. */
+  /** Returns the fraction of the tenant's quota that all ended processes still hold. */
   double fraction(long nowMicros, String tenant) {
     double sum = 0;
-    for (Ended ended : byExpiry) {
+    for (EndedProcess ended : byExpiry) {
       Holding holding = ended.holdings().get(tenant);
       sum += holding == null ? 0 : fraction(nowMicros, ended, holding);
     }
@@ -82,10 +87,11 @@
   }
 
   /**
-   * Until it ended, a process may have replaced what left its window by other spending; only what
-   * has left since then is free.
+   * Returns the fraction of a quota that one ended process still holds. Until its end, the process
+   * may have replaced spending that left its window by new spending, so only spending that leaves
+   * the window after the end becomes free.
    */
-  private double fraction(long nowMicros, Ended ended, Holding holding) {
+  private double fraction(long nowMicros, EndedProcess ended, Holding holding) {
     long ranMicros = Math.max(0, ended.endedMicros() - ended.reportedMicros());
     double atEnd = holding.spending().minRemaining(ranMicros, windowMicros);
     long elapsedMicros = nowMicros - ended.reportedMicros();
--- a/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaAllocator.java
@@ -14,88 +14,101 @@
 import slateslip.distribution.QuotaReport;
 
 /**
- * Leases parts of each tenant's quota to data planes, by what they need. A state machine without a
- * clock; one instance divides for all data planes.
+ * Leases parts of each tenant's quota to data planes, according to their needs. The allocator is a
+ * state machine without a clock; callers pass the time in microseconds. One instance divides the
+ * quotas among all data planes.
  *
- * <p>For each data plane it keeps a bound on what may count in any window from now on: the most of
- * what the data plane spent and of the fractions that may be in force there. The bounds of all,
- * those of unresponsive and of ended processes among them, never sum above the quota, so that what
- * is spent in a window doesn't either. A bound falls only by a report: a lower fraction counts once
- * it is confirmed, and spent units once they have left the window.
+ * <p>For each data plane the allocator keeps an upper bound on the spending that may count in any
+ * window from now on: the maximum of the reported spending and of every fraction that may be in
+ * force at that data plane. The bounds of all data planes, including unresponsive data planes and
+ * ended processes, never sum to more than the quota, so the spending in a window does not either. A
+ * bound falls only with a report: a lower fraction lowers the bound once the data plane confirms
+ * the fraction, and spent units become free once they have left the window.
  *
- * <p>A new allocator first has each data plane obey it, by a claim. Until it knows of all that its
- * predecessors have allotted ({@link HolderCensus}) it only moves what known data planes hold.
+ * <p>A new allocator first sends each data plane a claim, so that the data plane follows this
+ * allocator from then on. Until the allocator knows everything that earlier allocators allocated
+ * ({@link AllocationRecovery}), the allocator only moves what known data planes hold.
  */
 public final class QuotaAllocator {
-  /** Part of each quota that is allotted. */
+  /** The fraction of each quota that is allocated in normal operation. */
   private static final double USED_PART = 0.85;
 
   /**
-   * What may be allotted besides while an allocator doesn't know what was spent before it began.
+   * The further fraction that may be allocated while the allocator does not know what was spent
+   * before it started.
    */
   private static final double RESTART_PART = 1 - USED_PART;
 
-  /** A tenant that asks for more than there is for so long is taken to be over its limit. */
+  /** A tenant that requests more than is available for this long counts as over its limit. */
   private static final long OVER_LIMIT_MICROS = 500_000;
 
-  /** An allocation for one data plane. */
+  /** An allocation and the name of the data plane that receives it. */
   public record DataPlaneAllocation(String dataPlane, QuotaAllocation allocation) {}
 
   private final long epoch;
   private final long windowMicros;
-  private final HolderCensus census;
+  private final AllocationRecovery recovery;
   private final Map<String, QuotaHolder> holders = new LinkedHashMap<>();
   private final EndedHoldings ended;
 
-  /** Since when tenants ask for more than there is while not all is known. */
+  /**
+   * The time since when each tenant has requested more than is available, recorded only until the
+   * recovery is complete.
+   */
   private final Map<String, Long> exhaustedSinceMicros = new HashMap<>();
 
-  /** What data planes held of each quota when they began to obey this allocator. */
+  /**
+   * The fraction of each tenant's quota that data planes held when they began to follow this
+   * allocator.
+   */
   private final Map<String, Double> inherited = new HashMap<>();
 
   private int rounds;
-  private boolean deposed;
+  private boolean superseded;
 
   /**
-   * An allocator that knows no data plane.
+   * Creates an allocator that knows no data plane.
    *
-   * @param epoch higher than that of any allocator before
-   * @param founding whether there has been none before
-   * @param windowMicros in which quotas are counted
+   * @param epoch higher than the epoch of any earlier allocator
+   * @param firstAllocator whether there was no earlier allocator
+   * @param windowMicros length of the window in which quotas are counted
    */
-  public QuotaAllocator(long epoch, boolean founding, long windowMicros, long nowMicros) {
+  public QuotaAllocator(long epoch, boolean firstAllocator, long windowMicros, long nowMicros) {
     this.epoch = epoch;
     this.windowMicros = windowMicros;
     this.ended = new EndedHoldings(windowMicros);
-    this.census = new HolderCensus(nowMicros, windowMicros, founding);
+    this.recovery = new AllocationRecovery(nowMicros, windowMicros, firstAllocator);
   }
 
   /**
-   * Takes a data plane's report.
+   * Processes a data plane's report. Reports that are outdated or come from an ended process are
+   * ignored.
    *
-   * @param dataPlane its name
-   * @param incarnation drawn at the start of its process
-   * @return a claim to be sent to it at once, if it does not obey this allocator yet
+   * @param dataPlane name of the data plane
+   * @param incarnation random number that the data plane's process drew at its start
+   * @return a claim to be sent to the data plane at once if the data plane does not follow this
+   *     allocator yet; otherwise empty
    */
   public Optional<DataPlaneAllocation> report(
       long nowMicros, String dataPlane, long incarnation, QuotaReport report) {
     QuotaHolder known = holders.get(dataPlane);
     if (ended.contains(dataPlane, incarnation)
-        || (isSame(known, incarnation) && known.isLate(report))) {
+        || (isSameProcess(known, incarnation) && known.isOutdated(report))) {
       return Optional.empty();
     }
     if (report.epoch() > epoch) {
-      deposed = true;
+      superseded = true;
       return Optional.empty();
     }
     QuotaHolder holder =
-        isSame(known, incarnation)
+        isSameProcess(known, incarnation)
             ? known
-            : started(nowMicros, nowMicros - report.ageMicros(), dataPlane, known, incarnation);
+            : replaceProcess(
+                nowMicros, nowMicros - report.ageMicros(), dataPlane, known, incarnation);
     holders.put(dataPlane, holder);
     boolean holdingsUnknown = known == null || !known.isKnown();
-    census.heard(nowMicros, report, holdingsUnknown);
-    holder.heard(nowMicros, report);
+    recovery.recordReport(nowMicros, report, holdingsUnknown);
+    holder.recordReport(nowMicros, report);
     if (report.isCountsOnly()) {
       return Optional.empty();
     }
@@ -106,20 +119,24 @@
     return Optional.empty();
   }
 
-  private static boolean isSame(QuotaHolder holder, long incarnation) {
+  private static boolean isSameProcess(QuotaHolder holder, long incarnation) {
     return holder != null && holder.incarnation() == incarnation;
   }
 
-  private QuotaHolder started(
-      long nowMicros, long startedMicros, String dataPlane, QuotaHolder former, long incarnation) {
-    if (former != null) {
-      ended.add(nowMicros, startedMicros, dataPlane, former);
+  private QuotaHolder replaceProcess(
+      long nowMicros,
+      long startedMicros,
+      String dataPlane,
+      QuotaHolder previous,
+      long incarnation) {
+    if (previous != null) {
+      ended.add(nowMicros, startedMicros, dataPlane, previous);
     }
     return new QuotaHolder(incarnation);
   }
 
   private void update(QuotaHolder holder, QuotaReport report) {
-    boolean inherits = !holder.isObedient();
+    boolean inherits = !holder.followsThisAllocator();
     holder.update(report);
     if (inherits) {
       holder
@@ -134,20 +151,23 @@
     return new QuotaAllocation(dataPlanes(), lease, List.of());
   }
 
-  /** Whether any data plane has told of a tenant. */
+  /** Returns whether any data plane has reported a tenant. */
   public boolean hasTenants() {
     return holders.values().stream().anyMatch(holder -> !holder.holdings().isEmpty());
   }
 
-  /** Whether requests wait at a data plane for its next allocation. */
+  /** Returns whether requests at any data plane wait for its next allocation. */
   public boolean hasWaiting() {
-    return holders.values().stream().anyMatch(QuotaHolder::isWaiting);
+    return holders.values().stream().anyMatch(QuotaHolder::hasWaitingRequests);
   }
 
-  /** Divides all quotas: allocations for all data planes that report, to be sent at once. */
+  /**
+   * Divides all quotas. Returns the allocations for all data planes that report, to be sent at
+   * once; empty if a later allocator exists or the warm-up is not over.
+   */
   public List<DataPlaneAllocation> allocate(long nowMicros) {
     expire(nowMicros);
-    if (deposed || !census.isWarm(nowMicros)) {
+    if (superseded || !recovery.isWarmupOver(nowMicros)) {
       return List.of();
     }
     tenants().forEach(tenant -> divide(nowMicros, tenant));
@@ -156,16 +176,20 @@
         (name, holder) -> {
           if (holder.isLive(nowMicros)) {
             allocations.add(new DataPlaneAllocation(name, allocation(holder)));
-          } else if (holder.isCountsOnly() && holder.reportsLately(nowMicros)) {
+          } else if (holder.isCountsOnly() && holder.hasReportedRecently(nowMicros)) {
             allocations.add(new DataPlaneAllocation(name, equalParts()));
           }
         });
     return allocations;
   }
 
-  /** The same for data planes where requests wait. */
+  /**
+   * Divides the quotas of tenants with unmet needs at data planes where requests wait. Returns the
+   * allocations for these data planes, to be sent at once; empty if a later allocator exists or the
+   * warm-up is not over.
+   */
   public List<DataPlaneAllocation> allocateToWaiting(long nowMicros) {
-    if (deposed || !census.isWarm(nowMicros)) {
+    if (superseded || !recovery.isWarmupOver(nowMicros)) {
       return List.of();
     }
     expire(nowMicros);
@@ -173,7 +197,7 @@
     List<String> waiting = new ArrayList<>();
     holders.forEach(
         (name, holder) -> {
-          if (holder.isWaiting() && holder.isLive(nowMicros)) {
+          if (holder.hasWaitingRequests() && holder.isLive(nowMicros)) {
             waiting.add(name);
             holder.holdings().forEach((tenant, holding) -> addIfUnmet(needed, tenant, holding));
           }
@@ -194,13 +218,13 @@
     ended.expire(nowMicros);
     for (QuotaHolder holder : holders.values()) {
       if (holder.isUnresponsiveFor(QuotaTiming.LEASE_MICROS, nowMicros)) {
-        holder.leaseEnded();
+        holder.endLease();
       }
     }
-    long unresponsiveMicros = QuotaTiming.unresponsiveMicros(windowMicros);
-    holders.values().removeIf(holder -> holder.isUnresponsiveFor(unresponsiveMicros, nowMicros));
-    int known = (int) holders.values().stream().filter(QuotaHolder::isKnown).count();
-    census.review(nowMicros, known);
+    long retentionMicros = QuotaTiming.unresponsiveRetentionMicros(windowMicros);
+    holders.values().removeIf(holder -> holder.isUnresponsiveFor(retentionMicros, nowMicros));
+    int knownHolders = (int) holders.values().stream().filter(QuotaHolder::isKnown).count();
+    recovery.update(nowMicros, knownHolders);
   }
 
   private Set<String> tenants() {
@@ -209,16 +233,16 @@
     return tenants;
   }
 
-  /** Whether all that earlier allocators allotted is known. */
+  /** Returns whether the allocator knows everything that earlier allocators allocated. */
   public boolean isComplete() {
-    return census.isComplete();
+    return recovery.isComplete();
   }
 
-  /** How it stands. */
+  /** Returns the state of the allocator and of all quotas, for operators. */
   public QuotaAllocatorStatus status(long nowMicros) {
     List<QuotaAllocatorStatus.TenantAllocation> allocations =
         tenants().stream().map(tenant -> status(nowMicros, tenant)).toList();
-    return new QuotaAllocatorStatus(epoch, holders.size(), census.isComplete(), allocations);
+    return new QuotaAllocatorStatus(epoch, holders.size(), recovery.isComplete(), allocations);
   }
 
   private QuotaAllocatorStatus.TenantAllocation status(long nowMicros, String tenant) {
@@ -254,13 +278,13 @@
     rounds++;
     Collections.rotate(live, rounds);
     QuotaDivision division =
-        new QuotaDivision(live, Math.max(0, allottable(nowMicros, tenant) - reserved));
+        new QuotaDivision(live, Math.max(0, allocatableFraction(nowMicros, tenant) - reserved));
     division.divide();
     recordExhaustion(nowMicros, tenant, division.isExhausted());
   }
 
   private void recordExhaustion(long nowMicros, String tenant, boolean exhausted) {
-    if (census.isComplete() || isOverLimit(nowMicros, tenant)) {
+    if (recovery.isComplete() || isOverLimit(nowMicros, tenant)) {
       return;
     }
     if (exhausted) {
@@ -270,7 +294,10 @@
     }
   }
 
-  /** Whether a tenant has gone on asking for more than there was while not all was known. */
+  /**
+   * Returns whether the tenant requested more than was available for {@link #OVER_LIMIT_MICROS}
+   * while the recovery was not complete.
+   */
   private boolean isOverLimit(long nowMicros, String tenant) {
     Long sinceMicros = exhaustedSinceMicros.get(tenant);
     return sinceMicros != null && nowMicros - sinceMicros >= OVER_LIMIT_MICROS;
@@ -281,17 +308,17 @@
     return holding == null ? 0 : holding.reserved();
   }
 
-  /** Fraction of a tenant's quota that all data planes together may hold. */
-  private double allottable(long nowMicros, String tenant) {
-    if (census.isComplete()) {
+  /** Returns the fraction of the tenant's quota that all data planes together may hold. */
+  private double allocatableFraction(long nowMicros, String tenant) {
+    if (recovery.isComplete()) {
       return USED_PART;
     }
-    double moved = Math.min(USED_PART, inherited.getOrDefault(tenant, 0.0));
-    double earned = census.earnedPart(nowMicros);
-    if (census.isRemembered() || isOverLimit(nowMicros, tenant)) {
-      return moved + RESTART_PART * earned;
+    double transferable = Math.min(USED_PART, inherited.getOrDefault(tenant, 0.0));
+    double released = recovery.releasedFraction(nowMicros);
+    if (recovery.hasPredecessor() || isOverLimit(nowMicros, tenant)) {
+      return transferable + RESTART_PART * released;
     }
-    return Math.max(moved, USED_PART * earned);
+    return Math.max(transferable, USED_PART * released);
   }
 
   private QuotaAllocation allocation(QuotaHolder holder) {
@@ -301,7 +328,7 @@
             holder.nextAllocation(),
             holder.incarnation(),
             holder.sentMicros(),
-            census.holders(holders.size()));
+            recovery.holders(holders.size()));
     List<TenantShare> shares = new ArrayList<>();
     holder
         .holdings()
@@ -314,13 +341,16 @@
     return new QuotaAllocation(dataPlanes(), lease, shares);
   }
 
-  /** For a data plane whose version knows no leases: it uses the equal part where none is told. */
+  /**
+   * Returns an allocation for a data plane whose version does not support leases. Such a data plane
+   * uses an equal part of every quota for which the allocation names no fraction.
+   */
   private QuotaAllocation equalParts() {
     return new QuotaAllocation(dataPlanes(), List.of());
   }
 
-  /** Data planes that share the limits of the fleet, as far as is known; at least 1. */
+  /** Returns how many data planes share the limits of the fleet, as far as is known; at least 1. */
   public int dataPlanes() {
-    return Math.max(1, Math.max(holders.size(), census.holders(holders.size())));
+    return Math.max(1, Math.max(holders.size(), recovery.holders(holders.size())));
   }
 }
--- a/src/main/java/slateslip/distribution/quota/QuotaDivision.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaDivision.java
@@ -4,18 +4,25 @@
 
 /**
  * Divides one tenant's quota among data planes. What a data plane needs for requests that wait or
- * were refused comes first, and whole; then what it is likely to need soon, out of a part of what
- * is left. If a need is not met, the others give up what they don't need, by halves.
+ * were refused is assigned first, either in full or not at all. What the data plane is likely to
+ * need soon is then assigned out of a part of the rest. If a need is not met, every data plane
+ * gives up half of what it does not need in each round.
  */
 final class QuotaDivision {
-  /** Part of what nobody needs now that is kept back for new needs. */
+  /** The fraction of the currently unneeded quota that is held back for new needs. */
   private static final double RESERVE_PART = 0.4;
 
-  /** Part of the quota that is divided equally among all, also those that have no demand. */
+  /**
+   * The fraction of the quota that is divided equally among all data planes, including those
+   * without demand.
+   */
   private static final double IDLE_PART = 0.3;
 
-  /** Part of what a data plane doesn't need that it gives up in one round. */
-  private static final double SURRENDERED_PART = 0.5;
+  /**
+   * The fraction of its unneeded part that a data plane gives up in one round while a need is not
+   * met.
+   */
+  private static final double SURPLUS_REDUCTION = 0.5;
 
   private final List<TenantHolding> live;
   private final double available;
@@ -24,10 +31,10 @@
   private boolean exhausted;
 
   /**
-   * A division that has not begun.
+   * Prepares a division, which {@link #divide} carries out.
    *
-   * @param live holdings that may change, those to be served first in front
-   * @param available fraction of the quota that these may hold together
+   * @param live holdings that may change; those at the front are served first
+   * @param available fraction of the quota that these holdings may have together
    */
   QuotaDivision(List<TenantHolding> live, double available) {
     this.live = live;
@@ -36,27 +43,27 @@
   }
 
   void divide() {
-    live.forEach(this::meetNeed);
+    live.forEach(this::satisfyNeed);
     live.forEach(this::lowerToTarget);
     double surplus = live.stream().mapToDouble(QuotaDivision::surplus).sum();
     double maxSurplus = (1 - RESERVE_PART) * Math.max(0, available - needs());
     if (unmet) {
-      live.forEach(holding -> surrender(holding, SURRENDERED_PART));
+      live.forEach(holding -> reduceSurplus(holding, SURPLUS_REDUCTION));
     } else if (surplus > maxSurplus) {
-      live.forEach(holding -> surrender(holding, 1 - maxSurplus / surplus));
+      live.forEach(holding -> reduceSurplus(holding, 1 - maxSurplus / surplus));
     } else {
-      meetDesires(Math.min(free, maxSurplus - surplus));
+      growTowardTargets(Math.min(free, maxSurplus - surplus));
     }
     exhausted = unmet && needs() > available;
-    live.forEach(holding -> holding.exhausted(exhausted && isUnmet(holding)));
+    live.forEach(holding -> holding.setExhausted(exhausted && isUnmet(holding)));
   }
 
-  /** Whether more is needed than there is. */
+  /** Returns whether the data planes need more than is available. */
   boolean isExhausted() {
     return exhausted;
   }
 
-  private void meetNeed(TenantHolding holding) {
+  private void satisfyNeed(TenantHolding holding) {
     if (!isUnmet(holding)) {
       return;
     }
@@ -77,12 +84,12 @@
     holding.assign(Math.min(holding.assigned(), target(holding)));
   }
 
-  /** What is assigned beyond what is needed. */
+  /** Returns the assigned fraction beyond what the data plane needs or has spent. */
   private static double surplus(TenantHolding holding) {
     return Math.max(0, holding.assigned() - Math.max(holding.needed(), holding.spent()));
   }
 
-  private static void surrender(TenantHolding holding, double part) {
+  private static void reduceSurplus(TenantHolding holding, double part) {
     holding.assign(holding.assigned() - part * surplus(holding));
   }
 
@@ -91,17 +98,17 @@
     return Math.max(idle, Math.max(holding.needed(), holding.desired()));
   }
 
-  private void meetDesires(double budget) {
-    double wanted = live.stream().mapToDouble(this::growthDesired).sum();
+  private void growTowardTargets(double budget) {
+    double wanted = live.stream().mapToDouble(this::growthToTarget).sum();
     double scale = wanted <= budget ? 1 : Math.max(0, budget) / wanted;
     for (TenantHolding holding : live) {
       double confirmed = Math.min(target(holding), holding.reserved());
-      double grown = confirmed + scale * growthDesired(holding);
+      double grown = confirmed + scale * growthToTarget(holding);
       holding.assign(Math.max(holding.assigned(), grown));
     }
   }
 
-  private double growthDesired(TenantHolding holding) {
+  private double growthToTarget(TenantHolding holding) {
     return Math.max(0, target(holding) - holding.reserved());
   }
 
--- a/src/main/java/slateslip/distribution/quota/QuotaHolder.java
+++ b/src/main/java/slateslip/distribution/quota/QuotaHolder.java
@@ -5,9 +5,9 @@
 import slateslip.distribution.QuotaReport;
 import slateslip.distribution.TenantDemand;
 
-/** One process of a data plane, and what it holds of all quotas. */
+/** Represents one process of a data plane and the parts of all quotas that the process holds. */
 final class QuotaHolder {
-  /** A data plane that has not reported for this long is given nothing new. */
+  /** A data plane that has not reported for this long receives no new allocation. */
   private static final long REPORT_TIMEOUT_MICROS = 1_500_000;
 
   private final long incarnation;
@@ -15,7 +15,7 @@
   private long reportedMicros;
   private long sentMicros = Long.MIN_VALUE;
   private long lastNumber;
-  private boolean obedient;
+  private boolean following;
   private boolean countsOnly;
   private boolean waiting;
 
@@ -23,51 +23,57 @@
     this.incarnation = incarnation;
   }
 
-  /** Whether a report was sent before the newest one that came. */
-  boolean isLate(QuotaReport report) {
+  /**
+   * Returns whether the data plane sent the report no later than the newest report that was
+   * received.
+   */
+  boolean isOutdated(QuotaReport report) {
     return !report.isCountsOnly() && report.sentMicros() <= sentMicros;
   }
 
-  /** A report has come, of whatever epoch. */
-  void heard(long nowMicros, QuotaReport report) {
+  /** Records that a report has arrived, whichever allocator the data plane follows. */
+  void recordReport(long nowMicros, QuotaReport report) {
     reportedMicros = nowMicros;
     sentMicros = report.sentMicros();
     countsOnly = report.isCountsOnly();
     waiting = report.waiting();
   }
 
-  /** Takes over a report of a data plane that obeys this allocator. */
+  /** Takes over the demand from a report of a data plane that follows this allocator. */
   void update(QuotaReport report) {
-    boolean inherits = !obedient;
-    obedient = true;
-    holdings.values().forEach(TenantHolding::reportedNothing);
+    boolean inherits = !following;
+    following = true;
+    holdings.values().forEach(TenantHolding::clearDemand);
     for (TenantDemand demand : report.tenants()) {
       TenantHolding holding = holding(demand.tenant());
       if (inherits) {
         holding.inherit(demand);
       } else {
-        holding.reported(demand);
+        holding.updateDemand(demand);
       }
     }
-    holdings.values().forEach(holding -> holding.applied(report.appliedNumber()));
+    holdings.values().forEach(holding -> holding.confirm(report.appliedNumber()));
   }
 
-  /** Whether it obeys this allocator: only then what it holds is known, and stays as it is. */
-  boolean isObedient() {
-    return obedient;
+  /**
+   * Returns whether the data plane follows this allocator. Only then are its holdings known, and
+   * only then can no other allocator change them.
+   */
+  boolean followsThisAllocator() {
+    return following;
   }
 
-  /** Whether all that it holds is known. */
+  /** Returns whether everything that the process holds is known. */
   boolean isKnown() {
-    return obedient || countsOnly;
+    return following || countsOnly;
   }
 
-  /** Whether it may be given more. */
+  /** Returns whether the process may receive new allocations. */
   boolean isLive(long nowMicros) {
-    return obedient && reportsLately(nowMicros);
+    return following && hasReportedRecently(nowMicros);
   }
 
-  boolean reportsLately(long nowMicros) {
+  boolean hasReportedRecently(long nowMicros) {
     return nowMicros - reportedMicros <= REPORT_TIMEOUT_MICROS;
   }
 
@@ -75,11 +81,14 @@
     return nowMicros - reportedMicros > micros;
   }
 
-  void leaseEnded() {
-    holdings.values().forEach(TenantHolding::leaseEnded);
+  void endLease() {
+    holdings.values().forEach(TenantHolding::endLease);
   }
 
-  /** What it holds of a tenant's quota. */
+  /**
+   * Returns what the process holds of the tenant's quota; creates an empty holding if there is
+   * none.
+   */
   TenantHolding holding(String tenant) {
     return holdings.computeIfAbsent(tenant, name -> new TenantHolding());
   }
@@ -88,10 +97,13 @@
     return holdings;
   }
 
-  /** Number of the next allocation, which tells all that is assigned now. */
+  /**
+   * Returns the number of the next allocation and records that this allocation sends all fractions
+   * that are assigned now.
+   */
   long nextAllocation() {
     lastNumber++;
-    holdings.values().forEach(holding -> holding.sent(lastNumber));
+    holdings.values().forEach(holding -> holding.recordSent(lastNumber));
     waiting = false;
     return lastNumber;
   }
@@ -108,13 +120,13 @@
     return sentMicros;
   }
 
-  /** Whether its version knows no leases. */
+  /** Returns whether the version of the data plane does not support leases. */
   boolean isCountsOnly() {
     return countsOnly;
   }
 
-  /** Whether requests wait there for an answer to its newest report. */
-  boolean isWaiting() {
+  /** Returns whether requests at the data plane wait for the response to its newest report. */
+  boolean hasWaitingRequests() {
     return waiting;
   }
 }
--- a/src/main/java/slateslip/distribution/quota/TenantHolding.java
+++ b/src/main/java/slateslip/distribution/quota/TenantHolding.java
@@ -6,14 +6,17 @@
 import slateslip.distribution.TenantDemand;
 
 /**
- * What one data plane may spend of one tenant's quota, as the allocator knows it. Fractions are of
- * what the quota permits in a window.
+ * Tracks what one data plane may spend of one tenant's quota, as far as the allocator knows.
+ * Fractions refer to the units that the quota permits in a window.
  */
 final class TenantHolding {
-  private record Sent(long firstNumber, double fraction) {}
+  private record SentFraction(long firstNumber, double fraction) {}
 
-  /** Fractions that may be in force: the one last confirmed, and those sent since. */
-  private final Deque<Sent> sent = new ArrayDeque<>();
+  /**
+   * The fractions that may be in force, oldest first: the last confirmed fraction and those sent
+   * since.
+   */
+  private final Deque<SentFraction> sent = new ArrayDeque<>();
 
   private Spending spending = Spending.NONE;
   private double needed;
@@ -21,62 +24,65 @@
   private double assigned;
   private boolean exhausted;
 
-  /** Takes over what a data plane holds by the word of an earlier allocator. */
+  /** Takes over the fraction that an earlier allocator gave to the data plane. */
   void inherit(TenantDemand demand) {
     assigned = demand.allowed();
     sent.clear();
-    sent.addLast(new Sent(0, demand.allowed()));
-    reported(demand);
+    sent.addLast(new SentFraction(0, demand.allowed()));
+    updateDemand(demand);
   }
 
-  /** The data plane has told how the tenant stands. */
-  void reported(TenantDemand demand) {
+  /** Takes over the demand that the data plane has reported for the tenant. */
+  void updateDemand(TenantDemand demand) {
     spending = demand.spending();
     needed = demand.needed();
     desired = demand.desired();
   }
 
-  /** The data plane knows nothing of the tenant. */
-  void reportedNothing() {
+  /** Clears the demand, because the data plane's report does not name the tenant. */
+  void clearDemand() {
     spending = Spending.NONE;
     needed = 0;
     desired = 0;
   }
 
-  /** The allocation of this number is in force; those before it no longer. */
-  void applied(long number) {
-    while (sent.size() > 1 && second().firstNumber() <= number) {
+  /**
+   * Records that the allocation of this number is in force at the data plane and that earlier
+   * allocations are not.
+   */
+  void confirm(long number) {
+    while (sent.size() > 1 && secondOldest().firstNumber() <= number) {
       sent.removeFirst();
     }
   }
 
-  private Sent second() {
+  private SentFraction secondOldest() {
     var oldestFirst = sent.iterator();
     oldestFirst.next();
     return oldestFirst.next();
   }
 
-  /** What is assigned is sent with an allocation of this number. */
-  void sent(long number) {
+  /** Records that the allocation of this number sends the assigned fraction to the data plane. */
+  void recordSent(long number) {
     if (sent.isEmpty() || sent.peekLast().fraction() != assigned) {
-      sent.addLast(new Sent(number, assigned));
+      sent.addLast(new SentFraction(number, assigned));
     }
   }
 
-  /** The data plane's lease has ended: it may spend no more. */
-  void leaseEnded() {
+  /** Records that the data plane's lease has ended: the data plane may spend nothing more. */
+  void endLease() {
     sent.clear();
     assigned = 0;
   }
 
   /**
-   * The most that counts in any window from now on, unless more is assigned: what was spent goes on
-   * to count after a fraction has shrunk, and a fraction is in force until a later one is
-   * confirmed.
+   * Returns the largest fraction that can count in any window from now on, unless more is assigned.
+   * Spent units still count after a fraction has been lowered, and a fraction is in force until the
+   * data plane confirms a later one.
    */
   double reserved() {
     double reserved = Math.max(spending.now(), assigned);
-    for (Sent each : sent) {
+    for (SentFraction each : sent) {
       reserved = Math.max(reserved, each.fraction());
     }
     return reserved;
@@ -110,7 +116,7 @@
     return exhausted;
   }
 
-  void exhausted(boolean isExhausted) {
+  void setExhausted(boolean isExhausted) {
     exhausted = isExhausted;
   }
 }
--- a/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
+++ b/src/test/java/slateslip/distribution/quota/QuotaAllocatorTest.java
@@ -28,10 +28,12 @@
   private static final long SECOND = 1_000_000;
   private static final long EPOCH = 5;
   private static final int DATA_PLANES = 4;
-  private static final double ALLOTTED = 0.85;
+  private static final double ALLOCATED_PART = 0.85;
   private static final double ROUNDING = 1e-9;
 
-  /** What a data plane tells and obeys; its spending is set by the test. */
+  /**
+   * Simulates a data plane that reports its demand and applies allocations. Tests set its spending.
+   */
   private static final class DataPlane {
     final String name;
     long incarnation;
@@ -60,7 +62,7 @@
           epoch, number, now, now - startedMicros, holders, false, List.of(demand));
     }
 
-    /** Spent evenly over the window. */
+    /** Returns spending that is spread evenly over the window. */
     Spending spending() {
       return Spending.of(spent, WINDOW, elapsed -> spent * (1 - (double) elapsed / WINDOW));
     }
@@ -101,7 +103,7 @@
     }
   }
 
-  private void round() {
+  private void runRound() {
     now += ROUND;
     for (DataPlane dataPlane : dataPlanes) {
       if (!dataPlane.partitioned) {
@@ -123,13 +125,13 @@
     }
   }
 
-  private void rounds(long micros) {
+  private void runFor(long micros) {
     for (long end = now + micros; now < end; ) {
-      round();
+      runRound();
     }
   }
 
-  private double sum() {
+  private double totalFraction() {
     double sum = 0;
     for (DataPlane dataPlane : dataPlanes) {
       sum += Math.max(dataPlane.allowed(now), dataPlane.spent);
@@ -137,108 +139,111 @@
     return sum;
   }
 
-  private void takeOver(long epoch) {
+  private void startNewAllocator(long epoch) {
     allocator = new QuotaAllocator(epoch, false, WINDOW, now);
   }
 
   @Test
-  void partsFollowNeedsAndEachHasAPartToBeginWith() {
+  void allocationFollowsNeedAndLeavesInitialPartToIdleDataPlanes() {
     dataPlanes[0].needed = 0.5;
-    rounds(3 * SECOND);
+    runFor(3 * SECOND);
     assertThat(dataPlanes[0].allowed, greaterThan(0.5 - ROUNDING));
-    assertThat("one without demand can begin", dataPlanes[3].allowed, greaterThan(0.01));
+    assertThat(
+        "a data plane without demand keeps an initial part",
+        dataPlanes[3].allowed,
+        greaterThan(0.01));
     dataPlanes[0].needed = 0;
     dataPlanes[3].needed = 0.7;
-    rounds(3 * SECOND);
+    runFor(3 * SECOND);
     assertThat(dataPlanes[3].allowed, greaterThan(0.7 - ROUNDING));
     assertThat(dataPlanes[0].allowed, lessThan(0.1));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void whatCountsNeverSumsAboveTheQuota(long seed) {
+  void spentAndAllowedFractionsNeverSumAboveQuota(long seed) {
     Random random = new Random(seed);
     for (int i = 0; i < 1_200; i++) {
-      DataPlane one = dataPlanes[random.nextInt(DATA_PLANES)];
-      one.needed = random.nextInt(4) * 0.2;
-      one.desired = one.needed + 0.1;
-      one.partitioned = random.nextInt(12) == 0;
+      DataPlane changed = dataPlanes[random.nextInt(DATA_PLANES)];
+      changed.needed = random.nextInt(4) * 0.2;
+      changed.desired = changed.needed + 0.1;
+      changed.partitioned = random.nextInt(12) == 0;
       for (DataPlane each : dataPlanes) {
         boolean uses = random.nextBoolean() && each.needed > 0;
         each.spent = uses ? Math.max(each.spent, each.allowed(now)) : each.spent * 0.9;
       }
       if (random.nextInt(100) == 0) {
-        takeOver(EPOCH + 1 + i);
+        startNewAllocator(EPOCH + 1 + i);
       }
-      round();
-      assertThat(sum(), lessThanOrEqualTo(ALLOTTED + ROUNDING));
+      runRound();
+      assertThat(totalFraction(), lessThanOrEqualTo(ALLOCATED_PART + ROUNDING));
     }
   }
 
   @Test
-  void unresponsiveDataPlaneKeepsItsPartUntilItsLeaseAndItsSpendingAreOver() {
+  void unresponsiveDataPlaneKeepsPartUntilLeaseAndSpendingExpire() {
     dataPlanes[0].needed = 0.6;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     dataPlanes[0].partitioned = true;
     dataPlanes[1].needed = 0.8;
-    rounds(QuotaTiming.LEASE_MICROS - SECOND);
+    runFor(QuotaTiming.LEASE_MICROS - SECOND);
     assertThat(dataPlanes[0].allowed(now), greaterThan(0.6 - ROUNDING));
-    assertThat(dataPlanes[1].allowed, lessThan(ALLOTTED - 0.6 + ROUNDING));
-    rounds(QuotaTiming.unresponsiveMicros(WINDOW));
+    assertThat(dataPlanes[1].allowed, lessThan(ALLOCATED_PART - 0.6 + ROUNDING));
+    runFor(QuotaTiming.unresponsiveRetentionMicros(WINDOW));
     assertThat(dataPlanes[1].allowed, greaterThan(0.8 - ROUNDING));
   }
 
   @Test
-  void whatAnEndedProcessSpentCountsForAWindow() {
+  void spendingOfEndedProcessCountsForOneWindow() {
     dataPlanes[0].needed = 0.8;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     dataPlanes[0].incarnation = 7;
     dataPlanes[0].epoch = 0;
     dataPlanes[0].number = 0;
     dataPlanes[0].allowed = 0;
-    rounds(WINDOW);
-    assertThat(dataPlanes[0].allowed, lessThan(ALLOTTED - 0.8 + ROUNDING));
-    rounds(QuotaTiming.endedMicros(WINDOW) - WINDOW + SECOND);
+    runFor(WINDOW);
+    assertThat(dataPlanes[0].allowed, lessThan(ALLOCATED_PART - 0.8 + ROUNDING));
+    runFor(QuotaTiming.endedRetentionMicros(WINDOW) - WINDOW + SECOND);
     assertThat(dataPlanes[0].allowed, greaterThan(0.8 - ROUNDING));
   }
 
   @Test
-  void whatAnEndedProcessSpentIsFreeAsItLeavesTheWindow() {
+  void spendingOfEndedProcessBecomesFreeAsItLeavesWindow() {
     dataPlanes[0].needed = 0.8;
     dataPlanes[0].spent = 0.8;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     dataPlanes[0].incarnation = 7;
     dataPlanes[0].epoch = 0;
     dataPlanes[0].number = 0;
     dataPlanes[0].allowed = 0;
     dataPlanes[0].spent = 0;
-    rounds(SECOND);
+    runFor(SECOND);
     assertThat(allocator.status(now).tenants().get(0).ended(), closeTo(0.8, 0.01));
-    rounds(WINDOW / 2);
+    runFor(WINDOW / 2);
     double ended = allocator.status(now).tenants().get(0).ended();
     assertThat(ended, greaterThan(0.3));
     assertThat(ended, lessThan(0.45));
     dataPlanes[0].needed = 0.4;
-    rounds(SECOND);
+    runFor(SECOND);
     assertThat(dataPlanes[0].allowed, greaterThan(0.4 - ROUNDING));
   }
 
   @Test
-  void reportOfAnEndedProcessIsIgnored() {
-    rounds(2 * SECOND);
+  void reportOfEndedProcessIsIgnored() {
+    runFor(2 * SECOND);
     QuotaReport late = dataPlanes[0].report(now);
-    long former = dataPlanes[0].incarnation;
+    long previousIncarnation = dataPlanes[0].incarnation;
     dataPlanes[0].incarnation = 7;
     dataPlanes[0].epoch = 0;
-    rounds(SECOND);
-    assertThat(allocator.report(now, "d0", former, late), is(Optional.empty()));
+    runFor(SECOND);
+    assertThat(allocator.report(now, "d0", previousIncarnation, late), is(Optional.empty()));
     assertThat(allocator.allocate(now).get(0).allocation().lease().incarnation(), is(7L));
   }
 
   @Test
-  void lowerFractionCountsOnceItIsConfirmed() {
+  void loweredFractionBecomesFreeOnlyAfterConfirmation() {
     dataPlanes[0].desired = 0.8;
-    rounds(3 * SECOND);
+    runFor(3 * SECOND);
     double held = dataPlanes[0].allowed;
     assertThat(held, greaterThan(0.4));
     dataPlanes[0].desired = 0;
@@ -249,9 +254,9 @@
     }
     List<DataPlaneAllocation> unconfirmed = allocator.allocate(now);
     assertThat(fraction(unconfirmed, "d0"), lessThan(held));
-    assertThat(fraction(unconfirmed, "d1"), lessThanOrEqualTo(ALLOTTED - held + ROUNDING));
+    assertThat(fraction(unconfirmed, "d1"), lessThanOrEqualTo(ALLOCATED_PART - held + ROUNDING));
     unconfirmed.forEach(this::deliver);
-    rounds(3 * SECOND);
+    runFor(3 * SECOND);
     assertThat(dataPlanes[1].allowed, greaterThan(0.8 - ROUNDING));
   }
 
@@ -264,43 +269,43 @@
   }
 
   @Test
-  void newAllocatorOnlyMovesWhatItKnowsWhileADataPlaneIsMissing() {
+  void newAllocatorOnlyMovesKnownHoldingsWhileDataPlaneIsMissing() {
     dataPlanes[0].needed = 0.5;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     dataPlanes[0].partitioned = true;
     dataPlanes[1].needed = 0.8;
-    takeOver(EPOCH + 1);
-    rounds(5 * SECOND);
-    assertThat(dataPlanes[1].allowed, lessThanOrEqualTo(ALLOTTED - 0.5 + ROUNDING));
+    startNewAllocator(EPOCH + 1);
+    runFor(5 * SECOND);
+    assertThat(dataPlanes[1].allowed, lessThanOrEqualTo(ALLOCATED_PART - 0.5 + ROUNDING));
     assertThat(dataPlanes[1].exhausted, is(true));
     dataPlanes[0].needed = 0;
     dataPlanes[0].partitioned = false;
-    rounds(3 * SECOND);
+    runFor(3 * SECOND);
     assertThat(dataPlanes[1].allowed, greaterThan(0.8 - ROUNDING));
   }
 
   @Test
-  void newAllocatorThatKnowsAllGoesOnAtOnce() {
-    rounds(2 * SECOND);
-    takeOver(EPOCH + 1);
+  void newAllocatorThatKnowsAllHoldersAllocatesFullQuota() {
+    runFor(2 * SECOND);
+    startNewAllocator(EPOCH + 1);
     dataPlanes[2].needed = 0.8;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     assertThat(dataPlanes[2].allowed, greaterThan(0.8 - ROUNDING));
     assertThat(dataPlanes[2].epoch, is(EPOCH + 1));
   }
 
   @Test
-  void allocatorThatWasReplacedAllotsNothing() {
-    rounds(2 * SECOND);
-    QuotaAllocator former = allocator;
-    takeOver(EPOCH + 1);
-    rounds(SECOND);
-    former.report(now, "d0", dataPlanes[0].incarnation, dataPlanes[0].report(now));
-    assertThat(former.allocate(now), is(empty()));
+  void supersededAllocatorAllocatesNothing() {
+    runFor(2 * SECOND);
+    QuotaAllocator previous = allocator;
+    startNewAllocator(EPOCH + 1);
+    runFor(SECOND);
+    previous.report(now, "d0", dataPlanes[0].incarnation, dataPlanes[0].report(now));
+    assertThat(previous.allocate(now), is(empty()));
   }
 
   private void restartEverything(double needed) {
-    takeOver(EPOCH + 1);
+    startNewAllocator(EPOCH + 1);
     for (DataPlane dataPlane : dataPlanes) {
       dataPlane.startedMicros = now;
       dataPlane.needed = needed;
@@ -308,29 +313,29 @@
   }
 
   @Test
-  void afterARestartOfEverythingQuotasAreAllottedByAndBy() {
+  void restartOfEverythingReleasesQuotaGradually() {
     restartEverything(0.02);
-    rounds(WINDOW / 4);
-    assertThat(sum(), greaterThan(0.08 - ROUNDING));
-    assertThat(sum(), lessThanOrEqualTo(ALLOTTED / 4 + ROUNDING));
-    rounds(2 * WINDOW);
+    runFor(WINDOW / 4);
+    assertThat(totalFraction(), greaterThan(0.08 - ROUNDING));
+    assertThat(totalFraction(), lessThanOrEqualTo(ALLOCATED_PART / 4 + ROUNDING));
+    runFor(2 * WINDOW);
     dataPlanes[0].needed = 0.7;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     assertThat(dataPlanes[0].allowed, greaterThan(0.7 - ROUNDING));
   }
 
   @Test
-  void afterARestartOfEverythingATenantOverItsLimitGetsNoMoreThanIsKeptForIt() {
+  void restartOfEverythingLimitsOverLimitTenantToRestartPart() {
     restartEverything(0.5);
-    rounds(WINDOW / 2);
-    assertThat(sum(), lessThanOrEqualTo(0.26));
-    rounds(2 * WINDOW);
-    assertThat(sum(), greaterThan(0.5 - ROUNDING));
+    runFor(WINDOW / 2);
+    assertThat(totalFraction(), lessThanOrEqualTo(0.26));
+    runFor(2 * WINDOW);
+    assertThat(totalFraction(), greaterThan(0.5 - ROUNDING));
   }
 
   @Test
-  void dataPlaneOfAnEarlierVersionIsToldHowManyShareTheQuotas() {
-    rounds(2 * SECOND);
+  void dataPlaneOfEarlierVersionReceivesNumberOfDataPlanes() {
+    runFor(2 * SECOND);
     dataPlanes[3].incarnation = 7;
     report(dataPlanes[3], QuotaReport.countsOnly(List.of(new TenantDemand(TENANT, 5, 5))));
     QuotaAllocation allocation =
@@ -343,13 +348,13 @@
   }
 
   @Test
-  void statusTellsWhatIsSpentAndHeldByWhom() {
+  void statusReportsSpentAndReservedFractions() {
     dataPlanes[0].needed = 0.5;
     dataPlanes[1].needed = 0.2;
-    rounds(2 * SECOND);
+    runFor(2 * SECOND);
     dataPlanes[0].spent = 0.4;
     dataPlanes[1].partitioned = true;
-    rounds(3 * SECOND);
+    runFor(3 * SECOND);
     QuotaAllocatorStatus status = allocator.status(now);
     assertThat(status.epoch(), is(EPOCH));
     assertThat(status.dataPlanes(), is(DATA_PLANES));
