--- a/src/main/java/slateslip/controlplane/agent/SessionService.java
+++ b/src/main/java/slateslip/controlplane/agent/SessionService.java
@@ -158,7 +158,7 @@
   }
 
   private void replicateChange(long number, String id) {
-    send(replication.changed(scheduler.nowMicros(), number, List.of(id)));
+    send(replication.replicateChanges(scheduler.nowMicros(), number, List.of(id)));
     subscribers.deliverPending();
   }
 
--- a/src/main/java/slateslip/distribution/sessions/HeartbeatResult.java
+++ b/src/main/java/slateslip/distribution/sessions/HeartbeatResult.java
@@ -1,16 +1,19 @@
 package slateslip.distribution.sessions;
 
-/** What a backend's call did. */
+/** The effect of a backend's heartbeat on the session table. */
 public enum HeartbeatResult {
-  /** It changed what data planes see; to be replicated at once. */
+  /** The heartbeat changed what data planes see. The change has to be replicated at once. */
   CHANGED,
   /**
-   * It renewed a session that was known from another agent. A peer may have missed what that agent
-   * said, so it is to be replicated in full.
+   * The heartbeat renewed a session whose previous heartbeats went to another agent. A peer may
+   * have missed updates from that agent, so the session has to be replicated with its full entry.
    */
   ADOPTED,
-  /** It renewed the session; to be replicated with others. */
+  /** The heartbeat renewed the session. The renewal is replicated in the next batch. */
   RENEWED,
-  /** It is older than what is known, or its incarnation has ended: it changed nothing. */
+  /**
+   * The heartbeat changed nothing: it is older than the known state, its incarnation has ended, or
+   * a newer live incarnation uses its address.
+   */
   STALE
 }
--- a/src/main/java/slateslip/distribution/sessions/HintedHandoff.java
+++ b/src/main/java/slateslip/distribution/sessions/HintedHandoff.java
@@ -5,17 +5,24 @@
 import java.util.Set;
 
 /**
- * What a peer that is away has missed: ids of sessions that were heard, changed or ended meanwhile.
- * If there are too many, it needs the full table.
+ * Collects the ids of sessions that were renewed, changed or ended while a peer was disconnected,
+ * so that the peer can be brought up to date. If there are too many ids, the peer needs the full
+ * table instead. Not thread-safe.
  */
 public final class HintedHandoff {
-  /** Above this, the full table takes hardly more than the hints. */
+  /**
+   * The largest number of ids that are kept. For more ids, the full table is hardly larger than the
+   * hints.
+   */
   static final int MAX_HINTS = 4_096;
 
   private final Set<String> ids = new LinkedHashSet<>();
   private boolean overflowed;
 
-  /** Takes note of something that the peer has missed. */
+  /**
+   * Records the id of a session whose update the peer has missed. Has no effect if the peer needs
+   * the full table anyway.
+   */
   public void hint(String id) {
     if (overflowed) {
       return;
@@ -26,18 +33,21 @@
     }
   }
 
-  /** The peer needs the full table, as after its start. */
+  /** Records that the peer needs the full table, as after the peer's start, and drops all hints. */
   public void requireFullTable() {
     overflowed = true;
     ids.clear();
   }
 
-  /** Whether the peer needs the full table. */
+  /** Returns whether the peer needs the full table instead of the hints. */
   public boolean needsFullTable() {
     return overflowed;
   }
 
-  /** Hands the hints over and keeps none. */
+  /**
+   * Returns the collected ids and clears the hints and the need for a full table. The list is empty
+   * if the peer needs the full table.
+   */
   public List<String> drain() {
     List<String> drained = List.copyOf(ids);
     ids.clear();
--- a/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionChangeLog.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The newest changes of a table, so that a reader that has an older revision gets just these. */
+/**
+ * Keeps the newest changes of a session table, so that a reader with an older revision receives
+ * only the changes since that revision.
+ */
 final class SessionChangeLog {
   private static final int MAX_CHANGES = 4_096;
 
@@ -22,7 +25,7 @@
     add(id, true);
   }
 
-  /** Forgets all changes: every reader has to take the full table. */
+  /** Drops all changes, so that every reader has to take the full table. */
   void restart() {
     revision++;
     entries.clear();
@@ -32,7 +35,10 @@
     return revision;
   }
 
-  /** What changed after a revision, each id once; empty if that is not known any more. */
+  /**
+   * Returns the changes after a revision, each id once; empty if the log no longer reaches back to
+   * that revision.
+   */
   Optional<SessionChangeSet> changesAfter(long readerRevision) {
     long oldestKnown = entries.isEmpty() ? revision : entries.peekFirst().revision - 1;
     if (readerRevision < oldestKnown) {
--- a/src/main/java/slateslip/distribution/sessions/SessionReplication.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionReplication.java
@@ -14,8 +14,10 @@
 import slateslip.distribution.peer.SessionRenewal;
 
 /**
- * Keeps the tables of the other control agents like this one's: changes go out at once, renewals in
- * batches, and a peer that was away is handed what it has missed.
+ * Keeps the session tables of the other control agents consistent with the table of this agent.
+ * Changes are sent at once and renewals in batches. A peer that was disconnected receives what it
+ * has missed. The methods return the messages that the caller has to send; times are in
+ * microseconds of the host's steady clock.
  */
 public final class SessionReplication {
   private static final long ACKNOWLEDGED = Long.MIN_VALUE;
@@ -24,18 +26,20 @@
   private final Map<String, Peer> peers = new TreeMap<>();
   private final Set<String> renewedIds = new LinkedHashSet<>();
 
-  /** Replicates this table. */
+  /** Creates a replication of the table that has no peers yet. */
   public SessionReplication(SessionTable table) {
     this.table = table;
   }
 
-  /** A message for one peer. */
+  /** A message and the address of the peer that receives it. */
   public record OutboundMessage(String peer, ControlPeerMessage message) {}
 
   /**
-   * A connection to a peer is up.
+   * Records that the connection to a peer is up. Returns the messages that bring the peer up to
+   * date.
    *
-   * @param incarnation of the peer's process; another one than before has lost its table
+   * @param incarnation incarnation of the peer's process; a process with another incarnation than
+   *     before has lost its table
    */
   public List<OutboundMessage> connected(long nowMicros, String address, long incarnation) {
     Peer peer = peers.computeIfAbsent(address, key -> new Peer());
@@ -57,7 +61,10 @@
     return List.of(new OutboundMessage(address, changes(nowMicros, 0, hints)));
   }
 
-  /** The connection to a peer is lost; what was sent last may not have come. */
+  /**
+   * Records that the connection to a peer is lost. Messages that the peer has not acknowledged may
+   * be lost, so their sessions are sent again after the next connect.
+   */
   public void disconnected(String address) {
     Peer peer = peers.get(address);
     if (peer != null && peer.connected) {
@@ -70,7 +77,7 @@
     }
   }
 
-  /** The peer has received all that was sent before this time. */
+  /** Records that the peer has received everything that was sent before this time. */
   public void acknowledged(String address, long sentBeforeMicros) {
     Peer peer = peers.get(address);
     if (peer == null) {
@@ -85,12 +92,12 @@
     }
   }
 
-  /** The peer exists no more. */
+  /** Removes all state of a peer that no longer exists. */
   public void remove(String address) {
     peers.remove(address);
   }
 
-  /** Peers that are connected. */
+  /** Returns the addresses of the connected peers. */
   public Collection<String> connectedPeers() {
     List<String> connected = new ArrayList<>();
     peers.forEach(
@@ -103,22 +110,23 @@
   }
 
   /**
-   * Sessions have changed here, by calls of their backends.
+   * Replicates sessions that heartbeats of their backends have changed at this agent.
    *
-   * @param number to be acknowledged by each peer that gets it; 0 if nobody waits
+   * @param number number that each receiving peer acknowledges; 0 if no acknowledgement is awaited
+   * @param ids ids of the sessions that changed or ended
    */
-  public List<OutboundMessage> changed(long nowMicros, long number, List<String> ids) {
+  public List<OutboundMessage> replicateChanges(long nowMicros, long number, List<String> ids) {
     ids.forEach(renewedIds::remove);
     ControlPeerMessage message = changes(nowMicros, number, ids);
     return sendToAllPeers(nowMicros, ids, message);
   }
 
-  /** A session was renewed here; it goes out with the next batch. */
+  /** Records that a session was renewed at this agent. The renewal is sent with the next batch. */
   public void recordRenewal(String id) {
     renewedIds.add(id);
   }
 
-  /** The batch of renewals since the last one. */
+  /** Returns the messages with the renewals since the last batch; empty if there are none. */
   public List<OutboundMessage> flushRenewals(long nowMicros) {
     if (renewedIds.isEmpty()) {
       return List.of();
@@ -167,7 +175,10 @@
   private static final class Peer {
     private final HintedHandoff hints = new HintedHandoff();
 
-    /** When each id was sent last, oldest first, until the peer is known to have it. */
+    /**
+     * The time when the update of each id was last sent, oldest first, until the peer acknowledges
+     * the update.
+     */
     private final Map<String, Long> unacknowledged = new LinkedHashMap<>();
 
     private long fullTableSentMicros = ACKNOWLEDGED;
--- a/src/main/java/slateslip/distribution/sessions/SessionTable.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTable.java
@@ -10,16 +10,19 @@
 import slateslip.distribution.peer.SessionRenewal;
 
 /**
- * The sessions that one control agent knows: from backends that call it, and from other agents.
+ * Holds the backend sessions that one control agent knows, from heartbeats of backends and from
+ * other agents.
  *
- * <p>An incarnation id names one incarnation of a backend. Its {@code sequence} orders what it
- * says; an older call changes nothing. Once it has said that it is gone, it never comes back. A
- * session that was not renewed for {@code expiryMicros} is dropped, and may come back.
+ * <p>An incarnation id identifies one incarnation of a backend. The {@code sequence} orders the
+ * heartbeats of an incarnation; an older heartbeat changes nothing. An incarnation that has
+ * deregistered never comes back. A session that was not renewed for {@code expiryMicros} is
+ * dropped, and may come back.
  *
- * <p>Of two incarnations at one address the one that was registered later is in the table. Ages
- * reported by a peer that had stalled may name the wrong one, so this is never final: the other one
- * comes back when it is heard and the one in the table has been unresponsive for longer than live
- * backends are. Times are of the host's steady clock, in microseconds.
+ * <p>Of two incarnations at one address, the table holds the incarnation that registered later.
+ * Ages that a stalled peer reports may select the wrong incarnation, so the selection is never
+ * final: the other incarnation comes back when it sends a heartbeat and the incarnation in the
+ * table has been silent for longer than a live backend ever is. Times are of the host's steady
+ * clock, in microseconds.
  */
 public final class SessionTable {
   private static final long MICROS_PER_MILLI = 1_000;
@@ -28,7 +31,7 @@
 
   private final long expiryMicros;
 
-  /** A live backend is heard more often than this: expiry takes three heartbeats. */
+  /** Longer than the heartbeat interval of a live backend; the expiry time is three intervals. */
   private final long livenessTimeoutMicros;
 
   private final Map<String, TrackedSession> tracked = new HashMap<>();
@@ -39,16 +42,16 @@
   private boolean complete;
 
   /**
-   * An empty table that is not complete.
+   * Creates an empty table that is not complete.
    *
-   * @param expiryMicros how long a session lives without a call
+   * @param expiryMicros how long a session stays in the table without a heartbeat
    */
   public SessionTable(long expiryMicros) {
     this.expiryMicros = expiryMicros;
     livenessTimeoutMicros = expiryMicros / 2;
   }
 
-  /** A call of a backend. */
+  /** Processes a heartbeat that a backend has sent to this agent. */
   public HeartbeatResult heartbeat(long nowMicros, BackendSession session) {
     if (tombstones.isDeregistered(session.id())) {
       return HeartbeatResult.STALE;
@@ -63,8 +66,8 @@
     if (session.sequence() <= trackedSession.session.sequence()) {
       return HeartbeatResult.STALE;
     }
-    boolean adopted = !trackedSession.heardFrom.equals(LOCAL);
-    trackedSession.heardFrom = LOCAL;
+    boolean adopted = !trackedSession.heartbeatSource.equals(LOCAL);
+    trackedSession.heartbeatSource = LOCAL;
     if (renew(trackedSession, session, nowMicros)) {
       return HeartbeatResult.CHANGED;
     }
@@ -78,29 +81,32 @@
         .orElse(true);
   }
 
-  private long registeredAtMicros(BackendSession session, long firstHeardMicros) {
+  private long registeredAtMicros(BackendSession session, long firstHeartbeatMicros) {
     return tombstones
         .evicted(session.id())
-        .map(evicted -> Math.min(evicted.registeredAtMicros(), firstHeardMicros))
-        .orElse(firstHeardMicros);
+        .map(evicted -> Math.min(evicted.registeredAtMicros(), firstHeartbeatMicros))
+        .orElse(firstHeartbeatMicros);
   }
 
-  /** A backend has said that it is gone; whether that was new. */
+  /**
+   * Processes the deregistration of a backend. The incarnation never comes back. Returns whether
+   * the deregistration was not known before.
+   */
   public boolean deregister(long nowMicros, String id) {
     boolean isNew = !tombstones.isDeregistered(id);
     tombstones.addDeregistered(id, nowMicros);
     if (tracked.containsKey(id)) {
       remove(id);
     } else if (isNew) {
-      changeLog.removed(id); // data planes may know it from an agent that has lost its table since
+      changeLog.removed(id); // an agent that lost its table may have published the session
     }
     return isNew;
   }
 
-  /** Takes over what a peer holds. */
+  /** Merges a session entry that a peer has sent. */
   public void merge(long nowMicros, String peer, SessionEntry entry) {
     BackendSession session = entry.session();
-    long heardAtMicros = nowMicros - entry.heardAgeMillis() * MICROS_PER_MILLI;
+    long lastHeartbeatMicros = nowMicros - entry.heardAgeMillis() * MICROS_PER_MILLI;
     long registeredAtMicros = nowMicros - entry.registeredAgeMillis() * MICROS_PER_MILLI;
     if (tombstones.isDeregistered(session.id())) {
       return;
@@ -108,56 +114,67 @@
     TrackedSession trackedSession = tracked.get(session.id());
     if (trackedSession == null) {
       mergeUnknown(
-          nowMicros, peer, session, registeredAtMicros(session, registeredAtMicros), heardAtMicros);
+          nowMicros,
+          peer,
+          session,
+          registeredAtMicros(session, registeredAtMicros),
+          lastHeartbeatMicros);
       return;
     }
-    if (nowMicros - heardAtMicros < expiryMicros) {
-      trackedSession.recordHeard(heardAtMicros, peer);
+    if (nowMicros - lastHeartbeatMicros < expiryMicros) {
+      trackedSession.recordHeartbeat(lastHeartbeatMicros, peer);
     }
     trackedSession.registeredAtMicros =
         Math.min(trackedSession.registeredAtMicros, registeredAtMicros);
     if (session.sequence() > trackedSession.session.sequence()) {
-      renew(trackedSession, session, trackedSession.heardAtMicros);
+      renew(trackedSession, session, trackedSession.lastHeartbeatMicros);
     }
   }
 
-  /** One that was not heard for long is only remembered: renewals of it may follow. */
+  /**
+   * Merges an entry of a session that is not in the table. If the last heartbeat is older than the
+   * expiry time, the session is only kept among the tombstones, because renewals may follow.
+   */
   private void mergeUnknown(
       long nowMicros,
       String peer,
       BackendSession session,
       long registeredAtMicros,
-      long heardAtMicros) {
-    if (nowMicros - heardAtMicros < expiryMicros) {
-      add(session, registeredAtMicros, heardAtMicros, peer);
+      long lastHeartbeatMicros) {
+    if (nowMicros - lastHeartbeatMicros < expiryMicros) {
+      add(session, registeredAtMicros, lastHeartbeatMicros, peer);
     } else if (isNewer(session)) {
       tombstones.addEvicted(
           new SessionTombstones.EvictedSession(session, registeredAtMicros), nowMicros);
     }
   }
 
-  /**
-   * Takes over a renewal that a peer tells of; false if the session was never known here, or has
-   * departed.
-   */
+  /** Merges a renewal from a peer. Returns false if the session is unknown or has deregistered. */
   public boolean merge(long nowMicros, String peer, SessionRenewal renewal) {
-    long heardAtMicros = nowMicros - renewal.heardAgeMillis() * MICROS_PER_MILLI;
+    long lastHeartbeatMicros = nowMicros - renewal.heardAgeMillis() * MICROS_PER_MILLI;
     TrackedSession trackedSession = tracked.get(renewal.id());
     if (trackedSession != null) {
-      trackedSession.recordHeard(heardAtMicros, peer);
+      trackedSession.recordHeartbeat(lastHeartbeatMicros, peer);
       return true;
     }
     Optional<SessionTombstones.EvictedSession> evicted = tombstones.evicted(renewal.id());
-    if (evicted.isPresent() && nowMicros - heardAtMicros < expiryMicros) {
-      SessionTombstones.EvictedSession revivedSession = evicted.get();
-      if (add(revivedSession.session(), revivedSession.registeredAtMicros(), heardAtMicros, peer)) {
-        tracked.get(renewal.id()).revived = true;
+    if (evicted.isPresent() && nowMicros - lastHeartbeatMicros < expiryMicros) {
+      SessionTombstones.EvictedSession restoredSession = evicted.get();
+      if (add(
+          restoredSession.session(),
+          restoredSession.registeredAtMicros(),
+          lastHeartbeatMicros,
+          peer)) {
+        tracked.get(renewal.id()).restored = true;
       }
     }
     return evicted.isPresent();
   }
 
-  /** Drops what has not been renewed; nothing while that would be for want of hearing. */
+  /**
+   * Drops sessions that were not renewed within the expiry time. Drops nothing while expiry is
+   * suspended, because heartbeats may not have reached this agent.
+   */
   public void expire(long nowMicros) {
     tombstones.removeExpired(nowMicros);
     if (nowMicros < expirySuspendedUntilMicros) {
@@ -165,7 +182,7 @@
     }
     List<String> expired = new ArrayList<>();
     for (TrackedSession trackedSession : tracked.values()) {
-      if (nowMicros - trackedSession.heardAtMicros >= expiryMicros
+      if (nowMicros - trackedSession.lastHeartbeatMicros >= expiryMicros
           && nowMicros >= trackedSession.expirySuspendedUntilMicros) {
         expired.add(trackedSession.session.id());
       }
@@ -182,24 +199,28 @@
     remove(evicted.session.id());
   }
 
-  /** Nothing expires for one expiry time from now: calls may have gone unheard. */
+  /**
+   * Suspends the expiry of all sessions for one expiry time from now, because heartbeats may not
+   * have reached this agent.
+   */
   public void suspendExpiry(long nowMicros) {
     expirySuspendedUntilMicros = Math.max(expirySuspendedUntilMicros, nowMicros + expiryMicros);
   }
 
   /**
-   * What a peer was the last to tell of does not expire for one expiry time from now: its backends
-   * may call the peer, whose updates do not arrive, until they call another agent.
+   * Suspends, for one expiry time from now, the expiry of sessions whose newest heartbeat was
+   * reported by this peer. Their backends may go on calling the peer, whose updates do not arrive,
+   * until they call another agent.
    */
   public void suspendExpiry(long nowMicros, String peer) {
     for (TrackedSession trackedSession : tracked.values()) {
-      if (trackedSession.heardFrom.equals(peer)) {
+      if (trackedSession.heartbeatSource.equals(peer)) {
         trackedSession.expirySuspendedUntilMicros = nowMicros + expiryMicros;
       }
     }
   }
 
-  /** From now on what is not in the table is gone. */
+  /** Marks the table as complete: from now on, a backend that is not in the table is gone. */
   public void markComplete() {
     if (!complete) {
       complete = true;
@@ -207,86 +228,95 @@
     }
   }
 
-  /** Whether what is not in the table is gone. */
+  /** Returns whether a backend that is not in the table is gone. */
   public boolean isComplete() {
     return complete;
   }
 
-  /** Rises with each change that data planes see. */
+  /** Returns the revision of the table, which rises with each change that data planes see. */
   public long revision() {
     return changeLog.revision();
   }
 
-  /** What changed after a revision; empty if that is not known any more. */
+  /** Returns the changes after a revision; empty if the change log no longer contains them. */
   public Optional<SessionChangeSet> changesAfter(long revision) {
     return changeLog.changesAfter(revision);
   }
 
-  /** A session as published to data planes, if it is there. */
+  /** Returns a session as published to data planes; empty if the table does not hold it. */
   public Optional<BackendSession> session(String id) {
     return Optional.ofNullable(tracked.get(id)).map(TrackedSession::publishedSession);
   }
 
-  /** All sessions as published to data planes. */
+  /** Returns all sessions as published to data planes. */
   public List<BackendSession> sessions() {
     return tracked.values().stream().map(TrackedSession::publishedSession).toList();
   }
 
-  /** A session as another agent takes it, if it is there. */
+  /** Returns a session as sent to other agents; empty if the table does not hold it. */
   public Optional<SessionEntry> entry(long nowMicros, String id) {
     return Optional.ofNullable(tracked.get(id))
         .map(trackedSession -> trackedSession.toEntry(nowMicros));
   }
 
-  /** All sessions as another agent takes them. */
+  /** Returns all sessions as sent to other agents. */
   public List<SessionEntry> entries(long nowMicros) {
     return tracked.values().stream()
         .map(trackedSession -> trackedSession.toEntry(nowMicros))
         .toList();
   }
 
-  /** Ids of backends that have said that they are gone. */
+  /** Returns the ids of backends that have deregistered. */
   public List<String> deregisteredIds() {
     return tombstones.deregisteredIds();
   }
 
-  /** Whether a backend has said that it is gone. */
+  /** Returns whether a backend has deregistered. */
   public boolean isDeregistered(String id) {
     return tombstones.isDeregistered(id);
   }
 
   private boolean add(
-      BackendSession session, long registeredAtMicros, long heardAtMicros, String heardFrom) {
+      BackendSession session,
+      long registeredAtMicros,
+      long lastHeartbeatMicros,
+      String heartbeatSource) {
     TrackedSession incumbent = tracked.get(idByAddress.getOrDefault(session.address(), ""));
     if (incumbent != null) {
       boolean incumbentIsNewer = incumbent.registeredAtMicros > registeredAtMicros;
-      boolean incumbentIsAlive = heardAtMicros - incumbent.heardAtMicros < livenessTimeoutMicros;
+      boolean incumbentIsAlive =
+          lastHeartbeatMicros - incumbent.lastHeartbeatMicros < livenessTimeoutMicros;
       if (incumbentIsNewer && incumbentIsAlive) {
         tombstones.addEvicted(
-            new SessionTombstones.EvictedSession(session, registeredAtMicros), heardAtMicros);
+            new SessionTombstones.EvictedSession(session, registeredAtMicros), lastHeartbeatMicros);
         return false;
       }
-      evict(incumbent, heardAtMicros);
+      evict(incumbent, lastHeartbeatMicros);
     }
     tombstones.remove(session.id());
     tracked.put(
-        session.id(), new TrackedSession(session, registeredAtMicros, heardAtMicros, heardFrom));
+        session.id(),
+        new TrackedSession(session, registeredAtMicros, lastHeartbeatMicros, heartbeatSource));
     idByAddress.put(session.address(), session.id());
     changeLog.changed(session.id());
     return true;
   }
 
-  /** Puts a newer call in place; whether data planes see a difference. */
-  private boolean renew(TrackedSession trackedSession, BackendSession session, long heardAtMicros) {
+  /** Applies a newer heartbeat. Returns whether data planes see a difference. */
+  private boolean renew(
+      TrackedSession trackedSession, BackendSession session, long lastHeartbeatMicros) {
     BackendSession before = trackedSession.session;
     if (!before.address().equals(session.address())) {
       remove(before.id());
       return add(
-          session, trackedSession.registeredAtMicros, heardAtMicros, trackedSession.heardFrom);
+          session,
+          trackedSession.registeredAtMicros,
+          lastHeartbeatMicros,
+          trackedSession.heartbeatSource);
     }
     trackedSession.session = session;
-    trackedSession.revived = false;
-    trackedSession.heardAtMicros = heardAtMicros;
+    trackedSession.restored = false;
+    trackedSession.lastHeartbeatMicros = lastHeartbeatMicros;
     if (isEquivalentForDataPlanes(before, session)) {
       return false;
     }
@@ -308,47 +338,51 @@
     changeLog.removed(id);
   }
 
-  /** A session and when it was heard. */
+  /** A session with the times of its registration and of its newest heartbeat. */
   private static final class TrackedSession {
     private BackendSession session;
     private long registeredAtMicros;
-    private long heardAtMicros;
+    private long lastHeartbeatMicros;
     private long expirySuspendedUntilMicros;
 
-    /** Whether it has come back by a renewal, which does not tell its newest call. */
-    private boolean revived;
+    /** Whether a renewal, which contains no sequence number, has restored the session. */
+    private boolean restored;
 
-    /** Address of the peer that reported its newest heartbeat; {@link #LOCAL} if it came here. */
-    private String heardFrom;
+    /** Source of the newest heartbeat: a peer's address, or {@link #LOCAL} for this agent. */
+    private String heartbeatSource;
 
     private TrackedSession(
-        BackendSession session, long registeredAtMicros, long heardAtMicros, String heardFrom) {
+        BackendSession session,
+        long registeredAtMicros,
+        long lastHeartbeatMicros,
+        String heartbeatSource) {
       this.session = session;
       this.registeredAtMicros = registeredAtMicros;
-      this.heardAtMicros = heardAtMicros;
-      this.heardFrom = heardFrom;
+      this.lastHeartbeatMicros = lastHeartbeatMicros;
+      this.heartbeatSource = heartbeatSource;
     }
 
-    private void recordHeard(long atMicros, String peer) {
-      if (atMicros > heardAtMicros) {
-        heardAtMicros = atMicros;
-        heardFrom = peer;
+    private void recordHeartbeat(long atMicros, String peer) {
+      if (atMicros > lastHeartbeatMicros) {
+        lastHeartbeatMicros = atMicros;
+        heartbeatSource = peer;
       }
     }
 
     /**
-     * As published to data planes. They were notified that one that has come back was gone, so they
-     * take it only with a higher number; its backend has called again since, so that is true.
+     * Returns the session as published to data planes. Data planes were notified that a restored
+     * session was gone, so they accept it only with a higher sequence number. The backend has sent
+     * a heartbeat since, so the higher number is correct.
      */
     private BackendSession publishedSession() {
-      return revived ? session.withSequence(session.sequence() + 1) : session;
+      return restored ? session.withSequence(session.sequence() + 1) : session;
     }
 
     private SessionEntry toEntry(long nowMicros) {
       return new SessionEntry(
           session,
           (nowMicros - registeredAtMicros) / MICROS_PER_MILLI,
-          (nowMicros - heardAtMicros) / MICROS_PER_MILLI);
+          (nowMicros - lastHeartbeatMicros) / MICROS_PER_MILLI);
     }
   }
 }
--- a/src/main/java/slateslip/distribution/sessions/SessionTombstones.java
+++ b/src/main/java/slateslip/distribution/sessions/SessionTombstones.java
@@ -8,54 +8,61 @@
 import slateslip.distribution.BackendSession;
 
 /**
- * Incarnations that are not in the table any more, for as long as a late call of theirs may come.
- * Only what a backend has said itself is final; that another incarnation seems to have its address,
- * or that it was not heard, may be wrong, and a later call takes it back.
+ * Remembers incarnations that are no longer in the table, for as long as a late heartbeat of theirs
+ * may arrive. Only a deregistration by the backend itself is final. The conclusion that another
+ * incarnation has taken the address, or that a backend has stopped sending heartbeats, may be
+ * wrong; a later heartbeat reverses it.
  */
 final class SessionTombstones {
-  /** Longer than any call, or copy of another agent's table, can be under way. */
+  /**
+   * How long a tombstone is kept: longer than any heartbeat, or copy of another agent's table, can
+   * be in transit.
+   */
   private static final long RETENTION_MICROS = 120_000_000;
 
   private final Map<String, Tombstone> tombstones = new LinkedHashMap<>();
 
   /**
-   * A session that was in the table.
+   * A session that was evicted from the table, or was not admitted to it, and that may come back.
    *
-   * @param session as it was known last
-   * @param registeredAtMicros its first call
+   * @param session last known state of the session
+   * @param registeredAtMicros time of the first heartbeat of the incarnation
    */
   record EvictedSession(BackendSession session, long registeredAtMicros) {}
 
-  /** The backend has said that it is gone: the incarnation never comes back. */
+  /** Records that the backend has deregistered: the incarnation never comes back. */
   void addDeregistered(String id, long nowMicros) {
     tombstones.remove(id);
     tombstones.put(id, new Tombstone(Optional.empty(), nowMicros));
   }
 
-  /** The incarnation was not heard, or another one has its address; it may come back. */
+  /**
+   * Records that the incarnation has sent no heartbeat for the expiry time, or that another
+   * incarnation has its address. The incarnation may come back.
+   */
   void addEvicted(EvictedSession evicted, long nowMicros) {
     String id = evicted.session().id();
     tombstones.remove(id);
     tombstones.put(id, new Tombstone(Optional.of(evicted), nowMicros));
   }
 
-  /** Whether the incarnation never comes back. */
+  /** Returns whether the incarnation has deregistered and therefore never comes back. */
   boolean isDeregistered(String id) {
     Tombstone tombstone = tombstones.get(id);
     return tombstone != null && tombstone.evicted.isEmpty();
   }
 
-  /** An incarnation that may come back, if it was in the table. */
+  /** Returns the evicted session of an incarnation that may come back; empty if there is none. */
   Optional<EvictedSession> evicted(String id) {
     return Optional.ofNullable(tombstones.get(id)).flatMap(Tombstone::evicted);
   }
 
-  /** The incarnation is in the table again. */
+  /** Removes the tombstone of an incarnation that is in the table again. */
   void remove(String id) {
     tombstones.remove(id);
   }
 
-  /** Ids of those that never come back. */
+  /** Returns the ids of deregistered incarnations. */
   List<String> deregisteredIds() {
     return tombstones.entrySet().stream()
         .filter(tombstone -> tombstone.getValue().evicted.isEmpty())
@@ -63,7 +70,7 @@
         .toList();
   }
 
-  /** Forgets what ended too long ago to matter. */
+  /** Removes tombstones that are older than {@link #RETENTION_MICROS}. */
   void removeExpired(long nowMicros) {
     Iterator<Tombstone> oldestFirst = tombstones.values().iterator();
     while (oldestFirst.hasNext()
--- a/src/main/java/slateslip/distribution/sessions/package-info.java
+++ b/src/main/java/slateslip/distribution/sessions/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Sessions of backends with control agents, as state machines without sockets, clocks or threads.
+ * Tracks and replicates the sessions that backends hold with control agents. The classes are state
+ * machines without sockets, clocks or threads.
  */
 package slateslip.distribution.sessions;
--- a/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionReplicationTest.java
@@ -15,7 +15,10 @@
 import slateslip.distribution.peer.SessionEntry;
 import slateslip.distribution.sessions.SessionReplication.OutboundMessage;
 
-/** Peers come to hold the same sessions, whatever is lost with a connection that breaks. */
+/**
+ * Checks that peers end up with the same sessions even if messages are lost when a connection
+ * disconnects.
+ */
 class SessionReplicationTest {
   private static final long EXPIRY = 3_600_000;
   private static final String PEER = "10.2.0.1";
@@ -25,21 +28,21 @@
   private long now = 1_000_000;
 
   @Test
-  void aPeerThatConnectsFirstGetsTheWholeTable() {
+  void newPeerReceivesFullTable() {
     register("a", 1);
     table.deregister(now, "gone");
     List<OutboundMessage> messages = replication.connected(now, PEER, 7);
-    SessionChanges needsFullTable = (SessionChanges) messages.get(0).message();
-    assertThat(needsFullTable.fullTable(), is(true));
-    assertThat(ids(needsFullTable), contains("a"));
-    assertThat(needsFullTable.deregistered(), contains("gone"));
+    SessionChanges changes = (SessionChanges) messages.get(0).message();
+    assertThat(changes.fullTable(), is(true));
+    assertThat(ids(changes), contains("a"));
+    assertThat(changes.deregistered(), contains("gone"));
   }
 
   @Test
-  void changesGoOutAtOnceAndRenewalsInBatches() {
+  void changesAreSentAtOnceAndRenewalsInBatches() {
     replication.connected(now, PEER, 7);
     register("a", 1);
-    List<OutboundMessage> messages = replication.changed(now, 4, List.of("a"));
+    List<OutboundMessage> messages = replication.replicateChanges(now, 4, List.of("a"));
     assertThat(((SessionChanges) messages.get(0).message()).number(), is(4L));
     replication.recordRenewal("a");
     List<OutboundMessage> batch = replication.flushRenewals(now);
@@ -48,71 +51,72 @@
   }
 
   @Test
-  void aDepartureIsToldAsOneAndAnExpiryIsNot() {
+  void onlyDeregistrationIsSentAsDeregistered() {
     replication.connected(now, PEER, 7);
     register("a", 1);
     table.deregister(now, "a");
     SessionChanges change =
-        (SessionChanges) replication.changed(now, 0, List.of("a", "expired")).get(0).message();
+        (SessionChanges)
+            replication.replicateChanges(now, 0, List.of("a", "expired")).get(0).message();
     assertThat(change.deregistered(), contains("a"));
     assertThat(change.entries(), is(empty()));
   }
 
   @Test
-  void aPeerThatWasAwayIsHandedWhatItMissed() {
+  void reconnectedPeerReceivesMissedChanges() {
     replication.connected(now, PEER, 7);
     replication.acknowledged(PEER, now + 1);
     replication.disconnected(PEER);
     register("a", 1);
-    assertThat(replication.changed(now, 0, List.of("a")), is(empty()));
-    SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
-    assertThat(handed.fullTable(), is(false));
-    assertThat(ids(handed), contains("a"));
+    assertThat(replication.replicateChanges(now, 0, List.of("a")), is(empty()));
+    SessionChanges resent = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
+    assertThat(resent.fullTable(), is(false));
+    assertThat(ids(resent), contains("a"));
   }
 
   @Test
-  void unacknowledgedIsHandedOffAgain() {
+  void unacknowledgedChangeIsSentAgainAfterReconnect() {
     replication.connected(now, PEER, 7);
     replication.acknowledged(PEER, now + 1);
     register("a", 1);
-    replication.changed(now, 0, List.of("a"));
+    replication.replicateChanges(now, 0, List.of("a"));
     now += 10;
     register("b", 1);
-    replication.changed(now, 0, List.of("b"));
+    replication.replicateChanges(now, 0, List.of("b"));
     replication.acknowledged(PEER, now);
     replication.disconnected(PEER);
-    SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
-    assertThat(ids(handed), contains("b"));
+    SessionChanges resent = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
+    assertThat(ids(resent), contains("b"));
   }
 
   @Test
-  void aPeerThatStartedAnewGetsTheWholeTable() {
+  void restartedPeerReceivesFullTable() {
     register("a", 1);
     replication.connected(now, PEER, 7);
     replication.acknowledged(PEER, now + 1);
     replication.disconnected(PEER);
-    SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 8).get(0).message();
-    assertThat(handed.fullTable(), is(true));
+    SessionChanges resent = (SessionChanges) replication.connected(now, PEER, 8).get(0).message();
+    assertThat(resent.fullTable(), is(true));
   }
 
   @Test
-  void aPeerWithTooManyHintsGetsTheWholeTable() {
+  void peerWithTooManyHintsReceivesFullTable() {
     replication.connected(now, PEER, 7);
     replication.acknowledged(PEER, now + 1);
     replication.disconnected(PEER);
     for (int index = 0; index <= HintedHandoff.MAX_HINTS; index++) {
-      replication.changed(now, 0, List.of("i-" + index));
+      replication.replicateChanges(now, 0, List.of("i-" + index));
     }
-    SessionChanges handed = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
-    assertThat(handed.fullTable(), is(true));
+    SessionChanges resent = (SessionChanges) replication.connected(now, PEER, 7).get(0).message();
+    assertThat(resent.fullTable(), is(true));
   }
 
   @Test
-  void twoTablesAgreeAfterAnyBreaks() {
+  void tablesConvergeAfterRandomDisconnects() {
     Random random = new Random(11);
     SessionTable other = new SessionTable(EXPIRY);
     boolean connected = false;
-    long confirmedUpTo = 0;
+    long acknowledgedUpTo = 0;
     for (int step = 0; step < 20_000; step++) {
       now += 1_000;
       String id = "i-" + random.nextInt(40);
@@ -127,43 +131,49 @@
         }
         case 1 -> {
           table.deregister(now, id + "-" + step / 2_000);
-          deliver(replication.changed(now, 0, List.of(id + "-" + step / 2_000)), other, true);
+          deliver(
+              replication.replicateChanges(now, 0, List.of(id + "-" + step / 2_000)), other, true);
         }
         default -> {
           register(id + "-" + step / 2_000, step);
-          boolean breaks = connected && random.nextInt(20) == 0;
-          deliver(replication.changed(now, 0, List.of(id + "-" + step / 2_000)), other, !breaks);
-          if (breaks) {
+          boolean disconnects = connected && random.nextInt(20) == 0;
+          deliver(
+              replication.replicateChanges(now, 0, List.of(id + "-" + step / 2_000)),
+              other,
+              !disconnects);
+          if (disconnects) {
             replication.disconnected(PEER);
             connected = false;
           } else if (connected) {
-            confirmedUpTo = now;
+            acknowledgedUpTo = now;
           }
         }
       }
       if (connected && random.nextBoolean()) {
-        replication.acknowledged(PEER, confirmedUpTo);
+        replication.acknowledged(PEER, acknowledgedUpTo);
       }
     }
     if (!connected) {
       deliver(replication.connected(now, PEER, 7), other, true);
     }
-    assertThat(live(other), is(live(table)));
+    assertThat(sortedSessions(other), is(sortedSessions(table)));
   }
 
   private void deliver(List<OutboundMessage> messages, SessionTable other, boolean arrives) {
     if (!arrives) {
       return;
     }
-    for (OutboundMessage send : messages) {
-      SessionChanges changes = (SessionChanges) send.message();
+    for (OutboundMessage outbound : messages) {
+      SessionChanges changes = (SessionChanges) outbound.message();
       changes.entries().forEach(entry -> other.merge(now, PEER, entry));
       changes.deregistered().forEach(id -> other.deregister(now, id));
     }
   }
 
-  private static List<BackendSession> live(SessionTable of) {
-    return of.sessions().stream().sorted((one, two) -> one.id().compareTo(two.id())).toList();
+  private static List<BackendSession> sortedSessions(SessionTable source) {
+    return source.sessions().stream()
+        .sorted((first, second) -> first.id().compareTo(second.id()))
+        .toList();
   }
 
   private void register(String id, long sequence) {
--- a/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
+++ b/src/test/java/slateslip/distribution/sessions/SessionTableTest.java
@@ -13,7 +13,10 @@
 import slateslip.distribution.peer.SessionEntry;
 import slateslip.distribution.peer.SessionRenewal;
 
-/** Sessions by order of calls, ends, reuse of addresses, expiry, and what readers are told. */
+/**
+ * Checks the order of heartbeats, deregistration, reuse of addresses, expiry, and the changes that
+ * readers receive.
+ */
 class SessionTableTest {
   private static final long EXPIRY = 3_600_000;
   private static final long START = 1_000_000;
@@ -25,25 +28,25 @@
   private final SessionTable table = new SessionTable(EXPIRY);
 
   @Test
-  void aFirstCallRegistersAndLaterOnesRenew() {
-    assertThat(call(START, "a", FIRST_ADDRESS, 1), is(HeartbeatResult.CHANGED));
-    assertThat(call(START + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.RENEWED));
+  void firstHeartbeatRegistersAndLaterHeartbeatsRenew() {
+    assertThat(heartbeat(START, "a", FIRST_ADDRESS, 1), is(HeartbeatResult.CHANGED));
+    assertThat(heartbeat(START + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.RENEWED));
     assertThat(ids(), contains("a"));
     assertThat(table.revision(), is(1L));
   }
 
   @Test
-  void anOlderOrRepeatedCallChangesNothing() {
-    call(START, "a", FIRST_ADDRESS, 5);
+  void olderOrRepeatedHeartbeatIsStale() {
+    heartbeat(START, "a", FIRST_ADDRESS, 5);
     table.heartbeat(START, draining("a", FIRST_ADDRESS, 6));
-    assertThat(call(START, "a", FIRST_ADDRESS, 5), is(HeartbeatResult.STALE));
-    assertThat(call(START, "a", FIRST_ADDRESS, 6), is(HeartbeatResult.STALE));
+    assertThat(heartbeat(START, "a", FIRST_ADDRESS, 5), is(HeartbeatResult.STALE));
+    assertThat(heartbeat(START, "a", FIRST_ADDRESS, 6), is(HeartbeatResult.STALE));
     assertThat(table.session("a").get().draining(), is(true));
   }
 
   @Test
-  void drainingIsAChange() {
-    call(START, "a", FIRST_ADDRESS, 1);
+  void startOfDrainingIsAChange() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     assertThat(
         table.heartbeat(START, draining("a", FIRST_ADDRESS, 2)), is(HeartbeatResult.CHANGED));
     assertThat(
@@ -51,11 +54,11 @@
   }
 
   @Test
-  void whatHasDepartedNeverComesBack() {
-    call(START, "a", FIRST_ADDRESS, 1);
+  void deregisteredBackendNeverComesBack() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     assertThat(table.deregister(START, "a"), is(true));
     assertThat(table.deregister(START, "a"), is(false));
-    assertThat(call(START, "a", FIRST_ADDRESS, 9), is(HeartbeatResult.STALE));
+    assertThat(heartbeat(START, "a", FIRST_ADDRESS, 9), is(HeartbeatResult.STALE));
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 10), 0, 0));
     assertThat(ids(), is(empty()));
     assertThat(table.deregisteredIds(), contains("a"));
@@ -64,55 +67,55 @@
   @Test
   void deregistrationOfUnknownBackendIsFinal() {
     table.deregister(START, "a");
-    assertThat(call(START, "a", FIRST_ADDRESS, 1), is(HeartbeatResult.STALE));
+    assertThat(heartbeat(START, "a", FIRST_ADDRESS, 1), is(HeartbeatResult.STALE));
   }
 
   @Test
-  void newestIncarnationOwnsAddress() {
-    call(START, "a", FIRST_ADDRESS, 1);
-    call(START + 1, "b", FIRST_ADDRESS, 1);
+  void newestIncarnationKeepsAddress() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START + 1, "b", FIRST_ADDRESS, 1);
     assertThat(ids(), contains("b"));
-    assertThat(call(START + 2, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.STALE));
+    assertThat(heartbeat(START + 2, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.STALE));
     assertThat(ids(), contains("b"));
   }
 
   @Test
   void olderIncarnationFromPeerIsIgnored() {
-    call(START + 1_000_000, "b", FIRST_ADDRESS, 1);
+    heartbeat(START + 1_000_000, "b", FIRST_ADDRESS, 1);
     table.merge(START + 1_500_000, PEER, entry(session("a", FIRST_ADDRESS, 7), 1_400, 10));
     assertThat(ids(), contains("b"));
   }
 
   @Test
   void newerIncarnationFromPeerReplacesOlder() {
-    call(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     table.merge(START + 1_500_000, PEER, entry(session("b", FIRST_ADDRESS, 1), 20, 10));
     assertThat(ids(), contains("b"));
   }
 
   @Test
   void expiredIncarnationDoesNotRetakeAddress() {
-    call(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     table.expire(START + EXPIRY);
-    call(START + EXPIRY + 1, "b", FIRST_ADDRESS, 1);
-    assertThat(call(START + EXPIRY + 2, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.STALE));
+    heartbeat(START + EXPIRY + 1, "b", FIRST_ADDRESS, 1);
+    assertThat(heartbeat(START + EXPIRY + 2, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.STALE));
     assertThat(ids(), contains("b"));
   }
 
   @Test
-  void aSessionExpiresAndMayComeBack() {
-    call(START, "a", FIRST_ADDRESS, 1);
+  void expiredSessionComesBackWithNextHeartbeat() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     table.expire(START + EXPIRY - 1);
     assertThat(ids(), contains("a"));
     table.expire(START + EXPIRY);
     assertThat(ids(), is(empty()));
-    assertThat(call(START + EXPIRY + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.CHANGED));
+    assertThat(heartbeat(START + EXPIRY + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.CHANGED));
     assertThat(ids(), contains("a"));
   }
 
   @Test
   void expiryIsSuspendedWhileUnreachable() {
-    call(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     table.suspendExpiry(START + EXPIRY - 1);
     table.expire(START + 2 * EXPIRY - 2);
     assertThat(ids(), contains("a"));
@@ -121,8 +124,8 @@
   }
 
   @Test
-  void renewalsOfPeersKeepASessionAlive() {
-    call(START, "a", FIRST_ADDRESS, 1);
+  void renewalsFromPeersPreventExpiry() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     long later = START + EXPIRY - 1;
     assertThat(table.merge(later, PEER, new SessionRenewal("a", 100)), is(true));
     assertThat(table.merge(later, PEER, new SessionRenewal("unknown", 100)), is(false));
@@ -133,31 +136,31 @@
   }
 
   @Test
-  void aPeersEntryThatIsTooOldIsNotTaken() {
+  void expiredEntryFromPeerIsNotAdded() {
     table.merge(START + 2 * EXPIRY, PEER, entry(session("a", FIRST_ADDRESS, 1), 9_000, 3_600));
     assertThat(ids(), is(empty()));
   }
 
   @Test
-  void aPeersEntryThatIsTooOldComesWithARenewal() {
+  void expiredEntryFromPeerIsAddedAfterRenewal() {
     table.merge(START + 2 * EXPIRY, PEER, entry(session("a", FIRST_ADDRESS, 1), 9_000, 3_600));
     table.merge(START + 2 * EXPIRY + 1, PEER, new SessionRenewal("a", 10));
     assertThat(ids(), contains("a"));
   }
 
   @Test
-  void movedBackendKeepsIdAndFreesAddress() {
-    call(START, "a", FIRST_ADDRESS, 1);
-    assertThat(call(START, "a", SECOND_ADDRESS, 2), is(HeartbeatResult.CHANGED));
-    call(START, "b", FIRST_ADDRESS, 1);
+  void backendWithNewAddressKeepsIdAndFreesOldAddress() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
+    assertThat(heartbeat(START, "a", SECOND_ADDRESS, 2), is(HeartbeatResult.CHANGED));
+    heartbeat(START, "b", FIRST_ADDRESS, 1);
     assertThat(ids(), containsInAnyOrder("a", "b"));
   }
 
   @Test
   void readersGetChangesAfterRevision() {
-    call(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     long read = table.revision();
-    call(START, "b", SECOND_ADDRESS, 1);
+    heartbeat(START, "b", SECOND_ADDRESS, 1);
     table.deregister(START, "a");
     SessionChangeSet change = table.changesAfter(read).get();
     assertThat(change.changed(), contains("b"));
@@ -166,9 +169,9 @@
   }
 
   @Test
-  void oneThatCameAndWentBetweenIsToldAsGone() {
+  void sessionAddedAndRemovedBetweenReadsIsReportedRemoved() {
     long read = table.revision();
-    call(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     table.deregister(START, "a");
     SessionChangeSet change = table.changesAfter(read).get();
     assertThat(change.changed(), is(empty()));
@@ -177,7 +180,7 @@
 
   @Test
   void completedTableIsSentInFull() {
-    call(START, "a", FIRST_ADDRESS, 1);
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     long read = table.revision();
     table.markComplete();
     assertThat(table.changesAfter(read), is(Optional.empty()));
@@ -188,18 +191,18 @@
   }
 
   @Test
-  void liveBackendWinsDespiteStalledPeerAges() {
+  void liveBackendReplacesIncarnationWithWrongAgeFromStalledPeer() {
     table.merge(START, PEER, entry(session("old", FIRST_ADDRESS, 40), 100, 100));
     table.merge(START + 1, OTHER_PEER, entry(session("live", FIRST_ADDRESS, 3), 900, 0));
     assertThat(ids(), contains("old"));
     long later = START + EXPIRY / 2;
-    assertThat(call(later, "live", FIRST_ADDRESS, 4), is(HeartbeatResult.CHANGED));
+    assertThat(heartbeat(later, "live", FIRST_ADDRESS, 4), is(HeartbeatResult.CHANGED));
     assertThat(ids(), contains("live"));
     assertThat(table.deregisteredIds(), is(empty()));
   }
 
   @Test
-  void aWrongGuessIsUndoneByTheRenewalsOfAPeer() {
+  void renewalFromPeerReplacesIncarnationWithWrongAge() {
     table.merge(START, PEER, entry(session("old", FIRST_ADDRESS, 40), 100, 100));
     table.merge(START + 1, OTHER_PEER, entry(session("live", FIRST_ADDRESS, 3), 900, 0));
     table.merge(START + EXPIRY / 2, OTHER_PEER, new SessionRenewal("live", 0));
@@ -208,28 +211,28 @@
   }
 
   @Test
-  void lateHeartbeatOfOldIncarnationIsIgnored() {
-    call(START, "old", FIRST_ADDRESS, 1);
-    call(START + 1, "live", FIRST_ADDRESS, 1);
-    long heartbeat = EXPIRY / 3;
-    call(START + heartbeat, "live", FIRST_ADDRESS, 2);
-    long late = START + heartbeat + heartbeat;
-    assertThat(call(late, "old", FIRST_ADDRESS, 2), is(HeartbeatResult.STALE));
+  void lateHeartbeatOfOldIncarnationIsStale() {
+    heartbeat(START, "old", FIRST_ADDRESS, 1);
+    heartbeat(START + 1, "live", FIRST_ADDRESS, 1);
+    long interval = EXPIRY / 3;
+    heartbeat(START + interval, "live", FIRST_ADDRESS, 2);
+    long late = START + interval + interval;
+    assertThat(heartbeat(late, "old", FIRST_ADDRESS, 2), is(HeartbeatResult.STALE));
     assertThat(ids(), contains("live"));
   }
 
   @Test
-  void repeatedHeartbeatOfSupersededIsIgnored() {
-    call(START, "old", FIRST_ADDRESS, 5);
-    call(START + 1, "new", FIRST_ADDRESS, 1);
+  void repeatedHeartbeatOfSupersededIncarnationIsStale() {
+    heartbeat(START, "old", FIRST_ADDRESS, 5);
+    heartbeat(START + 1, "new", FIRST_ADDRESS, 1);
     long later = START + EXPIRY - 1;
-    assertThat(call(later, "old", FIRST_ADDRESS, 5), is(HeartbeatResult.STALE));
+    assertThat(heartbeat(later, "old", FIRST_ADDRESS, 5), is(HeartbeatResult.STALE));
     assertThat(ids(), contains("new"));
   }
 
   @Test
-  void expiredSessionRevivesWithRenewal() {
-    call(START, "a", FIRST_ADDRESS, 1);
+  void expiredSessionIsRestoredByRenewal() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     table.expire(START + EXPIRY);
     table.merge(START + EXPIRY + 1, PEER, new SessionRenewal("a", 10));
     assertThat(ids(), contains("a"));
@@ -239,21 +242,21 @@
   @Test
   void adoptedBackendIsReplicatedWithFullEntry() {
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 1), 0, 0));
-    assertThat(call(START + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.ADOPTED));
-    assertThat(call(START + 2, "a", FIRST_ADDRESS, 3), is(HeartbeatResult.RENEWED));
+    assertThat(heartbeat(START + 1, "a", FIRST_ADDRESS, 2), is(HeartbeatResult.ADOPTED));
+    assertThat(heartbeat(START + 2, "a", FIRST_ADDRESS, 3), is(HeartbeatResult.RENEWED));
     table.merge(START + 3, PEER, new SessionRenewal("a", 0));
-    assertThat(call(START + 4, "a", FIRST_ADDRESS, 4), is(HeartbeatResult.ADOPTED));
+    assertThat(heartbeat(START + 4, "a", FIRST_ADDRESS, 4), is(HeartbeatResult.ADOPTED));
   }
 
   @Test
-  void deregistrationOfUnknownIsPublished() {
+  void deregistrationOfUnknownBackendIsPublished() {
     long read = table.revision();
     table.deregister(START, "a");
     assertThat(table.changesAfter(read).get().removed(), contains("a"));
   }
 
   @Test
-  void lostPeerSuspendsExpiryOnlyOfItsSessions() {
+  void lostPeerSuspendsExpiryOfItsSessionsOnly() {
     table.merge(START, PEER, entry(session("a", FIRST_ADDRESS, 1), 0, 0));
     table.merge(START, OTHER_PEER, entry(session("b", SECOND_ADDRESS, 1), 0, 0));
     table.suspendExpiry(START + EXPIRY - 1, PEER);
@@ -264,8 +267,8 @@
   }
 
   @Test
-  void flappingPeerKeepsNoDeadBackend() {
-    call(START, "a", FIRST_ADDRESS, 1);
+  void flappingPeerDoesNotKeepDeadBackend() {
+    heartbeat(START, "a", FIRST_ADDRESS, 1);
     for (long at = START; at < START + EXPIRY; at += EXPIRY / 4) {
       table.suspendExpiry(at, PEER);
     }
@@ -273,7 +276,7 @@
     assertThat(ids(), is(empty()));
   }
 
-  private HeartbeatResult call(long now, String id, String address, long sequence) {
+  private HeartbeatResult heartbeat(long now, String id, String address, long sequence) {
     return table.heartbeat(now, session(id, address, sequence));
   }
 
