--- a/src/main/java/slateslip/distribution/delivery/ConfigurationSource.java
+++ b/src/main/java/slateslip/distribution/delivery/ConfigurationSource.java
@@ -2,22 +2,25 @@
 
 import java.util.Optional;
 
-/** The committed configurations that can be delivered. */
+/** Gives access to the committed configurations that can be delivered to data planes. */
 public interface ConfigurationSource {
-  /** Version of the newest one; 0 if there is none. */
+  /** Returns the version of the newest configuration; 0 if there is none. */
   long version();
 
-  /** The newest one as JSON; only if there is one. */
+  /** Returns the newest configuration as JSON. Must only be called if there is a configuration. */
   byte[] document();
 
-  /** The patch that led on from a version, if there was one and it is still known. */
+  /**
+   * Returns the patch that changed the configuration of this version into the next version; empty
+   * if there is no such patch or if it is no longer kept.
+   */
   Optional<Patch> patchFrom(long version);
 
   /**
-   * A committed patch.
+   * A committed patch of the configuration.
    *
-   * @param toVersion version that it made
-   * @param body of the operator's call
+   * @param toVersion version of the configuration that the patch produced
+   * @param body body of the operator's request
    */
   record Patch(long toVersion, byte[] body) {}
 }
--- a/src/main/java/slateslip/distribution/delivery/DeliveryProgress.java
+++ b/src/main/java/slateslip/distribution/delivery/DeliveryProgress.java
@@ -3,13 +3,19 @@
 import java.util.Collection;
 
 /**
- * How far a control agent's data planes are: what the slowest of the active streams has in force.
+ * Describes the delivery progress of a control agent: the lowest configuration version and the
+ * lowest session revision that its active data plane streams have acknowledged.
+ *
+ * @param slowestVersion lowest acknowledged configuration version, or {@link #NO_SUBSCRIBERS}
+ * @param slowestRevision lowest acknowledged session revision, or {@link #NO_SUBSCRIBERS}
  */
 public record DeliveryProgress(long slowestVersion, long slowestRevision) {
-  /** Told where there are no active streams: nobody has to be waited for. */
+  /**
+   * Stands for both values if there are no active streams, so that no data plane has to be awaited.
+   */
   public static final long NO_SUBSCRIBERS = Long.MAX_VALUE;
 
-  /** Progress of these streams. */
+  /** Returns the progress of the active streams among these; inactive streams do not count. */
   public static DeliveryProgress of(Collection<SubscriberDelivery> subscribers) {
     long version = NO_SUBSCRIBERS;
     long revision = NO_SUBSCRIBERS;
--- a/src/main/java/slateslip/distribution/delivery/PeerProgress.java
+++ b/src/main/java/slateslip/distribution/delivery/PeerProgress.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * How far the data planes at the other control agents are, as these agents have said to this one in
- * its present term as primary. What a peer's earlier process said, or what was said in an earlier
- * term, says nothing about the data planes that are there now.
+ * Tracks the delivery progress that the other control agents have reported to this agent in its
+ * present term as primary. A report from an earlier process of a peer, or from an earlier term,
+ * says nothing about the data planes that are connected to the peer now.
  */
 public final class PeerProgress {
   private final Map<String, Long> incarnations = new HashMap<>();
@@ -14,7 +14,7 @@
 
   private record Report(long epoch, long slowestVersion) {}
 
-  /** A peer's process has introduced itself. */
+  /** Records the incarnation of a peer's process. Drops the report of an earlier incarnation. */
   public void peerStarted(String peer, long incarnation) {
     Long previous = incarnations.put(peer, incarnation);
     if (previous == null || previous != incarnation) {
@@ -23,12 +23,12 @@
   }
 
   /**
-   * A peer has said how far its data planes are.
+   * Records a report of a peer. Ignores the report if another incarnation of the peer has started.
    *
-   * @param incarnation of the process that has said so
-   * @param epoch of the view in which this agent received it
-   * @param slowestVersion lowest version acknowledged there; {@link DeliveryProgress#NOBODY} if
-   *     there are no data planes
+   * @param incarnation incarnation of the process that sent the report
+   * @param epoch epoch of the view in which this agent received the report
+   * @param slowestVersion lowest version acknowledged by the data planes of the peer; {@link
+   *     DeliveryProgress#NO_SUBSCRIBERS} if there are no data planes
    */
   public void recordReport(String peer, long incarnation, long epoch, long slowestVersion) {
     if (incarnations.getOrDefault(peer, incarnation) == incarnation) {
@@ -36,13 +36,16 @@
     }
   }
 
-  /** Whether a peer has said, in this epoch, that its data planes have this version. */
+  /**
+   * Returns whether the peer has reported in this epoch that all its data planes have this version
+   * or a newer one.
+   */
   public boolean isDelivered(String peer, long epoch, long version) {
     Report report = reports.get(peer);
     return report != null && report.epoch == epoch && report.slowestVersion >= version;
   }
 
-  /** The peer exists no more. */
+  /** Removes all state of a peer that no longer exists. */
   public void remove(String peer) {
     incarnations.remove(peer);
     reports.remove(peer);
--- a/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
+++ b/src/main/java/slateslip/distribution/delivery/SubscriberDelivery.java
@@ -10,13 +10,17 @@
 import slateslip.distribution.sessions.SessionTable;
 
 /**
- * What one data plane's stream has been sent and has acknowledged. While the stream takes no more,
- * nothing is queued: what it missed is sent as one change, or whole, once it does again.
+ * Tracks what was sent on one data plane's stream and what the data plane has acknowledged. While
+ * the stream is not writable, no messages are queued. Once the stream is writable again, everything
+ * that the data plane missed is sent as one change or as a complete state.
  */
 public final class SubscriberDelivery {
   private static final long NOTHING_SENT = -1;
 
-  /** Patches sent in a row; beyond, the complete configuration is shorter. */
+  /**
+   * The largest number of patches that are sent in succession. Beyond this number, the complete
+   * configuration is shorter.
+   */
   private static final int MAX_PATCHES = 8;
 
   private final ConfigurationSource configurations;
@@ -27,13 +31,16 @@
   private long acknowledgedVersion;
   private long acknowledgedRevision = NOTHING_SENT;
 
-  /** A stream whose first message has not come. */
+  /** Creates the delivery state of a stream on which no message has arrived. */
   public SubscriberDelivery(ConfigurationSource configurations, SessionTable sessions) {
     this.configurations = configurations;
     this.sessions = sessions;
   }
 
-  /** The data plane has said who it is and what it wants. */
+  /**
+   * Processes a subscription, which identifies the data plane and selects what the data plane
+   * receives. Session delivery starts again with the full table.
+   */
   public void subscribe(DataPlaneMessage.Subscribe message) {
     subscription = message;
     sentVersion = message.configurationVersion();
@@ -42,33 +49,45 @@
     acknowledgedRevision = NOTHING_SENT;
   }
 
-  /** The data plane has put these in force. */
+  /**
+   * Records the configuration version and the session revision that are in force at the data plane.
+   * Lower values than those recorded are ignored.
+   */
   public void acknowledge(DataPlaneMessage.Acknowledge message) {
     acknowledgedVersion = Math.max(acknowledgedVersion, message.configurationVersion());
     acknowledgedRevision = Math.max(acknowledgedRevision, message.sessionRevision());
   }
 
-  /** The subscription; empty before the first message. */
+  /** Returns the latest subscription; empty before the first message. */
   public Optional<DataPlaneMessage.Subscribe> subscription() {
     return Optional.ofNullable(subscription);
   }
 
-  /** Whether configurations and sessions are delivered on this stream. */
+  /** Returns whether configurations and sessions are delivered on this stream. */
   public boolean isActive() {
     return subscription != null && subscription.active();
   }
 
-  /** Version in force at the data plane, as far as it has said. */
+  /**
+   * Returns the newest configuration version that the data plane has acknowledged or named in its
+   * subscription; 0 if there is none.
+   */
   public long acknowledgedVersion() {
     return acknowledgedVersion;
   }
 
-  /** Revision of the sessions in force at the data plane, as far as it has said; -1 if none. */
+  /**
+   * Returns the newest session revision that the data plane has acknowledged since its last
+   * subscription; -1 if there is none.
+   */
   public long acknowledgedRevision() {
     return acknowledgedRevision;
   }
 
-  /** What is to be sent now; only asked while the stream takes more. */
+  /**
+   * Returns the messages to be sent now and records them as sent. Must only be called while the
+   * stream is writable.
+   */
   public List<ControlPlaneMessage> pending() {
     if (!isActive()) {
       return List.of();
@@ -94,7 +113,10 @@
     sentVersion = newestVersion;
   }
 
-  /** The patches that lead from one version to the other; empty if not all are known. */
+  /**
+   * Returns the patches that lead from one version to the other; empty if not all are known or if
+   * there are more than {@link #MAX_PATCHES}.
+   */
   private List<ControlPlaneMessage> patches(long from, long to) {
     List<ControlPlaneMessage> patches = new ArrayList<>();
     long version = from;
@@ -111,21 +133,24 @@
   }
 
   private void addSessions(List<ControlPlaneMessage> messages) {
-    long newestVersion = sessions.revision();
-    if (sentRevision == newestVersion) {
+    long newestRevision = sessions.revision();
+    if (sentRevision == newestRevision) {
       return;
     }
     Optional<SessionChangeSet> changes =
         sentRevision == NOTHING_SENT ? Optional.empty() : sessions.changesAfter(sentRevision);
     if (changes.isPresent()) {
-      messages.add(delta(newestVersion, changes.get()));
+      messages.add(delta(newestRevision, changes.get()));
     } else {
-      addFullTable(messages, newestVersion);
+      addFullTable(messages, newestRevision);
     }
-    sentRevision = newestVersion;
+    sentRevision = newestRevision;
   }
 
-  /** What is missing in a table may live all the same, so what has departed is named. */
+  /**
+   * Adds the full session table. A data plane must not treat a backend as gone only because an
+   * incomplete table does not contain it, so deregistered backends are listed explicitly.
+   */
   private void addFullTable(List<ControlPlaneMessage> messages, long revision) {
     messages.add(
         new ControlPlaneMessage.SessionSnapshot(
--- a/src/main/java/slateslip/distribution/delivery/package-info.java
+++ b/src/main/java/slateslip/distribution/delivery/package-info.java
@@ -1,2 +1,5 @@
-/** Delivery of configurations and sessions to data planes, as state machines without sockets. */
+/**
+ * Delivers configurations and backend sessions to data planes. The classes are state machines
+ * without sockets.
+ */
 package slateslip.distribution.delivery;
--- a/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
+++ b/src/test/java/slateslip/distribution/delivery/PeerProgressTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What peers say of their data planes counts only for the process and the term it was said in. */
+/**
+ * Checks that the report of a peer counts only for the process that sent it and the term in which
+ * it was received.
+ */
 class PeerProgressTest {
   private static final String PEER = "10.2.0.1";
   private static final long EPOCH = 4;
@@ -13,7 +16,7 @@
   private final PeerProgress progress = new PeerProgress();
 
   @Test
-  void aPeerThatHasSaidNothingIsWaitedFor() {
+  void peerWithoutReportIsNotDelivered() {
     assertThat(progress.isDelivered(PEER, EPOCH, 1), is(false));
     progress.peerStarted(PEER, 7);
     progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
@@ -21,7 +24,7 @@
   }
 
   @Test
-  void whatAnEarlierProcessSaidDoesNotCount() {
+  void reportOfEarlierProcessIsIgnored() {
     progress.peerStarted(PEER, 7);
     progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
     progress.peerStarted(PEER, 8);
@@ -34,14 +37,14 @@
   }
 
   @Test
-  void whatWasSaidInAnEarlierTenureDoesNotCount() {
+  void reportFromEarlierEpochIsIgnored() {
     progress.peerStarted(PEER, 7);
     progress.recordReport(PEER, 7, EPOCH, DeliveryProgress.NO_SUBSCRIBERS);
     assertThat(progress.isDelivered(PEER, EPOCH + 1, 1), is(false));
   }
 
   @Test
-  void reconnectOfSameProcessChangesNothing() {
+  void reconnectOfSameProcessKeepsReport() {
     progress.peerStarted(PEER, 7);
     progress.recordReport(PEER, 7, EPOCH, 5);
     progress.peerStarted(PEER, 7);
--- a/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
+++ b/src/test/java/slateslip/distribution/delivery/SubscriberDeliveryTest.java
@@ -16,7 +16,9 @@
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.sessions.SessionTable;
 
-/** What a stream is sent, by what it has and what it takes. */
+/**
+ * Checks which messages a stream receives, depending on the state that the data plane already has.
+ */
 class SubscriberDeliveryTest {
   private static final long NOW = 1_000_000;
 
@@ -25,7 +27,7 @@
   private final SubscriberDelivery delivery = new SubscriberDelivery(source, sessions);
 
   @Test
-  void standbyStreamGetsNothing() {
+  void standbyStreamReceivesNothing() {
     source.version = 5;
     assertThat(delivery.pending(), is(empty()));
     delivery.subscribe(subscribe(0, false));
@@ -34,7 +36,7 @@
   }
 
   @Test
-  void newStreamGetsFullState() {
+  void newStreamReceivesFullState() {
     source.version = 5;
     delivery.subscribe(subscribe(0, true));
     List<ControlPlaneMessage> messages = delivery.pending();
@@ -45,13 +47,13 @@
   }
 
   @Test
-  void withoutAConfigurationOnlySessionsAreSent() {
+  void onlySessionsAreSentWithoutConfiguration() {
     delivery.subscribe(subscribe(0, true));
     assertThat(delivery.pending(), hasSize(1));
   }
 
   @Test
-  void patchesLeadOnFromTheVersionThatItHas() {
+  void streamWithOlderVersionReceivesPatchesFromThatVersion() {
     source.patch(3, 5);
     source.patch(5, 6);
     delivery.subscribe(subscribe(3, true));
@@ -70,7 +72,7 @@
   }
 
   @Test
-  void aheadDataPlaneGetsNoOlderConfiguration() {
+  void dataPlaneWithNewerVersionReceivesNoConfiguration() {
     source.version = 5;
     delivery.subscribe(subscribe(9, true));
     assertThat(delivery.pending(), hasSize(1));
@@ -78,7 +80,7 @@
   }
 
   @Test
-  void whatAStreamMissedComesAsOneChange() {
+  void missedSessionChangesAreSentAsOneDelta() {
     delivery.subscribe(subscribe(0, true));
     delivery.pending();
     register("a", 1);
@@ -93,7 +95,7 @@
   }
 
   @Test
-  void onceTheTableIsCompleteItIsSentWhole() {
+  void completedTableIsSentAsSnapshot() {
     delivery.subscribe(subscribe(0, true));
     delivery.pending();
     sessions.markComplete();
@@ -103,7 +105,7 @@
   }
 
   @Test
-  void progressIsThatOfTheSlowestActiveStream() {
+  void progressIsMinimumOfActiveStreams() {
     SubscriberDelivery second = new SubscriberDelivery(source, sessions);
     SubscriberDelivery standby = new SubscriberDelivery(source, sessions);
     delivery.subscribe(subscribe(0, true));
@@ -119,7 +121,7 @@
   }
 
   @Test
-  void anOldAcknowledgementTakesNothingBack() {
+  void olderAcknowledgementDoesNotLowerProgress() {
     delivery.subscribe(subscribe(0, true));
     delivery.acknowledge(new DataPlaneMessage.Acknowledge(4, 9));
     delivery.acknowledge(new DataPlaneMessage.Acknowledge(3, 8));
