--- a/src/main/java/slateslip/controlplane/agent/PeerLinks.java
+++ b/src/main/java/slateslip/controlplane/agent/PeerLinks.java
@@ -54,7 +54,7 @@
 
   /** Connects to those of the given IPv4 addresses that are not known yet. */
   void connectTo(Collection<String> addresses) {
-    for (String address : reachability.learn(scheduler.nowMicros(), addresses)) {
+    for (String address : reachability.addPeers(scheduler.nowMicros(), addresses)) {
       links.put(address, connector.connect(address, codec.encode(self), new LinkListener(address)));
     }
   }
--- a/src/main/java/slateslip/distribution/peer/ConfigurationStateSnapshot.java
+++ b/src/main/java/slateslip/distribution/peer/ConfigurationStateSnapshot.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * The replicated configuration state, complete.
+ * A complete snapshot of the replicated configuration state.
  *
- * @param changes the newest committed changes, oldest first
- * @param document the newest configuration as JSON; empty if there is none
+ * @param changes newest committed changes, oldest first
+ * @param document newest configuration as JSON; empty if there is none
  */
 public record ConfigurationStateSnapshot(List<CommittedChange> changes, byte[] document) {
   /**
-   * What is kept of a committed change, to know it again.
+   * Identifies a committed change, so that a repeated request for the same change is recognized.
    *
-   * @param baseVersion version that it built on
-   * @param version that it made
-   * @param digestHigh first half of its digest
-   * @param digestLow second half of its digest
+   * @param baseVersion version of the configuration to which the change was applied
+   * @param version version that the change produced
+   * @param digestHigh first half of the digest of the request
+   * @param digestLow second half of the digest of the request
    */
   public record CommittedChange(long baseVersion, long version, long digestHigh, long digestLow) {}
 }
--- a/src/main/java/slateslip/distribution/peer/ControlPeerMessage.java
+++ b/src/main/java/slateslip/distribution/peer/ControlPeerMessage.java
@@ -4,85 +4,85 @@
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.QuotaReport;
 
-/**
- * What control agents say to each other about sessions, calls of the operator's and data planes.
- */
+/** A message between control agents about sessions, operator requests, or data planes. */
 public sealed interface ControlPeerMessage {
   /**
-   * The first message on a connection.
+   * Identifies the sender; the first message on a connection.
    *
    * @param address IPv4 address of the sender
-   * @param incarnation drawn at random at its start
+   * @param incarnation random number that the sender's process drew at its start
    */
   record Hello(String address, long incarnation) implements ControlPeerMessage {}
 
   /**
-   * Sent several times a second.
+   * Shows that the sender is alive; sent several times a second.
    *
-   * @param number rises with each heartbeat
-   * @param acknowledgedNumber number of the newest heartbeat that came from the receiver; 0 if none
-   * @param complete whether the sender's session table holds all that live
-   * @param knownAgents IPv4 addresses of the control agents that it knows
+   * @param number number of this heartbeat; rises with each heartbeat
+   * @param acknowledgedNumber number of the newest heartbeat that the sender has received from the
+   *     receiver; 0 if there is none
+   * @param complete whether the sender's session table contains all live backends
+   * @param knownAgents IPv4 addresses of the control agents that the sender knows
    */
   record Heartbeat(long number, long acknowledgedNumber, boolean complete, List<String> knownAgents)
       implements ControlPeerMessage {}
 
   /**
-   * Sessions that are new or changed, and those that ended.
+   * Replicates sessions that are new or changed, and sessions that have ended.
    *
-   * @param number to be acknowledged by {@link SessionChangesAcknowledged}; 0 if nobody waits for
-   *     it
-   * @param fullTable whether these are all that the sender has
-   * @param entries new or changed ones
-   * @param deregistered ids of backends that have said that they are gone
+   * @param number number that the receiver acknowledges with {@link SessionChangesAcknowledged}; 0
+   *     if no acknowledgement is awaited
+   * @param fullTable whether the message contains all sessions of the sender
+   * @param entries new or changed sessions
+   * @param deregistered ids of backends that have deregistered
    */
   record SessionChanges(
       long number, boolean fullTable, List<SessionEntry> entries, List<String> deregistered)
       implements ControlPeerMessage {}
 
-  /** Calls that changed nothing. */
+  /** Replicates renewals of sessions in which nothing else has changed. */
   record SessionRenewals(List<SessionRenewal> renewals) implements ControlPeerMessage {}
 
   /**
-   * The changes of this number are in the sender's table and have been delivered to its streams.
+   * Acknowledges the changes with this number. The changes are in the sender's table, and the data
+   * planes of the sender have acknowledged the changes or the sender has stopped waiting for them.
    */
   record SessionChangesAcknowledged(long number) implements ControlPeerMessage {}
 
-  /** A call of the operator's for the primary; {@code requestId} is the sender's own. */
+  /** Forwards an operator request to the primary. The sender chooses {@code requestId}. */
   record ForwardedRequest(long requestId, OperatorRequest request) implements ControlPeerMessage {}
 
-  /** Response to {@link ForwardedRequest}. */
+  /** Carries the response to the {@link ForwardedRequest} with the same id. */
   record ForwardedResponse(long requestId, OperatorResponse response)
       implements ControlPeerMessage {}
 
   /**
-   * How far the data planes at the sender are.
+   * Reports the delivery progress of the data planes that are connected to the sender.
    *
-   * @param slowestVersion lowest version acknowledged by one of them; {@link Long#MAX_VALUE} if
-   *     there are none
+   * @param slowestVersion lowest configuration version that any of these data planes has
+   *     acknowledged; {@link Long#MAX_VALUE} if there are no data planes
    */
   record DeliveryReport(long slowestVersion) implements ControlPeerMessage {}
 
-  /** Demand of the data planes at the sender. */
+  /** Reports the quota demand of data planes that are connected to the sender. */
   record DemandReport(List<DataPlaneDemand> dataPlanes) implements ControlPeerMessage {}
 
-  /** Shares for the data planes at the receiver. */
+  /** Carries quota allocations for data planes that are connected to the receiver. */
   record QuotaAllocations(List<DataPlaneQuota> dataPlanes) implements ControlPeerMessage {}
 
   /**
-   * Demand of one data plane.
+   * The quota demand of one data plane.
    *
-   * @param node its name
-   * @param incarnation of its process
-   * @param report what it told
+   * @param node name of the data plane's node
+   * @param incarnation incarnation of the data plane's process
+   * @param report report that the data plane sent
    */
   record DataPlaneDemand(String node, long incarnation, QuotaReport report) {}
 
   /**
-   * Shares of one data plane.
+   * The quota allocation for one data plane.
    *
-   * @param node its name
-   * @param allocation its part of the fleet-wide limits
+   * @param node name of the data plane's node
+   * @param allocation part of the fleet-wide limits that the data plane receives
    */
   record DataPlaneQuota(String node, QuotaAllocation allocation) {}
 }
--- a/src/main/java/slateslip/distribution/peer/OperatorRequest.java
+++ b/src/main/java/slateslip/distribution/peer/OperatorRequest.java
@@ -1,21 +1,21 @@
 package slateslip.distribution.peer;
 
 /**
- * A call of the operator's that changes or reads the configuration.
+ * An operator's request to read or change the configuration.
  *
- * @param method what is asked
- * @param baseVersion version that the change builds on; of a {@link Method#GET} the version that
- *     the caller has, whose document need not be sent to it again, or 0
- * @param body as it was sent; empty for a {@link Method#GET}
+ * @param method operation that the operator requests
+ * @param baseVersion version to which the change applies; for {@link Method#GET}, the version that
+ *     the caller already has, whose document need not be sent again, or 0
+ * @param body body of the request as the operator sent it; empty for {@link Method#GET}
  */
 public record OperatorRequest(Method method, long baseVersion, byte[] body) {
-  /** What is asked. */
+  /** The operation that an operator requests. */
   public enum Method {
-    /** The newest configuration. */
+    /** Returns the newest configuration. */
     GET,
-    /** A complete configuration. */
+    /** Replaces the complete configuration. */
     PUT,
-    /** Changes of named items. */
+    /** Changes the items that the body names. */
     PATCH
   }
 }
--- a/src/main/java/slateslip/distribution/peer/Reachability.java
+++ b/src/main/java/slateslip/distribution/peer/Reachability.java
@@ -7,16 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * Which control agents this one hears, and which hear it, by their heartbeats. The number of a
- * heartbeat is the steady time at which it was sent, counted from a base that is drawn at random
- * for each incarnation of the process, so that an echoed number tells how old the echo is, and the
- * echo of an earlier incarnation's heartbeat is known as such. Times are in microseconds.
+ * Tracks from heartbeats which control agents this agent receives and which agents receive this
+ * agent. The number of a heartbeat is the steady time at which the heartbeat was sent, counted from
+ * a base that is drawn at random for each incarnation of the process. An acknowledged number
+ * therefore shows how old the acknowledged heartbeat is, and an acknowledgement of a heartbeat of
+ * an earlier incarnation is recognized as such. Times are in microseconds.
  */
 public final class Reachability {
-  /** A peer that was not heard, or has not heard, for this long is out of reach. */
+  /**
+   * A peer is unreachable if no heartbeat from the peer has arrived for this long, or if the newest
+   * heartbeat that the peer has acknowledged is at least this old.
+   */
   public static final long PEER_TIMEOUT_MICROS = 700_000;
 
-  /** A peer that is not named by anyone and was not heard for this long is forgotten. */
+  /** How long a peer without heartbeats is remembered unless the caller retains the peer. */
   private static final long RETENTION_MICROS = 20_000_000;
 
   private final String self;
@@ -24,29 +28,35 @@
   private final Map<String, PeerContact> contacts = new TreeMap<>();
 
   /**
-   * Knows nobody yet.
+   * Creates a tracker that knows no peers.
    *
    * @param self IPv4 address of this agent
-   * @param incarnation of its process, drawn at random
+   * @param incarnation incarnation of this agent's process, drawn at random
    */
   public Reachability(String self, long incarnation) {
     this.self = self;
-    numberBase = incarnation >>> 2; // leaves room above for times
+    numberBase = incarnation >>> 2; // leaves headroom so that adding a time cannot overflow
   }
 
-  /** Number of a heartbeat that is sent now. */
+  /** Returns the number of a heartbeat that is sent now. */
   public long heartbeatNumber(long nowMicros) {
     return numberBase + nowMicros;
   }
 
-  /** When the newest heartbeat was sent that the peer is known to have; 0 if none is. */
+  /**
+   * Returns the time when this agent sent the newest heartbeat that the peer has acknowledged; 0 if
+   * the peer has acknowledged none.
+   */
   public long acknowledgedMicros(String peer) {
     PeerContact contact = contacts.get(peer);
     return contact == null ? 0 : contact.acknowledgedMicros;
   }
 
-  /** Takes note of agents that are said to exist; the new ones among them. */
-  public List<String> learn(long nowMicros, Collection<String> addresses) {
+  /**
+   * Adds agents to the known peers. Returns the addresses that are new and are not this agent's
+   * own.
+   */
+  public List<String> addPeers(long nowMicros, Collection<String> addresses) {
     List<String> added = new ArrayList<>();
     for (String address : addresses) {
       if (!address.equals(self) && !contacts.containsKey(address)) {
@@ -57,30 +67,39 @@
     return added;
   }
 
-  /** Takes note of a heartbeat. */
+  /** Processes a heartbeat from a peer. A peer that is not known is added. */
   public void heartbeatReceived(
       long nowMicros, String peer, ControlPeerMessage.Heartbeat heartbeat) {
     PeerContact contact = contacts.computeIfAbsent(peer, key -> new PeerContact(nowMicros));
-    contact.lastHeardMicros = nowMicros;
-    contact.everHeard = true;
+    contact.lastHeartbeatMicros = nowMicros;
+    contact.anyHeartbeatReceived = true;
     contact.lastHeartbeatNumber = heartbeat.number();
     contact.acknowledgedMicros =
         Math.max(contact.acknowledgedMicros, sentMicros(nowMicros, heartbeat.acknowledgedNumber()));
   }
 
-  /** When the beat of this number was sent; 0 if an earlier incarnation of this process sent it. */
+  /**
+   * Returns the time when this process sent the heartbeat with this number; 0 if an earlier
+   * incarnation of the process sent the heartbeat.
+   */
   private long sentMicros(long nowMicros, long number) {
     long micros = number - numberBase;
     return micros > 0 && micros <= nowMicros ? micros : 0;
   }
 
-  /** What the next heartbeat to a peer echoes. */
+  /**
+   * Returns the number of the newest heartbeat from the peer, which the next heartbeat to the peer
+   * acknowledges; 0 if there is none.
+   */
   public long lastHeartbeatNumber(String peer) {
     PeerContact contact = contacts.get(peer);
     return contact == null ? 0 : contact.lastHeartbeatNumber;
   }
 
-  /** A peer's process has started anew: what was echoed before says nothing. */
+  /**
+   * Records that a peer's process has restarted. Numbers of the earlier process are no longer
+   * acknowledged.
+   */
   public void peerRestarted(String peer) {
     PeerContact contact = contacts.get(peer);
     if (contact != null) {
@@ -88,46 +107,55 @@
     }
   }
 
-  /** Whether the peer was heard lately. */
-  public boolean isHeard(long nowMicros, String peer) {
+  /** Returns whether a heartbeat from the peer has arrived recently. */
+  public boolean hasRecentHeartbeat(long nowMicros, String peer) {
     PeerContact contact = contacts.get(peer);
     return contact != null
-        && contact.everHeard
-        && nowMicros - contact.lastHeardMicros < PEER_TIMEOUT_MICROS;
+        && contact.anyHeartbeatReceived
+        && nowMicros - contact.lastHeartbeatMicros < PEER_TIMEOUT_MICROS;
   }
 
-  /** Whether the peer was heard lately and has lately heard this agent. */
+  /**
+   * Returns whether a heartbeat from the peer has arrived recently and the peer has acknowledged a
+   * recent heartbeat of this agent.
+   */
   public boolean isReachable(long nowMicros, String peer) {
     PeerContact contact = contacts.get(peer);
-    return isHeard(nowMicros, peer)
+    return hasRecentHeartbeat(nowMicros, peer)
         && contact.acknowledgedMicros > 0
         && nowMicros - contact.acknowledgedMicros < PEER_TIMEOUT_MICROS;
   }
 
-  /** Agents in reach, without this one. */
+  /** Returns the reachable agents, without this agent. */
   public List<String> reachablePeers(long nowMicros) {
     return contacts.keySet().stream().filter(peer -> isReachable(nowMicros, peer)).toList();
   }
 
-  /** All agents that are known, without this one. */
+  /** Returns all known agents, without this agent. */
   public List<String> knownPeers() {
     return List.copyOf(contacts.keySet());
   }
 
-  /** Whether more than half of these agents are in reach, this one counted if it is among them. */
+  /**
+   * Returns whether more than half of these agents are reachable. This agent counts as reachable if
+   * the collection contains it.
+   */
   public boolean reachesMajority(long nowMicros, Collection<String> witnesses) {
-    long reachablePeers =
+    long reachable =
         witnesses.stream()
             .filter(address -> address.equals(self) || isReachable(nowMicros, address))
             .count();
-    return 2 * reachablePeers > witnesses.size();
+    return 2 * reachable > witnesses.size();
   }
 
-  /** Forgets agents that are not among the kept ones and were not heard for long; returns them. */
+  /**
+   * Removes agents that are not in the retained collection and have sent no heartbeat for a long
+   * time. Returns the removed agents.
+   */
   public List<String> removeExpired(long nowMicros, Collection<String> retained) {
     List<String> removed = new ArrayList<>();
     for (Map.Entry<String, PeerContact> entry : contacts.entrySet()) {
-      boolean expired = nowMicros - entry.getValue().lastHeardMicros > RETENTION_MICROS;
+      boolean expired = nowMicros - entry.getValue().lastHeartbeatMicros > RETENTION_MICROS;
       if (expired && !retained.contains(entry.getKey())) {
         removed.add(entry.getKey());
       }
@@ -137,13 +165,13 @@
   }
 
   private static final class PeerContact {
-    private long lastHeardMicros;
-    private boolean everHeard;
+    private long lastHeartbeatMicros;
+    private boolean anyHeartbeatReceived;
     private long lastHeartbeatNumber;
     private long acknowledgedMicros;
 
-    private PeerContact(long learnedAtMicros) {
-      lastHeardMicros = learnedAtMicros;
+    private PeerContact(long addedAtMicros) {
+      lastHeartbeatMicros = addedAtMicros;
     }
   }
 }
--- a/src/main/java/slateslip/distribution/peer/SessionEntry.java
+++ b/src/main/java/slateslip/distribution/peer/SessionEntry.java
@@ -3,10 +3,11 @@
 import slateslip.distribution.BackendSession;
 
 /**
- * A session as one control agent hands it to another. Times are ages, as the agents' clocks differ.
+ * A session as one control agent sends it to another. Times are sent as ages, because the clocks of
+ * agents differ.
  *
- * @param session what the backend said last
- * @param registeredAgeMillis since its first call
- * @param heardAgeMillis since its newest call
+ * @param session newest state that the backend reported
+ * @param registeredAgeMillis time in milliseconds since the first heartbeat of the incarnation
+ * @param heardAgeMillis time in milliseconds since its newest heartbeat
  */
 public record SessionEntry(BackendSession session, long registeredAgeMillis, long heardAgeMillis) {}
--- a/src/main/java/slateslip/distribution/peer/package-info.java
+++ b/src/main/java/slateslip/distribution/peer/package-info.java
@@ -1,2 +1,5 @@
-/** Messages among control agents, besides those of the control state's replication. */
+/**
+ * Messages between control agents, other than the messages that replicate the control state, and
+ * the tracking of which agents are reachable.
+ */
 package slateslip.distribution.peer;
--- a/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
+++ b/src/test/java/slateslip/distribution/peer/ReachabilityTest.java
@@ -8,27 +8,27 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who is in reach, by heartbeats both ways. */
+/** Checks that reachability requires heartbeats in both directions. */
 class ReachabilityTest {
   private static final String SELF = "10.1.0.1";
   private static final String PEER = "10.2.0.1";
   private static final String OTHER = "10.3.0.1";
   private static final long START = 5_000_000;
   private static final long INCARNATION = 0x2b5c_9d10_77e1_0345L;
-  private static final long FORMER_INCARNATION = 0x1111_9d10_77e1_0345L;
+  private static final long EARLIER_INCARNATION = 0x1111_9d10_77e1_0345L;
 
   private final Reachability reachability = new Reachability(SELF, INCARNATION);
 
   @Test
-  void learnsEachAgentOnceAndNeverItself() {
-    assertThat(reachability.learn(START, List.of(SELF, PEER, PEER)), contains(PEER));
-    assertThat(reachability.learn(START, List.of(PEER)), is(empty()));
+  void addPeersReturnsNewPeersOnceAndNeverSelf() {
+    assertThat(reachability.addPeers(START, List.of(SELF, PEER, PEER)), contains(PEER));
+    assertThat(reachability.addPeers(START, List.of(PEER)), is(empty()));
   }
 
   @Test
   void oneWayPeerIsUnreachable() {
     heartbeatReceived(START, PEER, 1, 0);
-    assertThat(reachability.isHeard(START, PEER), is(true));
+    assertThat(reachability.hasRecentHeartbeat(START, PEER), is(true));
     assertThat(reachability.isReachable(START, PEER), is(false));
     heartbeatReceived(START, PEER, 2, START - Reachability.PEER_TIMEOUT_MICROS);
     assertThat(reachability.isReachable(START, PEER), is(false));
@@ -37,14 +37,14 @@
   }
 
   @Test
-  void theEchoOfAnEarlierLifesBeatShowsNothing() {
-    Reachability former = new Reachability(SELF, FORMER_INCARNATION);
-    long formerHeartbeat = former.heartbeatNumber(START + 900_000_000);
+  void acknowledgementOfEarlierIncarnationsHeartbeatIsIgnored() {
+    Reachability earlier = new Reachability(SELF, EARLIER_INCARNATION);
+    long earlierHeartbeat = earlier.heartbeatNumber(START + 900_000_000);
     reachability.heartbeatReceived(
-        START, PEER, new ControlPeerMessage.Heartbeat(1, formerHeartbeat, true, List.of()));
+        START, PEER, new ControlPeerMessage.Heartbeat(1, earlierHeartbeat, true, List.of()));
     assertThat(reachability.isReachable(START, PEER), is(false));
     assertThat(reachability.acknowledgedMicros(PEER), is(0L));
-    long laterHeartbeat = new Reachability(SELF, -FORMER_INCARNATION).heartbeatNumber(START);
+    long laterHeartbeat = new Reachability(SELF, -EARLIER_INCARNATION).heartbeatNumber(START);
     reachability.heartbeatReceived(
         START, PEER, new ControlPeerMessage.Heartbeat(2, laterHeartbeat, true, List.of()));
     assertThat(reachability.isReachable(START, PEER), is(false));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void majorityCountsSelfOnlyIfWitness() {
+  void majorityCountsSelfOnlyIfAmongWitnesses() {
     heartbeatReceived(START, PEER, 1, START);
     assertThat(reachability.reachesMajority(START, List.of(SELF, PEER, OTHER)), is(true));
     assertThat(reachability.reachesMajority(START, List.of(PEER, OTHER, "10.4.0.1")), is(false));
@@ -75,16 +75,17 @@
   }
 
   @Test
-  void agentsLongUnheardAreForgottenUnlessNamed() {
-    reachability.learn(START, List.of(PEER, OTHER));
+  void silentAgentsAreRemovedUnlessRetained() {
+    reachability.addPeers(START, List.of(PEER, OTHER));
     long later = START + 60_000_000;
     assertThat(reachability.removeExpired(later, List.of(OTHER)), contains(PEER));
     assertThat(reachability.knownPeers(), contains(OTHER));
   }
 
-  private void heartbeatReceived(long now, String peer, long number, long echoed) {
-    long echo = echoed == 0 ? 0 : reachability.heartbeatNumber(echoed);
+  private void heartbeatReceived(long now, String peer, long number, long acknowledgedSentMicros) {
+    long acknowledgedNumber =
+        acknowledgedSentMicros == 0 ? 0 : reachability.heartbeatNumber(acknowledgedSentMicros);
     reachability.heartbeatReceived(
-        now, peer, new ControlPeerMessage.Heartbeat(number, echo, true, List.of()));
+        now, peer, new ControlPeerMessage.Heartbeat(number, acknowledgedNumber, true, List.of()));
   }
 }
