--- a/src/main/java/slateslip/distribution/ControlPlaneMessage.java
+++ b/src/main/java/slateslip/distribution/ControlPlaneMessage.java
@@ -2,44 +2,47 @@
 
 import java.util.List;
 
-/** What a control agent tells a data plane on its stream. */
+/** A message that a control agent sends to a data plane on its stream. */
 public sealed interface ControlPlaneMessage {
-  /** A complete configuration, as JSON. */
+  /** Carries a complete configuration, as JSON. */
   record ConfigurationSnapshot(long version, byte[] document) implements ControlPlaneMessage {}
 
-  /** A change from one version to the next: the body of the operator's {@code PATCH}. */
+  /** Carries a change from one version to the next: the body of the operator's {@code PATCH}. */
   record ConfigurationPatch(long fromVersion, long toVersion, byte[] patch)
       implements ControlPlaneMessage {}
 
   /**
-   * All backends that the control agent knows.
+   * Carries all backend sessions that the control agent knows.
    *
-   * @param revision of this agent's table; it starts anew with each stream
-   * @param complete false while the agent is still collecting after its start: what is missing may
-   *     live
+   * @param revision revision of this agent's table; revisions are not comparable between streams
+   * @param complete false while the agent is still collecting sessions after its start; a backend
+   *     that the snapshot does not contain may then be live
+   * @param sessions all sessions that the agent knows
    */
   record SessionSnapshot(long revision, boolean complete, List<BackendSession> sessions)
       implements ControlPlaneMessage {}
 
-  /** Sessions that are new or changed, and ids of those that are gone. */
+  /** Carries the sessions that are new or changed, and the ids of sessions that have ended. */
   record SessionDelta(long revision, List<BackendSession> changed, List<String> removedIds)
       implements ControlPlaneMessage {}
 
-  /** The data plane's share of the fleet-wide limits. */
+  /** Carries the data plane's part of the fleet-wide limits. */
   record QuotaUpdate(QuotaAllocation allocation) implements ControlPlaneMessage {}
 
   /**
-   * Sent several times a second on every stream.
+   * Shows that the control agent is alive; sent several times a second on every stream.
    *
-   * @param current whether this agent is in touch with the primary of the newest view
-   * @param configurationVersion newest version that it knows to be committed
-   * @param sessionRevision newest revision of its session table
-   * @param controlAgents IPv4 addresses of the control agents that it knows to be up
+   * @param current whether this agent receives messages from the primary of the newest view and
+   *     reaches a majority of the agents that vote on the primary
+   * @param configurationVersion newest version that this agent knows to be committed
+   * @param sessionRevision newest revision of this agent's session table
+   * @param controlAgents IPv4 addresses of the control agents that this agent reaches; if {@code
+   *     current} is false, also the addresses of all agents that vote on the primary
    */
   record Heartbeat(
       boolean current, long configurationVersion, long sessionRevision, List<String> controlAgents)
       implements ControlPlaneMessage {}
 
-  /** Response to {@link DataPlaneMessage.Ping}. */
+  /** Responds to the {@link DataPlaneMessage.Ping} with the same nonce. */
   record Pong(long nonce) implements ControlPlaneMessage {}
 }
--- a/src/main/java/slateslip/distribution/Spending.java
+++ b/src/main/java/slateslip/distribution/Spending.java
@@ -3,57 +3,65 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * What a data plane has spent of a tenant's quota, and how much of it will still count when parts
- * of a window have passed.
+ * Describes what a data plane has spent of a tenant's quota, and how much of this spending still
+ * counts after each eighth of a window.
  *
- * @param now what counts now, as a fraction of what the quota permits in a window
- * @param remainingParts for each eighth of a window that will have passed, in a byte from the
- *     lowest on: the part of {@code now} that still counts then, in 255ths, rounded up
+ * @param now spending that counts now, as a fraction of the units that the quota permits in a
+ *     window
+ * @param remainingParts one byte for each eighth of a window, starting with the lowest byte for the
+ *     first eighth: the part of {@code now} that still counts after that eighth, in 255ths, rounded
+ *     up
  */
 public record Spending(double now, long remainingParts) {
-  /** Nothing spent. */
-  public static final Spending NONE = lasting(0);
+  /** No spending. */
+  public static final Spending NONE = constant(0);
 
   private static final int STEPS = 8;
-  private static final int BITS = 8;
-  private static final int FULL = 255;
+  private static final int BITS_PER_STEP = 8;
+  private static final int MAX_PART = 255;
 
-  /** All of it counts to the end of the window. */
-  public static Spending lasting(double fraction) {
+  /** Creates spending that counts in full until the end of the window. */
+  public static Spending constant(double fraction) {
     return new Spending(fraction, -1L);
   }
 
   /**
-   * What counts at each time of the coming window.
+   * Creates spending that leaves the window over time.
    *
-   * @param fractionAfter what still counts of {@code now} after a time in microseconds
+   * @param now spending that counts now, as a fraction of the units that the quota permits in a
+   *     window
+   * @param windowMicros length of the window in microseconds
+   * @param fractionAfter returns how much of {@code now} still counts after a time in microseconds
    */
   public static Spending of(double now, long windowMicros, LongToDoubleFunction fractionAfter) {
     long parts = 0;
     for (int step = 1; step <= STEPS && now > 0; step++) {
       double part = fractionAfter.applyAsDouble(step * windowMicros / STEPS) / now;
-      long rounded = Math.min(FULL, (long) Math.ceil(part * FULL));
-      parts |= rounded << (BITS * (step - 1));
+      long rounded = Math.min(MAX_PART, (long) Math.ceil(part * MAX_PART));
+      parts |= rounded << (BITS_PER_STEP * (step - 1));
     }
     return new Spending(now, parts);
   }
 
-  /** The most that can still count when this time has passed. */
+  /** Returns the largest fraction that can still count after this time has passed. */
   public double maxRemaining(long elapsedMicros, long windowMicros) {
-    return now * part(elapsedMicros * STEPS / windowMicros) / FULL;
+    return now * part(elapsedMicros * STEPS / windowMicros) / MAX_PART;
   }
 
-  /** The least that can still count when this time has passed, if nothing is given back. */
+  /**
+   * Returns the smallest fraction that can still count after this time has passed, provided that no
+   * spent units are returned.
+   */
   public double minRemaining(long elapsedMicros, long windowMicros) {
     long step = elapsedMicros * STEPS / windowMicros + 1;
-    return step > STEPS ? 0 : now * Math.max(0, part(step) - 1) / FULL;
+    return step > STEPS ? 0 : now * Math.max(0, part(step) - 1) / MAX_PART;
   }
 
   private long part(long step) {
     if (step < 1) {
-      return FULL;
+      return MAX_PART;
     }
     int byteIndex = (int) Math.min(STEPS, step) - 1;
-    return remainingParts >>> (BITS * byteIndex) & FULL;
+    return remainingParts >>> (BITS_PER_STEP * byteIndex) & MAX_PART;
   }
 }
--- a/src/main/java/slateslip/distribution/TenantDemand.java
+++ b/src/main/java/slateslip/distribution/TenantDemand.java
@@ -1,16 +1,17 @@
 package slateslip.distribution;
 
 /**
- * How one tenant stands at one data plane. Fractions are of what the quota permits in a window, and
- * may exceed 1 after a limit was lowered.
+ * Describes the quota demand of one tenant at one data plane. Fractions refer to the units that the
+ * quota permits in a window, and may exceed 1 after a limit was lowered.
  *
- * @param tenant its name
- * @param wantedUnits tokens (or requests) asked for since the data plane started, admitted or not
- * @param admittedUnits tokens (or requests) admitted since then
+ * @param tenant name of the tenant
+ * @param wantedUnits tokens (or requests) requested since the data plane started, admitted or not
+ * @param admittedUnits tokens (or requests) admitted since the data plane started
  * @param allowed fraction that the data plane may use now
- * @param spending what counts in its present window
- * @param needed fraction that it would use now: what it spent, and what waits or was refused
- * @param desired fraction that it is likely to use soon; at least {@code needed}
+ * @param spending spending that counts in the data plane's present window
+ * @param needed fraction that the data plane would use now: its spending, and what waits or was
+ *     refused
+ * @param desired fraction that the data plane is likely to use soon; at least {@code needed}
  */
 public record TenantDemand(
     String tenant,
@@ -21,12 +22,12 @@
     double needed,
     double desired) {
 
-  /** Counts only, as data planes of earlier versions tell them. */
+  /** Creates a demand that contains only counts, as data planes of earlier versions report it. */
   public TenantDemand(String tenant, long wantedUnits, long admittedUnits) {
     this(tenant, wantedUnits, admittedUnits, 0, Spending.NONE, 0, 0);
   }
 
-  /** Fraction that counts in its present window. */
+  /** Returns the fraction that counts in the data plane's present window. */
   public double spent() {
     return spending.now();
   }
--- a/src/main/java/slateslip/distribution/package-info.java
+++ b/src/main/java/slateslip/distribution/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between control agents and data planes, and what they carry. */
+/** Messages between control agents and data planes, and the values that these messages carry. */
 package slateslip.distribution;
