--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -115,7 +115,7 @@
    * view's primary.
    */
   boolean hearsPrimary() {
-    return replica.hearsPrimary();
+    return replica.isPrimaryReachable();
   }
 
   /** Asks the other nodes to take over this node's role in the view. */
--- a/src/main/java/slateslip/coordination/Ballot.java
+++ b/src/main/java/slateslip/coordination/Ballot.java
@@ -1,16 +1,16 @@
 package slateslip.coordination;
 
 /**
- * Number of a proposal for the next view; ballots of different nodes differ.
+ * Number of a proposal for the next view. Ballots of different proposers are never equal.
  *
- * @param round 1 or more; 0 only in {@link #NONE}
- * @param proposer who proposes
+ * @param round a number from 1 upwards; 0 only in {@link #NONE}
+ * @param proposer the node that proposes
  */
 public record Ballot(long round, NodeId proposer) implements Comparable<Ballot> {
-  /** Lower than every ballot. */
+  /** Stands for the absence of a ballot and is lower than every ballot. */
   public static final Ballot NONE = new Ballot(0, NodeId.NONE);
 
-  /** Whether this is {@link #NONE}. */
+  /** Returns whether this ballot is {@link #NONE}. */
   public boolean isNone() {
     return round == 0;
   }
--- a/src/main/java/slateslip/coordination/ClientResult.java
+++ b/src/main/java/slateslip/coordination/ClientResult.java
@@ -2,46 +2,46 @@
 
 import java.util.Optional;
 
-/** Response to a client's call. */
+/** The response to a client's request. */
 public sealed interface ClientResult {
-  /** Names the call. */
+  /** Returns the identifier of the request. */
   long clientToken();
 
   /**
    * The command's record is committed and applied.
    *
-   * @param clientToken names the call
-   * @param sequence of the record
+   * @param clientToken the identifier of the request
+   * @param sequence the sequence number of the record
    */
   record Committed(long clientToken, long sequence) implements ClientResult {}
 
   /**
-   * The command made no record; the state that answered it was current.
+   * The command produced no record; the state from which the response was computed was current.
    *
-   * @param clientToken names the call
-   * @param response of {@link ReplicatedState#prepare}
+   * @param clientToken the identifier of the request
+   * @param response the response that {@link ReplicatedState#prepare} returned
    */
   record Responded(long clientToken, byte[] response) implements ClientResult {}
 
   /**
-   * The state is current.
+   * The committed state on this node is current.
    *
-   * @param clientToken names the call
+   * @param clientToken the identifier of the request
    */
   record Confirmed(long clientToken) implements ClientResult {}
 
   /**
-   * Another node is the primary; nothing was done.
+   * This node is not the primary; the request had no effect.
    *
-   * @param clientToken names the call
-   * @param primary where it may be, if known
+   * @param clientToken the identifier of the request
+   * @param primary the probable address of the primary, or empty if unknown
    */
   record NotPrimary(long clientToken, Optional<NodeAddress> primary) implements ClientResult {}
 
   /**
-   * No clear response: the command may or may not come into force.
+   * The outcome of the request is unknown: a command may or may not take effect.
    *
-   * @param clientToken names the call
+   * @param clientToken the identifier of the request
    */
   record Unavailable(long clientToken) implements ClientResult {}
 }
--- a/src/main/java/slateslip/coordination/ControlReplica.java
+++ b/src/main/java/slateslip/coordination/ControlReplica.java
@@ -6,7 +6,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One core node's part in keeping the control state. */
+/**
+ * The replica of the control state on one core node: a state machine that turns inputs into
+ * effects.
+ */
 public final class ControlReplica {
   private final ReplicaContext context;
   private final PendingRequests requests;
@@ -18,11 +21,11 @@
   private boolean started;
 
   /**
-   * A replica; its first input is {@link ReplicaInput.Start}.
+   * Creates a replica, whose first input must be {@link ReplicaInput.Start}.
    *
-   * @param settings of this node
+   * @param settings the settings of this node
    * @param state the replicated application, in its state before the first record
-   * @param randomSeed for identities and backoff
+   * @param randomSeed the seed of the random numbers for disk identifiers and backoff delays
    */
   public ControlReplica(ReplicaSettings settings, ReplicatedState state, long randomSeed) {
     context = new ReplicaContext(settings, state, randomSeed);
@@ -31,13 +34,13 @@
     primary = new PrimaryRole(context, peers, requests);
     follower = new FollowerRole(context);
     witness = new Witness(context, this::primaryAlive);
-    proposer = new Proposer(context, new Proposals());
+    proposer = new Proposer(context, new ViewProposals());
   }
 
   /**
-   * Handles one input.
+   * Handles one input and returns the effects that the host must carry out.
    *
-   * @param nowMicros steady time
+   * @param nowMicros the time of the steady clock in microseconds
    */
   public Effects handle(long nowMicros, ReplicaInput input) {
     context.nowMicros = nowMicros;
@@ -48,7 +51,7 @@
       processSelfMessages();
     }
     context.retryDurableWrites();
-    return context.outbox.flush(context.store.takeApplied(), role(), wakeAt());
+    return context.outbox.flush(context.store.getAndClearApplied(), role(), wakeAt());
   }
 
   private void dispatch(ReplicaInput input) {
@@ -89,14 +92,17 @@
     }
   }
 
-  /** Founds, or becomes a new node; nothing is said before the identity is on disk. */
+  /**
+   * Creates the identity of this node, as part of the initial view or as a new node. The node sends
+   * no message before the identity is on disk.
+   */
   private void createIdentity(boolean emptyDisk) {
     NodeAddress address = context.settings.address();
-    boolean isFounder =
+    boolean bootstrapsSystem =
         emptyDisk && context.settings.bootstrap() && context.settings.seeds().contains(address);
-    if (isFounder) {
-      context.self = new NodeId(address, NodeId.FOUNDER_DISK);
-      context.witness = WitnessState.decided(View.founding(context.settings.seeds()));
+    if (bootstrapsSystem) {
+      context.self = new NodeId(address, NodeId.INITIAL_DISK_ID);
+      context.witness = WitnessState.decided(View.initial(context.settings.seeds()));
       context.store.beginTerm(new PrimaryTerm(1, 0));
     } else {
       long diskId = context.random.nextLong(1, Long.MAX_VALUE);
@@ -228,10 +234,10 @@
     context.outbox.send(to.address(), new ReplicaMessage.Decided(context.view()));
   }
 
-  /** Takes a decided view if it is newer than the one known. */
+  /** Adopts a decided view if its epoch is newer than that of the newest known view. */
   private void adopt(View view) {
-    View previousPosition = context.view();
-    if (view.epoch() <= previousPosition.epoch()) {
+    View previousView = context.view();
+    if (view.epoch() <= previousView.epoch()) {
       return;
     }
     context.witness = WitnessState.decided(view);
@@ -239,30 +245,42 @@
     proposer.viewChanged();
     follower.viewChanged();
     if (context.isPrimary()) {
-      primary.viewDecided(previousPosition, view);
+      primary.viewDecided(previousView, view);
       primary.begin();
     } else {
       primary.end(Optional.of(view.primary().address()));
     }
   }
 
-  /** The newest decided view that is known; {@link View#NONE} before. */
+  /**
+   * Returns the newest decided view that this node knows, or {@link View#NONE} if this node knows
+   * no view.
+   */
   public View view() {
     return context.view();
   }
 
-  /** Whether the newest decided view that is known counts on this node's copy of the state. */
+  /**
+   * Returns whether this node is a member of the newest decided view that this node knows; a member
+   * must have each record on disk before the record is committed.
+   */
   public boolean isMember() {
     return context.view().hasMember(context.self);
   }
 
-  /** The newest term in which this node led; {@link PrimaryTerm#NONE} if it has not led. */
+  /**
+   * Returns the newest term in which this node was the primary, or {@link PrimaryTerm#NONE} if this
+   * node has never been the primary.
+   */
   public PrimaryTerm primaryTerm() {
     return primary.term();
   }
 
-  /** Whether this node, at its last input, led the view or had heard its primary lately. */
-  public boolean hearsPrimary() {
+  /**
+   * Returns whether, at the last input, this node was an active primary or had received a heartbeat
+   * of an active primary within the primary timeout.
+   */
+  public boolean isPrimaryReachable() {
     return started && primaryAlive();
   }
 
@@ -304,8 +322,8 @@
     return due > context.nowMicros ? Math.min(due, tick) : tick;
   }
 
-  /** Chooses and announces views. */
-  private final class Proposals implements Proposer.Host {
+  /** Chooses the view to propose, and announces a decided view to the old and the new witnesses. */
+  private final class ViewProposals implements Proposer.Host {
     @Override
     public Optional<View> valueToPropose(View base, Map<NodeId, ReplicaMessage.Promise> promises) {
       if (primary.leading()) {
--- a/src/main/java/slateslip/coordination/DurableRecord.java
+++ b/src/main/java/slateslip/coordination/DurableRecord.java
@@ -1,14 +1,14 @@
 package slateslip.coordination;
 
-/** What a node writes to its disk. */
+/** A record that a node writes to its disk. */
 public sealed interface DurableRecord {
   /**
-   * Everything that the node keeps; stands for all records before it.
+   * A snapshot of everything that the node stores, which replaces all earlier records.
    *
-   * @param self the node's identity
-   * @param witness its votes
-   * @param installedTerm newest term whose state it has installed
-   * @param state the replica's state, complete
+   * @param self the identity of the node
+   * @param witness the state of the node's witness, with its vote
+   * @param installedTerm the newest term whose state the node has installed
+   * @param state the complete state of the replica
    */
   record Snapshot(NodeId self, WitnessState witness, PrimaryTerm installedTerm, StateTransfer state)
       implements DurableRecord {}
@@ -16,24 +16,26 @@
   /**
    * A change of the witness state.
    *
-   * @param witness new value, complete
+   * @param witness the complete new witness state
    */
   record Vote(WitnessState witness) implements DurableRecord {}
 
   /**
-   * State taken over from a primary.
+   * The installation of a state that a primary sent, or of the primary's own state at the start of
+   * its term.
    *
-   * @param term of that primary
-   * @param state replaces what is there from its base on
+   * @param term the term of the primary
+   * @param state the state, which replaces the local state from the base sequence number on
    */
   record Installation(PrimaryTerm term, StateTransfer state) implements DurableRecord {}
 
   /**
-   * One record.
+   * One record of the replicated state.
    *
-   * @param sequence of the record
-   * @param committedSequence committed when it was written
-   * @param record its bytes
+   * @param sequence the sequence number of the record
+   * @param committedSequence the sequence number of the last record known to be committed when this
+   *     record was written
+   * @param record the bytes of the record
    */
   record Entry(long sequence, long committedSequence, byte[] record) implements DurableRecord {}
 }
--- a/src/main/java/slateslip/coordination/DurableWriteQueue.java
+++ b/src/main/java/slateslip/coordination/DurableWriteQueue.java
@@ -5,8 +5,9 @@
 import java.util.function.Supplier;
 
 /**
- * The node's durable writes. They complete in the order of their start; after a failed one nothing
- * counts until the complete state has been written anew.
+ * Queue of the node's durable writes, which complete in the order in which they were started. After
+ * a write has failed, no write counts as durable until a snapshot of the complete state has been
+ * written.
  */
 final class DurableWriteQueue {
   private static final long RECORD_OVERHEAD = 256;
@@ -35,23 +36,25 @@
     this.snapshots = snapshots;
   }
 
-  /** How far the state is on disk. */
+  /** Returns the position up to which the state is on disk. */
   DurablePosition durable() {
     return durable;
   }
 
-  /** Begins with what was recovered. */
+  /** Sets the durable position that was recovered from disk. */
   void recovered(DurablePosition position) {
     durable = position;
   }
 
   /**
-   * Starts a write. The state in memory holds its effect already, hence a snapshot may stand for
-   * it.
+   * Starts a durable write of a record. The state in memory already contains the effect of the
+   * record, so the queue may write a snapshot of the state instead. After a failure, the queue
+   * skips the write, and a later snapshot contains its effect.
    *
-   * @param position how far the state is on disk once this is written
-   * @param bytes size of the record, about
-   * @param onDurable run once it is on disk; dropped if it fails
+   * @param position the position up to which the state is on disk after this write
+   * @param bytes the approximate size of the record in bytes
+   * @param onDurable the action to run when the write is on disk; discarded if the write fails or
+   *     is skipped
    */
   void write(
       long nowMicros,
@@ -85,7 +88,10 @@
     nextToken++;
   }
 
-  /** A write is on disk; false if it no longer counts. */
+  /**
+   * Handles the completion of a write. Returns false if the write was discarded after a failure of
+   * an earlier write.
+   */
   boolean written(long token) {
     if (inFlight.isEmpty() || inFlight.peekFirst().token() != token) {
       return false;
@@ -97,7 +103,7 @@
     return true;
   }
 
-  /** A write failed; those behind it are void as well. */
+  /** Handles the failure of a write, which also discards all writes that are in flight with it. */
   void failed(long nowMicros, long token) {
     if (inFlight.stream().noneMatch(write -> write.token() == token)) {
       return;
@@ -108,7 +114,8 @@
   }
 
   /**
-   * Writes the complete state anew if that is due after a failure, or writes were left out since.
+   * Writes a snapshot of the complete state if a write has failed or was skipped, no write is in
+   * flight and the retry delay has passed.
    */
   void retry(long nowMicros, DurablePosition position) {
     if ((failed || skippedWrites) && inFlight.isEmpty() && nowMicros >= retryAtMicros) {
@@ -116,7 +123,10 @@
     }
   }
 
-  /** Whether the disk takes writes within the bound. */
+  /**
+   * Returns whether the last write did not fail and the oldest write in flight has not exceeded the
+   * write timeout.
+   */
   boolean healthy(long nowMicros) {
     boolean stalled =
         !inFlight.isEmpty()
--- a/src/main/java/slateslip/coordination/EffectsBuilder.java
+++ b/src/main/java/slateslip/coordination/EffectsBuilder.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * Collects what an input leads to. Messages to the node itself are handled within the same input.
+ * Collects the effects of an input. Messages from the node to itself are queued separately; the
+ * replica handles these messages as part of the same input.
  */
 final class EffectsBuilder {
   private final NodeAddress self;
@@ -35,7 +36,7 @@
     results.add(result);
   }
 
-  /** The next message to the node itself, or null. */
+  /** Removes and returns the next message from the node to itself, or null if there is none. */
   ReplicaMessage nextToSelf() {
     return toSelf.poll();
   }
@@ -44,7 +45,10 @@
     return !toSelf.isEmpty();
   }
 
-  /** Hands over what was collected and begins anew. */
+  /**
+   * Returns the collected effects and clears the builder. Messages from the node to itself are not
+   * included.
+   */
   Effects flush(boolean applied, Effects.RoleStatus role, long wakeAtMicros) {
     Effects effects = new Effects(writes, sends, results, applied, role, wakeAtMicros);
     writes = new ArrayList<>();
--- a/src/main/java/slateslip/coordination/FollowerRole.java
+++ b/src/main/java/slateslip/coordination/FollowerRole.java
@@ -4,12 +4,15 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What every node but the active primary does: follows, asks for the view, takes over. */
+/**
+ * The role of every node except the primary: follows the primary, asks for the newest view, and
+ * takes over after a failure of the primary.
+ */
 final class FollowerRole {
   private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
   private final ReplicaContext context;
-  private long primaryHeardMicros = NEVER_MICROS;
+  private long lastHeartbeatMicros = NEVER_MICROS;
   private long failoverTimerMicros;
   private long failoverJitterMicros;
   private long nextHelloMicros;
@@ -24,9 +27,12 @@
     drawFailoverJitter();
   }
 
-  /** A newer view is known; its primary has yet to be heard. */
+  /**
+   * Resets the timers after a newer view was adopted, from whose primary no heartbeat has arrived
+   * yet.
+   */
   void viewChanged() {
-    primaryHeardMicros = NEVER_MICROS;
+    lastHeartbeatMicros = NEVER_MICROS;
     failoverTimerMicros = context.nowMicros;
     drawFailoverJitter();
   }
@@ -36,20 +42,23 @@
         context.randomBetween(0, ReplicationTimeouts.FAILOVER_STAGGER_MICROS / 2);
   }
 
-  /** Whether the view's primary was heard so lately that others' proposals are refused. */
+  /**
+   * Returns whether a heartbeat of the view's active primary arrived within the primary timeout;
+   * during that time the witness rejects proposals of other nodes.
+   */
   boolean primaryAlive() {
-    return context.nowMicros - primaryHeardMicros < ReplicationTimeouts.PRIMARY_TIMEOUT_MICROS;
+    return context.nowMicros - lastHeartbeatMicros < ReplicationTimeouts.PRIMARY_TIMEOUT_MICROS;
   }
 
-  /** The primary's address, if it seems to be there. */
+  /** Returns the address of the primary, or empty if the primary is not known to be alive. */
   Optional<NodeAddress> primary() {
     return primaryAlive() ? Optional.of(context.view().primary().address()) : Optional.empty();
   }
 
-  /** A heartbeat of the newest view's primary. */
+  /** Handles a heartbeat of the primary of the newest view and replies to the heartbeat. */
   void heartbeat(NodeId from, ReplicaMessage.Heartbeat message) {
     if (message.active()) {
-      primaryHeardMicros = context.nowMicros;
+      lastHeartbeatMicros = context.nowMicros;
       failoverTimerMicros = context.nowMicros;
     }
     if (message.term().equals(context.store.installed())) {
@@ -88,12 +97,17 @@
     }
   }
 
-  /** Whether this term is of the newest view, and no later one has been accepted. */
+  /**
+   * Returns whether the term belongs to the newest decided view and the witness of this node has
+   * accepted no later view.
+   */
   private boolean follows(PrimaryTerm term) {
     return term.epoch() == context.view().epoch() && !context.witness.hasAccepted();
   }
 
-  /** Something more is on disk. */
+  /**
+   * Reports the newest durable position to the primary if the position belongs to the newest view.
+   */
   void reportDurable() {
     PrimaryTerm term = context.durableWrites.durable().term();
     if (follows(term)) {
@@ -109,12 +123,12 @@
     }
   }
 
-  /** Whether the primary has resigned in favour of this node. */
+  /** Returns whether the primary of the newest view has transferred its leadership to this node. */
   boolean holdsTransferredLeadership() {
     return transferredEpoch == context.view().epoch() && transferredEpoch > 0;
   }
 
-  /** Whether this node should try to lead the next view. */
+  /** Returns whether this node should propose itself as the primary of the next view. */
   boolean wantsToLead() {
     View view = context.view();
     return view.mayLeadNext(context.self, context.durableWrites.durable().term().epoch())
@@ -137,10 +151,10 @@
         + failoverJitterMicros;
   }
 
-  /** Asks for the view if the primary is unresponsive. */
+  /** Asks all known nodes for the newest view if the primary is unresponsive. */
   void requestView() {
     boolean primaryUnresponsive =
-        context.nowMicros - primaryHeardMicros > ReplicationTimeouts.HELLO_DELAY_MICROS;
+        context.nowMicros - lastHeartbeatMicros > ReplicationTimeouts.HELLO_DELAY_MICROS;
     if (!primaryUnresponsive || context.nowMicros < nextHelloMicros) {
       return;
     }
--- a/src/main/java/slateslip/coordination/MembershipPolicy.java
+++ b/src/main/java/slateslip/coordination/MembershipPolicy.java
@@ -5,20 +5,28 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Which view should follow. Pure functions of what the proposer knows. */
+/**
+ * Chooses the members and witnesses of the next view. All methods are pure functions of the view
+ * and of the health of the nodes as the proposer has observed it.
+ */
 final class MembershipPolicy {
   private static final int MIN_WITNESSES = 3;
 
   /**
-   * A node as the proposer knows it.
+   * The health of a node as the proposer has observed it.
    *
-   * @param node who
-   * @param healthy answers, and its disk works
-   * @param installed has the current view's state on disk, or what makes up for it
-   * @param caughtUp has every record, committed or not, on disk
-   * @param unresponsiveMicros since its last response
-   * @param healthyMicros how long it has been well without a break
-   * @param joinDelayMicros how long it must be well to be taken in
+   * @param node the identity of the node
+   * @param healthy whether the node responds and its disk works
+   * @param installed whether the node has the state of the current term on disk, including the last
+   *     record that existed when the term began
+   * @param caughtUp whether the node has every record on disk, whether the record is committed or
+   *     pending
+   * @param unresponsiveMicros the time in microseconds since the primary sent the last heartbeat
+   *     that the node acknowledged
+   * @param healthyMicros the time in microseconds for which the node has been healthy without
+   *     interruption
+   * @param joinDelayMicros the time in microseconds for which the node must be healthy before it
+   *     may join the view
    */
   record PeerHealth(
       NodeId node,
@@ -35,16 +43,20 @@
 
   private MembershipPolicy() {}
 
-  /** Members that are wanted: one may be dropped without waiting for another. */
+  /**
+   * Returns the desired number of members: one more than the minimum, so that one member can be
+   * dropped without waiting for a replacement.
+   */
   private static int targetMemberCount(int faultTolerance) {
     return faultTolerance + 2;
   }
 
   /**
-   * The view that a primary wants after the current one; empty if the current one will do.
+   * Returns the view that the primary should propose, or empty if the current view is adequate or
+   * the new witnesses would have no healthy majority.
    *
-   * @param self the primary, well and installed
-   * @param others every other node that it knows
+   * @param self the primary, which is healthy and has its term's state on disk
+   * @param others the health of every other node that the primary knows
    */
   static Optional<View> nextViewOfPrimary(
       View view, NodeId self, int faultTolerance, List<PeerHealth> others) {
@@ -96,7 +108,10 @@
     return inViewOrder(view, retained);
   }
 
-  /** What may be the last copies must stay in the view until others have installed it. */
+  /**
+   * Retains unhealthy members that may hold the last copies of the state until enough other members
+   * have installed the state.
+   */
   private static void retainLastCopies(
       int missingCopies,
       List<PeerHealth> others,
@@ -160,7 +175,11 @@
     return witnesses;
   }
 
-  /** Nodes that become witnesses: once one has waited long enough, others go along. */
+  /**
+   * Returns the nodes that become witnesses. As soon as one node has been healthy for its join
+   * delay, nodes that have been healthy for the shorter delay of a joint join become witnesses in
+   * the same view.
+   */
   private static List<NodeId> joiningNodes(View view, List<PeerHealth> others) {
     List<PeerHealth> outside =
         others.stream().filter(other -> other.healthy() && !view.hasWitness(other.node())).toList();
@@ -179,8 +198,9 @@
   }
 
   /**
-   * Whether its machine has come back as another node, its disk lost: the node is gone for good,
-   * and would only make majorities harder. The other node may be the primary itself.
+   * Returns whether the machine of the node has lost its disk and runs again under another
+   * identity. The former identity never returns, and as a witness would only make a majority harder
+   * to reach. The new identity may be that of the primary itself.
    */
   private static boolean superseded(
       NodeId node, NodeId self, List<NodeId> witnesses, List<PeerHealth> others) {
@@ -221,11 +241,11 @@
   }
 
   /**
-   * The view of a member that takes over.
+   * Returns the view that a member proposes when the member takes over from a failed primary.
    *
-   * @param self the member; it may lead
-   * @param responding members whose disk works, the taker among them
-   * @param installed those of them that hold every committed record
+   * @param self the member that takes over; it must be allowed to lead the next view
+   * @param responding the members that responded and whose disk works, including {@code self}
+   * @param installed those of the responding members that hold every committed record
    */
   static View viewAfterFailover(
       View view, NodeId self, int faultTolerance, List<NodeId> responding, List<NodeId> installed) {
--- a/src/main/java/slateslip/coordination/NodeAddress.java
+++ b/src/main/java/slateslip/coordination/NodeAddress.java
@@ -3,7 +3,7 @@
 /**
  * IPv4 address of a core machine.
  *
- * @param ipv4 the four bytes, the first one highest
+ * @param ipv4 the four bytes of the address in big-endian order
  */
 public record NodeAddress(int ipv4) implements Comparable<NodeAddress> {
   private static final int PARTS = 4;
@@ -11,20 +11,20 @@
   private static final int MASK = 0xff;
 
   /**
-   * Reads a dotted address.
+   * Parses an address in dotted-decimal notation.
    *
-   * @throws IllegalArgumentException if the text is no IPv4 address
+   * @throws IllegalArgumentException if the text is not a valid IPv4 address
    */
   public static NodeAddress parse(String dotted) {
     String[] parts = dotted.split("\\.", -1);
     if (parts.length != PARTS) {
-      throw new IllegalArgumentException("no IPv4 address: " + dotted);
+      throw new IllegalArgumentException("not an IPv4 address: " + dotted);
     }
     int value = 0;
     for (String part : parts) {
       int number = Integer.parseInt(part);
       if (number < 0 || number > MASK) {
-        throw new IllegalArgumentException("no IPv4 address: " + dotted);
+        throw new IllegalArgumentException("not an IPv4 address: " + dotted);
       }
       value = value << BITS | number;
     }
--- a/src/main/java/slateslip/coordination/NodeId.java
+++ b/src/main/java/slateslip/coordination/NodeId.java
@@ -1,17 +1,21 @@
 package slateslip.coordination;
 
 /**
- * Identity of a core node. A machine that lost its disk is another node.
+ * Identity of a core node. A machine that has lost the contents of its disk gets a new identity and
+ * is another node.
  *
- * @param address where it is reached
- * @param diskId drawn when an empty disk is first written; 0 for a founder
+ * @param address the address at which the node is reached
+ * @param diskId a random number that the node draws when it first writes to an empty disk, or 0 for
+ *     a node of the initial view
  */
 public record NodeId(NodeAddress address, long diskId) implements Comparable<NodeId> {
-  /** Disk id of a node that founded the system. */
-  public static final long FOUNDER_DISK = 0;
+  /**
+   * Disk identifier of the nodes of the initial view, which started the system for the first time.
+   */
+  public static final long INITIAL_DISK_ID = 0;
 
-  /** No node. */
-  public static final NodeId NONE = new NodeId(new NodeAddress(0), FOUNDER_DISK);
+  /** Identity that stands for the absence of a node. */
+  public static final NodeId NONE = new NodeId(new NodeAddress(0), INITIAL_DISK_ID);
 
   @Override
   public int compareTo(NodeId other) {
--- a/src/main/java/slateslip/coordination/Peer.java
+++ b/src/main/java/slateslip/coordination/Peer.java
@@ -1,6 +1,9 @@
 package slateslip.coordination;
 
-/** What the primary knows of another node. */
+/**
+ * State that the primary keeps for another node: its last status, its acknowledgements and its
+ * health.
+ */
 final class Peer {
   private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
   private static final long BYTES_PER_MEGABYTE = 1 << 20;
@@ -8,7 +11,7 @@
   final NodeId node;
   private final long knownSinceMicros;
   ReplicaStatus status;
-  long lastHeardMicros = NEVER_MICROS;
+  long lastReceivedMicros = NEVER_MICROS;
   long acknowledgedSentMicros = NEVER_MICROS;
   long confirmedRound;
   long healthySinceMicros = Long.MAX_VALUE;
@@ -21,20 +24,26 @@
   private long awaitingDurableSinceMicros;
   private long durableTimeoutMicros;
 
-  /** A node, known since a time. */
+  /**
+   * Creates the entry of a node that the primary has known since the given steady time in
+   * microseconds.
+   */
   Peer(NodeId node, long knownSinceMicros) {
     this.node = node;
     this.knownSinceMicros = knownSinceMicros;
   }
 
-  /** Forgets what was sent in another term. */
+  /** Clears the state that refers to messages sent in an earlier term. */
   void beginTerm() {
     confirmedRound = 0;
     sentTerm = PrimaryTerm.NONE;
     awaitingDurable = false;
   }
 
-  /** Something was sent that must reach the disk. */
+  /**
+   * Records that a state transfer or a record was sent, which the peer must write to disk before a
+   * timeout. The timeout grows with the number of bytes sent.
+   */
   void sent(PrimaryTerm term, long sequence, long round, long bytes, long nowMicros) {
     sentTerm = term;
     sentSequence = sequence;
@@ -48,7 +57,10 @@
         bytes * ReplicationTimeouts.TRANSFER_TIMEOUT_PER_MB_MICROS / BYTES_PER_MEGABYTE;
   }
 
-  /** Whether all up to a record is on its disk in that term, and it follows no later view. */
+  /**
+   * Returns whether the peer has all records up to the sequence number on disk in the given term,
+   * and has neither adopted nor accepted a later view.
+   */
   boolean hasDurable(PrimaryTerm term, long sequence) {
     return status != null
         && status.durableTerm().equals(term)
@@ -57,7 +69,10 @@
         && !status.acceptedNewerView();
   }
 
-  /** Notes whether it still owes what was sent last. */
+  /**
+   * Stops waiting for a durable write of the peer if the last record that was sent is on the peer's
+   * disk.
+   */
   void updateAwaitingDurable(PrimaryTerm term) {
     if (hasDurable(term, sentSequence)) {
       awaitingDurable = false;
@@ -68,17 +83,26 @@
     return awaitingDurable && nowMicros - awaitingDurableSinceMicros > durableTimeoutMicros;
   }
 
-  /** How long no response has come to what was sent. */
+  /**
+   * Returns the time in microseconds since the last acknowledged heartbeat was sent, counted from
+   * the start of this node's leadership at the earliest.
+   */
   long microsSinceAcknowledgement(long nowMicros, long leadingSinceMicros) {
     return nowMicros - Math.max(acknowledgedSentMicros, leadingSinceMicros);
   }
 
-  /** How long no response has come, over all terms of this leader. */
-  long microsUnheard(long nowMicros) {
+  /**
+   * Returns the time in microseconds since the last acknowledged heartbeat was sent, across all
+   * terms of this node's leadership, counted from the time at which the peer became known at the
+   * earliest.
+   */
+  long unresponsiveMicros(long nowMicros) {
     return nowMicros - Math.max(acknowledgedSentMicros, knownSinceMicros);
   }
 
-  /** Whether it answers, its disk works, and it is to stay. */
+  /**
+   * Returns whether the peer responds, its disk works, and its process has not been asked to end.
+   */
   boolean healthy(long nowMicros, long leadingSinceMicros) {
     return microsSinceAcknowledgement(nowMicros, leadingSinceMicros)
             < ReplicationTimeouts.PEER_TIMEOUT_MICROS
@@ -86,7 +110,10 @@
         && !durableOverdue(nowMicros);
   }
 
-  /** Keeps the time since which it has been well. */
+  /**
+   * Updates the time since which the peer has been healthy, and resets the drop count after a long
+   * healthy period.
+   */
   void updateHealth(long nowMicros, long leadingSinceMicros) {
     boolean everAcknowledged = acknowledgedSentMicros > NEVER_MICROS;
     if (!everAcknowledged || !healthy(nowMicros, leadingSinceMicros)) {
@@ -102,7 +129,10 @@
     return healthySinceMicros == Long.MAX_VALUE ? 0 : nowMicros - healthySinceMicros;
   }
 
-  /** How long it must be well before it is taken in, longer each time that it was dropped. */
+  /**
+   * Returns the time in microseconds for which the peer must be healthy before it may join the
+   * view. The time doubles with each drop after the first one, up to a limit.
+   */
   long joinDelayMicros() {
     if (dropCount == 0) {
       return ReplicationTimeouts.JOIN_DELAY_MICROS;
@@ -111,7 +141,7 @@
         << Math.min(dropCount - 1, ReplicationTimeouts.MAX_REJOIN_DOUBLINGS);
   }
 
-  void dropped(long nowMicros) {
+  void recordDrop(long nowMicros) {
     dropCount++;
     droppedAtMicros = nowMicros;
   }
--- a/src/main/java/slateslip/coordination/PeerTable.java
+++ b/src/main/java/slateslip/coordination/PeerTable.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The other nodes as the primary sees them, and its rounds of heartbeats. */
+/** The peers of the primary and the heartbeat rounds that the primary has sent. */
 final class PeerTable {
   private static final int MAX_ROUNDS = 256;
 
@@ -38,9 +38,11 @@
   }
 
   /**
-   * Begins a term: what nodes have on disk of an earlier one doesn't count, their inactivity does.
+   * Begins a term. The durable positions that peers reported in an earlier term no longer count,
+   * but the time for which a peer has been unresponsive continues to count if this node was already
+   * the primary.
    *
-   * @param resumed whether this node has led until now
+   * @param resumed whether this node was already the primary before this term
    */
   void beginTerm(boolean resumed) {
     if (!resumed) {
@@ -51,7 +53,7 @@
     review();
   }
 
-  /** Opens a round. */
+  /** Begins a heartbeat round and records the time at which the round was sent. */
   void beginRound() {
     round++;
     rounds.addLast(new Round(round, context.nowMicros));
@@ -60,7 +62,7 @@
     }
   }
 
-  /** A node answered a round of this term. */
+  /** Records that a peer acknowledged a heartbeat round of the current term. */
   void heartbeatAcknowledged(Peer peer, long acknowledgedRound) {
     for (Round sent : rounds) {
       if (sent.number() == acknowledgedRound) {
@@ -69,16 +71,23 @@
     }
   }
 
-  /** The view's other nodes, and those heard of late, as of the last review. */
+  /**
+   * Returns the peers that receive heartbeats: as of the last review, the other witnesses of the
+   * view and the nodes that sent a message within the learner timeout.
+   */
   List<Peer> targets() {
     return targets;
   }
 
-  /** Finds out anew who is in the view or was heard of late, and forgets others. */
+  /**
+   * Updates the list of peers that receive heartbeats and their health, and removes peers that are
+   * neither in the view nor recently active.
+   */
   void review() {
     Set<NodeId> nodes = new TreeSet<>(context.view().witnesses());
     for (Peer peer : peers.values()) {
-      if (context.nowMicros - peer.lastHeardMicros < ReplicationTimeouts.LEARNER_TIMEOUT_MICROS) {
+      if (context.nowMicros - peer.lastReceivedMicros
+          < ReplicationTimeouts.LEARNER_TIMEOUT_MICROS) {
         nodes.add(peer.node);
       }
     }
@@ -97,22 +106,28 @@
     return peer.healthy(context.nowMicros, leadingSinceMicros);
   }
 
-  /** Whether a majority of the view's witnesses, this node among them, has answered of late. */
-  boolean hearsMajority() {
+  /**
+   * Returns whether a majority of the view's witnesses responded within the peer timeout. This node
+   * counts as a witness that responds if it is one.
+   */
+  boolean reachesMajority() {
     View view = context.view();
-    long heardWitnesses =
+    long responsiveWitnesses =
         view.witnesses().stream()
-            .filter(node -> node.equals(context.self) || isHeard(node))
+            .filter(node -> node.equals(context.self) || isResponsive(node))
             .count();
-    return heardWitnesses >= view.majority();
+    return responsiveWitnesses >= view.majority();
   }
 
-  private boolean isHeard(NodeId node) {
+  private boolean isResponsive(NodeId node) {
     return of(node).microsSinceAcknowledgement(context.nowMicros, leadingSinceMicros)
         < ReplicationTimeouts.PEER_TIMEOUT_MICROS;
   }
 
-  /** Whether a majority answered that round or a later one and has accepted no later view. */
+  /**
+   * Returns whether a majority of the witnesses replied to this heartbeat round or a later one
+   * without having accepted a newer view.
+   */
   boolean isConfirmedByMajority(long round) {
     View view = context.view();
     boolean selfConfirms = view.hasWitness(context.self) && !context.witness.hasAccepted();
--- a/src/main/java/slateslip/coordination/PendingRequests.java
+++ b/src/main/java/slateslip/coordination/PendingRequests.java
@@ -5,11 +5,14 @@
 import java.util.Iterator;
 import java.util.Optional;
 
-/** Clients' calls at the primary: commands one after the other, and confirmations. */
+/**
+ * Client requests that are pending at the primary: a queue of commands, of which one at a time is
+ * replicated, and requests to confirm that the state is current.
+ */
 final class PendingRequests {
   private record QueuedCommand(long clientToken, byte[] command, long arrivedAtMicros) {}
 
-  /** Waits for a majority of a round. */
+  /** A request whose response waits until a majority has confirmed a heartbeat round. */
   private record PendingConfirmation(
       long clientToken, Optional<byte[]> response, long round, long arrivedAtMicros) {}
 
@@ -29,9 +32,10 @@
   }
 
   /**
-   * Waits for a round that begins after the call.
+   * Queues a request to confirm that the state is current; the response waits for a heartbeat round
+   * that begins after this call.
    *
-   * @param lastRound newest round so far
+   * @param lastRound the number of the newest heartbeat round so far
    */
   void confirm(long clientToken, long lastRound) {
     awaitConfirmation(clientToken, Optional.empty(), lastRound);
@@ -43,7 +47,7 @@
     heartbeatRoundRequested = true;
   }
 
-  /** Whether a round is to begin at once. */
+  /** Returns whether a heartbeat round must begin immediately, and clears the request. */
   boolean pollHeartbeatRoundRequest() {
     boolean result = heartbeatRoundRequested;
     heartbeatRoundRequested = false;
@@ -51,10 +55,11 @@
   }
 
   /**
-   * Prepares waiting commands up to the next one that makes a record.
+   * Prepares queued commands until a command produces a record. The response to a command without a
+   * record waits for the confirmation that the state was current.
    *
-   * @param lastRound newest round so far
-   * @return the record, if there is one
+   * @param lastRound the number of the newest heartbeat round so far
+   * @return the record to replicate, or empty if no queued command produces a record
    */
   Optional<byte[]> nextRecord(long lastRound) {
     while (!queuedCommands.isEmpty()) {
@@ -71,7 +76,7 @@
     return Optional.empty();
   }
 
-  /** Answers the command whose record is committed. */
+  /** Responds to the command in flight if its record is committed. */
   void committed() {
     if (inFlightCommand != null && context.store.appliedSequence() >= inFlightSequence) {
       context.outbox.result(
@@ -80,7 +85,7 @@
     }
   }
 
-  /** Answers what a majority of that round allows to be answered. */
+  /** Responds to each pending confirmation whose heartbeat round a majority has confirmed. */
   void confirmed(PeerTable peers) {
     while (!pendingConfirmations.isEmpty()
         && peers.isConfirmedByMajority(pendingConfirmations.peekFirst().round())) {
@@ -98,7 +103,10 @@
     return !pendingConfirmations.isEmpty();
   }
 
-  /** Answers what has waited too long. */
+  /**
+   * Responds with {@link ClientResult.Unavailable} to every request that has exceeded the request
+   * timeout.
+   */
   void expire() {
     long oldestMicros = context.nowMicros - ReplicationTimeouts.REQUEST_TIMEOUT_MICROS;
     if (inFlightCommand != null && inFlightCommand.arrivedAtMicros() < oldestMicros) {
@@ -119,7 +127,10 @@
     }
   }
 
-  /** The node is the primary no longer. */
+  /**
+   * Responds to all pending requests because this node is no longer the primary. The result of the
+   * command in flight is unknown; all other requests had no effect.
+   */
   void stepDown(Optional<NodeAddress> primary) {
     if (inFlightCommand != null) {
       unavailable(inFlightCommand.clientToken());
--- a/src/main/java/slateslip/coordination/PreparedCommand.java
+++ b/src/main/java/slateslip/coordination/PreparedCommand.java
@@ -1,18 +1,18 @@
 package slateslip.coordination;
 
-/** What becomes of a command. */
+/** The outcome of preparing a command: a record to replicate or an immediate response. */
 public sealed interface PreparedCommand {
   /**
-   * A record to be replicated.
+   * A record to replicate.
    *
-   * @param record its bytes
+   * @param record the bytes of the record
    */
   record Change(byte[] record) implements PreparedCommand {}
 
   /**
-   * A response from the state as it is.
+   * A response that does not change the state.
    *
-   * @param response handed back to the client
+   * @param response the response, which is returned to the client
    */
   record Response(byte[] response) implements PreparedCommand {}
 }
--- a/src/main/java/slateslip/coordination/PrimaryRole.java
+++ b/src/main/java/slateslip/coordination/PrimaryRole.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a view's primary does: replicates, commits, and watches over the view. */
+/**
+ * The role of a view's primary: replicates and commits records, and monitors the health of the
+ * view.
+ */
 final class PrimaryRole {
   private final ReplicaContext context;
   private final PeerTable peers;
@@ -29,17 +32,23 @@
     return leading;
   }
 
-  /** The newest term in which this node led. */
+  /** Returns the newest term in which this node was the primary, or {@link PrimaryTerm#NONE}. */
   PrimaryTerm term() {
     return term;
   }
 
-  /** Whether others are to see this node as a primary that goes on. */
+  /**
+   * Returns whether this node is the primary, reaches a majority of the witnesses and has not
+   * resigned.
+   */
   boolean active() {
     return leading && active;
   }
 
-  /** Begins to lead the newest view, of which this node is the primary. */
+  /**
+   * Begins a new term as the primary of the newest view. The view must name this node as its
+   * primary.
+   */
   void begin() {
     peers.beginTerm(leading);
     leading = true;
@@ -52,7 +61,7 @@
     beginRound();
   }
 
-  /** Leads no longer. */
+  /** Ends the term if this node is the primary, and responds to the pending requests of clients. */
   void end(Optional<NodeAddress> successor) {
     if (leading) {
       leading = false;
@@ -61,7 +70,10 @@
     }
   }
 
-  /** Whether the node answers clients. */
+  /**
+   * Returns whether this node responds to clients: it is an active primary, every member has
+   * installed the term's initial state, and all records of earlier terms are applied.
+   */
   boolean serving() {
     return active() && allInstalled() && context.store.appliedSequence() >= termStartSequence;
   }
@@ -74,7 +86,10 @@
     return selfInstalled() && committable(termStartSequence);
   }
 
-  /** Whether every member has that record on disk, and there are enough members. */
+  /**
+   * Returns whether every member has the record with this sequence number on disk, and the view has
+   * enough members.
+   */
   private boolean committable(long sequence) {
     View view = context.view();
     return view.members().size() >= context.requiredMembers()
@@ -86,13 +101,13 @@
             .allMatch(node -> peers.of(node).hasDurable(term, sequence));
   }
 
-  /** A node answered a heartbeat. */
+  /** Handles a node's reply to a heartbeat. */
   void heartbeatReply(NodeId from, ReplicaMessage.HeartbeatReply reply) {
     if (!leading || !reply.term().equals(term)) {
       return;
     }
     Peer peer = peers.of(from);
-    peer.lastHeardMicros = context.nowMicros;
+    peer.lastReceivedMicros = context.nowMicros;
     peer.status = reply.status();
     peers.heartbeatAcknowledged(peer, reply.round());
     if (reply.status().decidedEpoch() == term.epoch() && !reply.status().acceptedNewerView()) {
@@ -115,7 +130,7 @@
     }
   }
 
-  /** A node has something on disk. */
+  /** Handles a node's report of the last record that the node has on disk. */
   void synced(NodeId from, ReplicaMessage.Synced message) {
     if (!leading || !message.term().equals(term)) {
       return;
@@ -127,10 +142,10 @@
     }
   }
 
-  /** A node without a primary asks. */
+  /** Replies with a heartbeat to a node that has no primary and asks for the view. */
   void hello(NodeId from, ReplicaStatus status) {
     Peer peer = peers.of(from);
-    peer.lastHeardMicros = context.nowMicros;
+    peer.lastReceivedMicros = context.nowMicros;
     if (peer.status == null) {
       peer.status = status;
       peers.review();
@@ -138,7 +153,13 @@
     heartbeat(peer);
   }
 
-  /** Does all that can be done now. */
+  /**
+   * Performs all work of the primary that is due: reviews, heartbeats, replication, commits and
+   * responses to clients.
+   *
+   * @param proposing whether a proposal of a new view is in progress; the primary appends no record
+   *     meanwhile
+   */
   void advance(boolean proposing) {
     if (!leading) {
       return;
@@ -170,7 +191,7 @@
     reviewDue = true;
     peers.review();
     boolean resigned = context.nowMicros < resignedUntilMicros;
-    active = peers.hearsMajority() && !resigned;
+    active = peers.reachesMajority() && !resigned;
   }
 
   private void beginRound() {
@@ -180,8 +201,8 @@
   }
 
   private void heartbeat(Peer peer) {
-    boolean knowsView = peer.status != null && peer.status.decidedEpoch() == term.epoch();
-    View view = knowsView ? View.NONE : context.view();
+    boolean hasCurrentView = peer.status != null && peer.status.decidedEpoch() == term.epoch();
+    View view = hasCurrentView ? View.NONE : context.view();
     context.outbox.send(
         peer.node.address(),
         new ReplicaMessage.Heartbeat(
@@ -198,7 +219,7 @@
     } else if (context.store.hasPending() && peer.sentSequence == newest - 1) {
       append(peer);
     } else if (peer.sentSequence < newest) {
-      install(peer); // records were committed while it was not heard
+      install(peer); // The peer missed records that were committed while the peer was unresponsive.
     }
   }
 
@@ -246,7 +267,10 @@
     peers.targets().forEach(this::replicate);
   }
 
-  /** Whether the view should be changed; found out once a review. */
+  /**
+   * Returns whether the view should be changed. The check runs at most once for each review;
+   * otherwise the result is false.
+   */
   boolean needsViewChange() {
     if (!reviewDue) {
       return false;
@@ -255,7 +279,10 @@
     return newerViewAccepted() || nextView().isPresent();
   }
 
-  /** The view that should follow, if the present one won't do. */
+  /**
+   * Returns the view that should replace the current one, or empty if the current view is adequate
+   * or a change is not allowed yet.
+   */
   Optional<View> nextView() {
     if (!active()
         || !selfInstalled()
@@ -267,7 +294,10 @@
         context.view(), context.self, context.settings.faultTolerance(), peerHealth());
   }
 
-  /** Whether a witness has accepted a view that this node has not heard the end of. */
+  /**
+   * Returns whether a witness has accepted a newer view of which this node does not know whether
+   * the view was decided.
+   */
   private boolean newerViewAccepted() {
     return context.witness.hasAccepted()
         || peers.targets().stream()
@@ -290,23 +320,26 @@
               peers.isHealthy(peer),
               peer.hasDurable(term, termStartSequence),
               peer.hasDurable(term, context.store.lastSequence()),
-              peer.microsUnheard(context.nowMicros),
+              peer.unresponsiveMicros(context.nowMicros),
               peer.healthyMicros(context.nowMicros),
               peer.joinDelayMicros()));
     }
     return peerHealth;
   }
 
-  /** Notes who was dropped by a view of this node's own. */
+  /** Records the drop of each member of the previous view that is not a member of the new view. */
   void viewDecided(View before, View after) {
     lastViewChangeMicros = context.nowMicros;
     before.members().stream()
         .map(ViewMember::node)
         .filter(node -> !after.hasMember(node))
-        .forEach(node -> peers.of(node).dropped(context.nowMicros));
+        .forEach(node -> peers.of(node).recordDrop(context.nowMicros));
   }
 
-  /** Hands over to another member if the own disk doesn't work or the process is to end. */
+  /**
+   * Transfers the leadership to another healthy member if the disk of this node does not work or
+   * the process has been asked to end.
+   */
   void resignIfUnhealthy() {
     if (!leading || context.healthy() || context.nowMicros < resignedUntilMicros) {
       return;
--- a/src/main/java/slateslip/coordination/PrimaryTerm.java
+++ b/src/main/java/slateslip/coordination/PrimaryTerm.java
@@ -1,17 +1,21 @@
 package slateslip.coordination;
 
 /**
- * One activation of a view's primary. Records with the same sequence number are the same within a
- * term.
+ * A term of a view's primary. A new term begins each time that the primary of an epoch starts.
+ * Within one term, a sequence number always denotes the same record.
  *
- * @param epoch of the view
- * @param incarnation 1 or more; rises each time that the epoch's primary starts anew
+ * @param epoch the epoch of the view
+ * @param incarnation a number from 1 upwards that increases each time that the primary of the epoch
+ *     restarts; 0 only in {@link #NONE}
  */
 public record PrimaryTerm(long epoch, long incarnation) implements Comparable<PrimaryTerm> {
-  /** Before every other. */
+  /** Precedes every term. */
   public static final PrimaryTerm NONE = new PrimaryTerm(0, 0);
 
-  /** The term of a primary that begins or resumes an epoch after this one. */
+  /**
+   * Returns the term that follows this term when a primary begins the given epoch, or restarts in
+   * the same epoch.
+   */
   public PrimaryTerm next(long newEpoch) {
     return new PrimaryTerm(newEpoch, epoch == newEpoch ? incarnation + 1 : 1);
   }
--- a/src/main/java/slateslip/coordination/Proposer.java
+++ b/src/main/java/slateslip/coordination/Proposer.java
@@ -6,14 +6,23 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Proposes the view of the next epoch to the witnesses of the newest decided one. */
+/**
+ * Proposes the view of the next epoch to the witnesses of the newest decided view, in two phases as
+ * in Paxos.
+ */
 final class Proposer {
-  /** What the rest of the node does with a proposal. */
+  /** Supplies the view to propose, and receives the view that was decided. */
   interface Host {
-    /** The view to propose if none was accepted before; empty to give up. */
+    /**
+     * Returns the view to propose if no witness has accepted a view before, or empty to abandon the
+     * proposal.
+     */
     Optional<View> valueToPropose(View base, Map<NodeId, ReplicaMessage.Promise> promises);
 
-    /** A majority of the base's witnesses accepted the view. */
+    /**
+     * Handles the decision of a view, which a majority of the witnesses of the base view have
+     * accepted.
+     */
     void decided(View base, View view);
   }
 
@@ -41,12 +50,16 @@
     return busy;
   }
 
-  /** Whether a proposal may begin now. */
+  /** Returns whether no proposal is in progress and the backoff delay has passed. */
   boolean ready() {
     return !busy && context.nowMicros >= nextAttemptMicros;
   }
 
-  /** When something is due without a message; a time far away if nothing is. */
+  /**
+   * Returns the steady time in microseconds at which the next timer of the proposer expires.
+   * Without a proposal in progress, that is the end of the backoff delay, which may have passed
+   * already.
+   */
   long wakeAtMicros() {
     if (!busy) {
       return nextAttemptMicros;
@@ -58,8 +71,11 @@
   }
 
   /**
-   * Begins a proposal. The own witness is asked first: once its promise is on disk, no later
-   * incarnation of this node uses the ballot again.
+   * Begins a proposal. The witness of this node receives the ballot first: after the promise of
+   * that witness is on disk, this node does not use the same ballot again after a restart.
+   *
+   * @param primaryConsents whether the primary of the base view proposes or has resigned in favor
+   *     of this node
    */
   void begin(boolean primaryConsents) {
     busy = true;
@@ -76,7 +92,10 @@
         context.self.address(), new ReplicaMessage.Prepare(base, ballot, primaryConsents));
   }
 
-  /** Gives up a proposal and waits before the next one. */
+  /**
+   * Abandons the proposal and delays the next proposal by the minimum delay and a random backoff,
+   * both in microseconds.
+   */
   void abandon(long minDelayMicros) {
     busy = false;
     long backoff =
@@ -85,7 +104,10 @@
     nextAttemptMicros = context.nowMicros + minDelayMicros + backoff;
   }
 
-  /** A newer view is known. */
+  /**
+   * Ends a proposal in progress because a newer view was adopted; the next proposal may begin at
+   * once.
+   */
   void viewChanged() {
     busy = false;
     nextAttemptMicros = context.nowMicros;
@@ -138,7 +160,10 @@
         && base.hasWitness(from);
   }
 
-  /** Chooses the value when it is time, and gives up a proposal that takes too long. */
+  /**
+   * Chooses the proposed view as soon as enough promises have arrived, and abandons a proposal that
+   * exceeds its timeout.
+   */
   void tick() {
     if (!busy) {
       return;
@@ -148,7 +173,7 @@
       return;
     }
     if (value.isNone() && promises.size() >= base.majority() && promisesSuffice()) {
-      choose();
+      proposeValue();
     }
   }
 
@@ -159,7 +184,7 @@
         || context.nowMicros - majorityMicros >= ReplicationTimeouts.PROMISE_GRACE_MICROS;
   }
 
-  private void choose() {
+  private void proposeValue() {
     Optional<View> chosen = newestAccepted();
     if (chosen.isEmpty()) {
       chosen = host.valueToPropose(base, promises);
@@ -174,7 +199,10 @@
     sendToOtherWitnesses(accept);
   }
 
-  /** A value that a witness has accepted may have been decided: it must be taken. */
+  /**
+   * Returns the view accepted under the highest ballot, or empty if no witness has accepted a view.
+   * That view may already be decided, so the proposer must propose it again.
+   */
   private Optional<View> newestAccepted() {
     return promises.values().stream()
         .filter(promise -> !promise.accepted().isNone())
--- a/src/main/java/slateslip/coordination/Recovery.java
+++ b/src/main/java/slateslip/coordination/Recovery.java
@@ -2,14 +2,18 @@
 
 import java.util.List;
 
-/** Brings a replica to what its disk holds. */
+/** Restores the state of a replica from the records on its disk. */
 final class Recovery {
   private Recovery() {}
 
-  /** Replays records that begin with a snapshot. */
+  /**
+   * Replays the records on disk, the first of which must be a snapshot.
+   *
+   * @throws IllegalArgumentException if the first record is not a snapshot
+   */
   static void replay(List<DurableRecord> records, ReplicaContext context) {
     if (!(records.get(0) instanceof DurableRecord.Snapshot)) {
-      throw new IllegalArgumentException("the first record on disk is no snapshot");
+      throw new IllegalArgumentException("the first record on disk is not a snapshot");
     }
     records.forEach(record -> replay(record, context));
     ReplicaStore store = context.store;
@@ -30,7 +34,10 @@
     }
   }
 
-  /** When it was written, the records up to its base were known to be committed. */
+  /**
+   * Replays the installation of a primary's state. At the time of an incomplete installation, all
+   * records up to its base sequence number were known to be committed.
+   */
   private static void replay(DurableRecord.Installation installation, ReplicaStore store) {
     if (!installation.state().complete()) {
       store.commitTo(installation.state().baseSequence());
--- a/src/main/java/slateslip/coordination/ReplicaContext.java
+++ b/src/main/java/slateslip/coordination/ReplicaContext.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** What the parts of one replica share. */
+/** State and services that the components of one replica share. */
 final class ReplicaContext {
   final ReplicaSettings settings;
   final SplittableRandom random;
@@ -13,7 +13,7 @@
   WitnessState witness = WitnessState.NONE;
   long nowMicros;
 
-  /** Whether the process is about to end. */
+  /** Whether the process has been asked to end. */
   boolean shuttingDown;
 
   ReplicaContext(ReplicaSettings settings, ReplicatedState state, long randomSeed) {
@@ -25,7 +25,7 @@
         new DurableWriteQueue(outbox, settings.snapshotThresholdBytes(), this::snapshot);
   }
 
-  /** Newest decided view known. */
+  /** Returns the newest decided view that this node knows, or {@link View#NONE}. */
   View view() {
     return witness.decided();
   }
@@ -34,17 +34,23 @@
     return !view().isNone() && view().primary().equals(self);
   }
 
-  /** Members that must have a record before it is committed, at least. */
+  /**
+   * Returns the minimum number of members that must have a record on disk before the record is
+   * committed.
+   */
   int requiredMembers() {
     return settings.faultTolerance() + 1;
   }
 
-  /** Whether this node may lead or be a member: its disk works, and it is to stay. */
+  /**
+   * Returns whether this node may be the primary or a member: its disk accepts writes within the
+   * time limit, and its process has not been asked to end.
+   */
   boolean healthy() {
     return !shuttingDown && durableWrites.healthy(nowMicros);
   }
 
-  /** Starts a durable write of what the memory holds already. */
+  /** Starts a durable write of a change that the state in memory already contains. */
   void write(DurableRecord record, long bytes, Runnable then) {
     durableWrites.write(nowMicros, record, bytes, position(), then);
   }
@@ -65,7 +71,7 @@
     return new DurableRecord.Snapshot(self, witness, store.installed(), store.completeTransfer());
   }
 
-  /** What this node tells of itself. */
+  /** Returns the status that this node reports to its peers. */
   ReplicaStatus status() {
     return new ReplicaStatus(
         view().epoch(),
@@ -78,7 +84,7 @@
         healthy());
   }
 
-  /** A random time in microseconds. */
+  /** Returns a random duration in microseconds; both bounds are inclusive. */
   long randomBetween(long minMicros, long maxMicros) {
     return random.nextLong(minMicros, maxMicros + 1);
   }
--- a/src/main/java/slateslip/coordination/ReplicaInput.java
+++ b/src/main/java/slateslip/coordination/ReplicaInput.java
@@ -5,53 +5,55 @@
 /** The inputs of a {@link ControlReplica}. */
 public sealed interface ReplicaInput {
   /**
-   * First input.
+   * The first input of a replica.
    *
-   * @param recovered what the disk holds, from the newest snapshot on; empty for an empty disk
+   * @param recovered the records on disk, from the newest snapshot on; empty for an empty disk
    */
   record Start(List<DurableRecord> recovered) implements ReplicaInput {}
 
   /**
-   * A message arrived.
+   * The arrival of a message.
    *
-   * @param from its sender, as its frame says
-   * @param message it
+   * @param from the sender, as stated in the frame of the message
+   * @param message the message
    */
   record Received(NodeId from, ReplicaMessage message) implements ReplicaInput {}
 
-  /** The wake-up time came, or any time passed. */
+  /** The expiry of the wake-up time; a host may also send a tick at any other time. */
   record Tick() implements ReplicaInput {}
 
   /**
-   * A write is on disk. Writes complete in the order in which they were started.
+   * The completion of a write, whose record is now on disk. Writes complete in the order in which
+   * they were started.
    *
-   * @param token of the write
+   * @param token the token of the write
    */
   record Written(long token) implements ReplicaInput {}
 
   /**
-   * A write failed.
+   * The failure of a write.
    *
-   * @param token of the write
+   * @param token the token of the write
    */
   record WriteFailed(long token) implements ReplicaInput {}
 
-  /** The process is asked to end: others are to take over what this node does in the view. */
+  /** A request to end the process: other nodes take over the roles of this node in the view. */
   record Shutdown() implements ReplicaInput {}
 
   /**
-   * A client's command; answered by one {@link ClientResult}.
+   * A command of a client, to which the replica responds with one {@link ClientResult}.
    *
-   * @param clientToken names the call
-   * @param command handed to {@link ReplicatedState#prepare}
+   * @param clientToken the identifier of the request
+   * @param command the command, which is passed to {@link ReplicatedState#prepare}
    */
   record Propose(long clientToken, byte[] command) implements ReplicaInput {}
 
   /**
-   * Asks that the committed state be current; answered by one {@link ClientResult}, right after
-   * which the state may be read.
+   * A request to confirm that the committed state is current, to which the replica responds with
+   * one {@link ClientResult}. The host may read the state immediately after the response {@link
+   * ClientResult.Confirmed}.
    *
-   * @param clientToken names the call
+   * @param clientToken the identifier of the request
    */
   record Confirm(long clientToken) implements ReplicaInput {}
 }
--- a/src/main/java/slateslip/coordination/ReplicaSettings.java
+++ b/src/main/java/slateslip/coordination/ReplicaSettings.java
@@ -5,11 +5,12 @@
 /**
  * Settings of a replica.
  *
- * @param address this node's
- * @param seeds addresses of nodes to ask first
+ * @param address the address of this node
+ * @param seeds the addresses of the nodes that this node contacts first
  * @param bootstrap whether the whole system starts for the first time
- * @param faultTolerance nodes that may be lost at once
- * @param snapshotThresholdBytes bytes of records after which a snapshot is written instead
+ * @param faultTolerance the number of nodes that may be lost at the same time
+ * @param snapshotThresholdBytes the number of bytes written since the last snapshot above which the
+ *     next write is a snapshot
  */
 public record ReplicaSettings(
     NodeAddress address,
@@ -17,7 +18,7 @@
     boolean bootstrap,
     int faultTolerance,
     long snapshotThresholdBytes) {
-  /** Copies the list. */
+  /** Copies the list of seeds, so that the settings are immutable. */
   public ReplicaSettings {
     seeds = List.copyOf(seeds);
   }
--- a/src/main/java/slateslip/coordination/ReplicaStatus.java
+++ b/src/main/java/slateslip/coordination/ReplicaStatus.java
@@ -1,17 +1,18 @@
 package slateslip.coordination;
 
 /**
- * What a node tells of itself.
+ * The status that a node reports to its peers.
  *
- * @param decidedEpoch epoch of the newest decided view that it knows
- * @param acceptedNewerView whether it has accepted a view after that one
- * @param receivedTerm term whose installation it has received last
- * @param receivedSequence last record received
- * @param durableTerm term whose installation it has on disk
- * @param durableSequence last record that it has on disk
- * @param committedSequence records that it knows to be committed
- * @param healthy whether its disk takes writes within the bound, and its process is not about to
- *     end
+ * @param decidedEpoch the epoch of the newest decided view that the node knows
+ * @param acceptedNewerView whether the witness of the node has accepted a view of a later epoch
+ * @param receivedTerm the newest term whose state the node has installed in memory
+ * @param receivedSequence the sequence number of the last record that the node has received
+ * @param durableTerm the term whose state the node has installed on disk
+ * @param durableSequence the sequence number of the last record that the node has on disk
+ * @param committedSequence the sequence number of the last record that the node knows to be
+ *     committed
+ * @param healthy whether the disk of the node accepts writes within the time limit and the process
+ *     of the node has not been asked to end
  */
 public record ReplicaStatus(
     long decidedEpoch,
@@ -23,7 +24,7 @@
     long committedSequence,
     boolean healthy) {
 
-  /** The same with a newer durable position. */
+  /** Returns a copy of this status with another durable position. */
   ReplicaStatus withDurable(PrimaryTerm term, long sequence) {
     return new ReplicaStatus(
         decidedEpoch,
--- a/src/main/java/slateslip/coordination/ReplicaStore.java
+++ b/src/main/java/slateslip/coordination/ReplicaStore.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * The replica's copy of the state in memory: what is committed, applied, and at most one record
- * behind it whose fate is open.
+ * The replica's copy of the state in memory: the committed records, all of which are applied, and
+ * at most one pending record after them that is not yet known to be committed.
  */
 final class ReplicaStore {
   private static final int RECENT_RECORDS = 256;
   private static final long RECENT_BYTES = 1 << 20;
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NO_BYTES = new byte[0];
 
   private final ReplicatedState state;
   private final Deque<byte[]> recent = new ArrayDeque<>();
@@ -50,29 +50,33 @@
     return pending;
   }
 
-  /** Whether committed state has changed since the last call. */
-  boolean takeApplied() {
+  /**
+   * Returns whether the committed state has changed since the last call, and clears the indication.
+   */
+  boolean getAndClearApplied() {
     boolean result = applied;
     applied = false;
     return result;
   }
 
-  /** A primary's own state becomes that of its new term. */
+  /** Marks the primary's own state as installed for the primary's new term. */
   void beginTerm(PrimaryTerm term) {
     installed = term;
   }
 
   /**
-   * Takes over a primary's state; false if it doesn't fit what is here. Within one term records are
-   * only added, as what came before may have been acknowledged.
+   * Installs a state that a primary sent. Returns false and installs nothing if the term or the
+   * transferred state is older than the local one, or if records between the local state and the
+   * transfer are missing. Within one term, records are only added, because the replica may have
+   * acknowledged the earlier records already.
    */
   boolean install(PrimaryTerm term, StateTransfer transfer) {
     int termOrder = term.compareTo(installed);
     if (termOrder == 0) {
       commitTo(transfer.baseSequence());
     }
-    boolean baseHere = transfer.baseSequence() <= appliedSequence;
-    if (termOrder < 0 || (!baseHere && !transfer.complete())) {
+    boolean baseApplied = transfer.baseSequence() <= appliedSequence;
+    if (termOrder < 0 || (!baseApplied && !transfer.complete())) {
       return false;
     }
     if (transfer.lastSequence() < appliedSequence) {
@@ -81,7 +85,7 @@
     if (termOrder > 0) {
       pending = null;
     }
-    if (!baseHere) {
+    if (!baseApplied) {
       restore(transfer);
     }
     installed = term;
@@ -103,7 +107,10 @@
     applied = true;
   }
 
-  /** Adds the record behind the last one; false if it is here already or one is missing. */
+  /**
+   * Adds the record that follows the last one as pending. Returns false if the record is already
+   * present, an earlier record is missing, or another record is pending.
+   */
   boolean append(long sequence, long committedSequence, byte[] record) {
     commitTo(committedSequence);
     if (sequence != lastSequence() + 1 || pending != null) {
@@ -113,7 +120,9 @@
     return true;
   }
 
-  /** Applies the pending record if it is committed. */
+  /**
+   * Applies the pending record if the committed sequence number shows that the record is committed.
+   */
   void commitTo(long committedSequence) {
     if (pending == null || committedSequence <= appliedSequence) {
       return;
@@ -123,10 +132,10 @@
     appliedSequence++;
     state.apply(record);
     applied = true;
-    remember(record);
+    addRecent(record);
   }
 
-  private void remember(byte[] record) {
+  private void addRecent(byte[] record) {
     recent.addLast(record);
     recentBytes += record.length;
     while (recent.size() > RECENT_RECORDS || recentBytes > RECENT_BYTES) {
@@ -134,7 +143,10 @@
     }
   }
 
-  /** The state for a receiver that has applied what is committed up to a sequence number. */
+  /**
+   * Returns the state for a receiver that has applied the committed records up to a sequence
+   * number: the missing records if they are still in memory, otherwise the complete state.
+   */
   StateTransfer transferFrom(long receiverSequence) {
     long missing = appliedSequence - receiverSequence;
     if (missing > recent.size()) {
@@ -145,10 +157,10 @@
     long skipped = recent.size() - (appliedSequence - base);
     recent.stream().skip(skipped).forEach(records::add);
     addPending(records);
-    return new StateTransfer(base, false, NOTHING, records, appliedSequence);
+    return new StateTransfer(base, false, NO_BYTES, records, appliedSequence);
   }
 
-  /** The complete state. */
+  /** Returns the complete state as a snapshot and the pending record, if any. */
   StateTransfer completeTransfer() {
     List<byte[]> records = new ArrayList<>();
     addPending(records);
--- a/src/main/java/slateslip/coordination/StateTransfer.java
+++ b/src/main/java/slateslip/coordination/StateTransfer.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * A replica's state, whole or from a sequence number on.
+ * The state of a replica, either complete or as the records after a sequence number.
  *
- * @param baseSequence records that the base holds
- * @param complete whether {@code base} is the state at that sequence number; otherwise the receiver
- *     has it
- * @param base snapshot of the replicated state, empty if not complete
- * @param records those after the base, in order
- * @param committedSequence records up to here are committed; one more at most may follow
+ * @param baseSequence the sequence number of the last record that the base contains
+ * @param complete whether {@code base} contains the state at the base sequence number; otherwise
+ *     the receiver already has that state
+ * @param base a snapshot of the replicated state, or an empty array if the transfer is not complete
+ * @param records the records after the base, in order
+ * @param committedSequence the sequence number of the last committed record; at most one pending
+ *     record follows
  */
 public record StateTransfer(
     long baseSequence,
@@ -18,17 +19,17 @@
     byte[] base,
     List<byte[]> records,
     long committedSequence) {
-  /** Copies the list. */
+  /** Copies the list of records, so that the list is immutable. */
   public StateTransfer {
     records = List.copyOf(records);
   }
 
-  /** Sequence number of the last record. */
+  /** Returns the sequence number of the last record. */
   public long lastSequence() {
     return baseSequence + records.size();
   }
 
-  /** Size of the payload in bytes. */
+  /** Returns the size of the snapshot and the records in bytes. */
   public long bytes() {
     return base.length + records.stream().mapToLong(record -> record.length).sum();
   }
--- a/src/main/java/slateslip/coordination/Witness.java
+++ b/src/main/java/slateslip/coordination/Witness.java
@@ -1,8 +1,11 @@
 package slateslip.coordination;
 
-/** Votes on the view of the next epoch. A vote is sent once it is on disk. */
+/**
+ * Votes on the view of the next epoch, as an acceptor in Paxos does. A vote is sent only after the
+ * vote is on disk.
+ */
 final class Witness {
-  /** Tells whether the view's primary is there. */
+  /** Reports whether the primary of the newest view is alive. */
   interface PrimaryLiveness {
     boolean primaryAlive();
   }
@@ -15,7 +18,10 @@
     this.primaryLiveness = primaryLiveness;
   }
 
-  /** First phase; the base is the newest decided view that this node knows. */
+  /**
+   * Handles the first phase of a proposal. The caller ensures that the base view of the proposal is
+   * the newest decided view that this node knows.
+   */
   void prepare(NodeId from, ReplicaMessage.Prepare message) {
     WitnessState state = context.witness;
     long epoch = state.decided().epoch();
@@ -39,7 +45,7 @@
                     epoch, message.ballot(), state.acceptedBallot(), state.accepted(), status)));
   }
 
-  /** Second phase. */
+  /** Handles the second phase of a proposal, and ignores a proposal on another base view. */
   void accept(NodeId from, ReplicaMessage.Accept message) {
     WitnessState state = context.witness;
     long epoch = state.decided().epoch();
--- a/src/main/java/slateslip/coordination/WitnessState.java
+++ b/src/main/java/slateslip/coordination/WitnessState.java
@@ -1,23 +1,29 @@
 package slateslip.coordination;
 
 /**
- * What a witness keeps on disk: the newest decided view that it knows, and its vote on the next.
+ * The state that a witness keeps on disk: the newest decided view that the witness knows, and its
+ * vote on the view of the next epoch.
  *
- * @param decided newest decided view known
- * @param promised highest ballot promised for epoch {@code decided.epoch() + 1}
- * @param acceptedBallot ballot of the accepted value, or {@link Ballot#NONE}
- * @param accepted value accepted for that epoch, or {@link View#NONE}
+ * @param decided the newest decided view that the witness knows
+ * @param promised the highest ballot that the witness has promised for epoch {@code decided.epoch()
+ *     + 1}, or {@link Ballot#NONE}
+ * @param acceptedBallot the ballot of the accepted view, or {@link Ballot#NONE}
+ * @param accepted the view that the witness has accepted for epoch {@code decided.epoch() + 1}, or
+ *     {@link View#NONE}
  */
 public record WitnessState(View decided, Ballot promised, Ballot acceptedBallot, View accepted) {
-  /** Of a node that has heard of no view. */
+  /** The state of a witness that knows no decided view and has not voted. */
   public static final WitnessState NONE = decided(View.NONE);
 
-  /** State right after a view was learned. */
+  /**
+   * Returns the state of a witness that has just adopted a decided view and has not voted on the
+   * next view.
+   */
   public static WitnessState decided(View view) {
     return new WitnessState(view, Ballot.NONE, Ballot.NONE, View.NONE);
   }
 
-  /** Whether a value for the next epoch has been accepted. */
+  /** Returns whether the witness has accepted a view for the next epoch. */
   public boolean hasAccepted() {
     return !accepted.isNone();
   }
--- a/src/main/java/slateslip/coordination/package-info.java
+++ b/src/main/java/slateslip/coordination/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Replication of the control state: views, ballots among witnesses, primary-backup replication,
- * joining. State machines alone: inputs in, effects out; no socket, clock or thread.
+ * Replication of the control state by primary-backup replication. A view names the primary, the
+ * members and the witnesses; a majority of the witnesses decides the next view by ballots. The
+ * classes are pure state machines that turn inputs into effects and use no socket, clock or thread.
  */
 package slateslip.coordination;
--- a/src/test/java/slateslip/coordination/MembershipPolicyTest.java
+++ b/src/test/java/slateslip/coordination/MembershipPolicyTest.java
@@ -11,13 +11,13 @@
 import slateslip.coordination.MembershipPolicy.PeerHealth;
 
 final class MembershipPolicyTest {
-  private static final long LONG_WELL = 60_000_000;
-  private static final long LONG_UNRESPONSIVE = 5_000_000;
+  private static final long HEALTHY_MICROS = 60_000_000;
+  private static final long UNRESPONSIVE_MICROS = 5_000_000;
   private static final NodeId A = node("10.0.0.1", 0);
   private static final NodeId B = node("10.0.0.2", 0);
   private static final NodeId C = node("10.0.0.3", 0);
   private static final NodeId D = node("10.0.0.4", 9);
-  private static final NodeId C_ANEW = node("10.0.0.3", 7);
+  private static final NodeId C_AFTER_DISK_LOSS = node("10.0.0.3", 7);
 
   private static NodeId node(String address, long disk) {
     return new NodeId(NodeAddress.parse(address), disk);
@@ -30,12 +30,12 @@
 
   private static PeerHealth healthy(NodeId node) {
     return new PeerHealth(
-        node, true, true, true, 0, LONG_WELL, ReplicationTimeouts.JOIN_DELAY_MICROS);
+        node, true, true, true, 0, HEALTHY_MICROS, ReplicationTimeouts.JOIN_DELAY_MICROS);
   }
 
   private static PeerHealth unresponsive(NodeId node) {
     return new PeerHealth(
-        node, false, true, true, LONG_UNRESPONSIVE, 0, ReplicationTimeouts.JOIN_DELAY_MICROS);
+        node, false, true, true, UNRESPONSIVE_MICROS, 0, ReplicationTimeouts.JOIN_DELAY_MICROS);
   }
 
   private static List<NodeId> nodes(View view) {
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aWellViewStays() {
+  void nextViewIsEmptyIfAllNodesAreHealthy() {
     View view = view(List.of(A, B, C), List.of(A, B, C));
     List<PeerHealth> others = List.of(healthy(B), healthy(C));
     assertThat(MembershipPolicy.nextViewOfPrimary(view, A, 1, others), is(Optional.empty()));
@@ -75,12 +75,16 @@
     PeerHealth former =
         new PeerHealth(C, true, false, false, 0, 0, ReplicationTimeouts.JOIN_DELAY_MICROS);
     View wanted =
-        MembershipPolicy.nextViewOfPrimary(view, A, 1, List.of(healthy(B), former, healthy(C_ANEW)))
+        MembershipPolicy.nextViewOfPrimary(
+                view, A, 1, List.of(healthy(B), former, healthy(C_AFTER_DISK_LOSS)))
             .orElseThrow();
-    assertThat(wanted.witnesses(), containsInAnyOrder(A, B, C_ANEW));
+    assertThat(wanted.witnesses(), containsInAnyOrder(A, B, C_AFTER_DISK_LOSS));
   }
 
-  /** Of the primary's own machine, whose disk was lost before it took over. */
+  /**
+   * The former identity belongs to the primary's own machine, which lost its disk before the
+   * machine became the primary again.
+   */
   @Test
   void formerIdentityOfThePrimaryIsRemovedFromWitnessesAtOnce() {
     NodeId former = node("10.0.0.1", 3);
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -164,7 +164,7 @@
         && MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
         && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame
         && frame.value().message() instanceof ReplicaMessage.Heartbeat heartbeat) {
-      NodeId peer = new NodeId(NodeAddress.parse(to), NodeId.FOUNDER_DISK);
+      NodeId peer = new NodeId(NodeAddress.parse(to), NodeId.INITIAL_DISK_ID);
       PrimaryTerm term = heartbeat.term();
       long sequence = heartbeat.committedSequence();
       ReplicaStatus status =
