--- a/src/main/java/slateslip/storage/DiskFolder.java
+++ b/src/main/java/slateslip/storage/DiskFolder.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/** Storage folder in the file system of the operating system. */
 public final class DiskFolder implements StorageFolder {
   private final Path path;
 
-  /** The folder at a path; it must exist. */
+  /** Creates the storage for the folder at the given path, which must exist. */
   public DiskFolder(Path path) {
     this.path = path;
   }
--- a/src/main/java/slateslip/storage/RecordFormat.java
+++ b/src/main/java/slateslip/storage/RecordFormat.java
@@ -6,9 +6,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records in a file, one behind the other: payload length (4 bytes), kind (1), generation of the
- * file's content (8), index in the file (8), CRC32C of all that and the payload (4), payload. The
- * generation tells what was left from the file's use before.
+ * Format of the records in a file. The records follow each other without gaps. Each record consists
+ * of the payload length (4 bytes), the kind (1 byte), the generation of the file's content (8
+ * bytes), the index of the record in the file (8 bytes), the CRC32C checksum of these fields and
+ * the payload (4 bytes), and the payload. The generation distinguishes current records from records
+ * that an earlier use of the same file left behind.
  */
 final class RecordFormat {
   static final int HEADER_BYTES = 25;
@@ -17,19 +19,19 @@
   private static final byte RECORD = 2;
 
   /**
-   * A header as it was read; it counts once the checksum agrees.
+   * The header of a record as read from the file. The header is valid only if the checksum matches.
    *
-   * @param length of the payload
-   * @param kind snapshot or record
-   * @param generation of the file's content
-   * @param index in the file
-   * @param checksum of the rest
+   * @param length the length of the payload in bytes
+   * @param kind the kind of the record: snapshot or record
+   * @param generation the generation of the file's content
+   * @param index the index of the record in the file
+   * @param checksum the checksum of the other header fields and the payload
    */
   record Header(int length, byte kind, long generation, long index, int checksum) {}
 
   private RecordFormat() {}
 
-  /** A record ready to be written. The first one of a file is a snapshot. */
+  /** Encodes a record with its header. The record with index 0 is the snapshot of the file. */
   static ByteBuffer encode(long generation, long index, byte[] payload) {
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + payload.length);
     putHeader(buffer, payload.length, kindAt(index), generation, index);
@@ -56,7 +58,10 @@
     return (int) crc.getValue();
   }
 
-  /** What stands in the place of a header; empty if the file ends before. */
+  /**
+   * Reads the bytes at a position as a header without validating the header, or returns empty if
+   * the file ends before the end of the header.
+   */
   static Optional<Header> header(StorageFile file, long position) throws IOException {
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES);
     file.read(position, buffer);
@@ -69,7 +74,10 @@
             buffer.getInt(), buffer.get(), buffer.getLong(), buffer.getLong(), buffer.getInt()));
   }
 
-  /** The payload at a position if a complete record of that generation and index is there. */
+  /**
+   * Returns the payload of the record at a position, or empty if no complete record of the given
+   * generation and index with a valid checksum starts there.
+   */
   static Optional<byte[]> payload(StorageFile file, long position, long generation, long index)
       throws IOException {
     Optional<Header> found = header(file, position);
--- a/src/main/java/slateslip/storage/RingStorage.java
+++ b/src/main/java/slateslip/storage/RingStorage.java
@@ -8,9 +8,10 @@
 import java.util.Optional;
 
 /**
- * A ring of preallocated files that hold records behind a snapshot. After {@link #open} and after
- * each failure nothing is taken until {@link #beginFile} has succeeded, in another file than the
- * one that holds the newest complete chain; so a torn or failed write never harms what was durable.
+ * A ring of preallocated files, each of which holds a snapshot and the records after the snapshot.
+ * After {@link #open} and after each failure, the storage rejects records until {@link #beginFile}
+ * has succeeded. {@link #beginFile} never writes to the file with the newest durable snapshot, so a
+ * torn or failed write cannot damage durable records.
  */
 public final class RingStorage implements AutoCloseable {
   private static final int PREALLOCATION_CHUNK_BYTES = 256 * 1024;
@@ -37,9 +38,9 @@
   }
 
   /**
-   * Opens the ring and recovers what it holds.
+   * Opens the ring and reads the newest valid snapshot and the records after the snapshot.
    *
-   * @throws IOException if the folder can't be read; no data is then known to be lost
+   * @throws IOException if the folder cannot be read, which does not mean that data is lost
    */
   public static RingStorage open(StorageFolder folder, RingOptions options) throws IOException {
     RingStorage ring = new RingStorage(folder, options);
@@ -86,17 +87,23 @@
     }
   }
 
-  /** Payloads found by {@link #open}: the newest complete snapshot and the records behind it. */
+  /**
+   * Returns the payloads that {@link #open} found: the newest complete snapshot and the records
+   * after the snapshot, or an empty list.
+   */
   public List<byte[]> recovered() {
     return List.copyOf(recovered);
   }
 
-  /** Lets the memory of what was recovered go. */
-  public void forgetRecovered() {
+  /** Releases the memory of the recovered payloads. */
+  public void clearRecovered() {
     recovered.clear();
   }
 
-  /** Writes records behind the newest snapshot and syncs them; all count or none. */
+  /**
+   * Writes records after the newest snapshot and syncs the file once. The outcome applies to all
+   * records together.
+   */
   public StorageOutcome append(List<byte[]> payloads) {
     if (!accepting) {
       return StorageOutcome.FAILED;
@@ -113,7 +120,10 @@
     }
   }
 
-  /** Begins another file with a snapshot that stands for everything before it, and syncs it. */
+  /**
+   * Begins the next file of the ring with a snapshot that replaces all earlier records, and syncs
+   * the file.
+   */
   public StorageOutcome beginFile(byte[] snapshot) {
     accepting = false;
     slot = (durableSlot + 1) % files.length;
@@ -158,10 +168,11 @@
   }
 
   /**
-   * Writes one part of what is not yet preallocated, without a sync. To be called when nothing else
-   * is to be written.
+   * Preallocates one chunk of the first file that is shorter than its configured size, and syncs
+   * that file. The caller should call this method when no other write is pending. An input/output
+   * error ends the preallocation and is not reported.
    *
-   * @return whether something may be left to do
+   * @return whether more chunks may remain to be preallocated
    */
   public boolean preallocateNext() {
     if (!accepting) {
--- a/src/main/java/slateslip/storage/StorageFile.java
+++ b/src/main/java/slateslip/storage/StorageFile.java
@@ -3,18 +3,18 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** One open file of the ring. */
+/** An open file of the ring. */
 public interface StorageFile extends AutoCloseable {
-  /** Length in bytes. */
+  /** Returns the length of the file in bytes. */
   long length() throws IOException;
 
-  /** Fills the buffer from a position on, as far as the file goes. */
+  /** Reads from a position into the buffer until the buffer is full or the file ends. */
   void read(long position, ByteBuffer into) throws IOException;
 
-  /** Writes all of the buffer at a position. */
+  /** Writes all remaining bytes of the buffer at a position. */
   void write(long position, ByteBuffer bytes) throws IOException;
 
-  /** Returns once everything written so far lasts through a loss of power. */
+  /** Forces all bytes written so far to the disk, so that the bytes survive a loss of power. */
   void sync() throws IOException;
 
   @Override
--- a/src/main/java/slateslip/storage/StorageFolder.java
+++ b/src/main/java/slateslip/storage/StorageFolder.java
@@ -3,14 +3,17 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The folder of the ring. */
+/** The folder that contains the files of the ring. */
 public interface StorageFolder {
-  /** Names of the files in it. */
+  /** Returns the names of the files in the folder. */
   List<String> names() throws IOException;
 
-  /** Opens a file for reading and writing and creates it if it is missing. */
+  /** Opens a file for reading and writing, and creates the file if it does not exist. */
   StorageFile open(String name) throws IOException;
 
-  /** Returns once names created so far last through a loss of power. */
+  /**
+   * Forces the directory entries of all files created so far to the disk, so that the entries
+   * survive a loss of power.
+   */
   void sync() throws IOException;
 }
--- a/src/main/java/slateslip/storage/StorageOutcome.java
+++ b/src/main/java/slateslip/storage/StorageOutcome.java
@@ -1,11 +1,14 @@
 package slateslip.storage;
 
-/** How a write ended. */
+/** The outcome of a write. */
 public enum StorageOutcome {
-  /** On disk. */
+  /** The record is on disk. */
   DURABLE,
-  /** The disk is full; the record may be on disk or not. */
+  /** The disk is full; the record may or may not be on disk. */
   FULL,
-  /** The write or the sync failed; the record may be on disk or not. */
+  /**
+   * The write or the sync failed, or the storage rejected the record after an earlier failure; the
+   * record may or may not be on disk.
+   */
   FAILED
 }
--- a/src/test/java/slateslip/storage/RingStorageTest.java
+++ b/src/test/java/slateslip/storage/RingStorageTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void recoversTheNewestSnapshotAndWhatFollows() throws IOException {
+  void openRecoversNewestSnapshotAndLaterRecords() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       assertThat(ring.recovered(), empty());
       for (int round = 0; round < 7; round++) {
@@ -53,20 +53,20 @@
   }
 
   @Test
-  void takesNothingBeforeASnapshotHasBegun() throws IOException {
+  void appendFailsBeforeFirstSnapshotAfterOpen() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       assertThat(append(ring, "r"), is(StorageOutcome.FAILED));
       ring.beginFile(bytes("s"));
       append(ring, "r");
     }
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
-      assertThat(append(ring, "behind a tail that may be torn"), is(StorageOutcome.FAILED));
+      assertThat(append(ring, "after a record that may be torn"), is(StorageOutcome.FAILED));
     }
     assertThat(recovered(folder), contains("s", "r"));
   }
 
   @Test
-  void cutsATornTailAtEveryByte() throws IOException {
+  void recoveryDropsLastRecordTruncatedOrCorruptedAtAnyByte() throws IOException {
     int before;
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       ring.beginFile(bytes("snapshot"));
@@ -77,10 +77,10 @@
     for (int length = before; length < folder.length(FIRST_FILE); length++) {
       FaultyFolder truncated = folder.copy();
       truncated.truncate(FIRST_FILE, length);
-      assertThat("cut to " + length, recovered(truncated), contains("snapshot", "kept"));
-      FaultyFolder harmed = folder.copy();
-      harmed.corrupt(FIRST_FILE, length);
-      assertThat("changed at " + length, recovered(harmed), contains("snapshot", "kept"));
+      assertThat("truncated to " + length, recovered(truncated), contains("snapshot", "kept"));
+      FaultyFolder corrupted = folder.copy();
+      corrupted.corrupt(FIRST_FILE, length);
+      assertThat("corrupted at " + length, recovered(corrupted), contains("snapshot", "kept"));
     }
   }
 
@@ -92,14 +92,14 @@
       ring.beginFile(bytes("new"));
     }
     for (int position = 0; position < folder.length("control-1.ring"); position++) {
-      FaultyFolder harmed = folder.copy();
-      harmed.corrupt("control-1.ring", position);
-      assertThat("changed at " + position, recovered(harmed), contains("old", "r"));
+      FaultyFolder corrupted = folder.copy();
+      corrupted.corrupt("control-1.ring", position);
+      assertThat("corrupted at " + position, recovered(corrupted), contains("old", "r"));
     }
   }
 
   @Test
-  void whatALongerUseOfTheFileLeftIsNotTaken() throws IOException {
+  void recoveryIgnoresRecordsOfEarlierUseOfFile() throws IOException {
     try (RingStorage ring = RingStorage.open(folder, OPTIONS)) {
       ring.beginFile(bytes("s0"));
       append(ring, "same length");
@@ -119,7 +119,7 @@
       folder.setMode(FaultyFolder.Mode.FULL);
       assertThat(append(ring, "lost"), is(StorageOutcome.FULL));
       folder.setMode(FaultyFolder.Mode.WORKING);
-      assertThat(append(ring, "behind the failure"), is(StorageOutcome.FAILED));
+      assertThat(append(ring, "after the failure"), is(StorageOutcome.FAILED));
       folder.setMode(FaultyFolder.Mode.FAILING);
       assertThat(ring.beginFile(bytes("t")), is(StorageOutcome.FAILED));
       assertThat(recovered(folder), contains("s", "r"));
@@ -130,14 +130,17 @@
   }
 
   @Test
-  void whatWasDurableOutlivesAnyLossOfPower() throws IOException {
+  void durableRecordsSurviveAnyLossOfPower() throws IOException {
     for (int seed = 0; seed < 2_000; seed++) {
-      playLosses(new SplittableRandom(seed));
+      runPowerLossSchedule(new SplittableRandom(seed));
     }
   }
 
-  /** Random writes, failures and losses of power: recovery gives all that was durable, in order. */
-  private static void playLosses(SplittableRandom random) throws IOException {
+  /**
+   * Performs random writes, failures and losses of power, and checks that recovery returns all
+   * durable records in order.
+   */
+  private static void runPowerLossSchedule(SplittableRandom random) throws IOException {
     FaultyFolder disk = new FaultyFolder();
     List<String> durable = new ArrayList<>();
     List<String> written = new ArrayList<>();
@@ -179,7 +182,7 @@
     if (laterSnapshot) {
       int last = written.lastIndexOf(durable.get(durable.size() - 1));
       assertThat(
-          "a later snapshot, not acknowledged",
+          "a later snapshot that was not acknowledged",
           written.lastIndexOf(found.get(0)),
           greaterThanOrEqualTo(last));
       return;
@@ -188,16 +191,16 @@
   }
 
   @Test
-  void preallocatesInPartsWithoutHarm(@TempDir Path path) throws IOException {
+  void preallocationInChunksKeepsRecords(@TempDir Path path) throws IOException {
     RingOptions options = new RingOptions(2, 700_000);
     try (RingStorage ring = RingStorage.open(new DiskFolder(path), options)) {
       ring.beginFile(bytes("s"));
-      int parts = 0;
+      int chunks = 0;
       while (ring.preallocateNext()) {
-        assertThat(append(ring, "r" + parts), is(StorageOutcome.DURABLE));
-        parts++;
+        assertThat(append(ring, "r" + chunks), is(StorageOutcome.DURABLE));
+        chunks++;
       }
-      assertThat(parts, is(6));
+      assertThat(chunks, is(6));
     }
     assertThat(path.resolve(FIRST_FILE).toFile().length(), is(700_000L));
     assertThat(recovered(new DiskFolder(path)), contains("s", "r0", "r1", "r2", "r3", "r4", "r5"));
