--- a/src/main/java/slateslip/eventloop/CountingIoHandler.java
+++ b/src/main/java/slateslip/eventloop/CountingIoHandler.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Netty's NIO handler with two additions: it counts the turns of its event loop, and it waits for
- * timers in whole milliseconds, rounded up. The selector counts in milliseconds and Netty rounds to
- * the nearest one, so that a loop that is woken up to half a millisecond early turns again and
- * again until its timer is due.
+ * Wrapper of Netty's NIO handler that counts the turns (iterations) of the event loop and rounds
+ * the wait for the next timer up to whole milliseconds. The selector waits in whole milliseconds
+ * and Netty rounds the wait to the nearest millisecond. Without this rounding, an event loop that
+ * wakes up to half a millisecond early repeats its turn until the timer is due.
  */
 public final class CountingIoHandler implements IoHandler {
   private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -26,7 +26,7 @@
     this.counter = counter;
   }
 
-  /** Makes the handler of one event loop, whose turns are counted by {@code counter}. */
+  /** Returns a factory of handlers that count the turns of their event loop in {@code counter}. */
   public static IoHandlerFactory newFactory(WakeUpCounter counter) {
     IoHandlerFactory nio = NioIoHandler.newFactory();
     return executor -> new CountingIoHandler(nio.newHandler(executor), counter);
@@ -39,7 +39,7 @@
 
   @Override
   public int run(IoHandlerContext context) {
-    counter.turnBegins();
+    counter.beginTurn();
     wait.context = context;
     return delegate.run(wait);
   }
@@ -69,7 +69,10 @@
     return delegate.isCompatible(handleType);
   }
 
-  /** A wait that ends at its deadline or within a millisecond after it, and never before. */
+  /**
+   * Rounds a delay in nanoseconds up to whole milliseconds, so that the wait never ends before the
+   * deadline. Returns a delay that has passed, or that is too large to round, unchanged.
+   */
   static long roundedUp(long delayNanos) {
     if (delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
       return delayNanos;
@@ -78,7 +81,10 @@
     return millis * NANOS_PER_MILLI;
   }
 
-  /** What the event loop tells its handler, with the wait rounded up. */
+  /**
+   * The context that the event loop passes to its handler, with the wait for the next timer rounded
+   * up.
+   */
   private static final class RoundedWait implements IoHandlerContext {
     private IoHandlerContext context;
 
--- a/src/main/java/slateslip/eventloop/WakeUpCause.java
+++ b/src/main/java/slateslip/eventloop/WakeUpCause.java
@@ -2,28 +2,32 @@
 
 import java.util.Locale;
 
-/** What an event loop was woken up for: the first thing that it did in that turn. */
+/**
+ * The cause for which an event loop woke up, which is the first action of the event loop in that
+ * turn.
+ */
 public enum WakeUpCause {
-  /** Bytes or an end of a client's connection. */
+  /** Bytes from a client, or the end of a client's connection. */
   CLIENT,
-  /** Bytes or an end of a backend's connection. */
+  /** Bytes from a backend, or the end of a connection to a backend. */
   BACKEND,
-  /** A connection to a backend has come up, or has failed to. */
+  /** The success or failure of an attempt to connect to a backend. */
   BACKEND_CONNECT,
-  /** The interval after which running streams are read has passed. */
+  /** The end of the interval between two reads of the open streams. */
   STREAM_POLL,
-  /** Bytes of a control agent. */
+  /** Bytes on a connection between a control agent and another process of the fleet. */
   CONTROL,
-  /** Periodic work. */
+  /** A periodic task. */
   PERIODIC,
-  /** The router asked to be woken. */
+  /** A wake-up that the router requested. */
   ROUTER,
   /**
-   * Anything else: other timers, tasks of other threads, questions for the state of the process.
+   * Any other cause: other timers, tasks of other threads, or requests for the status of the
+   * process.
    */
   OTHER;
 
-  /** The name of this cause in metrics. */
+  /** Returns the name of this cause in metrics. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/slateslip/eventloop/package-info.java
+++ b/src/main/java/slateslip/eventloop/package-info.java
@@ -1,2 +1,4 @@
-/** Event loops that count what wakes them, and the processor time of a process by thread. */
+/**
+ * Counters of the causes that wake event loops, and the CPU time of a process by kind of thread.
+ */
 package slateslip.eventloop;
--- a/src/test/java/slateslip/eventloop/CountingIoHandlerTest.java
+++ b/src/test/java/slateslip/eventloop/CountingIoHandlerTest.java
@@ -11,37 +11,40 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What an event loop's handler is told to wait for, and that each of its turns is counted. */
+/**
+ * Tests that the handler rounds its waits up to whole milliseconds and counts each turn of the
+ * event loop once.
+ */
 class CountingIoHandlerTest {
-  private static final long MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final List<Long> waits = new ArrayList<>();
   private final WakeUpCounter counter = new WakeUpCounter();
   private final CountingIoHandler handler = new CountingIoHandler(new RecordingHandler(), counter);
 
   @Test
-  void aTimerIsWaitedForInWholeMillisecondsAndNeverTooShort() {
-    handler.run(waitOf(1));
-    handler.run(waitOf(4 * MILLI));
-    handler.run(waitOf(4 * MILLI + 400_000));
-    assertThat(waits, is(List.of(MILLI, 4 * MILLI, 5 * MILLI)));
+  void waitForTimerIsRoundedUpToWholeMilliseconds() {
+    handler.run(contextWithDelay(1));
+    handler.run(contextWithDelay(4 * NANOS_PER_MILLI));
+    handler.run(contextWithDelay(4 * NANOS_PER_MILLI + 400_000));
+    assertThat(waits, is(List.of(NANOS_PER_MILLI, 4 * NANOS_PER_MILLI, 5 * NANOS_PER_MILLI)));
   }
 
   @Test
-  void noTimerAndOneThatIsDueAreToldUnchanged() {
-    handler.run(waitOf(Long.MAX_VALUE));
-    handler.run(waitOf(0));
-    handler.run(waitOf(-5));
+  void waitIsUnchangedWithoutTimerOrWithTimerThatIsDue() {
+    handler.run(contextWithDelay(Long.MAX_VALUE));
+    handler.run(contextWithDelay(0));
+    handler.run(contextWithDelay(-5));
     assertThat(waits, is(List.of(Long.MAX_VALUE, 0L, -5L)));
   }
 
   @Test
-  void eachTurnIsCountedOnceByWhatIsToldFirstInIt() {
-    handler.run(waitOf(0));
+  void eachTurnIsCountedOnceUnderItsFirstCause() {
+    handler.run(contextWithDelay(0));
     counter.attribute(WakeUpCause.CLIENT);
     counter.attribute(WakeUpCause.BACKEND);
-    handler.run(waitOf(0));
-    handler.run(waitOf(0));
+    handler.run(contextWithDelay(0));
+    handler.run(contextWithDelay(0));
     counter.attribute(WakeUpCause.BACKEND);
     assertThat(counter.count(WakeUpCause.CLIENT), is(1L));
     assertThat(counter.count(WakeUpCause.BACKEND), is(1L));
@@ -49,7 +52,7 @@
     assertThat(counter.total(), is(3L));
   }
 
-  private static IoHandlerContext waitOf(long nanos) {
+  private static IoHandlerContext contextWithDelay(long nanos) {
     return new IoHandlerContext() {
       @Override
       public boolean canBlock() {
