--- a/src/test/java/slateslip/simulation/control/ArmedCrashes.java
+++ b/src/test/java/slateslip/simulation/control/ArmedCrashes.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 import slateslip.coordination.ReplicaMessage;
 
-/** Crashes of senders at messages of given kinds, one after the other. */
+/** A sequence of crashes, each of which occurs when a node sends a message of a given type. */
 final class ArmedCrashes {
   private static final int MAX_CRASHES = 3;
-  private static final int MAX_MESSAGES = 4;
-  private static final List<Class<? extends ReplicaMessage>> KINDS =
+  private static final int MAX_MESSAGES_UNTIL_CRASH = 4;
+  private static final List<Class<? extends ReplicaMessage>> MESSAGE_TYPES =
       List.of(
           ReplicaMessage.Prepare.class,
           ReplicaMessage.Promise.class,
@@ -24,46 +24,49 @@
           ReplicaMessage.Synced.class);
 
   private final SplittableRandom random;
-  private final Deque<Class<? extends ReplicaMessage>> kinds = new ArrayDeque<>();
-  private int messagesLeft;
-  private long micros;
+  private final Deque<Class<? extends ReplicaMessage>> messageTypes = new ArrayDeque<>();
+  private int messagesUntilCrash;
+  private long downMicros;
 
   ArmedCrashes(SplittableRandom random) {
     this.random = random;
   }
 
-  /** Arms a new chain; the fault's number chooses it. */
+  /**
+   * Replaces the sequence of crashes by a new sequence, which is derived from the target number of
+   * the fault.
+   */
   void arm(Fault fault) {
     SplittableRandom choice = new SplittableRandom(fault.target());
-    kinds.clear();
+    messageTypes.clear();
     int count = 1 + choice.nextInt(MAX_CRASHES);
     for (int i = 0; i < count; i++) {
-      kinds.addLast(KINDS.get(choice.nextInt(KINDS.size())));
+      messageTypes.addLast(MESSAGE_TYPES.get(choice.nextInt(MESSAGE_TYPES.size())));
     }
-    micros = fault.micros();
-    drawMessages();
+    downMicros = fault.durationMicros();
+    drawMessageCount();
   }
 
-  private void drawMessages() {
-    messagesLeft = 1 + random.nextInt(MAX_MESSAGES);
+  private void drawMessageCount() {
+    messagesUntilCrash = 1 + random.nextInt(MAX_MESSAGES_UNTIL_CRASH);
   }
 
-  /** Whether the sender of this message crashes now. */
-  boolean strikes(ReplicaMessage message) {
-    if (kinds.isEmpty() || !kinds.peekFirst().isInstance(message)) {
+  /** Returns whether the sender of this message must crash now, and advances the sequence if so. */
+  boolean crashesSender(ReplicaMessage message) {
+    if (messageTypes.isEmpty() || !messageTypes.peekFirst().isInstance(message)) {
       return false;
     }
-    messagesLeft--;
-    if (messagesLeft > 0) {
+    messagesUntilCrash--;
+    if (messagesUntilCrash > 0) {
       return false;
     }
-    kinds.removeFirst();
-    drawMessages();
+    messageTypes.removeFirst();
+    drawMessageCount();
     return true;
   }
 
-  /** How long a machine that crashed stays down. */
-  long micros() {
-    return micros;
+  /** Returns the time in microseconds for which a crashed machine stays down. */
+  long downMicros() {
+    return downMicros;
   }
 }
--- a/src/test/java/slateslip/simulation/control/Caller.java
+++ b/src/test/java/slateslip/simulation/control/Caller.java
@@ -2,8 +2,8 @@
 
 import slateslip.coordination.ClientResult;
 
-/** Makes calls to nodes. */
+/** A client that sends requests to nodes and receives the responses. */
 interface Caller {
-  /** A call was answered. */
+  /** Handles the response of a node to the request with the given token. */
   void responded(SimulatedNode node, long token, ClientResult result);
 }
--- a/src/test/java/slateslip/simulation/control/CheckedHistory.java
+++ b/src/test/java/slateslip/simulation/control/CheckedHistory.java
@@ -10,71 +10,83 @@
 import slateslip.coordination.View;
 import slateslip.simulation.RuleViolation;
 
-/** What must never happen, checked at each step. */
+/** The history of a run, which checks the safety invariants at each step. */
 final class CheckedHistory {
   private final List<ReferenceState.Change> committed = new ArrayList<>();
   private final Set<ReferenceState.Change> acknowledged = new HashSet<>();
-  private final Set<ReferenceState.Change> refused = new HashSet<>();
+  private final Set<ReferenceState.Change> rejected = new HashSet<>();
   private final Map<Long, NodeId> acknowledgers = new HashMap<>();
   private final Map<Long, View> views = new HashMap<>();
   private long acknowledgedVersion;
 
-  /** A replica applies a change behind others. */
+  /**
+   * Checks a change that a replica applies: each replica applies the same changes in the same
+   * order, and no rejected change is applied.
+   */
   void applied(int position, long versionBefore, ReferenceState.Change change) {
     if (change.base() != versionBefore) {
-      throw new RuleViolation("applied " + change + " on version " + versionBefore);
+      throw new RuleViolation("change " + change + " was applied to version " + versionBefore);
     }
     if (position < committed.size()) {
       if (!committed.get(position).equals(change)) {
         throw new RuleViolation(
-            "forked at " + position + ": " + committed.get(position) + " and " + change);
+            "replicas diverge at position "
+                + position
+                + ": "
+                + committed.get(position)
+                + " and "
+                + change);
       }
       return;
     }
     if (position > committed.size()) {
-      throw new RuleViolation("a gap before " + position);
+      throw new RuleViolation("changes are missing before position " + position);
     }
-    if (refused.contains(change)) {
-      throw new RuleViolation("in force, though refused: " + change);
+    if (rejected.contains(change)) {
+      throw new RuleViolation("a rejected change was applied: " + change);
     }
     committed.add(change);
   }
 
-  /** Somebody takes a view as decided. */
+  /** Checks that a decided view is the only decided view of its epoch. */
   void decided(View view) {
     View first = views.putIfAbsent(view.epoch(), view);
     if (first != null && !first.equals(view)) {
-      throw new RuleViolation("two views of one epoch: " + first + " and " + view);
+      throw new RuleViolation("two views were decided for one epoch: " + first + " and " + view);
     }
   }
 
-  /** A primary acknowledges the commit of a change. */
+  /**
+   * Checks that only one primary in each epoch acknowledges changes, and that the change is
+   * committed.
+   */
   void committedBy(NodeId primary, long epoch, ReferenceState.Change change) {
     NodeId first = acknowledgers.putIfAbsent(epoch, primary);
     if (first != null && !first.equals(primary)) {
-      throw new RuleViolation(first + " and " + primary + " acknowledge in epoch " + epoch);
+      throw new RuleViolation(
+          first + " and " + primary + " both acknowledged changes in epoch " + epoch);
     }
     acknowledged(change);
   }
 
-  /** An operator gets an acknowledgement. */
+  /** Checks that a change whose acknowledgement an operator receives is committed. */
   void acknowledged(ReferenceState.Change change) {
     if (!committed.contains(change)) {
-      throw new RuleViolation("acknowledged, but not committed: " + change);
+      throw new RuleViolation("an acknowledged change is not committed: " + change);
     }
     acknowledged.add(change);
     acknowledgedVersion = Math.max(acknowledgedVersion, change.version());
   }
 
-  /** A change is refused for good. */
-  void refused(ReferenceState.Change change) {
+  /** Checks that a change that is rejected permanently is not committed. */
+  void rejected(ReferenceState.Change change) {
     if (committed.contains(change)) {
-      throw new RuleViolation("refused, though in force: " + change);
+      throw new RuleViolation("a committed change was rejected: " + change);
     }
-    refused.add(change);
+    rejected.add(change);
   }
 
-  /** Newest version acknowledged so far. */
+  /** Returns the newest acknowledged version. */
   long acknowledgedVersion() {
     return acknowledgedVersion;
   }
@@ -83,19 +95,26 @@
     return acknowledged;
   }
 
-  /** A read that is confirmed to be current. */
+  /**
+   * Checks that a read that was confirmed to be current returns no version older than the newest
+   * version acknowledged before the read.
+   */
   void read(long acknowledgedAtCall, long version) {
     if (version < acknowledgedAtCall) {
       throw new RuleViolation(
-          "read version " + version + " after " + acknowledgedAtCall + " was acknowledged");
+          "a read returned version "
+              + version
+              + " after version "
+              + acknowledgedAtCall
+              + " was acknowledged");
     }
   }
 
-  /** The state at the end of the schedule. */
-  void atEnd(List<ReferenceState.Change> changes) {
+  /** Checks that the state at the end of the schedule contains all acknowledged changes. */
+  void checkEndState(List<ReferenceState.Change> changes) {
     for (ReferenceState.Change change : acknowledged) {
       if (!changes.contains(change)) {
-        throw new RuleViolation("lost: " + change);
+        throw new RuleViolation("an acknowledged change was lost: " + change);
       }
     }
   }
--- a/src/test/java/slateslip/simulation/control/ControlScheduleTest.java
+++ b/src/test/java/slateslip/simulation/control/ControlScheduleTest.java
@@ -9,19 +9,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random schedules of faults; {@code -Dcontrol.seeds=N} plays more, {@code control.first} others.
+ * Runs random schedules of faults. The system property {@code control.seeds} sets the number of
+ * schedules, {@code control.first} the first seed.
  */
 final class ControlScheduleTest {
   private static final long SEEDS = Long.getLong("control.seeds", 2_000);
-  private static final long FIRST = Long.getLong("control.first", 1);
+  private static final long FIRST_SEED = Long.getLong("control.first", 1);
 
   @Test
-  void noScheduleBreaksARule() {
+  void randomFaultSchedulesViolateNoInvariant() {
     ScheduleRunner runner = new ScheduleRunner(Mutation.NONE);
     List<String> failures = new ArrayList<>();
     long changes = 0;
-    for (long seed = FIRST; seed < FIRST + SEEDS; seed++) {
-      ScheduleRunner.Result result = runner.play(seed);
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+      ScheduleRunner.Result result = runner.run(seed);
       changes += result.changes();
       if (result.violation().isPresent()) {
         failures.add(runner.report(seed, result));
--- a/src/test/java/slateslip/simulation/control/ControlWorld.java
+++ b/src/test/java/slateslip/simulation/control/ControlWorld.java
@@ -15,14 +15,14 @@
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.ToleratedLosses;
 
-/** Core nodes, their network and the operators: one seeded run. */
+/** One seeded simulation of the core nodes, their network and the operators. */
 final class ControlWorld {
   private static final int FIRST_ADDRESS = 0x0a000001;
-  private static final long START_SPREAD = 300_000;
-  private static final int RESPONSE_LOST_EVERY = 12;
-  private static final long PROBE_PATIENCE = 300_000;
-  private static final long END_PATIENCE = 1_000_000;
-  private static final int PROBER_AUTHOR = 1_000_000;
+  private static final long START_SPREAD_MICROS = 300_000;
+  private static final int RESPONSES_PER_LOSS = 12;
+  private static final long PROBE_TIMEOUT_MICROS = 300_000;
+  private static final long END_TIMEOUT_MICROS = 1_000_000;
+  private static final int PROBE_AUTHOR = 1_000_000;
 
   private final WorldShape shape;
   private final EventQueue events = new EventQueue();
@@ -36,14 +36,14 @@
   private final ToleratedLosses losses;
   private final FaultInjector injector;
   private final Mutation mutation;
-  private SimulatedNetwork.Watcher watcher = (from, to, message) -> false;
-  private int addresses;
+  private SimulatedNetwork.MessageObserver observer = (from, to, message) -> false;
+  private int assignedAddresses;
   private long lastToken;
   private int lastAuthor;
-  private long firstProbe;
-  private long probedAt;
+  private long firstProbeToken;
+  private long probedAtMicros;
   private boolean probing;
-  private boolean probeTaken;
+  private boolean probeAccepted;
 
   ControlWorld(WorldShape shape, long seed, Mutation mutation) {
     this.shape = shape;
@@ -61,11 +61,11 @@
   }
 
   private SimulatedNode newNode() {
-    NodeAddress address = new NodeAddress(FIRST_ADDRESS + addresses++);
+    NodeAddress address = new NodeAddress(FIRST_ADDRESS + assignedAddresses++);
     SimulatedNode node =
         new SimulatedNode(
-            events, random.split(), network, history, this::responded, address, mutation);
-    mutation.apply(node.disk());
+            events, random.split(), network, history, this::handleResult, address, mutation);
+    mutation.alterDisk(node.disk());
     nodes.add(node);
     return node;
   }
@@ -105,27 +105,31 @@
     return lastAuthor + operator;
   }
 
-  /** Starts all machines for the first time, and the operators. */
+  /** Starts all machines for the first time, at random times, and then the operators. */
   void begin(int operatorCount) {
     for (SimulatedNode node : nodes) {
       events.after(
-          random.nextLong(START_SPREAD), () -> node.start(seeds, true, shape.faultTolerance()));
+          random.nextLong(START_SPREAD_MICROS),
+          () -> node.start(seeds, true, shape.faultTolerance()));
     }
     for (int i = 0; i < operatorCount; i++) {
       SimulatedOperator operator = new SimulatedOperator(events, random.split(), history, this, i);
       operators.add(operator);
-      events.after(START_SPREAD, operator::start);
+      events.after(START_SPREAD_MICROS, operator::start);
     }
   }
 
-  /** Starts a machine again, on what its disk holds. */
+  /** Starts the process of a machine again, which recovers from the disk. */
   void restart(SimulatedNode node) {
     if (nodes.contains(node)) {
       node.start(seeds, false, shape.faultTolerance());
     }
   }
 
-  /** Takes a machine away for good; another one, empty, starts at another address. */
+  /**
+   * Removes a machine permanently and starts a new machine with an empty disk at another address
+   * after the given time.
+   */
   void replace(SimulatedNode node, long micros) {
     node.losePower();
     nodes.remove(node);
@@ -149,9 +153,12 @@
         .ifPresent(node -> deliver(node, frame));
   }
 
-  /** Has each message that is sent from now on seen; it may be lost. */
-  void observer(SimulatedNetwork.Watcher newWatcher) {
-    watcher = newWatcher;
+  /**
+   * Sets the observer of all messages sent from now on; the observer decides whether a message is
+   * lost.
+   */
+  void setObserver(SimulatedNetwork.MessageObserver newObserver) {
+    observer = newObserver;
   }
 
   private boolean sent(NodeId from, NodeAddress to, ReplicaMessage message) {
@@ -164,7 +171,7 @@
         .filter(node -> node.address().equals(from.address()))
         .findFirst()
         .ifPresent(node -> injector.sent(node, message));
-    return watcher.sent(from, to, message);
+    return observer.sent(from, to, message);
   }
 
   private void deliver(SimulatedNode node, ReplicaFrame frame) {
@@ -174,25 +181,28 @@
     node.deliver(frame);
   }
 
-  private void responded(SimulatedNode node, ClientResult result) {
+  private void handleResult(SimulatedNode node, ClientResult result) {
     if (result instanceof ClientResult.Committed committed) {
       ReferenceState.Change change = node.state().changes().get((int) committed.sequence() - 1);
       history.committedBy(node.role().self(), node.role().epoch(), change);
     }
-    if (firstProbe > 0 && result.clientToken() >= firstProbe) {
-      probeTaken |= result instanceof ClientResult.Committed;
+    if (firstProbeToken > 0 && result.clientToken() >= firstProbeToken) {
+      probeAccepted |= result instanceof ClientResult.Committed;
       probing = false;
       return;
     }
     injector.acknowledged(node, result);
     Caller caller = callers.remove(result.clientToken());
-    if (random.nextInt(RESPONSE_LOST_EVERY) != 0) {
+    if (random.nextInt(RESPONSES_PER_LOSS) != 0) {
       events.after(1_000, () -> caller.responded(node, result.clientToken(), result));
     }
   }
 
-  /** Ends all troubles, but some machines may stay down. */
-  void heal(int staysDown) {
+  /**
+   * Ends all faults and restarts all machines, except up to the given number of machines that
+   * remain down.
+   */
+  void heal(int machinesStayingDown) {
     operators.forEach(SimulatedOperator::stop);
     injector.stop();
     network.heal();
@@ -201,7 +211,7 @@
       SimulatedNode node = all.get(i);
       node.disk().heal();
       node.thaw();
-      if (i < staysDown && losses.mayLose(node, shape.faultTolerance())) {
+      if (i < machinesStayingDown && losses.mayLose(node, shape.faultTolerance())) {
         losses.lost(node);
         node.kill();
       } else {
@@ -210,34 +220,40 @@
     }
   }
 
-  /** Runs until a change is taken; the simulated time that it took, or -1 if the bound passed. */
-  long timeToTakeChange(long timeoutMicros) {
+  /**
+   * Runs the simulation until a node accepts a change. Returns the elapsed simulated time in
+   * microseconds, or -1 if the timeout expires.
+   */
+  long timeToAcceptChange(long timeoutMicros) {
     long begin = events.nowMicros();
-    firstProbe = lastToken + 1;
-    while (!probeTaken && events.nowMicros() < begin + timeoutMicros) {
-      probing &= events.nowMicros() - probedAt < PROBE_PATIENCE;
+    firstProbeToken = lastToken + 1;
+    while (!probeAccepted && events.nowMicros() < begin + timeoutMicros) {
+      probing &= events.nowMicros() - probedAtMicros < PROBE_TIMEOUT_MICROS;
       nodes.stream()
           .filter(node -> !probing && node.role().serving())
           .findFirst()
           .ifPresent(this::probe);
       events.runUntil(events.nowMicros() + 10_000);
     }
-    return probeTaken ? events.nowMicros() - begin : -1;
+    return probeAccepted ? events.nowMicros() - begin : -1;
   }
 
   private void probe(SimulatedNode node) {
     lastToken++;
     probing = true;
-    probedAt = events.nowMicros();
+    probedAtMicros = events.nowMicros();
     long version = node.state().version();
     ReferenceState.Change change =
-        new ReferenceState.Change(version, version + 1, PROBER_AUTHOR + (int) lastToken);
+        new ReferenceState.Change(version, version + 1, PROBE_AUTHOR + (int) lastToken);
     node.handle(new ReplicaInput.Propose(lastToken, change.encode()));
   }
 
-  /** Checks that nothing acknowledged is missing at the node that serves, or will soon. */
+  /**
+   * Waits for a primary that serves clients and checks that its state contains all acknowledged
+   * changes.
+   */
   void checkEnd() {
-    long timeoutMicros = events.nowMicros() + END_PATIENCE;
+    long timeoutMicros = events.nowMicros() + END_TIMEOUT_MICROS;
     while (nodes.stream().noneMatch(node -> node.role().serving())
         && events.nowMicros() < timeoutMicros) {
       events.runUntil(events.nowMicros() + 10_000);
@@ -246,11 +262,11 @@
         nodes.stream()
             .filter(node -> node.role().serving())
             .findFirst()
-            .orElseThrow(() -> new RuleViolation("nobody serves at the end"));
-    history.atEnd(serving.state().changes());
+            .orElseThrow(() -> new RuleViolation("no primary serves clients at the end"));
+    history.checkEndState(serving.state().changes());
   }
 
-  int changesTaken() {
+  int acknowledgedChanges() {
     return history.acknowledgedChanges().size();
   }
 }
--- a/src/test/java/slateslip/simulation/control/CrashAtMessage.java
+++ b/src/test/java/slateslip/simulation/control/CrashAtMessage.java
@@ -4,14 +4,16 @@
 import slateslip.simulation.RuleViolation;
 
 /**
- * One crash in a run without chance: three nodes, two changes.
+ * A run with a fixed seed in which three nodes commit two changes and one node crashes at a given
+ * message.
  *
- * @param number of the message at which it strikes, counted from the first change on
- * @param atSender whether the sender crashes, else the receiver
- * @param power whether power is lost, else the process is killed
- * @param messageLost whether that message is lost
- * @param downMicros how long the node stays down
- * @param primaryFirst whether the primary was killed before the first change
+ * @param number the number of the message at which the crash occurs, counted from the time of the
+ *     first change
+ * @param atSender whether the sender of the message crashes; otherwise the receiver crashes
+ * @param power whether the node loses power; otherwise its process is killed
+ * @param messageLost whether the message is lost
+ * @param downMicros the time in microseconds for which the node stays down
+ * @param primaryFirst whether the primary is killed before the first change
  */
 record CrashAtMessage(
     int number,
@@ -22,50 +24,55 @@
     boolean primaryFirst) {
   private static final WorldShape SHAPE = new WorldShape(3, 3, 1);
   private static final long SEED = 42;
-  private static final long FIRST_CHANGE = 600_000;
-  private static final long PRIMARY_DOWN = 2_000_000;
-  private static final long TIMEOUT = 8_000_000;
+  private static final long FIRST_CHANGE_MICROS = 600_000;
+  private static final long PRIMARY_DOWN_MICROS = 2_000_000;
+  private static final long TIMEOUT_MICROS = 8_000_000;
   private static final int CHANGES = 2;
 
-  /** Plays it; whether there was such a message. */
-  boolean play(Mutation mutation) {
+  /**
+   * Runs the simulation and returns whether the run contained a message with the given number.
+   *
+   * @throws RuleViolation if the run violates an invariant or a change is not accepted in time
+   */
+  boolean run(Mutation mutation) {
     ControlWorld world = new ControlWorld(SHAPE, SEED, mutation);
     world.begin(0);
-    world.runUntil(FIRST_CHANGE);
-    int[] seen = {0};
-    world.observer(
+    world.runUntil(FIRST_CHANGE_MICROS);
+    int[] observedMessages = {0};
+    world.setObserver(
         (from, to, message) -> {
-          seen[0]++;
-          return seen[0] == number && strike(world, atSender ? from.address() : to);
+          observedMessages[0]++;
+          return observedMessages[0] == number
+              && crashNodeAt(world, atSender ? from.address() : to);
         });
     if (primaryFirst) {
-      crash(world, serving(world), false, PRIMARY_DOWN);
+      crash(world, serving(world), false, PRIMARY_DOWN_MICROS);
     }
     ScriptedClient client = new ScriptedClient(world, CHANGES);
     client.start();
-    while (!client.done() && world.events().nowMicros() < TIMEOUT) {
+    while (!client.done() && world.events().nowMicros() < TIMEOUT_MICROS) {
       world.runUntil(world.events().nowMicros() + 10_000);
     }
     if (!client.done()) {
-      throw new RuleViolation("changes not taken in time");
+      throw new RuleViolation("the changes were not accepted in time");
     }
-    boolean struck = seen[0] >= number;
+    boolean messageReached = observedMessages[0] >= number;
     world.heal(0);
-    if (world.timeToTakeChange(TIMEOUT) < 0) {
-      throw new RuleViolation("no change taken at the end");
+    if (world.timeToAcceptChange(TIMEOUT_MICROS) < 0) {
+      throw new RuleViolation("no change was accepted at the end");
     }
     world.checkEnd();
-    return struck;
+    return messageReached;
   }
 
   private static SimulatedNode serving(ControlWorld world) {
     return world.nodes().stream()
         .filter(node -> node.role().serving())
         .findFirst()
-        .orElseThrow(() -> new RuleViolation("nobody serves at first"));
+        .orElseThrow(() -> new RuleViolation("no primary serves clients before the first change"));
   }
 
-  private boolean strike(ControlWorld world, NodeAddress address) {
+  private boolean crashNodeAt(ControlWorld world, NodeAddress address) {
     world.nodes().stream()
         .filter(node -> node.address().equals(address))
         .findFirst()
--- a/src/test/java/slateslip/simulation/control/ExhaustiveCrashTest.java
+++ b/src/test/java/slateslip/simulation/control/ExhaustiveCrashTest.java
@@ -10,9 +10,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.simulation.RuleViolation;
 
-/** Three nodes, two changes, one crash at every message, in every way. */
+/**
+ * Tests a cluster of three nodes that commits two changes, with one crash at each message in turn
+ * and in every variant of the crash.
+ */
 final class ExhaustiveCrashTest {
-  /** Two changes to two members, each with its response, and some heartbeats. */
+  /**
+   * Minimum number of messages: two changes sent to two members, the acknowledgement of each, and
+   * some heartbeats.
+   */
   private static final int MIN_MESSAGES = 12;
 
   private static final int MAX_MESSAGES = 120;
@@ -20,32 +26,37 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void oneCrashAtEveryMessageLosesNothing(boolean primaryFirst) {
+  void crashAtAnyMessageLosesNoAcknowledgedChange(boolean primaryFirst) {
     List<String> failures = new ArrayList<>();
     int number = 1;
-    while (number <= MAX_MESSAGES && playAll(number, primaryFirst, failures)) {
+    while (number <= MAX_MESSAGES && runAllVariants(number, primaryFirst, failures)) {
       number++;
     }
     assertThat(failures, empty());
     assertThat(number, greaterThan(MIN_MESSAGES));
   }
 
-  private static boolean playAll(int number, boolean primaryFirst, List<String> failures) {
-    boolean struck = false;
-    for (int ways = 0; ways < 8; ways++) {
+  private static boolean runAllVariants(int number, boolean primaryFirst, List<String> failures) {
+    boolean messageReached = false;
+    for (int variant = 0; variant < 8; variant++) {
       for (long down : DOWN_MICROS) {
         CrashAtMessage crash =
             new CrashAtMessage(
-                number, (ways & 1) != 0, (ways & 2) != 0, (ways & 4) != 0, down, primaryFirst);
-        struck |= play(crash, failures);
+                number,
+                (variant & 1) != 0,
+                (variant & 2) != 0,
+                (variant & 4) != 0,
+                down,
+                primaryFirst);
+        messageReached |= run(crash, failures);
       }
     }
-    return struck;
+    return messageReached;
   }
 
-  private static boolean play(CrashAtMessage crash, List<String> failures) {
+  private static boolean run(CrashAtMessage crash, List<String> failures) {
     try {
-      return crash.play(Mutation.NONE);
+      return crash.run(Mutation.NONE);
     } catch (RuleViolation violation) {
       failures.add(crash + ": " + violation.getMessage());
       return true;
--- a/src/test/java/slateslip/simulation/control/Fault.java
+++ b/src/test/java/slateslip/simulation/control/Fault.java
@@ -8,13 +8,16 @@
 /**
  * One fault of a schedule.
  *
- * @param atMicros when
- * @param kind what
- * @param target number of a node, or a seed for a choice
- * @param micros how long
+ * @param atMicros the time in microseconds after the start of the fault period
+ * @param kind the kind of the fault
+ * @param target a number that selects a node, or a seed for another random choice
+ * @param durationMicros the duration of the fault in microseconds
  */
-record Fault(long atMicros, Kind kind, int target, long micros) {
-  /** What happens. */
+record Fault(long atMicros, Kind kind, int target, long durationMicros) {
+  /**
+   * The kind of a fault. A kind whose name contains {@code PRIMARY} affects the serving primary;
+   * see {@link FaultInjector}.
+   */
   enum Kind {
     KILL,
     KILL_PRIMARY,
@@ -44,43 +47,49 @@
     LOSE_POWER_ALL_AND_WIPE,
     LOSE_POWER_AFTER_ACKNOWLEDGEMENT,
     WIPE_AFTER_ACKNOWLEDGEMENT,
-    KILL_HALF_WAY,
+    KILL_AFTER_RANDOM_DELAY,
     CRASH_AT_MESSAGES,
     CRASH_PRIMARY_THEN_AT_MESSAGES
   }
 
-  private static final int EXTRA_CRASHES = 3;
+  private static final int EXTRA_CRASH_ENTRIES = 3;
   private static final int MAX_FAULTS = 9;
-  private static final int NODE_CHOICES = 1_000;
-  private static final long MIN_MICROS = 20_000;
-  private static final long MAX_MICROS = 3_000_000;
-  private static final long SHORT_MICROS = 300_000;
+  private static final int MAX_TARGET = 1_000;
+  private static final long MIN_DURATION_MICROS = 20_000;
+  private static final long LONG_DURATION_MICROS = 3_000_000;
+  private static final long SHORT_DURATION_MICROS = 300_000;
 
-  /** All kinds, those that strike in the middle of an exchange more than once. */
+  /**
+   * Returns all kinds; the kinds that crash a node between two messages occur several times, which
+   * makes them more frequent.
+   */
   static List<Kind> kinds() {
     List<Kind> kinds = new ArrayList<>(List.of(Kind.values()));
-    for (int i = 0; i < EXTRA_CRASHES; i++) {
+    for (int i = 0; i < EXTRA_CRASH_ENTRIES; i++) {
       kinds.add(Kind.CRASH_AT_MESSAGES);
       kinds.add(Kind.CRASH_PRIMARY_THEN_AT_MESSAGES);
     }
     return kinds;
   }
 
-  /** A random schedule over some time, in order. */
-  static List<Fault> schedule(SplittableRandom random, long micros, List<Kind> kinds) {
+  /** Returns a random schedule of faults over a period in microseconds, ordered by time. */
+  static List<Fault> schedule(SplittableRandom random, long periodMicros, List<Kind> kinds) {
     List<Fault> faults = new ArrayList<>();
     int count = 1 + random.nextInt(MAX_FAULTS);
-    long clustered = random.nextLong(micros);
+    long clusterMicros = random.nextLong(periodMicros);
     for (int i = 0; i < count; i++) {
-      boolean near = random.nextInt(3) == 0;
-      long at = near ? clustered + random.nextLong(SHORT_MICROS) : random.nextLong(micros);
-      long max = random.nextBoolean() ? SHORT_MICROS : MAX_MICROS;
+      boolean inCluster = random.nextInt(3) == 0;
+      long startMicros =
+          inCluster
+              ? clusterMicros + random.nextLong(SHORT_DURATION_MICROS)
+              : random.nextLong(periodMicros);
+      long maxDurationMicros = random.nextBoolean() ? SHORT_DURATION_MICROS : LONG_DURATION_MICROS;
       faults.add(
           new Fault(
-              at,
+              startMicros,
               kinds.get(random.nextInt(kinds.size())),
-              random.nextInt(NODE_CHOICES),
-              random.nextLong(MIN_MICROS, max)));
+              random.nextInt(MAX_TARGET),
+              random.nextLong(MIN_DURATION_MICROS, maxDurationMicros)));
     }
     faults.sort(Comparator.comparingLong(Fault::atMicros));
     return faults;
--- a/src/test/java/slateslip/simulation/control/FaultInjector.java
+++ b/src/test/java/slateslip/simulation/control/FaultInjector.java
@@ -7,27 +7,27 @@
 import slateslip.coordination.NodeAddress;
 import slateslip.coordination.ReplicaMessage;
 
-/** Makes faults happen, and end. */
+/** Starts the faults of a schedule and ends each fault after its duration. */
 final class FaultInjector {
-  private static final long MIN_DOWNTIME = 50_000;
-  private static final long RESTART_SPREAD = 1_000_000;
-  private static final long SLOW_LINK = 60_000;
-  private static final long SLOW_DISK = 40;
-  private static final long HALF_WAY = 30_000;
+  private static final long MIN_DOWNTIME_MICROS = 50_000;
+  private static final long RESTART_SPREAD_MICROS = 1_000_000;
+  private static final long SLOW_LINK_DELAY_MICROS = 60_000;
+  private static final long SLOW_DISK_FACTOR = 40;
+  private static final long MAX_KILL_DELAY_MICROS = 30_000;
 
   private final ControlWorld world;
   private final SplittableRandom random;
   private boolean stopped;
-  private Fault awaitsAcknowledgement;
-  private final ArmedCrashes armed;
+  private Fault faultAfterAcknowledgement;
+  private final ArmedCrashes armedCrashes;
 
   FaultInjector(ControlWorld world, SplittableRandom random) {
     this.world = world;
     this.random = random;
-    armed = new ArmedCrashes(random.split());
+    armedCrashes = new ArmedCrashes(random.split());
   }
 
-  /** Nothing more happens. */
+  /** Stops the injection of further faults. */
   void stop() {
     stopped = true;
   }
@@ -38,37 +38,38 @@
     }
     SimulatedNode node = target(fault);
     switch (fault.kind()) {
-      case KILL, KILL_PRIMARY -> kill(node, fault.micros());
-      case LOSE_POWER, LOSE_POWER_PRIMARY -> losePower(node, fault.micros());
-      case WIPE, WIPE_PRIMARY -> wipe(node, fault.micros());
-      case REPLACE -> replace(node, fault.micros());
-      case FREEZE, FREEZE_PRIMARY -> freeze(node, fault.micros());
+      case KILL, KILL_PRIMARY -> kill(node, fault.durationMicros());
+      case LOSE_POWER, LOSE_POWER_PRIMARY -> losePower(node, fault.durationMicros());
+      case WIPE, WIPE_PRIMARY -> wipe(node, fault.durationMicros());
+      case REPLACE -> replace(node, fault.durationMicros());
+      case FREEZE, FREEZE_PRIMARY -> freeze(node, fault.durationMicros());
       case RESET -> world.network().resetAll(node.address(), others(node));
-      case KILL_ALL -> List.copyOf(world.nodes()).forEach(this::killShortly);
-      case LOSE_POWER_ALL -> List.copyOf(world.nodes()).forEach(this::losePowerShortly);
+      case KILL_ALL -> List.copyOf(world.nodes()).forEach(this::killForRandomTime);
+      case LOSE_POWER_ALL -> List.copyOf(world.nodes()).forEach(this::losePowerForRandomTime);
       case LOSE_POWER_ALL_AND_WIPE -> losePowerAllAndWipe(fault);
       case LOSE_POWER_AFTER_ACKNOWLEDGEMENT, WIPE_AFTER_ACKNOWLEDGEMENT ->
-          awaitsAcknowledgement = fault;
-      case KILL_HALF_WAY -> killHalfWay(fault);
-      case CRASH_AT_MESSAGES -> armed.arm(fault);
+          faultAfterAcknowledgement = fault;
+      case KILL_AFTER_RANDOM_DELAY -> killPrimaryAfterDelay(fault);
+      case CRASH_AT_MESSAGES -> armedCrashes.arm(fault);
       case CRASH_PRIMARY_THEN_AT_MESSAGES -> {
-        armed.arm(fault);
-        kill(node, fault.micros());
+        armedCrashes.arm(fault);
+        kill(node, fault.durationMicros());
       }
       default -> injectLasting(fault, node);
     }
   }
 
   private void injectLasting(Fault fault, SimulatedNode node) {
-    world.losses().troubled(node, world.events().nowMicros() + fault.micros());
+    world.losses().troubled(node, world.events().nowMicros() + fault.durationMicros());
     switch (fault.kind()) {
       case SLOW_LINKS -> {
-        world.network().slow(node.address(), SLOW_LINK);
-        later(fault.micros(), () -> world.network().slow(node.address(), 0));
+        world.network().slow(node.address(), SLOW_LINK_DELAY_MICROS);
+        schedule(fault.durationMicros(), () -> world.network().slow(node.address(), 0));
       }
-      case DISK_SLOW, DISK_SLOW_PRIMARY -> node.disk().slow(fault.micros(), SLOW_DISK);
-      case DISK_HUNG, DISK_HUNG_PRIMARY -> node.disk().hang(fault.micros());
-      case DISK_FULL, DISK_FULL_PRIMARY -> node.disk().fill(fault.micros());
+      case DISK_SLOW, DISK_SLOW_PRIMARY ->
+          node.disk().slow(fault.durationMicros(), SLOW_DISK_FACTOR);
+      case DISK_HUNG, DISK_HUNG_PRIMARY -> node.disk().hang(fault.durationMicros());
+      case DISK_FULL, DISK_FULL_PRIMARY -> node.disk().fill(fault.durationMicros());
       default -> partition(fault, node);
     }
   }
@@ -78,10 +79,11 @@
     for (NodeAddress other : others(node)) {
       boolean chosen = random.nextBoolean();
       switch (fault.kind()) {
-        case PARTITION_ONE_WAY -> partitionIf(chosen, own, other, fault.micros());
-        case PARTITION_TOWARDS_PRIMARY -> partitionIf(true, other, own, fault.micros());
-        case PARTITION_FROM_PRIMARY -> partitionIf(true, own, other, fault.micros());
-        case ISOLATE, ISOLATE_PRIMARY -> partitionBothWays(own, other, fault.micros());
+        case PARTITION_ONE_WAY -> partitionIfChosen(chosen, own, other, fault.durationMicros());
+        case PARTITION_TOWARDS_PRIMARY ->
+            partitionIfChosen(true, other, own, fault.durationMicros());
+        case PARTITION_FROM_PRIMARY -> partitionIfChosen(true, own, other, fault.durationMicros());
+        case ISOLATE, ISOLATE_PRIMARY -> partitionBothWays(own, other, fault.durationMicros());
         default -> {}
       }
     }
@@ -95,24 +97,25 @@
     List<NodeAddress> right = new ArrayList<>();
     for (SimulatedNode node : world.nodes()) {
       (random.nextBoolean() ? left : right).add(node.address());
-      world.losses().troubled(node, world.events().nowMicros() + fault.micros());
+      world.losses().troubled(node, world.events().nowMicros() + fault.durationMicros());
     }
-    left.forEach(one -> right.forEach(other -> partitionBothWays(one, other, fault.micros())));
+    left.forEach(
+        one -> right.forEach(other -> partitionBothWays(one, other, fault.durationMicros())));
   }
 
   private void partitionBothWays(NodeAddress one, NodeAddress other, long micros) {
-    partitionIf(true, one, other, micros);
-    partitionIf(true, other, one, micros);
+    partitionIfChosen(true, one, other, micros);
+    partitionIfChosen(true, other, one, micros);
   }
 
-  private void partitionIf(boolean chosen, NodeAddress from, NodeAddress to, long micros) {
+  private void partitionIfChosen(boolean chosen, NodeAddress from, NodeAddress to, long micros) {
     if (chosen) {
       world.network().partition(from, to);
-      later(micros, () -> world.network().join(from, to));
+      schedule(micros, () -> world.network().endPartition(from, to));
     }
   }
 
-  private void later(long micros, Runnable action) {
+  private void schedule(long micros, Runnable action) {
     world.events().after(micros, action);
   }
 
@@ -133,26 +136,28 @@
 
   private void kill(SimulatedNode node, long micros) {
     node.kill();
-    loseUnsent(node);
+    resetConnectionsAtRandom(node);
     restartIn(node, micros);
   }
 
-  private void killShortly(SimulatedNode node) {
-    kill(node, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
+  private void killForRandomTime(SimulatedNode node) {
+    kill(node, MIN_DOWNTIME_MICROS + random.nextLong(RESTART_SPREAD_MICROS));
   }
 
   private void losePower(SimulatedNode node, long micros) {
     node.losePower();
-    loseUnsent(node);
+    resetConnectionsAtRandom(node);
     restartIn(node, micros);
   }
 
-  private void losePowerShortly(SimulatedNode node) {
-    losePower(node, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
+  private void losePowerForRandomTime(SimulatedNode node) {
+    losePower(node, MIN_DOWNTIME_MICROS + random.nextLong(RESTART_SPREAD_MICROS));
   }
 
-  /** What the process had not handed to the network yet is lost with it, at times. */
-  private void loseUnsent(SimulatedNode node) {
+  /**
+   * Resets the connections of a crashed process at random, which may lose the messages in flight.
+   */
+  private void resetConnectionsAtRandom(SimulatedNode node) {
     if (random.nextBoolean()) {
       world.network().resetAll(node.address(), others(node));
     }
@@ -160,7 +165,7 @@
 
   private void restartIn(SimulatedNode node, long micros) {
     world.losses().troubled(node, world.events().nowMicros() + micros);
-    later(micros, () -> world.restart(node));
+    schedule(micros, () -> world.restart(node));
   }
 
   private boolean wipe(SimulatedNode node, long micros) {
@@ -170,7 +175,7 @@
     node.losePower();
     node.disk().wipe();
     world.losses().wiped(node, world.events().nowMicros() + micros);
-    later(micros, () -> world.restart(node));
+    schedule(micros, () -> world.restart(node));
     return true;
   }
 
@@ -184,53 +189,58 @@
   private void freeze(SimulatedNode node, long micros) {
     node.freeze();
     world.losses().troubled(node, world.events().nowMicros() + micros);
-    later(micros, node::thaw);
+    schedule(micros, node::thaw);
   }
 
   private void losePowerAllAndWipe(Fault fault) {
     List<SimulatedNode> all = List.copyOf(world.nodes());
     int first = fault.target() % all.size();
     for (int i = 0; i < world.shape().faultTolerance(); i++) {
-      wipe(all.get((first + i) % all.size()), MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
+      wipe(
+          all.get((first + i) % all.size()),
+          MIN_DOWNTIME_MICROS + random.nextLong(RESTART_SPREAD_MICROS));
     }
-    all.stream().filter(SimulatedNode::running).forEach(this::losePowerShortly);
+    all.stream().filter(SimulatedNode::running).forEach(this::losePowerForRandomTime);
   }
 
-  /** Kills the primary a short random time from now, whatever it then does. */
-  private void killHalfWay(Fault fault) {
-    long delay = random.nextLong(HALF_WAY);
+  /**
+   * Kills the primary, or cuts its power, after a short random delay and independently of its
+   * current activity.
+   */
+  private void killPrimaryAfterDelay(Fault fault) {
+    long delay = random.nextLong(MAX_KILL_DELAY_MICROS);
     Fault.Kind kind =
         random.nextBoolean() ? Fault.Kind.KILL_PRIMARY : Fault.Kind.LOSE_POWER_PRIMARY;
-    later(delay, () -> inject(new Fault(0, kind, fault.target(), fault.micros())));
+    schedule(delay, () -> inject(new Fault(0, kind, fault.target(), fault.durationMicros())));
   }
 
-  /** A node has sent a message, maybe the one at which it is to crash. */
+  /** Crashes a node that has sent a message if the next armed crash applies to the message. */
   void sent(SimulatedNode node, ReplicaMessage message) {
-    if (stopped || !armed.strikes(message)) {
+    if (stopped || !armedCrashes.crashesSender(message)) {
       return;
     }
     if (random.nextBoolean()) {
-      losePower(node, armed.micros());
+      losePower(node, armedCrashes.downMicros());
     } else {
-      kill(node, armed.micros());
+      kill(node, armedCrashes.downMicros());
     }
   }
 
-  /** A node has just acknowledged something. */
+  /** Starts a fault that waits for an acknowledgement if a node has just acknowledged a change. */
   void acknowledged(SimulatedNode node, ClientResult result) {
-    Fault fault = awaitsAcknowledgement;
+    Fault fault = faultAfterAcknowledgement;
     if (stopped || fault == null || !(result instanceof ClientResult.Committed)) {
       return;
     }
-    awaitsAcknowledgement = null;
-    later(0, () -> strike(node, fault));
+    faultAfterAcknowledgement = null;
+    schedule(0, () -> crashAfterAcknowledgement(node, fault));
   }
 
-  private void strike(SimulatedNode node, Fault fault) {
+  private void crashAfterAcknowledgement(SimulatedNode node, Fault fault) {
     boolean wiped =
-        fault.kind() == Fault.Kind.WIPE_AFTER_ACKNOWLEDGEMENT && wipe(node, fault.micros());
+        fault.kind() == Fault.Kind.WIPE_AFTER_ACKNOWLEDGEMENT && wipe(node, fault.durationMicros());
     if (!wiped) {
-      losePower(node, fault.micros());
+      losePower(node, fault.durationMicros());
     }
   }
 }
--- a/src/test/java/slateslip/simulation/control/Mutation.java
+++ b/src/test/java/slateslip/simulation/control/Mutation.java
@@ -9,21 +9,21 @@
 import slateslip.coordination.WitnessState;
 import slateslip.simulation.SimulatedDisk;
 
-/** A fault in the protocol, put in to see that the checks find it. */
+/** A deliberate defect of the protocol, which the checks of the simulation must detect. */
 enum Mutation {
-  /** The protocol as it is. */
+  /** The protocol without a defect. */
   NONE,
-  /** Writes are said to be durable before they are synced. */
+  /** The disk reports writes as durable before the writes are synced. */
   ACKNOWLEDGES_BEFORE_SYNC,
-  /** A proposer does not learn of the view that a witness has accepted. */
+  /** A promise does not contain the view that the witness has accepted. */
   IGNORES_ACCEPTED_VIEW,
-  /** A witness forgets its votes at a restart. */
+  /** A witness loses its votes when the witness restarts. */
   FORGETS_VOTES,
-  /** A member acknowledges records of an epoch that it has left. */
+  /** A member acknowledges records of an epoch older than the member's current epoch. */
   ACKNOWLEDGES_OLD_EPOCH;
 
-  /** Kinds of faults that bring it to light. */
-  List<Fault.Kind> kinds() {
+  /** Returns the kinds of faults that reveal the defect. */
+  List<Fault.Kind> faultKinds() {
     return switch (this) {
       case IGNORES_ACCEPTED_VIEW, FORGETS_VOTES ->
           List.of(
@@ -35,15 +35,15 @@
     };
   }
 
-  /** Changes what a disk does. */
-  void apply(SimulatedDisk disk) {
+  /** Applies the defect to a disk if the defect concerns disks. */
+  void alterDisk(SimulatedDisk disk) {
     if (this == ACKNOWLEDGES_BEFORE_SYNC) {
       disk.lie();
     }
   }
 
-  /** Changes a message on its way. */
-  ReplicaMessage pass(ReplicaMessage message) {
+  /** Returns the message as the defective protocol sends it. */
+  ReplicaMessage alterMessage(ReplicaMessage message) {
     if (this == IGNORES_ACCEPTED_VIEW && message instanceof ReplicaMessage.Promise promise) {
       return new ReplicaMessage.Promise(
           promise.baseEpoch(), promise.ballot(), Ballot.NONE, View.NONE, promise.status());
@@ -51,8 +51,8 @@
     return message;
   }
 
-  /** Changes what a disk gives back. */
-  DurableRecord recovered(DurableRecord record) {
+  /** Returns the record as the defective protocol recovers it from disk. */
+  DurableRecord alterRecoveredRecord(DurableRecord record) {
     if (this != FORGETS_VOTES) {
       return record;
     }
@@ -69,7 +69,10 @@
     return record;
   }
 
-  /** What a node wrongly answers to a message of an epoch before its own. */
+  /**
+   * Returns the wrong response of a node to a record of an epoch older than the node's epoch, or
+   * empty if the defect causes no response.
+   */
   Optional<ReplicaMessage> wrongResponse(ReplicaMessage message, long epoch) {
     boolean old = message instanceof ReplicaMessage.Append append && append.term().epoch() < epoch;
     if (this == ACKNOWLEDGES_OLD_EPOCH && old) {
--- a/src/test/java/slateslip/simulation/control/MutationTest.java
+++ b/src/test/java/slateslip/simulation/control/MutationTest.java
@@ -7,22 +7,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each fault put into the protocol breaks a rule of safety in some schedule. */
+/**
+ * Tests that the checks detect each deliberate defect of the protocol: at least one schedule must
+ * violate a safety invariant.
+ */
 final class MutationTest {
   private static final long SEEDS = 1_500;
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void isCaught(Mutation mutation) {
+  void mutationViolatesSafetyInvariant(Mutation mutation) {
     ScheduleRunner runner = new ScheduleRunner(mutation);
-    Optional<String> caught = Optional.empty();
-    for (long seed = 1; seed <= SEEDS && caught.isEmpty(); seed++) {
-      caught = runner.play(seed).violation().filter(MutationTest::concernsSafety);
+    Optional<String> violation = Optional.empty();
+    for (long seed = 1; seed <= SEEDS && violation.isEmpty(); seed++) {
+      violation = runner.run(seed).violation().filter(MutationTest::concernsSafety);
     }
-    assertThat(mutation + " is caught", caught.isPresent(), is(true));
+    assertThat(mutation + " is detected", violation.isPresent(), is(true));
   }
 
   private static boolean concernsSafety(String violation) {
-    return !violation.equals(ScheduleRunner.NOTHING_TAKEN);
+    return !violation.equals(ScheduleRunner.NO_CHANGE_ACCEPTED);
   }
 }
--- a/src/test/java/slateslip/simulation/control/ReferenceState.java
+++ b/src/test/java/slateslip/simulation/control/ReferenceState.java
@@ -8,26 +8,30 @@
 import slateslip.coordination.ReplicatedState;
 
 /**
- * A replicated application like the operator's configuration: each change names the version on
- * which it builds, and one that was taken is taken again.
+ * A replicated application that behaves like the operator's configuration: each change names its
+ * base version, and a change that is sent again after it was applied is accepted again.
  */
 final class ReferenceState implements ReplicatedState {
-  /** What a command without a record gets. */
+  /** The response to a command that produces no record. */
   enum Response {
-    TAKEN_BEFORE,
-    OTHER_VERSION
+    ALREADY_APPLIED,
+    VERSION_MISMATCH
   }
 
   /**
-   * A change.
+   * A change of the state.
    *
-   * @param base version that it builds on
-   * @param version its own
-   * @param author who sends it
+   * @param base the version on which the change is based
+   * @param version the version after the change
+   * @param author the number of the sender
    */
   record Change(long base, long version, int author) {
     byte[] encode() {
-      return ByteBuffer.allocate(BYTES).putLong(base).putLong(version).putInt(author).array();
+      return ByteBuffer.allocate(CHANGE_BYTES)
+          .putLong(base)
+          .putLong(version)
+          .putInt(author)
+          .array();
     }
 
     static Change decode(byte[] bytes) {
@@ -36,7 +40,7 @@
     }
   }
 
-  private static final int BYTES = 20;
+  private static final int CHANGE_BYTES = 20;
 
   private final CheckedHistory history;
   private final List<Change> changes = new ArrayList<>();
@@ -57,10 +61,10 @@
   public PreparedCommand prepare(byte[] command) {
     Change change = Change.decode(command);
     if (changes.contains(change)) {
-      return respond(Response.TAKEN_BEFORE);
+      return respond(Response.ALREADY_APPLIED);
     }
     if (change.base() != version()) {
-      return respond(Response.OTHER_VERSION);
+      return respond(Response.VERSION_MISMATCH);
     }
     return new PreparedCommand.Change(command);
   }
@@ -69,7 +73,7 @@
     return new PreparedCommand.Response(response.name().getBytes(StandardCharsets.US_ASCII));
   }
 
-  static Response respond(byte[] bytes) {
+  static Response decodeResponse(byte[] bytes) {
     return Response.valueOf(new String(bytes, StandardCharsets.US_ASCII));
   }
 
@@ -82,7 +86,7 @@
 
   @Override
   public byte[] snapshot() {
-    ByteBuffer buffer = ByteBuffer.allocate(BYTES * changes.size());
+    ByteBuffer buffer = ByteBuffer.allocate(CHANGE_BYTES * changes.size());
     changes.forEach(change -> buffer.put(change.encode()));
     return buffer.array();
   }
@@ -92,7 +96,7 @@
     ByteBuffer buffer = ByteBuffer.wrap(snapshot);
     changes.clear();
     while (buffer.hasRemaining()) {
-      byte[] record = new byte[BYTES];
+      byte[] record = new byte[CHANGE_BYTES];
       buffer.get(record);
       apply(record);
     }
--- a/src/test/java/slateslip/simulation/control/ScheduleRunner.java
+++ b/src/test/java/slateslip/simulation/control/ScheduleRunner.java
@@ -7,15 +7,19 @@
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.ShortestSchedule;
 
-/** Plays seeded schedules; a seed repeats what it did. */
+/** Runs seeded schedules of faults; the same seed always produces the same run. */
 public final class ScheduleRunner {
-  /** The violation of a schedule after which nobody takes a change in time. */
-  static final String NOTHING_TAKEN = "no change was taken within the bound after the faults";
+  /**
+   * The violation that is reported if no node accepts a change within the time limit after the
+   * faults.
+   */
+  static final String NO_CHANGE_ACCEPTED =
+      "no change was accepted within the time limit after the faults";
 
-  private static final long BEGIN = 1_500_000;
-  private static final long FAULTS_FOR = 6_000_000;
-  private static final long LIVENESS_TIMEOUT = 3_000_000;
-  private static final long SHAPE_STREAM = 0x5eed;
+  private static final long FAULTS_BEGIN_MICROS = 1_500_000;
+  private static final long FAULT_PERIOD_MICROS = 6_000_000;
+  private static final long LIVENESS_TIMEOUT_MICROS = 3_000_000;
+  private static final long SEED_OFFSET = 0x5eed;
   private static final WorldShape[] SHAPES = {
     new WorldShape(3, 3, 1),
     new WorldShape(3, 3, 1),
@@ -26,13 +30,14 @@
   };
 
   /**
-   * What a schedule came to.
+   * The result of a schedule.
    *
-   * @param violation what was broken, if anything
-   * @param takenAfter simulated microseconds until a change was taken after the faults
-   * @param changes acknowledged changes
+   * @param violation the description of the violated invariant, or empty
+   * @param acceptedAfterMicros the simulated time in microseconds from the end of the faults until
+   *     a node accepted a change, or -1 if the schedule failed
+   * @param changes the number of acknowledged changes
    */
-  record Result(Optional<String> violation, long takenAfter, int changes) {}
+  record Result(Optional<String> violation, long acceptedAfterMicros, int changes) {}
 
   private final Mutation mutation;
 
@@ -41,68 +46,73 @@
   }
 
   static WorldShape shape(long seed) {
-    return SHAPES[new SplittableRandom(seed ^ SHAPE_STREAM).nextInt(SHAPES.length)];
+    return SHAPES[new SplittableRandom(seed ^ SEED_OFFSET).nextInt(SHAPES.length)];
   }
 
-  /** The faults of a seed, of the kinds that go with the mutation. */
+  /** Returns the faults of a seed, restricted to the kinds that reveal the mutation. */
   List<Fault> faults(long seed) {
-    SplittableRandom random = new SplittableRandom(seed + SHAPE_STREAM);
-    return Fault.schedule(random, FAULTS_FOR, mutation.kinds());
+    SplittableRandom random = new SplittableRandom(seed + SEED_OFFSET);
+    return Fault.schedule(random, FAULT_PERIOD_MICROS, mutation.faultKinds());
   }
 
-  Result play(long seed) {
-    return play(seed, faults(seed));
+  Result run(long seed) {
+    return run(seed, faults(seed));
   }
 
-  /** Hash of the times of all events of one seed and of what it came to. */
+  /**
+   * Returns a hash of the times of all events in the run of a seed and of the result of the run.
+   */
   public static long digest(long seed) {
     ScheduleRunner runner = new ScheduleRunner(Mutation.NONE);
     ControlWorld world = new ControlWorld(shape(seed), seed, Mutation.NONE);
-    Result result = play(world, seed, runner.faults(seed));
+    Result result = run(world, seed, runner.faults(seed));
     return Objects.hash(
         world.events().digest(),
         result.violation().isPresent(),
-        result.takenAfter(),
+        result.acceptedAfterMicros(),
         result.changes());
   }
 
-  Result play(long seed, List<Fault> faults) {
+  Result run(long seed, List<Fault> faults) {
     WorldShape shape = mutation == Mutation.NONE ? shape(seed) : SHAPES[0];
-    return play(new ControlWorld(shape, seed, mutation), seed, faults);
+    return run(new ControlWorld(shape, seed, mutation), seed, faults);
   }
 
-  private static Result play(ControlWorld world, long seed, List<Fault> faults) {
+  private static Result run(ControlWorld world, long seed, List<Fault> faults) {
     try {
       world.begin(2);
-      faults.forEach(fault -> world.at(BEGIN + fault.atMicros(), fault));
-      world.runUntil(BEGIN + FAULTS_FOR);
-      boolean withLosses = (seed & 1) == 1;
-      world.heal(withLosses ? world.shape().faultTolerance() : 0);
-      long taken = world.timeToTakeChange(LIVENESS_TIMEOUT);
-      if (taken < 0) {
-        return failed(world, NOTHING_TAKEN);
+      faults.forEach(fault -> world.at(FAULTS_BEGIN_MICROS + fault.atMicros(), fault));
+      world.runUntil(FAULTS_BEGIN_MICROS + FAULT_PERIOD_MICROS);
+      boolean machinesStayDown = (seed & 1) == 1;
+      world.heal(machinesStayDown ? world.shape().faultTolerance() : 0);
+      long acceptedAfterMicros = world.timeToAcceptChange(LIVENESS_TIMEOUT_MICROS);
+      if (acceptedAfterMicros < 0) {
+        return failed(world, NO_CHANGE_ACCEPTED);
       }
       world.checkEnd();
-      return new Result(Optional.empty(), taken, world.changesTaken());
+      return new Result(Optional.empty(), acceptedAfterMicros, world.acknowledgedChanges());
     } catch (RuleViolation violation) {
       return failed(world, violation.getMessage());
     }
   }
 
   private static Result failed(ControlWorld world, String violation) {
-    return new Result(Optional.of(violation), -1, world.changesTaken());
+    return new Result(Optional.of(violation), -1, world.acknowledgedChanges());
   }
 
-  /** Leaves out faults as long as the schedule still fails. */
-  List<Fault> shortened(long seed) {
-    return ShortestSchedule.of(faults(seed), fewer -> play(seed, fewer).violation().isPresent());
+  /** Returns the schedule of a seed without the faults that are not necessary for a violation. */
+  List<Fault> minimized(long seed) {
+    return ShortestSchedule.of(faults(seed), fewer -> run(seed, fewer).violation().isPresent());
   }
 
-  /** A failure with its seed and its shortened schedule. */
+  /** Returns a description of a violation with the seed and the minimized schedule. */
   String report(long seed, Result result) {
     StringBuilder text = new StringBuilder("seed ").append(seed);
-    text.append(", ").append(shape(seed)).append(": ").append(result.violation().orElse("held"));
-    for (Fault fault : shortened(seed)) {
+    text.append(", ")
+        .append(shape(seed))
+        .append(": ")
+        .append(result.violation().orElse("no violation"));
+    for (Fault fault : minimized(seed)) {
       text.append("\n  ").append(fault);
     }
     return text.toString();
--- a/src/test/java/slateslip/simulation/control/ScriptedClient.java
+++ b/src/test/java/slateslip/simulation/control/ScriptedClient.java
@@ -3,16 +3,19 @@
 import slateslip.coordination.ClientResult;
 import slateslip.coordination.ReplicaInput;
 
-/** Sends a number of changes, each until it is acknowledged, to the node that serves. */
+/**
+ * Client that sends a number of changes to the serving primary and repeats each change until the
+ * change is acknowledged.
+ */
 final class ScriptedClient implements Caller {
-  private static final long STEP = 10_000;
-  private static final long PATIENCE = 300_000;
+  private static final long STEP_MICROS = 10_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 300_000;
 
   private final ControlWorld world;
   private final int changes;
-  private int taken;
+  private int acknowledgedChanges;
   private long token;
-  private long calledAt;
+  private long calledAtMicros;
 
   ScriptedClient(ControlWorld world, int changes) {
     this.world = world;
@@ -20,7 +23,7 @@
   }
 
   boolean done() {
-    return taken == changes;
+    return acknowledgedChanges == changes;
   }
 
   void start() {
@@ -28,23 +31,25 @@
   }
 
   private void step() {
-    boolean idle = token == 0 || world.events().nowMicros() - calledAt > PATIENCE;
+    boolean idle =
+        token == 0 || world.events().nowMicros() - calledAtMicros > REQUEST_TIMEOUT_MICROS;
     if (!done() && idle) {
       world.nodes().stream()
           .filter(node -> node.role().serving())
           .findFirst()
           .ifPresent(this::call);
     }
-    world.events().after(STEP, this::step);
+    world.events().after(STEP_MICROS, this::step);
   }
 
   private ReferenceState.Change change() {
-    return new ReferenceState.Change(taken, taken + 1L, taken);
+    return new ReferenceState.Change(
+        acknowledgedChanges, acknowledgedChanges + 1L, acknowledgedChanges);
   }
 
   private void call(SimulatedNode node) {
     token = world.nextToken(this);
-    calledAt = world.events().nowMicros();
+    calledAtMicros = world.events().nowMicros();
     node.handle(new ReplicaInput.Propose(token, change().encode()));
   }
 
@@ -57,11 +62,11 @@
     boolean accepted =
         result instanceof ClientResult.Committed
             || (result instanceof ClientResult.Responded response
-                && ReferenceState.respond(response.response())
-                    == ReferenceState.Response.TAKEN_BEFORE);
+                && ReferenceState.decodeResponse(response.response())
+                    == ReferenceState.Response.ALREADY_APPLIED);
     if (accepted) {
       world.history().acknowledged(change());
-      taken++;
+      acknowledgedChanges++;
     }
   }
 }
--- a/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNetwork.java
@@ -15,45 +15,47 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * Connections between nodes: in order on each, with delay; cut one way, reset, and between an old
- * and a new connection without order; some messages come twice.
+ * Simulated connections between nodes. Messages of one connection arrive in order after a random
+ * delay. Connections can be partitioned in one direction and reset; messages of the connection
+ * before a reset and of the connection after the reset may arrive in any order. Some messages are
+ * delivered twice.
  */
 final class SimulatedNetwork {
-  /** Sees what is sent, before it is on its way. */
-  interface Watcher {
+  /** Observes each message before the network transmits the message. */
+  interface MessageObserver {
     /** Returns whether the message is lost. */
     boolean sent(NodeId from, NodeAddress to, ReplicaMessage message);
   }
 
-  /** Takes what arrives. */
+  /** Receives the messages that arrive. */
   interface Receiver {
     void deliver(NodeAddress to, ReplicaFrame frame);
   }
 
   private record Link(NodeAddress from, NodeAddress to) {}
 
-  private static final long MIN_DELAY = 300;
-  private static final long MAX_DELAY = 3_000;
-  private static final long LATE = 120_000;
-  private static final int ENCODED_EVERY = 16;
-  private static final int TWICE_EVERY = 150;
+  private static final long MIN_DELAY_MICROS = 300;
+  private static final long MAX_DELAY_MICROS = 3_000;
+  private static final long MAX_DUPLICATE_DELAY_MICROS = 120_000;
+  private static final int MESSAGES_PER_ENCODING = 16;
+  private static final int MESSAGES_PER_DUPLICATE = 150;
 
   private final EventQueue events;
   private final SplittableRandom random;
   private final Receiver receiver;
   private final Mutation mutation;
-  private final Watcher watcher;
+  private final MessageObserver observer;
   private final Map<Link, Long> lastArrival = new HashMap<>();
   private final Map<Link, Integer> connections = new HashMap<>();
-  private final Map<Link, Deque<Runnable>> cuts = new HashMap<>();
-  private final SlowLinks slow = new SlowLinks();
+  private final Map<Link, Deque<Runnable>> partitions = new HashMap<>();
+  private final SlowLinks slowLinks = new SlowLinks();
 
-  /** Extra delay of links. */
+  /** The additional delay of the links of slow machines. */
   private static final class SlowLinks {
-    private final Map<NodeAddress, Long> extra = new HashMap<>();
+    private final Map<NodeAddress, Long> extraMicros = new HashMap<>();
 
     long of(NodeAddress from, NodeAddress to) {
-      return Math.max(extra.getOrDefault(from, 0L), extra.getOrDefault(to, 0L));
+      return Math.max(extraMicros.getOrDefault(from, 0L), extraMicros.getOrDefault(to, 0L));
     }
   }
 
@@ -62,8 +64,8 @@
       SplittableRandom random,
       Receiver receiver,
       Mutation mutation,
-      Watcher watcher) {
-    this.watcher = watcher;
+      MessageObserver observer) {
+    this.observer = observer;
     this.events = events;
     this.random = random;
     this.receiver = receiver;
@@ -71,24 +73,27 @@
   }
 
   void send(NodeId from, NodeAddress to, ReplicaMessage sent) {
-    ReplicaMessage message = mutation.pass(sent);
-    if (watcher.sent(from, to, message)) {
+    ReplicaMessage message = mutation.alterMessage(sent);
+    if (observer.sent(from, to, message)) {
       return;
     }
     Link link = new Link(from.address(), to);
-    ReplicaFrame frame = new ReplicaFrame(from, sometimesEncoded(from, message));
-    long delay = random.nextLong(MIN_DELAY, MAX_DELAY) + slow.of(from.address(), to);
+    ReplicaFrame frame = new ReplicaFrame(from, encodeAndDecodeAtRandom(from, message));
+    long delay =
+        random.nextLong(MIN_DELAY_MICROS, MAX_DELAY_MICROS) + slowLinks.of(from.address(), to);
     long arrival = Math.max(lastArrival.getOrDefault(link, 0L), events.nowMicros() + delay);
     lastArrival.put(link, arrival);
     int connection = connections.getOrDefault(link, 0);
     events.at(arrival, () -> arrive(link, connection, frame));
-    if (random.nextInt(TWICE_EVERY) == 0) {
-      events.at(arrival + random.nextLong(LATE), () -> arrive(link, connection, frame));
+    if (random.nextInt(MESSAGES_PER_DUPLICATE) == 0) {
+      events.at(
+          arrival + random.nextLong(MAX_DUPLICATE_DELAY_MICROS),
+          () -> arrive(link, connection, frame));
     }
   }
 
-  private ReplicaMessage sometimesEncoded(NodeId from, ReplicaMessage message) {
-    if (random.nextInt(ENCODED_EVERY) != 0) {
+  private ReplicaMessage encodeAndDecodeAtRandom(NodeId from, ReplicaMessage message) {
+    if (random.nextInt(MESSAGES_PER_ENCODING) != 0) {
       return message;
     }
     Decoded<ReplicaFrame> decoded =
@@ -97,41 +102,47 @@
   }
 
   private void arrive(Link link, int connection, ReplicaFrame frame) {
-    Deque<Runnable> stalled = cuts.get(link);
-    if (stalled != null) {
-      stalled.addLast(() -> arrive(link, connection, frame));
+    Deque<Runnable> heldArrivals = partitions.get(link);
+    if (heldArrivals != null) {
+      heldArrivals.addLast(() -> arrive(link, connection, frame));
       return;
     }
-    boolean old = connection != connections.getOrDefault(link, 0);
-    if (!old || random.nextBoolean()) {
+    boolean replaced = connection != connections.getOrDefault(link, 0);
+    if (!replaced || random.nextBoolean()) {
       receiver.deliver(link.to(), frame);
     }
   }
 
-  /** Nothing passes from one to the other any more. */
+  /** Stops the delivery of messages from one node to another until the partition ends. */
   void partition(NodeAddress from, NodeAddress to) {
-    cuts.putIfAbsent(new Link(from, to), new ArrayDeque<>());
+    partitions.putIfAbsent(new Link(from, to), new ArrayDeque<>());
   }
 
-  /** The link passes again: what it held up comes now, or is lost with its connection. */
-  void join(NodeAddress from, NodeAddress to) {
-    join(new Link(from, to));
+  /**
+   * Ends the partition of a link. At random, the held messages arrive now or are lost with their
+   * connection.
+   */
+  void endPartition(NodeAddress from, NodeAddress to) {
+    endPartition(new Link(from, to));
   }
 
-  private void join(Link link) {
-    Deque<Runnable> stalled = cuts.remove(link);
-    if (stalled == null) {
+  private void endPartition(Link link) {
+    Deque<Runnable> heldArrivals = partitions.remove(link);
+    if (heldArrivals == null) {
       return;
     }
     if (random.nextBoolean()) {
       reset(link);
     }
     if (random.nextInt(3) > 0) {
-      stalled.forEach(arrival -> events.after(0, arrival));
+      heldArrivals.forEach(arrival -> events.after(0, arrival));
     }
   }
 
-  /** All connections of a machine are reset: what is under way comes late or never. */
+  /**
+   * Resets all connections of a machine. At random, each message in flight still arrives or is
+   * lost.
+   */
   void resetAll(NodeAddress node, Iterable<NodeAddress> others) {
     for (NodeAddress other : others) {
       reset(new Link(node, other));
@@ -144,13 +155,13 @@
     lastArrival.remove(link);
   }
 
-  /** Slows all links of a machine. */
+  /** Adds a delay in microseconds to all links of a machine. */
   void slow(NodeAddress node, long extraMicros) {
-    slow.extra.put(node, extraMicros);
+    slowLinks.extraMicros.put(node, extraMicros);
   }
 
   void heal() {
-    List.copyOf(cuts.keySet()).forEach(this::join);
-    slow.extra.clear();
+    List.copyOf(partitions.keySet()).forEach(this::endPartition);
+    slowLinks.extraMicros.clear();
   }
 }
--- a/src/test/java/slateslip/simulation/control/SimulatedNode.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedNode.java
@@ -17,51 +17,51 @@
 import slateslip.simulation.SimulatedDisk;
 import slateslip.storage.RingOptions;
 
-/** One core machine: its disk, and its process while it runs. */
+/** One simulated core machine: its disk, and its replica process while the process runs. */
 final class SimulatedNode {
-  /** Takes what a replica answers. */
-  interface Clients {
+  /** Receives the results that a replica returns to clients. */
+  interface ResultReceiver {
     void responded(SimulatedNode node, ClientResult result);
   }
 
   private static final RingOptions RING = new RingOptions(3, 0);
-  private static final long JOURNAL_BYTES = 4_000;
-  private static final Effects.RoleStatus DOWN =
+  private static final long SNAPSHOT_THRESHOLD_BYTES = 4_000;
+  private static final Effects.RoleStatus STOPPED_ROLE =
       new Effects.RoleStatus(NodeId.NONE, 0, NodeId.NONE, false, 0);
 
-  /** Whether changes of roles are printed. */
+  /** Whether the simulation prints recovered records and role changes. */
   static boolean trace;
 
   private final EventQueue events;
   private final SplittableRandom random;
   private final SimulatedNetwork network;
   private final CheckedHistory history;
-  private final Clients clients;
+  private final ResultReceiver resultReceiver;
   private final NodeAddress address;
   private final SimulatedDisk disk;
-  private final Deque<ReplicaInput> paused = new ArrayDeque<>();
+  private final Deque<ReplicaInput> queuedInputs = new ArrayDeque<>();
   private ControlReplica replica;
   private ReferenceState state;
-  private Effects.RoleStatus role = DOWN;
+  private Effects.RoleStatus role = STOPPED_ROLE;
   private boolean frozen;
   private int incarnation;
-  private long wakeAt;
+  private long wakeAtMicros;
 
   SimulatedNode(
       EventQueue events,
       SplittableRandom random,
       SimulatedNetwork network,
       CheckedHistory history,
-      Clients clients,
+      ResultReceiver resultReceiver,
       NodeAddress address,
       Mutation mutation) {
     this.events = events;
     this.random = random;
     this.network = network;
     this.history = history;
-    this.clients = clients;
+    this.resultReceiver = resultReceiver;
     this.address = address;
-    disk = new SimulatedDisk(events, random.split(), RING, mutation::recovered);
+    disk = new SimulatedDisk(events, random.split(), RING, mutation::alterRecoveredRecord);
   }
 
   NodeAddress address() {
@@ -84,22 +84,22 @@
     return replica != null;
   }
 
-  boolean well() {
+  boolean responsive() {
     return replica != null && !frozen;
   }
 
-  /** Starts the process. */
+  /** Starts the process if the process is not running. */
   void start(List<NodeAddress> seeds, boolean bootstrap, int faultTolerance) {
     if (replica != null) {
       return;
     }
     state = new ReferenceState(history);
     ReplicaSettings settings =
-        new ReplicaSettings(address, seeds, bootstrap, faultTolerance, JOURNAL_BYTES);
+        new ReplicaSettings(address, seeds, bootstrap, faultTolerance, SNAPSHOT_THRESHOLD_BYTES);
     replica = new ControlReplica(settings, state, random.nextLong());
     List<DurableRecord> recovered = disk.open(this::written);
     if (trace) {
-      recovered.forEach(record -> System.out.println(address + " has " + record));
+      recovered.forEach(record -> System.out.println(address + " recovered " + record));
     }
     handle(new ReplicaInput.Start(recovered));
   }
@@ -112,17 +112,20 @@
     handle(new ReplicaInput.Received(frame.from(), frame.message()));
   }
 
-  /** Gives the process an input, or keeps it until the process thaws. */
+  /**
+   * Passes an input to the process, or queues the input while the process is frozen. The input is
+   * dropped if the process is not running.
+   */
   void handle(ReplicaInput input) {
     if (replica == null) {
       return;
     }
     if (frozen) {
-      paused.addLast(input);
+      queuedInputs.addLast(input);
       return;
     }
     Effects effects = replica.handle(events.nowMicros(), input);
-    print(effects);
+    traceRoleChange(effects);
     role = effects.role();
     effects.writes().forEach(disk::start);
     int current = incarnation;
@@ -132,11 +135,11 @@
         return;
       }
     }
-    effects.results().forEach(result -> clients.responded(this, result));
-    wakeAt(effects.wakeAtMicros());
+    effects.results().forEach(result -> resultReceiver.responded(this, result));
+    scheduleWakeUp(effects.wakeAtMicros());
   }
 
-  private void print(Effects effects) {
+  private void traceRoleChange(Effects effects) {
     boolean changed =
         effects.role().epoch() != role.epoch() || effects.role().serving() != role.serving();
     if (trace && changed) {
@@ -148,14 +151,14 @@
     }
   }
 
-  private void wakeAt(long micros) {
-    wakeAt = micros;
+  private void scheduleWakeUp(long micros) {
+    wakeAtMicros = micros;
     int current = incarnation;
     events.at(micros, () -> tick(current, micros));
   }
 
   private void tick(int scheduledInIncarnation, long scheduledFor) {
-    if (scheduledInIncarnation == incarnation && scheduledFor == wakeAt) {
+    if (scheduledInIncarnation == incarnation && scheduledFor == wakeAtMicros) {
       handle(new ReplicaInput.Tick());
     }
   }
@@ -177,9 +180,9 @@
   private void stop() {
     incarnation++;
     replica = null;
-    role = DOWN;
+    role = STOPPED_ROLE;
     frozen = false;
-    paused.clear();
+    queuedInputs.clear();
   }
 
   void freeze() {
@@ -188,8 +191,8 @@
 
   void thaw() {
     frozen = false;
-    while (replica != null && !frozen && !paused.isEmpty()) {
-      handle(paused.removeFirst());
+    while (replica != null && !frozen && !queuedInputs.isEmpty()) {
+      handle(queuedInputs.removeFirst());
     }
   }
 }
--- a/src/test/java/slateslip/simulation/control/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/control/SimulatedOperator.java
@@ -6,11 +6,14 @@
 import slateslip.coordination.ReplicaInput;
 import slateslip.simulation.EventQueue;
 
-/** Sends changes one after the other; without a clear response the same again, to any node. */
+/**
+ * Operator that sends changes one after the other to random nodes, and sends the same change again
+ * if the outcome is unknown.
+ */
 final class SimulatedOperator implements Caller {
-  private static final long PATIENCE = 1_000_000;
-  private static final long LONG_DELAY = 250_000;
-  private static final long SHORT_DELAY = 20_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 1_000_000;
+  private static final long MAX_DELAY_MICROS = 250_000;
+  private static final long MAX_RETRY_DELAY_MICROS = 20_000;
 
   private final EventQueue events;
   private final SplittableRandom random;
@@ -23,7 +26,7 @@
   private long acknowledgedAtCall;
   private long knownVersion;
   private boolean stopped;
-  private int taken;
+  private int acknowledgedChanges;
 
   SimulatedOperator(
       EventQueue events,
@@ -46,9 +49,9 @@
     stopped = true;
   }
 
-  /** Changes of this operator that were acknowledged. */
-  int taken() {
-    return taken;
+  /** Returns the number of acknowledged changes of this operator. */
+  int acknowledgedChanges() {
+    return acknowledgedChanges;
   }
 
   private void call() {
@@ -65,17 +68,20 @@
         reading
             ? new ReplicaInput.Confirm(token)
             : new ReplicaInput.Propose(token, change.encode()));
-    events.after(PATIENCE, () -> giveUp(token));
+    events.after(REQUEST_TIMEOUT_MICROS, () -> abandonRequest(token));
   }
 
-  private void giveUp(long token) {
+  private void abandonRequest(long token) {
     if (token == callToken) {
       callToken = 0;
       call();
     }
   }
 
-  /** A response reached the world; whether it reaches the operator is decided there. */
+  /**
+   * Handles a response that reached the operator; {@link ControlWorld} decides which responses are
+   * lost.
+   */
   @Override
   public void responded(SimulatedNode node, long token, ClientResult result) {
     if (token != callToken) {
@@ -85,28 +91,29 @@
     if (result instanceof ClientResult.Committed) {
       accepted();
     } else if (result instanceof ClientResult.Responded responded) {
-      responded(ReferenceState.respond(responded.response()));
+      responded(ReferenceState.decodeResponse(responded.response()));
     } else if (result instanceof ClientResult.Confirmed) {
       read(node.state().version());
     }
-    boolean clear =
+    boolean outcomeKnown =
         !(result instanceof ClientResult.NotPrimary)
             && !(result instanceof ClientResult.Unavailable);
-    events.after(random.nextLong(clear ? LONG_DELAY : SHORT_DELAY), this::call);
+    events.after(
+        random.nextLong(outcomeKnown ? MAX_DELAY_MICROS : MAX_RETRY_DELAY_MICROS), this::call);
   }
 
   private void accepted() {
     history.acknowledged(change);
-    taken++;
+    acknowledgedChanges++;
     knownVersion = change.version();
     change = random.nextInt(4) == 0 ? null : next();
   }
 
   private void responded(ReferenceState.Response response) {
-    if (response == ReferenceState.Response.TAKEN_BEFORE) {
+    if (response == ReferenceState.Response.ALREADY_APPLIED) {
       accepted();
     } else {
-      history.refused(change);
+      history.rejected(change);
       change = null;
     }
   }
--- a/src/test/java/slateslip/simulation/control/WorldShape.java
+++ b/src/test/java/slateslip/simulation/control/WorldShape.java
@@ -1,10 +1,10 @@
 package slateslip.simulation.control;
 
 /**
- * Size of a world.
+ * The size of a simulated cluster.
  *
- * @param nodes core machines
- * @param seeds of them, those that every process is told of at first
- * @param faultTolerance machines that may be lost at once
+ * @param nodes the number of core machines
+ * @param seeds the number of core machines whose addresses every process has in its settings
+ * @param faultTolerance the number of machines that may be lost at the same time
  */
 record WorldShape(int nodes, int seeds, int faultTolerance) {}
