--- a/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
@@ -267,13 +267,13 @@
 
   private void timeOut() {
     transmission.sent(sentBytes().sent());
-    end(transmission.whenTimedOut());
+    end(transmission.outcomeIfTimedOut());
   }
 
   /** The connection has ended under the attempt, or what came is no response. */
   void broken() {
     transmission.sent(sentBytes().sent());
-    end(transmission.whenBroken());
+    end(transmission.outcomeIfBroken());
   }
 
   /** Stops it and closes its connection. */
--- a/src/main/java/slateslip/routing/AbortReason.java
+++ b/src/main/java/slateslip/routing/AbortReason.java
@@ -1,21 +1,29 @@
 package slateslip.routing;
 
-/** Why a response that had begun was broken off. */
+/**
+ * Reasons why a request cannot be sent to another backend. When a response has already begun, the
+ * data plane closes the client's connection and reports the reason.
+ */
 public enum AbortReason {
-  /** The route's time-out or the client's deadline was reached. */
+  /** The route's timeout or the client's deadline expired. */
   DEADLINE,
-  /** The backend broke off, and the request may not be sent again. */
+  /**
+   * The attempt failed after the backend may have run the request, and the request must not run
+   * twice.
+   */
   NOT_REPEATABLE,
-  /** It has been sent to as many backends as its route allows. */
+  /**
+   * The request has been sent to as many backends as its route permits, or retries are disabled.
+   */
   ATTEMPTS_EXHAUSTED,
-  /** The configuration in force does not let it be sent again. */
+  /** The current configuration or the key lease no longer permits the request to be sent. */
   NOT_ALLOWED,
-  /** There is no other backend to send it to. */
+  /** No backend is left to which the request could be sent. */
   NO_BACKEND,
-  /** The retry budget of its service is spent. */
+  /** The retry budget of the service is exhausted. */
   RETRY_BUDGET,
-  /** Its tenant's quota has no room for one more run. */
+  /** The quota of the tenant has no capacity for another attempt. */
   QUOTA,
-  /** The process ends. */
+  /** The process shuts down. */
   SHUTDOWN
 }
--- a/src/main/java/slateslip/routing/Admission.java
+++ b/src/main/java/slateslip/routing/Admission.java
@@ -9,20 +9,20 @@
 import slateslip.routing.quota.QuotaWait;
 import slateslip.routing.quota.TenantQuotas;
 
-/** Whether a request is let in: by its route, its key and its tenant's quota. */
+/** Admits or refuses requests by their route, their API key and their tenant's quota. */
 final class Admission {
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** The outcome: a request to be served, or the response that ends it. */
-  sealed interface Verdict {
-    /** To be served. */
-    record Admitted(PendingRequest request) implements Verdict {}
+  /** The result of an admission check: a request to serve, or the response that refuses it. */
+  sealed interface Decision {
+    /** The request can be sent to a backend now. */
+    record Admitted(PendingRequest request) implements Decision {}
 
-    /** To be served once its tenant's quota has room for it. */
-    record Waiting(PendingRequest request, QuotaWait quotaWait) implements Verdict {}
+    /** The request waits until its tenant's quota has capacity for it. */
+    record Waiting(PendingRequest request, QuotaWait quotaWait) implements Decision {}
 
-    /** Ended. */
-    record Refused(RouterOutput.Respond respond) implements Verdict {}
+    /** The request is refused with this response. */
+    record Refused(RouterOutput.Respond respond) implements Decision {}
   }
 
   private final TenantQuotas quotas;
@@ -30,9 +30,10 @@
   private final long retryMicros;
 
   /**
-   * Judges requests.
+   * Creates an admission check.
    *
-   * @param retryMicros when a client is asked to come back while nothing is known yet
+   * @param retryMicros after how many microseconds clients are asked to retry requests that arrive
+   *     before this data plane has a configuration or a key lease
    */
   Admission(TenantQuotas quotas, KeyLease keyLease, long retryMicros) {
     this.quotas = quotas;
@@ -40,8 +41,12 @@
     this.keyLease = keyLease;
   }
 
-  /** Judges a request by a configuration; null if there is none yet. */
-  Verdict judge(long nowMicros, RoutingTable table, RouterInput.RequestArrived arrived) {
+  /**
+   * Checks a request that has arrived.
+   *
+   * @param table the current configuration; null if there is none yet
+   */
+  Decision admit(long nowMicros, RoutingTable table, RouterInput.RequestArrived arrived) {
     if (table == null) {
       return refused(arrived, 503, retryMicros);
     }
@@ -59,40 +64,44 @@
       return refused(arrived, 401, 0);
     }
     if (tenant != null && !HeaderText.fits(tenant.name())) {
-      return refused(arrived, 503, retryMicros); // no backend could be told whose it is
+      // The tenant's name cannot be sent to a backend in the X-Tenant header.
+      return refused(arrived, 503, retryMicros);
     }
-    return judgeByQuota(nowMicros, arrived, route.get(), tenant);
+    return checkQuota(nowMicros, arrived, route.get(), tenant);
   }
 
-  private Verdict judgeByQuota(
+  private Decision checkQuota(
       long nowMicros, RouterInput.RequestArrived arrived, Route route, Tenant tenant) {
     RequestAttributes attributes = arrived.attributes();
-    long endMicros = end(nowMicros, route, attributes);
+    long deadlineMicros = deadlineMicros(nowMicros, route, attributes);
     if (tenant == null) {
-      return new Verdict.Admitted(
-          new PendingRequest(arrived, route, null, 0, nowMicros, endMicros));
+      return new Decision.Admitted(
+          new PendingRequest(arrived, route, null, 0, nowMicros, deadlineMicros));
     }
     long units = TenantQuotas.units(tenant, attributes.promptTokens(), attributes.outputTokens());
     PendingRequest request =
-        new PendingRequest(arrived, route, tenant, units, nowMicros, endMicros);
+        new PendingRequest(arrived, route, tenant, units, nowMicros, deadlineMicros);
     QuotaDecision decision = quotas.request(tenant, units, nowMicros);
-    if (decision instanceof QuotaDecision.Refused over) {
-      return refused(arrived, 429, over.retryAfterMicros());
+    if (decision instanceof QuotaDecision.Refused refused) {
+      return refused(arrived, 429, refused.retryAfterMicros());
     }
     if (decision instanceof QuotaDecision.Waiting waiting) {
-      return new Verdict.Waiting(request, waiting.quotaWait());
+      return new Decision.Waiting(request, waiting.quotaWait());
     }
     request.addCharge(((QuotaDecision.Admitted) decision).charge());
-    return new Verdict.Admitted(request);
+    return new Decision.Admitted(request);
   }
 
-  /** Whether a configuration still lets a request's key use a route, as before it is sent again. */
-  static boolean stillAllowed(RoutingTable table, Route route, PendingRequest request) {
+  /**
+   * Returns whether a configuration still permits the key of a pending request to use a route. The
+   * check precedes every attempt.
+   */
+  static boolean isStillAllowed(RoutingTable table, Route route, PendingRequest request) {
     if (request.tenant == null) {
       return route.isPublic() || !table.needsKeys();
     }
-    Tenant now = tenant(table, request.attributes);
-    return now != null && now.name().equals(request.tenant.name());
+    Tenant currentTenant = tenant(table, request.attributes);
+    return currentTenant != null && currentTenant.name().equals(request.tenant.name());
   }
 
   private static Tenant tenant(RoutingTable table, RequestAttributes attributes) {
@@ -101,7 +110,7 @@
         : table.tenantByKey(attributes.credential()).orElse(null);
   }
 
-  private static long end(long nowMicros, Route route, RequestAttributes attributes) {
+  private static long deadlineMicros(long nowMicros, Route route, RequestAttributes attributes) {
     long millis = route.timeoutMillis();
     if (attributes.deadlineMillis() > 0) {
       millis = Math.min(millis, attributes.deadlineMillis());
@@ -109,9 +118,9 @@
     return nowMicros + millis * MICROS_PER_MILLI;
   }
 
-  private static Verdict refused(
+  private static Decision refused(
       RouterInput.RequestArrived arrived, int status, long retryAfterMicros) {
-    return new Verdict.Refused(
+    return new Decision.Refused(
         new RouterOutput.Respond(arrived.request(), status, retryAfterMicros));
   }
 }
--- a/src/main/java/slateslip/routing/Attempt.java
+++ b/src/main/java/slateslip/routing/Attempt.java
@@ -4,7 +4,10 @@
 import slateslip.routing.placement.Placement;
 import slateslip.routing.quota.QuotaCharge;
 
-/** One try of a request at one backend, and what it means for the backend's load. */
+/**
+ * One attempt to serve a request at one backend. It updates the load and the engine model of the
+ * backend.
+ */
 final class Attempt {
   private final Placement.Choice choice;
   private final QuotaCharge charge;
@@ -12,12 +15,12 @@
   private boolean started;
   private boolean ended;
   private boolean cancelled;
-  private boolean abandoned;
+  private boolean cancelledAsUnresponsive;
 
   /**
-   * An attempt that is sent now.
+   * Creates an attempt that is sent now.
    *
-   * @param charge units that it takes from its tenant's quota if a backend runs it
+   * @param charge units that are charged to the tenant's quota if a backend runs the attempt
    */
   Attempt(Placement.Choice choice, QuotaCharge charge, long sentMicros) {
     this.choice = choice;
@@ -38,12 +41,15 @@
     return charge;
   }
 
-  /** When its first event is expected, after it was sent. */
-  long expectedMicros() {
-    return choice.firstMicros();
+  /**
+   * Returns the expected time from the sending of the attempt to its first event, in microseconds;
+   * 0 if not known.
+   */
+  long expectedFirstEventMicros() {
+    return choice.expectedFirstEventMicros();
   }
 
-  /** Whether its response has begun. */
+  /** Returns whether the response has begun. */
   boolean started() {
     return started;
   }
@@ -52,48 +58,58 @@
     return ended;
   }
 
-  /** Whether it is under way, and nothing has asked for its end. */
+  /** Returns whether the attempt has neither ended nor been cancelled. */
   boolean active() {
     return !ended && !cancelled;
   }
 
-  /** Whether it was cancelled as its backend was silent for too long. */
-  boolean abandoned() {
-    return abandoned;
+  /** Returns whether the attempt was cancelled because its backend was unresponsive. */
+  boolean cancelledAsUnresponsive() {
+    return cancelledAsUnresponsive;
   }
 
-  /** Its end is asked for; its backend is not to blame. */
+  /**
+   * Marks the attempt as cancelled for a reason that does not count as a failure of the backend.
+   */
   void cancel() {
     cancelled = true;
   }
 
-  /** Its end is asked for, as its backend is silent. */
-  void abandon() {
+  /**
+   * Marks the attempt as cancelled because its backend is unresponsive, which counts as a failure
+   * of the backend.
+   */
+  void cancelAsUnresponsive() {
     cancelled = true;
-    abandoned = true;
+    cancelledAsUnresponsive = true;
   }
 
-  /** Its answer begins. */
+  /** Marks the start of the response; further calls have no effect. */
   void start(long nowMicros) {
     if (started) {
       return;
     }
     started = true;
-    charge.ran(nowMicros);
-    backend().noLongerAwaiting();
+    charge.commit(nowMicros);
+    backend().stopAwaiting();
     backend().healthMonitor().activity(nowMicros);
     if (choice.newTokens() > 0) {
-      backend().engine().started(nowMicros, nowMicros - sentMicros, choice, !backend().someAwait());
+      backend()
+          .engine()
+          .started(nowMicros, nowMicros - sentMicros, choice, !backend().hasAwaitingAttempts());
     }
   }
 
-  /** It has ended. */
+  /** Marks the attempt as ended and releases its share of the backend's load. */
   void end(long nowMicros) {
     ended = true;
     if (!started) {
-      backend().noLongerAwaiting();
+      backend().stopAwaiting();
       if (choice.newTokens() > 0) {
-        backend().engine().givenUp(choice.readMicros(), !backend().someAwait(), nowMicros);
+        backend()
+            .engine()
+            .endedBeforeFirstEvent(
+                choice.prefillMicros(), !backend().hasAwaitingAttempts(), nowMicros);
       }
     }
     backend().ended();
--- a/src/main/java/slateslip/routing/BackendTable.java
+++ b/src/main/java/slateslip/routing/BackendTable.java
@@ -18,7 +18,9 @@
 import slateslip.routing.policy.RoutingParameter;
 import slateslip.routing.policy.RoutingPolicy;
 
-/** The backends that are known, what is learned of them, and the probes that are due. */
+/**
+ * The registered backends, their state as this data plane observes it, and the probes that are due.
+ */
 final class BackendTable {
   private final Map<String, Backend> backends = new LinkedHashMap<>();
   private final Map<String, List<Backend>> byService = new HashMap<>();
@@ -29,21 +31,24 @@
     this.policy = policy;
   }
 
-  /** Takes the whole list of registrations. */
-  void registrations(long nowMicros, List<BackendSession> sessions) {
+  /**
+   * Replaces the list of registrations. Backends that are no longer registered are kept until their
+   * last request has ended.
+   */
+  void replaceRegistrations(long nowMicros, List<BackendSession> sessions) {
     Set<String> present = new HashSet<>();
     for (BackendSession session : sessions) {
       present.add(session.id());
       backends
           .computeIfAbsent(session.id(), id -> newBackend(nowMicros, session))
-          .registered(session);
+          .updateRegistration(session);
     }
     for (Backend backend : backends.values()) {
       if (!present.contains(backend.id())) {
         backend.withdrawn();
       }
     }
-    backends.values().removeIf(Backend::forgettable);
+    backends.values().removeIf(Backend::canBeRemoved);
     byService.clear();
     for (Backend backend : backends.values()) {
       byService
@@ -58,22 +63,22 @@
     return new Backend(session, nowMicros, service, policy);
   }
 
-  /** Backends of a service, those that may not be sent to included. */
+  /** Returns all known backends of a service, including those that accept no new requests. */
   List<Backend> ofService(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  /** Whether some backend of a service may be sent to. */
-  boolean serves(String service) {
+  /** Returns whether at least one backend of a service accepts new requests. */
+  boolean hasAcceptingBackend(String service) {
     for (Backend backend : ofService(service)) {
-      if (backend.registered()) {
+      if (backend.acceptsRequests()) {
         return true;
       }
     }
     return false;
   }
 
-  /** Health of the other backends of the same service. */
+  /** Returns the health of the other backends of the same service. */
   List<BackendHealth> peers(Backend backend) {
     return ofService(backend.session().service()).stream()
         .filter(peer -> peer != backend)
@@ -81,24 +86,26 @@
         .toList();
   }
 
-  /** Takes what a backend told of its load. */
-  static void reported(long nowMicros, Backend backend, BackendLoad load) {
+  /** Records the load that a backend reported; does nothing if the load is null. */
+  static void recordLoad(long nowMicros, Backend backend, BackendLoad load) {
     if (load != null) {
       backend.loadReported(load.running() + load.waiting(), nowMicros);
     }
   }
 
   /**
-   * Probes that are due.
+   * Returns the probes that are due now and marks them as sent.
    *
-   * @param dataPlanes that send to the same backends, and share the probes of idle ones
+   * @param dataPlanes number of data planes that send to the same backends and share the probing of
+   *     idle backends
    */
-  List<RouterOutput> probes(long nowMicros, int dataPlanes) {
+  List<RouterOutput> takeDueProbes(long nowMicros, int dataPlanes) {
     List<RouterOutput> probes = new ArrayList<>();
     for (Backend backend : backends.values()) {
       BackendHealthMonitor healthMonitor = backend.healthMonitor();
       healthMonitor.checkProbeTimeout(nowMicros);
-      if (backend.registered() && healthMonitor.probeDue(nowMicros, idleProbeMicros(dataPlanes))) {
+      if (backend.acceptsRequests()
+          && healthMonitor.probeDue(nowMicros, idleProbeMicros(dataPlanes))) {
         healthMonitor.probeSent(nowMicros);
         probes.add(new RouterOutput.Probe(backend.id()));
       }
@@ -106,12 +113,18 @@
     return probes;
   }
 
-  /** All data planes together probe an idle backend as often as one alone would. */
+  /**
+   * Returns the probe interval of idle backends. The interval grows with the number of data planes,
+   * so that all data planes together probe an idle backend as often as a single one would.
+   */
   private long idleProbeMicros(int dataPlanes) {
     return policy.micros(RoutingParameter.IDLE_PROBE_MILLIS) * Math.max(1, dataPlanes);
   }
 
-  /** When some backend is to be looked at again. */
+  /**
+   * Returns the time of the next health check of any backend, in microseconds; {@link
+   * Long#MAX_VALUE} if none is due.
+   */
   long nextCheckMicros(int dataPlanes) {
     long next = Long.MAX_VALUE;
     for (Backend backend : backends.values()) {
@@ -120,20 +133,27 @@
     return next;
   }
 
-  /** When one backend is to be looked at again. */
+  /**
+   * Returns the time of the next health check of a backend, in microseconds; {@link Long#MAX_VALUE}
+   * if none is due.
+   */
   long nextCheckMicros(Backend backend, int dataPlanes) {
-    return backend.registered()
+    return backend.acceptsRequests()
         ? backend.healthMonitor().nextCheckMicros(idleProbeMicros(dataPlanes))
         : Long.MAX_VALUE;
   }
 
-  /** Takes how a probe ended; says of which backend, if that is still known. */
+  /**
+   * Records the result of a probe.
+   *
+   * @return the backend that was probed; empty if the backend is no longer known
+   */
   Optional<Backend> probeEnded(long nowMicros, ProbeEnded ended) {
     Backend backend = backends.get(ended.backendId());
     if (backend == null) {
       return Optional.empty();
     }
-    reported(nowMicros, backend, ended.load());
+    recordLoad(nowMicros, backend, ended.load());
     BackendHealthMonitor healthMonitor = backend.healthMonitor();
     switch (ended.outcome()) {
       case HEALTHY -> healthMonitor.probeSucceeded(nowMicros);
--- a/src/main/java/slateslip/routing/Dispatcher.java
+++ b/src/main/java/slateslip/routing/Dispatcher.java
@@ -19,13 +19,16 @@
 import slateslip.routing.retry.RetryBounds;
 import slateslip.routing.retry.RetryBudget;
 
-/** Sends requests to backends: choice of the service and the backend, and the budget of retries. */
+/**
+ * Sends requests to backends: chooses the service and the backend, and enforces quotas and retry
+ * budgets.
+ */
 final class Dispatcher {
   private static final long MICROS_PER_MILLI = 1_000;
 
   /**
-   * A stream is unresponsive for too long after so many of its longest pauses, and this time at
-   * least.
+   * The idle timeout of a stream is this multiple of the route's longest expected pause between
+   * events, and at least {@link #MIN_IDLE_TIMEOUT_MICROS}.
    */
   private static final long IDLE_TIMEOUT_GAPS = 4;
 
@@ -36,7 +39,7 @@
   private final KeyLease keyLease;
   private final RetryBounds retryBounds;
   private final long startMicros;
-  private final Map<String, RetryBudget> budgets = new HashMap<>();
+  private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
   private final SplittableRandom random;
   private final Placement placement;
   private final RoutingPolicy policy;
@@ -60,35 +63,38 @@
     this.outputs = outputs;
   }
 
-  /** Chooses the service of a request that has just come, and counts it there. */
-  void admitted(long nowMicros, PendingRequest request) {
+  /**
+   * Chooses the service of a request that was admitted and counts the request in the retry budget
+   * of that service.
+   */
+  void assignService(long nowMicros, PendingRequest request) {
     request.service = chooseService(request.route);
-    budget(request.service).request(nowMicros);
+    retryBudget(request.service).countRequest(nowMicros);
   }
 
   /**
-   * Sends a request to a backend if there is one that it may go to.
+   * Sends a request to a backend if one is available and all limits permit another attempt.
    *
-   * @return empty if it was sent; else what keeps it from being sent
+   * @return empty if the request was sent; otherwise the reason why it was not sent
    */
   Optional<AbortReason> send(long nowMicros, RoutingTable table, PendingRequest request) {
     boolean retry = !request.attempts.isEmpty();
     if (!request.attemptsLeft() || (retry && !policy.uses(Mechanism.RETRIES))) {
       return Optional.of(AbortReason.ATTEMPTS_EXHAUSTED);
     }
-    if (!followConfiguration(nowMicros, table, request)) {
+    if (!applyCurrentConfiguration(nowMicros, table, request)) {
       return Optional.of(AbortReason.NOT_ALLOWED);
     }
     Service service = table.service(request.service).orElseThrow();
-    Placement.Choice choice = choose(nowMicros, service, request);
+    Placement.Choice choice = chooseBackend(nowMicros, service, request);
     if (choice == null) {
       return Optional.of(AbortReason.NO_BACKEND);
     }
-    QuotaCharge charge = charge(nowMicros, request);
+    QuotaCharge charge = chargeQuota(nowMicros, request);
     if (charge == null) {
       return Optional.of(AbortReason.QUOTA);
     }
-    if (!payRetry(nowMicros, request)) {
+    if (!chargeRetry(nowMicros, request)) {
       request.addCharge(charge);
       return Optional.of(AbortReason.RETRY_BUDGET);
     }
@@ -102,7 +108,7 @@
           .sent(
               request.attributes.prompt(),
               choice.newTokens(),
-              choice.readMicros(),
+              choice.prefillMicros(),
               service.engine().cacheTokens(),
               quotas.dataPlanes(),
               nowMicros);
@@ -112,21 +118,27 @@
             request.id,
             number,
             choice.backend().id(),
-            Math.max(1, (request.endMicros - nowMicros) / MICROS_PER_MILLI),
+            Math.max(1, (request.deadlineMicros - nowMicros) / MICROS_PER_MILLI),
             0,
             idleTimeoutMicros(request),
             service.engine() == null ? RouterOutput.NO_PRIORITY : request.priority(),
             request.tenant == null ? null : request.tenant.name(),
             resumeAfter(request),
             new RouterOutput.Estimate(
-                targetMicros(request), choice.firstMicros(), choice.candidates())));
+                targetLatencyMicros(request),
+                choice.expectedFirstEventMicros(),
+                choice.candidates())));
     return Optional.empty();
   }
 
-  /** Each run counts in the tenant's quota; null if it has no room for one more. */
-  private QuotaCharge charge(long nowMicros, PendingRequest request) {
+  /**
+   * Charges an attempt to the tenant's quota.
+   *
+   * @return the charge; null if the quota has no capacity for another attempt
+   */
+  private QuotaCharge chargeQuota(long nowMicros, PendingRequest request) {
     QuotaCharge charge = request.takeCharge();
-    return charge != null ? charge : quotas.takeAgain(request.tenant, request.units, nowMicros);
+    return charge != null ? charge : quotas.takeForRetry(request.tenant, request.units, nowMicros);
   }
 
   private static long resumeAfter(PendingRequest request) {
@@ -136,27 +148,38 @@
     return request.lastEventId >= 0 ? request.lastEventId : RouterOutput.AS_SENT;
   }
 
-  /** Whether a request could go on at another backend that nothing speaks against. */
-  boolean hasBetter(long nowMicros, PendingRequest request) {
+  /**
+   * Returns whether the route permits another attempt and a trusted backend exists to which the
+   * request has not been sent yet.
+   */
+  boolean hasTrustedAlternative(long nowMicros, PendingRequest request) {
     return request.attemptsLeft()
         && backends.ofService(request.service).stream()
             .anyMatch(
                 backend ->
-                    backend.registered()
+                    backend.acceptsRequests()
                         && backend.healthMonitor().trusted(nowMicros)
                         && !request.wasSentTo(backend));
   }
 
-  /** Takes a retry's place in the budget of its service, once; says whether there was one. */
-  boolean payRetry(long nowMicros, PendingRequest request) {
+  /**
+   * Charges a retry to the retry budget of the service. Nothing is charged if no backend has
+   * received the request yet or if the retry was charged before.
+   *
+   * @return whether the request may be sent
+   */
+  boolean chargeRetry(long nowMicros, PendingRequest request) {
     if (!request.reachedBackend || request.retryCharged) {
       request.retryCharged = false;
       return true;
     }
-    return budget(request.service).spend(nowMicros, quotas.dataPlanes());
+    return retryBudget(request.service).tryCharge(nowMicros, quotas.dataPlanes());
   }
 
-  /** A backend that went dark in the middle of a stream is left in time for another to go on. */
+  /**
+   * Returns the idle timeout of a resumable stream; 0 for other requests. The timeout leaves enough
+   * time for another backend to resume the stream if the first one fails in the middle.
+   */
   private static long idleTimeoutMicros(PendingRequest request) {
     if (!request.resumable()) {
       return 0;
@@ -165,29 +188,32 @@
     return Math.max(MIN_IDLE_TIMEOUT_MICROS, millis * MICROS_PER_MILLI);
   }
 
-  private static long targetMicros(PendingRequest request) {
+  private static long targetLatencyMicros(PendingRequest request) {
     return request.route.targetLatencyMillis() * MICROS_PER_MILLI;
   }
 
-  private Placement.Choice choose(long nowMicros, Service service, PendingRequest request) {
+  private Placement.Choice chooseBackend(long nowMicros, Service service, PendingRequest request) {
     List<Backend> ofService = backends.ofService(service.name());
-    Placement.Demand demand =
-        new Placement.Demand(
+    Placement.RequestProfile profile =
+        new Placement.RequestProfile(
             service,
             request.attributes.prompt(),
             request.promptTokens(),
-            targetMicros(request),
+            targetLatencyMicros(request),
             quotas.dataPlanes());
-    return placement.pick(nowMicros, demand, ofService, backend -> !request.wasSentTo(backend));
+    return placement.pick(nowMicros, profile, ofService, backend -> !request.wasSentTo(backend));
   }
 
   /**
-   * A request that is sent again goes by the configuration in force now; false if it may not any
-   * more.
+   * Applies the current configuration to a request that is about to be sent: updates its route and,
+   * if the route no longer targets its service, chooses another service.
+   *
+   * @return whether the configuration and the key lease still permit the request
    */
-  private boolean followConfiguration(long nowMicros, RoutingTable table, PendingRequest request) {
+  private boolean applyCurrentConfiguration(
+      long nowMicros, RoutingTable table, PendingRequest request) {
     Optional<Route> route = table.route(request.attributes.host(), request.attributes.path());
-    if (route.isEmpty() || !Admission.stillAllowed(table, route.get(), request)) {
+    if (route.isEmpty() || !Admission.isStillAllowed(table, route.get(), request)) {
       return false;
     }
     if (!route.get().isPublic() && table.needsKeys() && !keyLease.isHeld(nowMicros)) {
@@ -203,24 +229,29 @@
     return true;
   }
 
-  /** Draws by weight among the services that have a backend, or among all if none has. */
+  /**
+   * Chooses a target of the route at random by weight. Targets without a backend that accepts
+   * requests are excluded, unless no target with a positive weight would remain.
+   */
   private String chooseService(Route route) {
-    List<WeightedService> serving =
-        route.targets().stream().filter(target -> backends.serves(target.service())).toList();
+    List<WeightedService> available =
+        route.targets().stream()
+            .filter(target -> backends.hasAcceptingBackend(target.service()))
+            .toList();
     List<WeightedService> targets =
-        serving.stream().anyMatch(target -> target.weight() > 0) ? serving : route.targets();
-    int drawn = random.nextInt(targets.stream().mapToInt(WeightedService::weight).sum());
+        available.stream().anyMatch(target -> target.weight() > 0) ? available : route.targets();
+    int remaining = random.nextInt(targets.stream().mapToInt(WeightedService::weight).sum());
     for (WeightedService target : targets) {
-      drawn -= target.weight();
-      if (drawn < 0) {
+      remaining -= target.weight();
+      if (remaining < 0) {
         return target.service();
       }
     }
-    throw new IllegalStateException("no weights in route " + route.name());
+    throw new IllegalStateException("all target weights are zero in route " + route.name());
   }
 
-  private RetryBudget budget(String service) {
-    return budgets.computeIfAbsent(
+  private RetryBudget retryBudget(String service) {
+    return retryBudgets.computeIfAbsent(
         service, name -> new RetryBudget(retryBounds, policy, startMicros));
   }
 }
--- a/src/main/java/slateslip/routing/FleetRouter.java
+++ b/src/main/java/slateslip/routing/FleetRouter.java
@@ -20,16 +20,16 @@
 import slateslip.routing.quota.TenantQuotas;
 import slateslip.routing.retry.RetryBounds;
 
-/** The router of one data plane: life of each request, from its arrival to its one final answer. */
+/** The router of one data plane. It tracks each request from its arrival to its final response. */
 public final class FleetRouter implements RequestRouter {
   private final RouterSettings settings;
   private final long retryAfterMicros;
   private final long overdueMicros;
   private final BackendTable backends;
   private final KeyLease keyLease;
-  private final Map<Long, PendingRequest> open = new HashMap<>();
-  private final PriorityQueue<PendingRequest> byEnd =
-      new PriorityQueue<>(Comparator.comparingLong(request -> request.endMicros));
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private final PriorityQueue<PendingRequest> byDeadline =
+      new PriorityQueue<>(Comparator.comparingLong(request -> request.deadlineMicros));
   private TenantQuotas quotas;
   private QuotaQueue quotaQueue;
   private Admission admission;
@@ -39,7 +39,7 @@
   private RoutingTable table;
   private final WakeSchedule schedule = new WakeSchedule();
 
-  /** A router within these bounds that knows no configuration and no backend yet. */
+  /** Creates a router without a configuration and without backends. */
   public FleetRouter(RouterSettings settings) {
     this.settings = settings;
     RoutingPolicy policy = settings.policy();
@@ -50,10 +50,11 @@
   }
 
   /**
-   * A router within the default bounds that knows no configuration and no backend yet.
+   * Creates a router with the default retry and quota bounds, without a configuration and without
+   * backends.
    *
    * @param zone the zone of this data plane
-   * @param seed of its random choices
+   * @param seed seed of the random choices
    */
   public FleetRouter(String zone, long seed) {
     this(new RouterSettings(zone, seed, RetryBounds.DEFAULT, QuotaBounds.DEFAULT));
@@ -63,26 +64,29 @@
   public List<RouterOutput> handle(long nowMicros, RouterInput input) {
     outputs = new ArrayList<>();
     if (quotas == null) {
-      begin(nowMicros);
+      initialize(nowMicros);
     }
-    take(nowMicros, input);
-    expire(nowMicros);
+    apply(nowMicros, input);
+    endExpiredRequests(nowMicros);
     if (schedule.checkDue(nowMicros)) {
-      tick(nowMicros);
+      runChecks(nowMicros);
     }
-    askForWake(nowMicros);
+    requestWake(nowMicros);
     return outputs;
   }
 
-  /** Asks to be woken when the next request ends or something is to be looked at. */
-  private void askForWake(long now) {
-    long requestEnd = byEnd.isEmpty() ? Long.MAX_VALUE : byEnd.peek().endMicros;
-    if (schedule.needsWake(now, requestEnd)) {
+  /**
+   * Requests a wake-up for the next request deadline or the next check, unless an earlier wake-up
+   * is already requested.
+   */
+  private void requestWake(long now) {
+    long nextDeadline = byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.peek().deadlineMicros;
+    if (schedule.needsWake(now, nextDeadline)) {
       outputs.add(new RouterOutput.WakeAt(schedule.nextWakeMicros()));
     }
   }
 
-  private void lookAgainAt(Backend backend) {
+  private void scheduleCheck(Backend backend) {
     schedule.checkAt(backends.nextCheckMicros(backend, quotas.dataPlanes()));
   }
 
@@ -91,12 +95,15 @@
     return quotas == null ? QuotaReport.NOTHING : quotas.report(nowMicros);
   }
 
-  /** How tenants' quotas stand at this data plane. */
+  /**
+   * Returns the state of all tenants' quotas at this data plane; {@link QuotaStatus#NONE} before
+   * the first input.
+   */
   public QuotaStatus quotaStatus(long nowMicros) {
     return quotas == null ? QuotaStatus.NONE : quotas.status(nowMicros);
   }
 
-  private void begin(long nowMicros) {
+  private void initialize(long nowMicros) {
     int dataPlanes = (int) settings.policy().value(RoutingParameter.INITIAL_DATA_PLANES);
     quotas = new TenantQuotas(settings.quotas(), nowMicros, dataPlanes);
     quotaQueue = new QuotaQueue(quotas);
@@ -108,21 +115,21 @@
         new OverdueAttempts(settings.policy(), dispatcher, schedule, output -> outputs.add(output));
   }
 
-  private void take(long now, RouterInput input) {
+  private void apply(long now, RouterInput input) {
     if (input instanceof RouterInput.TableChanged changed) {
       table = changed.table();
       quotas.configure(table.configuration().tenants(), now);
-      decideWaiting(now);
+      decideWaitingRequests(now);
     } else if (input instanceof RouterInput.BackendsChanged changed) {
-      backends.registrations(now, changed.backends());
+      backends.replaceRegistrations(now, changed.backends());
       schedule.checkAt(backends.nextCheckMicros(quotas.dataPlanes()));
     } else if (input instanceof RouterInput.QuotaAllocationChanged changed) {
-      quotas.allotted(changed.allocation(), now);
-      decideWaiting(now);
+      quotas.applyAllocation(changed.allocation(), now);
+      decideWaitingRequests(now);
     } else if (input instanceof RouterInput.KeyLeaseExtended extended) {
       keyLease.extendTo(extended.untilMicros());
     } else if (input instanceof RouterInput.RequestArrived arrived) {
-      arrived(now, arrived);
+      requestArrived(now, arrived);
     } else if (input instanceof RouterInput.ClientGone gone) {
       clientGone(gone.request());
     } else if (input instanceof RouterInput.AttemptStarted started) {
@@ -132,43 +139,43 @@
     } else if (input instanceof RouterInput.AttemptEnded ended) {
       attemptEnded(now, ended);
     } else if (input instanceof RouterInput.ProbeEnded ended) {
-      backends.probeEnded(now, ended).ifPresent(this::lookAgainAt);
+      backends.probeEnded(now, ended).ifPresent(this::scheduleCheck);
     }
   }
 
-  private void arrived(long now, RouterInput.RequestArrived arrived) {
-    Admission.Verdict verdict = admission.judge(now, table, arrived);
-    if (verdict instanceof Admission.Verdict.Refused refused) {
+  private void requestArrived(long now, RouterInput.RequestArrived arrived) {
+    Admission.Decision decision = admission.admit(now, table, arrived);
+    if (decision instanceof Admission.Decision.Refused refused) {
       outputs.add(refused.respond());
       return;
     }
-    if (verdict instanceof Admission.Verdict.Waiting waiting) {
-      opened(waiting.request());
+    if (decision instanceof Admission.Decision.Waiting waiting) {
+      addPending(waiting.request());
       quotaQueue.add(waiting.request(), waiting.quotaWait());
       schedule.checkAt(waiting.quotaWait().untilMicros());
-    } else if (verdict instanceof Admission.Verdict.Admitted admitted) {
-      opened(admitted.request());
-      admitted(now, admitted.request());
+    } else if (decision instanceof Admission.Decision.Admitted admitted) {
+      addPending(admitted.request());
+      sendAdmitted(now, admitted.request());
     }
   }
 
-  private void opened(PendingRequest request) {
-    open.put(request.id, request);
-    byEnd.add(request);
+  private void addPending(PendingRequest request) {
+    pending.put(request.id, request);
+    byDeadline.add(request);
   }
 
-  private void admitted(long now, PendingRequest request) {
-    dispatcher.admitted(now, request);
+  private void sendAdmitted(long now, PendingRequest request) {
+    dispatcher.assignService(now, request);
     send(now, request);
   }
 
-  /** Goes on with requests that waited for their tenants' quotas. */
-  private void decideWaiting(long now) {
+  /** Sends or refuses the requests that waited for quota and can be decided now. */
+  private void decideWaitingRequests(long now) {
     for (QuotaQueue.Decided decided : quotaQueue.reconsider(now)) {
       PendingRequest request = decided.request();
       if (decided.decision() instanceof QuotaDecision.Admitted admitted) {
         request.addCharge(admitted.charge());
-        admitted(now, request);
+        sendAdmitted(now, request);
       } else if (decided.decision() instanceof QuotaDecision.Refused refused) {
         outputs.add(new RouterOutput.Respond(request.id, 429, refused.retryAfterMicros()));
         finish(request);
@@ -177,42 +184,48 @@
   }
 
   private void send(long now, PendingRequest request) {
-    Optional<AbortReason> obstacle = dispatcher.send(now, table, request);
-    if (obstacle.isPresent()) {
-      giveUp(request, obstacle.get());
+    Optional<AbortReason> failureReason = dispatcher.send(now, table, request);
+    if (failureReason.isPresent()) {
+      failRequest(request, failureReason.get());
     } else {
       schedule.checkAt(
-          now + overdueMicros + request.attempts.get(request.attempts.size() - 1).expectedMicros());
+          now
+              + overdueMicros
+              + request.attempts.get(request.attempts.size() - 1).expectedFirstEventMicros());
     }
   }
 
-  /** Nothing more can be tried: a promise if nothing has run, none otherwise. */
-  private void giveUp(PendingRequest request, AbortReason reason) {
+  /**
+   * Ends a request that cannot be sent to another backend. If no backend can have run the request,
+   * the client gets status 503 and may safely send it again. If a backend may have run it, the
+   * client gets status 502. If the response has already begun, the connection is closed.
+   */
+  private void failRequest(PendingRequest request, AbortReason reason) {
     if (request.started) {
       outputs.add(new RouterOutput.AbortConnection(request.id, reason));
     } else if (request.mayHaveRun) {
       outputs.add(new RouterOutput.Respond(request.id, 502, 0));
     } else {
-      boolean known = backends.serves(request.service);
-      // Backends that are not known yet report with their next heartbeat.
-      long wait = known ? retryAfterMicros : settings.heartbeatMicros();
+      boolean hasBackend = backends.hasAcceptingBackend(request.service);
+      // Backends that have not registered yet do so with their next heartbeat.
+      long wait = hasBackend ? retryAfterMicros : settings.heartbeatMicros();
       outputs.add(new RouterOutput.Respond(request.id, 503, wait));
     }
     finish(request);
   }
 
   private void attemptStarted(long now, RouterInput.AttemptStarted started) {
-    PendingRequest request = open.get(started.request());
+    PendingRequest request = pending.get(started.request());
     if (request != null) {
       request.started = true;
       Attempt attempt = request.attempts.get(started.attempt());
       attempt.start(now);
-      BackendTable.reported(now, attempt.backend(), started.load());
+      BackendTable.recordLoad(now, attempt.backend(), started.load());
       cancelOthers(request, started.attempt());
     }
   }
 
-  /** One attempt of a request goes on, so that the others are not needed any more. */
+  /** Cancels the other attempts of a request because one attempt delivers the response. */
   private void cancelOthers(PendingRequest request, int number) {
     for (int other = 0; other < request.attempts.size(); other++) {
       Attempt attempt = request.attempts.get(other);
@@ -220,7 +233,8 @@
         continue;
       }
       if (other < number) {
-        attempt.abandon(); // a later one was sent because it was silent
+        // The later attempt was sent because the backend of this attempt was unresponsive.
+        attempt.cancelAsUnresponsive();
       } else {
         attempt.cancel();
       }
@@ -229,47 +243,47 @@
   }
 
   private void streamIdle(long now, RouterInput.StreamIdle idle) {
-    PendingRequest request = open.get(idle.request());
+    PendingRequest request = pending.get(idle.request());
     if (request != null && !request.responded && request.attempts.get(idle.attempt()).active()) {
-      overdueAttempts.takeUpElsewhere(now, table, request);
+      overdueAttempts.sendSecondAttempt(now, table, request);
     }
   }
 
   private void attemptEnded(long now, RouterInput.AttemptEnded ended) {
-    PendingRequest request = open.get(ended.request());
+    PendingRequest request = pending.get(ended.request());
     if (request == null) {
       return;
     }
     Attempt attempt = request.attempts.get(ended.attempt());
     attempt.end(now);
-    learn(now, attempt, ended);
+    recordBackendHealth(now, attempt, ended);
     Kind kind = ended.outcome().kind();
     request.mayHaveRun |= ended.outcome().mayHaveRun();
     resolveCharge(now, request, attempt, ended.outcome().mayHaveRun());
     request.reachedBackend |= kind != Kind.NOT_SENT && kind != Kind.WITHHELD;
     request.lastEventId = Math.max(request.lastEventId, ended.lastEventId());
-    if (kind.isUncounted()) {
+    if (kind.isExcludedFromAttemptLimit()) {
       request.countedAttempts--;
     }
     if (!request.responded) {
-      decide(now, request, ended);
+      handleOutcome(now, request, ended);
     }
-    close(request);
+    removeIfEnded(request);
   }
 
   private static void resolveCharge(
       long now, PendingRequest request, Attempt attempt, boolean mayHaveRun) {
     if (mayHaveRun || attempt.started()) {
-      attempt.charge().ran(now);
+      attempt.charge().commit(now);
     } else {
       request.addCharge(attempt.charge());
     }
   }
 
-  private void decide(long now, PendingRequest request, RouterInput.AttemptEnded ended) {
+  private void handleOutcome(long now, PendingRequest request, RouterInput.AttemptEnded ended) {
     Kind kind = ended.outcome().kind();
     if (kind != Kind.SUCCESS && request.hasAttemptInFlight()) {
-      return; // another attempt may still serve it
+      return; // another attempt may still serve the request
     }
     switch (kind) {
       case SUCCESS -> {
@@ -278,62 +292,64 @@
       }
       case ERROR_RESPONSE -> {
         if (request.started) {
-          sendAgain(now, request);
+          retryIfRepeatable(now, request);
         } else {
           outputs.add(new RouterOutput.RelayError(request.id, ended.attempt()));
           finish(request);
         }
       }
       case NOT_SENT, WITHHELD, NOT_EXECUTED, OTHER_INSTANCE -> {
-        // An earlier attempt may have run, but then the request is repeatable.
+        // The request was not run by this attempt. If an earlier attempt may have run it, the
+        // request is repeatable.
         send(now, request);
       }
-      case BROKEN, TIMEOUT, CANCELLED -> sendAgain(now, request);
+      case BROKEN, TIMEOUT, CANCELLED -> retryIfRepeatable(now, request);
     }
   }
 
-  /** Goes on with a request that may have run. */
-  private void sendAgain(long now, PendingRequest request) {
+  /** Sends a request that may have run again if it is repeatable, and fails it otherwise. */
+  private void retryIfRepeatable(long now, PendingRequest request) {
     if (request.repeatable()) {
       send(now, request);
     } else {
-      giveUp(request, AbortReason.NOT_REPEATABLE);
+      failRequest(request, AbortReason.NOT_REPEATABLE);
     }
   }
 
-  private void learn(long now, Attempt attempt, RouterInput.AttemptEnded ended) {
+  private void recordBackendHealth(long now, Attempt attempt, RouterInput.AttemptEnded ended) {
     Backend backend = attempt.backend();
     BackendHealthMonitor healthMonitor = backend.healthMonitor();
-    BackendTable.reported(now, backend, ended.load());
+    BackendTable.recordLoad(now, backend, ended.load());
     switch (ended.outcome().kind()) {
       case SUCCESS, ERROR_RESPONSE -> healthMonitor.requestSucceeded(now);
       case NOT_EXECUTED -> healthMonitor.activity(now);
       case OTHER_INSTANCE -> backend.replaced();
-      case WITHHELD -> {} // says nothing of the backend
+      case WITHHELD -> {} // the request was not sent, so the health of the backend is unchanged
       case NOT_SENT -> healthMonitor.connectFailed(now, backends.peers(backend));
       case BROKEN -> healthMonitor.requestBroken(now, backends.peers(backend));
       case TIMEOUT -> healthMonitor.timedOut(now, attempt.sentMicros(), backends.peers(backend));
       case CANCELLED -> {
-        if (attempt.abandoned()) {
+        if (attempt.cancelledAsUnresponsive()) {
           healthMonitor.timedOut(now, attempt.sentMicros(), backends.peers(backend));
         }
       }
     }
-    lookAgainAt(backend);
+    scheduleCheck(backend);
   }
 
   private void clientGone(long id) {
-    PendingRequest request = open.get(id);
+    PendingRequest request = pending.get(id);
     if (request != null && !request.responded) {
       cancelAll(request);
       finish(request);
     }
   }
 
-  /** Ends what has reached its time-out. */
-  private void expire(long now) {
-    while (!byEnd.isEmpty() && (byEnd.peek().responded || byEnd.peek().endMicros <= now)) {
-      PendingRequest request = byEnd.poll();
+  /** Ends the requests whose deadline has passed. */
+  private void endExpiredRequests(long now) {
+    while (!byDeadline.isEmpty()
+        && (byDeadline.peek().responded || byDeadline.peek().deadlineMicros <= now)) {
+      PendingRequest request = byDeadline.poll();
       if (!request.responded) {
         cancelAll(request);
         outputs.add(
@@ -345,15 +361,15 @@
     }
   }
 
-  private void tick(long now) {
+  private void runChecks(long now) {
     schedule.checked(now);
-    decideWaiting(now);
-    for (PendingRequest request : open.values()) {
+    decideWaitingRequests(now);
+    for (PendingRequest request : pending.values()) {
       if (!request.responded) {
         overdueAttempts.check(now, table, request);
       }
     }
-    outputs.addAll(backends.probes(now, quotas.dataPlanes()));
+    outputs.addAll(backends.takeDueProbes(now, quotas.dataPlanes()));
     schedule.checkAt(backends.nextCheckMicros(quotas.dataPlanes()));
   }
 
@@ -367,17 +383,17 @@
     }
   }
 
-  /** The final answer is given, or no longer owed. */
+  /** Marks a request as responded: its final response was sent, or its client has disconnected. */
   private void finish(PendingRequest request) {
     request.responded = true;
     quotaQueue.remove(request);
-    close(request);
+    removeIfEnded(request);
   }
 
-  private void close(PendingRequest request) {
+  private void removeIfEnded(PendingRequest request) {
     if (request.responded && !request.hasAttemptInFlight()) {
-      request.giveBackUnusedCharge();
-      open.remove(request.id);
+      request.releaseUnusedCharge();
+      pending.remove(request.id);
     }
   }
 }
--- a/src/main/java/slateslip/routing/KeyLease.java
+++ b/src/main/java/slateslip/routing/KeyLease.java
@@ -1,10 +1,11 @@
 package slateslip.routing;
 
 /**
- * Until when requests with keys may be sent to backends. Where the operator's bounds say that a
- * fleet is closed, a key that was taken away must not be served beyond a fixed time, also by a data
- * plane that no news reaches. So each data plane serves keys only for a time after it knew the
- * newest configuration for sure. Times are in microseconds of the steady clock.
+ * Limits how long requests with API keys may be sent to backends. If the setting {@code closed} is
+ * true, a revoked key must not be accepted beyond a fixed time, even by a data plane that receives
+ * no updates because of a partition. Each data plane therefore accepts keys only for a limited time
+ * after it last confirmed that its configuration is the newest. Times are in microseconds of the
+ * steady clock.
  */
 public final class KeyLease {
   private final boolean required;
@@ -14,22 +15,22 @@
     this.required = required;
   }
 
-  /** A lease that holds for ever: the fleet is not closed. */
+  /** Returns a lease that never expires, for a fleet that is not closed. */
   public static KeyLease notRequired() {
     return new KeyLease(false);
   }
 
-  /** A lease that does not hold before it is extended. */
+  /** Returns a lease that is not held until {@link #extendTo} is called. */
   public static KeyLease required() {
     return new KeyLease(true);
   }
 
-  /** The lease holds until this time, if it does not hold for longer. */
+  /** Extends the lease to this time; an earlier time does not shorten the lease. */
   public void extendTo(long micros) {
     untilMicros = Math.max(untilMicros, micros);
   }
 
-  /** Whether requests with keys may be sent now. */
+  /** Returns whether requests with keys may be sent now. */
   public boolean isHeld(long nowMicros) {
     return !required || nowMicros < untilMicros;
   }
--- a/src/main/java/slateslip/routing/OverdueAttempts.java
+++ b/src/main/java/slateslip/routing/OverdueAttempts.java
@@ -7,7 +7,10 @@
 import slateslip.routing.policy.RoutingParameter;
 import slateslip.routing.policy.RoutingPolicy;
 
-/** What becomes of requests whose backends say nothing for longer than was expected. */
+/**
+ * Detects attempts whose backends are silent for longer than expected, probes these backends and
+ * moves the requests to other backends.
+ */
 final class OverdueAttempts {
   private final RoutingPolicy policy;
   private final Dispatcher dispatcher;
@@ -30,30 +33,33 @@
   }
 
   /**
-   * Has an unresponsive backend probed, and leaves it with what can go on elsewhere once it seems
-   * down.
+   * Checks the active attempts of a request. If an attempt is overdue, its backend is probed. If
+   * that backend is already suspected to be down, the request moves to another backend where this
+   * is permitted.
    */
   void check(long now, RoutingTable table, PendingRequest request) {
     for (int number = 0; number < request.attempts.size(); number++) {
       Attempt attempt = request.attempts.get(number);
       if (attempt.active() && isOverdue(now, attempt)) {
-        overdue(now, table, request, number);
+        handleOverdue(now, table, request, number);
       }
     }
   }
 
   private boolean isOverdue(long now, Attempt attempt) {
     BackendHealthMonitor healthMonitor = attempt.backend().healthMonitor();
-    long heardMicros = Math.max(attempt.sentMicros(), healthMonitor.heardMicros());
-    long patience =
+    long lastActivityMicros = Math.max(attempt.sentMicros(), healthMonitor.lastActivityMicros());
+    long timeoutMicros =
         attempt.started()
             ? streamSilenceMicros
-            : overdueMicros + attempt.expectedMicros() + healthMonitor.allowanceMicros(now);
-    schedule.checkAt(heardMicros + patience);
-    return now - heardMicros >= patience;
+            : overdueMicros
+                + attempt.expectedFirstEventMicros()
+                + healthMonitor.timeoutExtensionMicros(now);
+    schedule.checkAt(lastActivityMicros + timeoutMicros);
+    return now - lastActivityMicros >= timeoutMicros;
   }
 
-  private void overdue(long now, RoutingTable table, PendingRequest request, int number) {
+  private void handleOverdue(long now, RoutingTable table, PendingRequest request, int number) {
     Attempt attempt = request.attempts.get(number);
     BackendHealthMonitor healthMonitor = attempt.backend().healthMonitor();
     if (!healthMonitor.suspected()) {
@@ -61,31 +67,34 @@
         healthMonitor.requestProbe();
       }
     } else if (request.started && request.resumable()) {
-      takeUpElsewhere(now, table, request);
-    } else if (mayMove(now, request)) {
-      attempt.abandon();
+      sendSecondAttempt(now, table, request);
+    } else if (chargeMoveElsewhere(now, request)) {
+      attempt.cancelAsUnresponsive();
       outputs.accept(new RouterOutput.CancelAttempt(request.id, number));
     }
   }
 
-  private boolean mayMove(long now, PendingRequest request) {
-    if (!request.repeatable() || !dispatcher.hasBetter(now, request)) {
+  private boolean chargeMoveElsewhere(long now, PendingRequest request) {
+    if (!request.repeatable() || !dispatcher.hasTrustedAlternative(now, request)) {
       return false;
     }
     request.reachedBackend = true;
-    boolean paid = dispatcher.payRetry(now, request);
-    request.retryCharged = paid;
-    return paid;
+    boolean charged = dispatcher.chargeRetry(now, request);
+    request.retryCharged = charged;
+    return charged;
   }
 
   /**
-   * Sends a stream whose backend is silent to a second one as well, if there is one. The first
-   * attempt stays: whichever goes on first is kept, and if the second comes to nothing, the backend
-   * may still go on. Silence alone never ends a response.
+   * Sends a stream whose backend is silent to a second backend as well, if one is available. The
+   * first attempt stays active: the attempt that makes progress first is kept. If the second
+   * attempt fails, the first backend may still resume the stream. Silence alone never ends a
+   * response.
    */
-  void takeUpElsewhere(long now, RoutingTable table, PendingRequest request) {
-    boolean takesOver = policy.uses(Mechanism.STREAM_TAKEOVER);
-    if (takesOver && request.activeAttempts() == 1 && dispatcher.hasBetter(now, request)) {
+  void sendSecondAttempt(long now, RoutingTable table, PendingRequest request) {
+    boolean takeoverEnabled = policy.uses(Mechanism.STREAM_TAKEOVER);
+    if (takeoverEnabled
+        && request.activeAttempts() == 1
+        && dispatcher.hasTrustedAlternative(now, request)) {
       request.reachedBackend = true;
       dispatcher.send(now, table, request);
       schedule.checkAt(now);
--- a/src/main/java/slateslip/routing/PendingRequest.java
+++ b/src/main/java/slateslip/routing/PendingRequest.java
@@ -8,57 +8,62 @@
 import slateslip.routing.placement.Backend;
 import slateslip.routing.quota.QuotaCharge;
 
-/** A request that is not finished: its final answer is owed, or an attempt of it has not ended. */
+/** A request whose final response has not been sent or that has an attempt in flight. */
 final class PendingRequest {
-  /** Lowest rank that a backend knows. */
-  private static final int PRIORITY_LOWEST = 9;
+  /** The lowest priority that backends support; 0 is the highest. */
+  private static final int LOWEST_PRIORITY = 9;
 
-  /** Identifies the request between router and host. */
+  /** Id of the request in the inputs and outputs of the router. */
   final long id;
 
   final RequestAttributes attributes;
 
-  /** Tenant of the key; null if there is none. */
+  /** Tenant that owns the request's key; null if the request has no valid key. */
   final Tenant tenant;
 
-  /** What it counts as in the tenant's quota. */
+  /** Units that one attempt of the request is charged against the tenant's quota. */
   final long units;
 
   final long arrivedMicros;
 
-  /** When the route's time-out or the client's deadline is reached. */
-  final long endMicros;
+  /** Time at which the route's timeout or the client's deadline expires, whichever is earlier. */
+  final long deadlineMicros;
 
-  /** Its route in the configuration in force when it was last sent. */
+  /** Route of the request in the configuration that applied when the request was last sent. */
   Route route;
 
-  /** Service chosen among the route's targets. */
+  /**
+   * Name of the service that was chosen among the route's targets; null until the request is
+   * admitted.
+   */
   String service;
 
-  /** Units taken for a run that no attempt has begun; null if there are none. */
+  /** Units that are already charged for the next attempt; null if none are charged. */
   private QuotaCharge unusedCharge;
 
   final List<Attempt> attempts = new ArrayList<>();
 
-  /** Attempts that count against the route's {@code max_attempts}. */
+  /** Number of attempts that count against the route's {@code max_attempts}. */
   int countedAttempts;
 
-  /** Whether a backend has received it: whatever follows is a retry. */
+  /**
+   * Whether a backend may have received the request; each further attempt then counts as a retry.
+   */
   boolean reachedBackend;
 
-  /** Whether a retry's place in the budget is taken already. */
+  /** Whether the next retry has already been charged to the retry budget. */
   boolean retryCharged;
 
-  /** Whether a response has begun to be passed on. */
+  /** Whether part of a response may have been sent to the client. */
   boolean started;
 
-  /** Whether a backend may have worked on it. */
+  /** Whether a backend may have run the request. */
   boolean mayHaveRun;
 
-  /** Whether the final answer was given, or is no longer owed. */
+  /** Whether the final response was sent or the client has disconnected. */
   boolean responded;
 
-  /** Id of the last event passed on to the client; -1 if none. */
+  /** Id of the last event that was forwarded to the client; -1 if none. */
   long lastEventId = -1;
 
   PendingRequest(
@@ -67,77 +72,89 @@
       Tenant tenant,
       long units,
       long arrivedMicros,
-      long endMicros) {
+      long deadlineMicros) {
     this.id = arrived.request();
     this.attributes = arrived.attributes();
     this.route = route;
     this.tenant = tenant;
     this.units = units;
     this.arrivedMicros = arrivedMicros;
-    this.endMicros = endMicros;
+    this.deadlineMicros = deadlineMicros;
   }
 
-  /** Units are taken for a run, or those of an attempt that did not run are free again. */
+  /**
+   * Adds the charge for the next attempt: either a new charge or that of an attempt that no backend
+   * ran. If such a charge exists already, the added charge is released to the quota.
+   */
   void addCharge(QuotaCharge charge) {
     if (unusedCharge == null) {
       unusedCharge = charge;
     } else {
-      charge.giveBack();
+      charge.release();
     }
   }
 
-  /** Units for one more run; null if they are still to be taken. */
+  /**
+   * Removes and returns the charge for the next attempt; null if no units have been charged for it
+   * yet.
+   */
   QuotaCharge takeCharge() {
     QuotaCharge charge = unusedCharge;
     unusedCharge = null;
     return charge;
   }
 
-  /** There will be no more runs. */
-  void giveBackUnusedCharge() {
+  /** Releases the charge for the next attempt to the quota because no attempt follows. */
+  void releaseUnusedCharge() {
     QuotaCharge charge = takeCharge();
     if (charge != null) {
-      charge.giveBack();
+      charge.release();
     }
   }
 
-  /** Whether it may be sent again after an attempt that may have run. */
+  /** Returns whether the request may be sent again after an attempt that may have run. */
   boolean repeatable() {
     return resumable() || (route.kind() == RouteKind.IDEMPOTENT && !started);
   }
 
-  /** Whether its stream may be taken up at another backend. */
+  /** Returns whether the request is a stream that another backend can resume. */
   boolean resumable() {
     return route.kind() == RouteKind.STREAMING && route.resumable();
   }
 
-  /** Whether the route permits one more backend. */
+  /** Returns whether the route permits another attempt. */
   boolean attemptsLeft() {
     return countedAttempts < route.maxAttempts();
   }
 
-  /** Whether an attempt has not ended yet. */
+  /** Returns whether an attempt has not ended yet, whether cancelled or not. */
   boolean hasAttemptInFlight() {
     return attempts.stream().anyMatch(attempt -> !attempt.ended());
   }
 
-  /** Attempts that are under way and have not been cancelled. */
+  /** Returns the number of attempts that have neither ended nor been cancelled. */
   long activeAttempts() {
     return attempts.stream().filter(Attempt::active).count();
   }
 
-  /** Whether it was sent to a backend before. */
+  /** Returns whether the request was sent to this backend before. */
   boolean wasSentTo(Backend backend) {
     return attempts.stream().anyMatch(attempt -> attempt.backend() == backend);
   }
 
-  /** Rank told to the backend: the tenant's if it has one, else the route's. */
+  /**
+   * Returns the priority that is sent to the backend, 0 to 9: that of the tenant if set, otherwise
+   * that of the route.
+   */
   int priority() {
-    int rank = tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
-    return Math.max(0, Math.min(PRIORITY_LOWEST, rank));
+    int priority = tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
+    return Math.max(0, Math.min(LOWEST_PRIORITY, priority));
   }
 
-  /** All tokens of its prompt. */
+  /**
+   * Returns the length of the whole prompt in tokens, as stated by the client or summed over the
+   * prompt's parts.
+   */
   long promptTokens() {
     if (attributes.promptTokens() >= 0) {
       return attributes.promptTokens();
--- a/src/main/java/slateslip/routing/QuotaQueue.java
+++ b/src/main/java/slateslip/routing/QuotaQueue.java
@@ -9,9 +9,9 @@
 import slateslip.routing.quota.QuotaWait;
 import slateslip.routing.quota.TenantQuotas;
 
-/** Requests that wait for a part of their tenants' quotas, in the order in which they came. */
+/** Requests that wait for quota of their tenants, in order of arrival. */
 final class QuotaQueue {
-  /** A request that waits no longer. */
+  /** A request that is admitted or refused and has left the queue. */
   record Decided(PendingRequest request, QuotaDecision decision) {}
 
   private final TenantQuotas quotas;
@@ -25,15 +25,18 @@
     waits.put(request, wait);
   }
 
-  /** A request has ended otherwise; nothing happens if it does not wait. */
+  /**
+   * Removes a request that has ended for another reason; does nothing if the request is not in the
+   * queue.
+   */
   void remove(PendingRequest request) {
     QuotaWait wait = waits.remove(request);
     if (wait != null) {
-      quotas.withdraw(wait);
+      quotas.cancelWait(wait);
     }
   }
 
-  /** Takes out what is admitted or refused by now. */
+  /** Removes and returns the requests that can be admitted or refused now. */
   List<Decided> reconsider(long nowMicros) {
     if (waits.isEmpty()) {
       return List.of();
--- a/src/main/java/slateslip/routing/RequestRouter.java
+++ b/src/main/java/slateslip/routing/RequestRouter.java
@@ -4,22 +4,23 @@
 import slateslip.distribution.QuotaReport;
 
 /**
- * The decisions of one data plane: admission, placement, retries, stream recovery, health and
- * quota.
+ * Makes the decisions of one data plane: admission, placement, retries, stream recovery, health
+ * checks and quotas.
  *
- * <p>A state machine: it holds no socket, clock or thread. The host feeds it inputs in the order in
- * which they happen, from one thread, and carries out the outputs in their order.
+ * <p>A router is a state machine without sockets, clocks or threads. The host passes inputs to the
+ * router in the order in which they occur, from one thread, and executes the outputs in order.
  */
 public interface RequestRouter {
   /**
-   * Takes one input.
+   * Handles one input.
    *
-   * @param nowMicros the host's steady clock, in microseconds; it never runs backwards
-   * @param input what has happened
-   * @return what the host has to do now, in order; empty if nothing
+   * @param nowMicros time of the host's steady clock in microseconds; never lower than in the
+   *     previous call
+   * @param input the event to handle
+   * @return the actions that the host must execute now, in order; empty if there are none
    */
   List<RouterOutput> handle(long nowMicros, RouterInput input);
 
-  /** How tenants' quotas stand at this data plane; told to the control agent that divides them. */
+  /** Returns a report on the tenants' quotas at this data plane, for the quota allocator. */
   QuotaReport quotaReport(long nowMicros);
 }
--- a/src/main/java/slateslip/routing/RequestTransmission.java
+++ b/src/main/java/slateslip/routing/RequestTransmission.java
@@ -3,54 +3,62 @@
 import slateslip.routing.RouterInput.AttemptOutcome.Kind;
 
 /**
- * How far the request of one attempt has left, and what an end without a response means for it.
+ * Tracks how much of an attempt's request was written to the connection, and derives the outcome of
+ * an attempt that ends without a response.
  *
- * <p>A backend may begin work as soon as it has the first bytes, and answer before it has read the
- * rest. So only a request of which the connection has taken nothing is known not to have run; from
- * the first byte on, only the backend itself can say that.
+ * <p>A backend may start to process a request as soon as the first bytes arrive, and may respond
+ * before it has read the rest. A request is therefore known not to have run only if the connection
+ * accepted none of its bytes. After the first byte, only the backend itself can report that it did
+ * not run the request.
  */
 public class RequestTransmission {
   private long sentBytes;
   private boolean complete;
   private boolean responseStarted;
 
-  /** The connection has taken so many bytes of the request by now. */
+  /** Records the total number of bytes of the request that the connection has accepted so far. */
   public final void sent(long bytes) {
     sentBytes = Math.max(sentBytes, bytes);
   }
 
-  /** The connection has taken the last byte. */
+  /** Records that the connection has accepted the last byte of the request. */
   public final void completed() {
     complete = true;
   }
 
-  /** The head of a response to this request has come. */
+  /** Records that the head of a response to this request was received. */
   public final void responseStarted() {
     responseStarted = true;
   }
 
-  /** Whether the connection has taken the whole request. */
+  /** Returns whether the connection has accepted the whole request. */
   public final boolean isComplete() {
     return complete;
   }
 
-  /** Whether a response to this request has begun to come. */
+  /** Returns whether the head of a response to this request was received. */
   public final boolean hasResponse() {
     return responseStarted;
   }
 
-  /** Whether the backend may have begun work, if it does not say itself that it has not. */
+  /**
+   * Returns whether the backend may have run the request, unless the backend itself reports that it
+   * did not.
+   */
   public boolean mayHaveRun() {
     return sentBytes > 0 || complete || responseStarted;
   }
 
-  /** The outcome if the connection ends now, or what came on it is no response. */
-  public final Kind whenBroken() {
+  /**
+   * Returns the outcome of the attempt if the connection closes now or the received data is not a
+   * valid response.
+   */
+  public final Kind outcomeIfBroken() {
     return mayHaveRun() ? Kind.BROKEN : Kind.NOT_SENT;
   }
 
-  /** The outcome if the time for a response is over now. */
-  public final Kind whenTimedOut() {
+  /** Returns the outcome of the attempt if its timeout expires now. */
+  public final Kind outcomeIfTimedOut() {
     return mayHaveRun() ? Kind.TIMEOUT : Kind.NOT_SENT;
   }
 }
--- a/src/main/java/slateslip/routing/RouterInput.java
+++ b/src/main/java/slateslip/routing/RouterInput.java
@@ -5,122 +5,158 @@
 import slateslip.distribution.BackendSession;
 import slateslip.distribution.QuotaAllocation;
 
-/** What can happen to a {@link RequestRouter}. */
+/** An event that the host passes to a {@link RequestRouter}. */
 public sealed interface RouterInput {
-  /** Another configuration is in force; requests under way go on as they began. */
+  /** A new configuration applies. Attempts in flight are not affected. */
   record TableChanged(RoutingTable table) implements RouterInput {}
 
-  /** The whole list of registered backends, ready and draining ones, of all services. */
+  /**
+   * The list of registered backends has changed. The input holds all ready and draining backends of
+   * all services.
+   */
   record BackendsChanged(List<BackendSession> backends) implements RouterInput {}
 
-  /** This data plane's share of the fleet-wide limits. */
+  /** The quota allocator has assigned a new share of the fleet-wide limits to this data plane. */
   record QuotaAllocationChanged(QuotaAllocation allocation) implements RouterInput {}
 
-  /** Requests with keys may be sent until this time, in microseconds. */
+  /**
+   * The key lease is extended: requests with keys may be sent until this time, in microseconds of
+   * the host's steady clock.
+   */
   record KeyLeaseExtended(long untilMicros) implements RouterInput {}
 
   /**
    * A complete request has been read from a client.
    *
-   * @param request identifies it in later inputs and outputs; not in use
+   * @param request id of the request in later inputs and outputs; no pending request has the same
+   *     id
    */
   record RequestArrived(long request, RequestAttributes attributes) implements RouterInput {}
 
-  /** The client closed its connection before its response was complete; nothing more is owed. */
+  /**
+   * The client closed its connection before its response was complete; no response is needed any
+   * more.
+   */
   record ClientGone(long request) implements RouterInput {}
 
   /**
-   * An attempt's first event (streams) or answer head (others) was passed on or is about to be. Of
-   * a stream that has more than one attempt it is told again when one of them goes on.
+   * The first event of a stream, or the response head of another request, was forwarded to the
+   * client or is about to be. For a stream with more than one active attempt, the host repeats this
+   * input when one of the attempts makes progress.
    *
-   * @param load what the backend told of its load in the head of a stream; null if nothing
+   * @param load load that the backend reported in the response head of a stream; null if it
+   *     reported none
    */
   record AttemptStarted(long request, int attempt, BackendLoad load) implements RouterInput {}
 
   /**
-   * A stream that has begun has made no progress for the attempt's {@code idleTimeoutMicros}; told
-   * again each time that it has passed once more. Its backend may still go on.
+   * A stream that has begun has made no progress for the {@code idleTimeoutMicros} of its attempt.
+   * The host repeats this input each time the timeout elapses again. The backend may still resume
+   * the stream.
    */
   record StreamIdle(long request, int attempt) implements RouterInput {}
 
   /**
-   * An attempt has ended; exactly one per {@link RouterOutput.SendAttempt}.
+   * An attempt has ended. The host sends exactly one such input per {@link
+   * RouterOutput.SendAttempt}.
    *
-   * @param load what the backend told of its load in this answer; null if nothing, and for a stream
-   *     that has started: its head told it then
-   * @param lastEventId id of the last whole event passed on to the client; -1 if none
+   * @param load load that the backend reported in this response; null if it reported none, and null
+   *     for a stream that has started, because {@link AttemptStarted} holds the load in that case
+   * @param lastEventId id of the last complete event that was forwarded to the client; -1 if none
    */
   record AttemptEnded(
       long request, int attempt, AttemptOutcome outcome, BackendLoad load, long lastEventId)
       implements RouterInput {}
 
-  /** A health probe has ended; exactly one per {@link RouterOutput.Probe}. */
+  /**
+   * A health probe has ended. The host sends exactly one such input per {@link RouterOutput.Probe}.
+   */
   record ProbeEnded(String backendId, ProbeOutcome outcome, BackendLoad load)
       implements RouterInput {}
 
-  /** The time asked for by {@link RouterOutput.WakeAt} has come. */
+  /** The time requested by {@link RouterOutput.WakeAt} has been reached. */
   record Wake() implements RouterInput {}
 
-  /** The process is leaving: serve what is open, take what still comes. */
+  /**
+   * The process shuts down. The router continues to serve pending requests and requests that still
+   * arrive.
+   */
   record ShutdownStarted() implements RouterInput {}
 
-  /** Running, waiting and slots as a backend told them in {@code X-Backend-Load}. */
+  /**
+   * The load that a backend reported in {@code X-Backend-Load}: numbers of running requests, of
+   * waiting requests and of slots.
+   */
   record BackendLoad(int running, int waiting, int slots) {}
 
-  /** How a health probe ended. */
+  /** The result of a health probe. */
   enum ProbeOutcome {
-    /** Status 200 by the backend that was asked. */
+    /** The probed backend responded with status 200. */
     HEALTHY,
-    /** Another status by the backend that was asked. */
+    /** The probed backend responded with another status. */
     UNHEALTHY,
-    /** It turned the probe away unseen: full. */
+    /** The backend rejected the probe without processing it because the backend is full. */
     FULL,
-    /** No response in the time given. */
+    /** The backend did not respond before the timeout of the probe. */
     TIMEOUT,
-    /** No connection, or it broke. */
+    /** The connection could not be established, or it failed before a response. */
     UNREACHABLE,
-    /** Another instance answers at this address. */
+    /** Another instance responded at the address of the backend. */
     OTHER_INSTANCE
   }
 
   /**
-   * How an attempt ended.
+   * The result of an attempt.
    *
-   * @param kind what happened
-   * @param status the backend's HTTP status; 0 if there was none
+   * @param kind kind of the result
+   * @param status HTTP status of the backend's response; 0 if there was no response
    */
   record AttemptOutcome(Kind kind, int status) {
-    /** What happened to an attempt. */
+    /** Kinds of results of an attempt. */
     public enum Kind {
-      /** A whole, valid success; it has been or is being passed on whole. */
+      /**
+       * The backend sent a complete, valid response with a success status. The host forwards it
+       * completely.
+       */
       SUCCESS,
-      /** A whole answer with a failure status and a stamp: the request ran. Kept for relaying. */
+      /**
+       * The backend sent a complete response with a failure status and an {@code X-Response-Stamp},
+       * so the request ran. The host keeps the response for {@link RouterOutput.RelayError}.
+       */
       ERROR_RESPONSE,
-      /** The backend said that it did not run it ({@code X-Not-Executed}). */
+      /** The backend reported with {@code X-Not-Executed} that it did not run the request. */
       NOT_EXECUTED,
-      /** Status 421: another instance has the address; it did not run. */
+      /**
+       * The response had status 421: another instance uses the address, and the request did not
+       * run.
+       */
       OTHER_INSTANCE,
-      /** Nothing was sent: the key lease had run out by then. */
+      /** The host did not send the request because the key lease had expired. */
       WITHHELD,
-      /** No byte of the request can have reached the backend: no connection has taken any. */
+      /** No byte of the request can have reached the backend because no connection accepted any. */
       NOT_SENT,
       /**
-       * The connection broke, or the response was no valid answer, after a first byte had been
-       * sent.
+       * The connection failed or the response was invalid, after at least one byte of the request
+       * was sent.
        */
       BROKEN,
-      /** No response in the time given, after a first byte had been sent. */
+      /**
+       * The timeout expired without a response, after at least one byte of the request was sent.
+       */
       TIMEOUT,
-      /** Ended by {@link RouterOutput.CancelAttempt}. */
+      /** The attempt was cancelled by {@link RouterOutput.CancelAttempt}. */
       CANCELLED;
 
-      /** Whether it does not count among the backends that a request may be sent to. */
-      public boolean isUncounted() {
+      /**
+       * Returns whether an attempt with this result does not count against the route's {@code
+       * max_attempts}.
+       */
+      public boolean isExcludedFromAttemptLimit() {
         return this == NOT_SENT || this == WITHHELD || this == OTHER_INSTANCE;
       }
     }
 
-    /** Whether the request may have run at the backend. */
+    /** Returns whether the backend may have run the request. */
     public boolean mayHaveRun() {
       return switch (kind) {
         case NOT_EXECUTED, OTHER_INSTANCE, NOT_SENT, WITHHELD -> false;
--- a/src/main/java/slateslip/routing/RouterSettings.java
+++ b/src/main/java/slateslip/routing/RouterSettings.java
@@ -5,15 +5,15 @@
 import slateslip.routing.retry.RetryBounds;
 
 /**
- * What a router is told when it is made.
+ * Settings of a router.
  *
- * @param zone of this data plane
- * @param seed of its random choices
- * @param retries bounds of repeated arrivals
- * @param quotas bounds of quotas
- * @param policy mechanisms that it uses
- * @param leasedKeys whether requests with keys are served only by a lease
- * @param heartbeatMicros between two heartbeats of a backend
+ * @param zone zone of this data plane
+ * @param seed seed of the random choices
+ * @param retries bounds of the retry budgets
+ * @param quotas bounds of the tenants' quotas
+ * @param policy mechanisms that the router uses and the parameters of its decisions
+ * @param leasedKeys whether requests with keys are served only while the key lease is held
+ * @param heartbeatMicros interval between two heartbeats of a backend
  */
 public record RouterSettings(
     String zone,
@@ -23,15 +23,15 @@
     RoutingPolicy policy,
     boolean leasedKeys,
     long heartbeatMicros) {
-  /** Between two heartbeats of a backend where nothing else is told. */
+  /** Default interval between two heartbeats of a backend. */
   public static final long DEFAULT_HEARTBEAT_MICROS = 1_200_000;
 
-  /** With all mechanisms, and without a lease on keys. */
+  /** Creates settings with the default policy and heartbeat interval and without a key lease. */
   public RouterSettings(String zone, long seed, RetryBounds retries, QuotaBounds quotas) {
     this(zone, seed, retries, quotas, RoutingPolicy.DEFAULT, false, DEFAULT_HEARTBEAT_MICROS);
   }
 
-  /** The same with another policy. */
+  /** Returns these settings with another policy. */
   public RouterSettings withPolicy(RoutingPolicy other) {
     return new RouterSettings(zone, seed, retries, quotas, other, leasedKeys, heartbeatMicros);
   }
--- a/src/main/java/slateslip/routing/WakeSchedule.java
+++ b/src/main/java/slateslip/routing/WakeSchedule.java
@@ -1,36 +1,41 @@
 package slateslip.routing;
 
 /**
- * When a router is to look at its backends and overdue responses again, and which wake-ups it has
- * asked its host for. Times are in microseconds.
+ * Schedules the router's checks of its backends and overdue responses, and tracks the wake-ups that
+ * the router has requested from its host. Times are in microseconds.
  */
 final class WakeSchedule {
   /**
-   * Backends and overdue responses are looked at only at multiples of this time: what is due at
-   * about the same time is looked at in one turn, and in that of the host's other periodic work.
+   * Checks take place only at multiples of this interval. Checks that are due at about the same
+   * time therefore run together, in the same event loop turn as other periodic work of the host.
    */
   static final long CHECK_GRID_MICROS = 100_000;
 
   private long lastCheckMicros = Long.MIN_VALUE;
   private long nextCheckMicros = Long.MIN_VALUE;
 
-  /** The earliest wake-up that was asked for and has not come yet. */
+  /**
+   * Time of the earliest requested wake-up that is still pending; {@link Long#MAX_VALUE} if there
+   * is none.
+   */
   private long nextWakeMicros = Long.MAX_VALUE;
 
-  /** Whether backends and overdue responses are to be looked at now. */
+  /** Returns whether a check of backends and overdue responses is due now. */
   boolean checkDue(long nowMicros) {
     return nowMicros >= nextCheckMicros;
   }
 
-  /** They are looked at now, and not again before something asks for it. */
+  /**
+   * Records that a check takes place now. No further check is due until {@link #checkAt} is called.
+   */
   void checked(long nowMicros) {
     lastCheckMicros = nowMicros;
     nextCheckMicros = Long.MAX_VALUE;
   }
 
   /**
-   * Something is to be looked at again at this time, or at the next on the grid after it and after
-   * the last look.
+   * Schedules a check for the first multiple of {@link #CHECK_GRID_MICROS} that is not before this
+   * time and is after the last check.
    */
   void checkAt(long atMicros) {
     nextCheckMicros = Math.min(nextCheckMicros, onGrid(Math.max(atMicros, lastCheckMicros + 1)));
@@ -44,15 +49,17 @@
   }
 
   /**
-   * Whether a wake-up has to be asked for: none that was asked for comes early enough.
+   * Returns whether a new wake-up must be requested because no pending wake-up is early enough, and
+   * records the new wake-up.
    *
-   * @param requestEndMicros when the next request ends; {@link Long#MAX_VALUE} if there is none
+   * @param nextDeadlineMicros earliest deadline of a request; {@link Long#MAX_VALUE} if there is
+   *     none
    */
-  boolean needsWake(long nowMicros, long requestEndMicros) {
+  boolean needsWake(long nowMicros, long nextDeadlineMicros) {
     if (nowMicros >= nextWakeMicros) {
       nextWakeMicros = Long.MAX_VALUE;
     }
-    long due = Math.min(nextCheckMicros, requestEndMicros);
+    long due = Math.min(nextCheckMicros, nextDeadlineMicros);
     if (due >= nextWakeMicros) {
       return false;
     }
@@ -60,7 +67,10 @@
     return true;
   }
 
-  /** The earliest wake-up that was asked for and has not come yet. */
+  /**
+   * Returns the time of the earliest requested wake-up that is still pending; {@link
+   * Long#MAX_VALUE} if there is none.
+   */
   long nextWakeMicros() {
     return nextWakeMicros;
   }
--- a/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
+++ b/src/main/java/slateslip/routing/health/BackendHealthMonitor.java
@@ -8,16 +8,20 @@
 import slateslip.routing.policy.RoutingPolicy;
 
 /**
- * Health of one backend: the active and passive states of {@link BackendHealth}, when it is to be
- * probed, and suspicion, which is faster than both.
+ * Monitors the health of one backend: keeps the active and passive states of {@link BackendHealth},
+ * decides when the backend is probed, and marks the backend as suspected to be down, usually before
+ * either state changes.
  *
- * <p>A backend is suspected as soon as it cannot be connected to, breaks two answers in a row, or
- * leaves a probe without a reply while nothing else comes from it. A suspected backend is no first
- * choice, and is probed often, until anything is heard from it. All times are in microseconds.
+ * <p>A backend is suspected to be down if a connection to it fails, if it breaks two responses in a
+ * row, or if it does not respond to a probe and sends nothing else in the meantime. A suspected
+ * backend is avoided as long as others are available, and is probed frequently until anything is
+ * received from it. Times are in microseconds.
  */
 public final class BackendHealthMonitor {
   /**
-   * YARP's defaults for failed probes, the window, its least requests and its share of failures.
+   * Number of failed probes in a row that make a backend unhealthy. This and the next three
+   * constants (the window, its minimum number of requests and its maximum fraction of failures) are
+   * the defaults of YARP.
    */
   private static final int MAX_FAILED_PROBES = 2;
 
@@ -25,24 +29,32 @@
   private static final int MIN_REQUESTS = 10;
   private static final double MAX_FAILED_FRACTION = 0.3;
 
-  /** What fails at all backends alike is no fault of one. */
+  /**
+   * Number of standard deviations by which a backend's failures must exceed the number that the
+   * failure rate of its peers predicts before the backend is ejected. Failures that affect all
+   * backends of a service alike are not attributed to one of them.
+   */
   private static final double MAX_DEVIATIONS = 1;
 
   private final BackendHealth health;
   private final RoutingPolicy policy;
   private final long suspectProbeMicros;
-  private final long probeReplyMicros;
+  private final long probeResponseMicros;
   private final ServiceDelay serviceDelay;
   private final double serviceDelayFactor;
-  private final int maxBrokenInARow;
-  private long heardMicros;
+  private final int maxConsecutiveBroken;
+  private long lastActivityMicros;
   private long probeSentMicros;
   private boolean probePending;
   private boolean probeRequested;
   private boolean suspected;
   private int consecutiveBroken;
 
-  /** Of a backend that was registered at this time, and whose service answers that late. */
+  /**
+   * Creates the monitor of a backend that was registered at this time.
+   *
+   * @param serviceDelay delay of the backend's service, which extends the timeouts
+   */
   public BackendHealthMonitor(long nowMicros, ServiceDelay serviceDelay, RoutingPolicy policy) {
     this.policy = policy;
     this.serviceDelay = serviceDelay;
@@ -52,9 +64,9 @@
             : 0;
     health = new BackendHealth(parameters(policy));
     suspectProbeMicros = policy.micros(RoutingParameter.SUSPECT_PROBE_MILLIS);
-    probeReplyMicros = policy.micros(RoutingParameter.PROBE_REPLY_MILLIS);
-    maxBrokenInARow = (int) policy.value(RoutingParameter.BROKEN_IN_A_ROW);
-    heardMicros = nowMicros;
+    probeResponseMicros = policy.micros(RoutingParameter.PROBE_REPLY_MILLIS);
+    maxConsecutiveBroken = (int) policy.value(RoutingParameter.BROKEN_IN_A_ROW);
+    lastActivityMicros = nowMicros;
     probeSentMicros = nowMicros;
   }
 
@@ -68,73 +80,94 @@
         policy.micros(RoutingParameter.REACTIVATION_MILLIS));
   }
 
-  /** Available unless the active or the passive state is Unhealthy. */
+  /** Returns whether neither the active nor the passive state is Unhealthy. */
   public boolean available(long nowMicros) {
     health.reactivateIfDue(nowMicros);
     return health.available();
   }
 
-  /** Whether it is available and nothing speaks against it. */
+  /** Returns whether the backend is available and not suspected to be down. */
   public boolean trusted(long nowMicros) {
     return available(nowMicros) && !suspected;
   }
 
-  /** Whether it is suspected to be down. */
+  /** Returns whether the backend is suspected to be down. */
   public boolean suspected() {
     return suspected;
   }
 
-  /** When anything was last heard from it. */
-  public long heardMicros() {
-    return heardMicros;
+  /**
+   * Returns the time at which anything was last received from the backend; the time of its
+   * registration if nothing was.
+   */
+  public long lastActivityMicros() {
+    return lastActivityMicros;
   }
 
-  /** Anything came from it: it lives. */
+  /** Records that something was received from the backend, which ends a suspicion. */
   public void activity(long nowMicros) {
-    heardMicros = nowMicros;
+    lastActivityMicros = nowMicros;
     suspected = false;
   }
 
-  /** A request ended with a response of its own. */
+  /** Records that a request ended with a complete response of the backend. */
   public void requestSucceeded(long nowMicros) {
     activity(nowMicros);
     consecutiveBroken = 0;
     health.requestEnded(nowMicros, false);
   }
 
-  /** It could not be connected to. */
+  /**
+   * Records a failed connection to the backend, which is then suspected to be down.
+   *
+   * @param peers health of the other backends of the service, for comparison
+   */
   public void connectFailed(long nowMicros, Collection<BackendHealth> peers) {
     suspect();
     failed(nowMicros, peers);
   }
 
-  /** A connection broke, or what came was no response. */
+  /**
+   * Records that a connection failed during a request or that the response was invalid.
+   *
+   * @param peers health of the other backends of the service, for comparison
+   */
   public void requestBroken(long nowMicros, Collection<BackendHealth> peers) {
     consecutiveBroken++;
-    if (consecutiveBroken >= maxBrokenInARow) {
+    if (consecutiveBroken >= maxConsecutiveBroken) {
       suspect();
     }
     probeRequested = true;
     failed(nowMicros, peers);
   }
 
-  /** A request had no response in its time. */
+  /**
+   * Records that a request timed out.
+   *
+   * @param sentMicros time at which the request was sent; the backend is suspected to be down if
+   *     nothing was received from it since that time
+   * @param peers health of the other backends of the service, for comparison
+   */
   public void timedOut(long nowMicros, long sentMicros, Collection<BackendHealth> peers) {
-    if (heardMicros < sentMicros) {
+    if (lastActivityMicros < sentMicros) {
       suspect();
     }
     failed(nowMicros, peers);
   }
 
   /**
-   * A request has waited long with nothing heard since; a probe tells a slow backend from a dead
-   * one.
+   * Requests a probe because the response to a request is overdue and nothing was received from the
+   * backend in the meantime. The probe distinguishes a slow backend from a failed one.
    */
   public void requestProbe() {
     probeRequested = true;
   }
 
-  /** Whether it is to be probed now, with this interval between probes of an idle backend. */
+  /**
+   * Returns whether a probe is due now.
+   *
+   * @param idleProbeMicros interval between two probes of an idle backend
+   */
   public boolean probeDue(long nowMicros, long idleProbeMicros) {
     return !probePending && nowMicros >= probeDueMicros(idleProbeMicros);
   }
@@ -144,47 +177,60 @@
       return probeSentMicros + suspectProbeMicros;
     }
     return policy.uses(Mechanism.IDLE_PROBES)
-        ? Math.max(probeSentMicros, heardMicros) + idleProbeMicros
+        ? Math.max(probeSentMicros, lastActivityMicros) + idleProbeMicros
         : Long.MAX_VALUE;
   }
 
-  /** When it is to be looked at again; nothing changes before unless something is heard of it. */
+  /**
+   * Returns the time of the next check of this backend, {@link Long#MAX_VALUE} if none is due.
+   * Until then its health changes only if another event is recorded.
+   *
+   * @param idleProbeMicros interval between two probes of an idle backend
+   */
   public long nextCheckMicros(long idleProbeMicros) {
     if (!probePending) {
       return probeDueMicros(idleProbeMicros);
     }
-    boolean answered = heardMicros > probeSentMicros;
-    return suspected || answered
+    boolean responded = lastActivityMicros > probeSentMicros;
+    return suspected || responded
         ? Long.MAX_VALUE
-        : probeSentMicros + probeReplyMicros + allowanceMicros(probeSentMicros);
+        : probeSentMicros + probeResponseMicros + timeoutExtensionMicros(probeSentMicros);
   }
 
-  /** Time that a backend is given beyond the usual, as its whole service answers late. */
-  public long allowanceMicros(long nowMicros) {
+  /**
+   * Returns the duration by which the timeouts of this backend are extended because all backends of
+   * its service respond late.
+   */
+  public long timeoutExtensionMicros(long nowMicros) {
     return (long) (serviceDelayFactor * serviceDelay.micros(nowMicros));
   }
 
-  /** A probe goes out. */
+  /** Records that a probe is sent now. */
   public void probeSent(long nowMicros) {
     probePending = true;
     probeRequested = false;
     probeSentMicros = nowMicros;
   }
 
-  /** Looks whether a probe stays without reply, and says whether suspicion is new. */
+  /**
+   * Checks whether the pending probe has had no response for too long.
+   *
+   * @return whether the backend has become suspected to be down in this call
+   */
   public boolean checkProbeTimeout(long nowMicros) {
-    boolean unanswered =
+    boolean withoutResponse =
         probePending
-            && nowMicros - probeSentMicros >= probeReplyMicros + allowanceMicros(nowMicros)
-            && heardMicros <= probeSentMicros;
-    if (!unanswered || suspected) {
+            && nowMicros - probeSentMicros
+                >= probeResponseMicros + timeoutExtensionMicros(nowMicros)
+            && lastActivityMicros <= probeSentMicros;
+    if (!withoutResponse || suspected) {
       return false;
     }
     suspect();
     return true;
   }
 
-  /** A probe was answered well. */
+  /** Records a probe with a success response. */
   public void probeSucceeded(long nowMicros) {
     probePending = false;
     consecutiveBroken = 0;
@@ -192,14 +238,17 @@
     health.probeSucceeded();
   }
 
-  /** A probe was rejected because the backend is full: it lives. */
+  /**
+   * Records that the backend rejected a probe because it is full. The rejection shows that the
+   * backend is running.
+   */
   public void probeRejected(long nowMicros) {
     probePending = false;
     activity(nowMicros);
     health.probeInconclusive();
   }
 
-  /** A probe was answered badly, or its connection failed. */
+  /** Records a probe with a failure response or a failed connection. */
   public void probeFailed() {
     probePending = false;
     suspect();
@@ -207,12 +256,13 @@
   }
 
   /**
-   * A probe had no reply in time. Danger: probes wait for a slot; what has answered others is only
-   * busy.
+   * Records a probe that timed out. Probes have to wait for a slot at a busy backend. If anything
+   * was received from the backend since the probe was sent, the backend is therefore considered
+   * busy and the timeout does not count as a failure.
    */
   public void probeTimedOut() {
     probePending = false;
-    if (heardMicros > probeSentMicros) {
+    if (lastActivityMicros > probeSentMicros) {
       health.probeInconclusive();
     } else {
       suspect();
@@ -220,7 +270,9 @@
     }
   }
 
-  /** The states of its health, for peers to be compared with. */
+  /**
+   * Returns the active and passive states, with which other backends of the service are compared.
+   */
   public BackendHealth health() {
     return health;
   }
--- a/src/main/java/slateslip/routing/health/ServiceDelay.java
+++ b/src/main/java/slateslip/routing/health/ServiceDelay.java
@@ -4,9 +4,10 @@
 import slateslip.routing.policy.RoutingPolicy;
 
 /**
- * How much later than expected the backends of a service answer at present, as far as this data
- * plane has measured. Where all of them are late, one that is late is busy rather than dead: its
- * probes wait for a slot, too. Times are in microseconds.
+ * The delay with which the backends of a service currently respond, beyond the expected time, as
+ * measured by this data plane. If all backends of a service respond late, a late backend is more
+ * likely busy than down; probes also have to wait for a slot at a busy backend. Times are in
+ * microseconds.
  */
 public final class ServiceDelay {
   private final double decayMicros;
@@ -14,20 +15,20 @@
   private double delayMicros;
   private long measuredMicros;
 
-  /** Of a service of which nothing was measured. */
+  /** Creates the delay of a service without any measurement, which is 0. */
   public ServiceDelay(RoutingPolicy policy) {
     decayMicros = (double) policy.micros(RoutingParameter.SERVICE_DELAY_DECAY_MILLIS);
     weight = policy.value(RoutingParameter.SERVICE_DELAY_WEIGHT);
   }
 
-  /** A response began by this much later than expected; 0 if it was in time. */
-  public void measured(long nowMicros, long lateMicros) {
+  /** Records the delay of a response that has begun; 0 if the response was on time. */
+  public void addSample(long nowMicros, long lateMicros) {
     double current = micros(nowMicros);
     delayMicros = current + weight * (lateMicros - current);
     measuredMicros = nowMicros;
   }
 
-  /** The delay to be expected now; it fades while nothing is measured. */
+  /** Returns the current delay, which decays exponentially while no response is measured. */
   public long micros(long nowMicros) {
     return (long) (delayMicros * Math.exp((measuredMicros - nowMicros) / decayMicros));
   }
--- a/src/main/java/slateslip/routing/health/package-info.java
+++ b/src/main/java/slateslip/routing/health/package-info.java
@@ -1,2 +1,5 @@
-/** Health of backends as one data plane sees it, on the policy classes of the agent in service. */
+/**
+ * Health of backends as one data plane observes it, based on the health policy classes of the load
+ * balancer.
+ */
 package slateslip.routing.health;
--- a/src/main/java/slateslip/routing/package-info.java
+++ b/src/main/java/slateslip/routing/package-info.java
@@ -1,2 +1,5 @@
-/** Decisions of a data plane, as state machines without sockets, clocks or threads. */
+/**
+ * Routing decisions of a data plane, implemented as state machines without sockets, clocks or
+ * threads.
+ */
 package slateslip.routing;
--- a/src/main/java/slateslip/routing/placement/Backend.java
+++ b/src/main/java/slateslip/routing/placement/Backend.java
@@ -7,7 +7,7 @@
 import slateslip.routing.policy.RoutingParameter;
 import slateslip.routing.policy.RoutingPolicy;
 
-/** What this data plane knows of one incarnation of a backend. */
+/** The state of one incarnation of a backend as this data plane observes it. */
 public final class Backend {
   private final long hash;
   private final BackendHealthMonitor healthMonitor;
@@ -18,11 +18,11 @@
   private boolean listed = true;
   private boolean replaced;
   private int inFlight;
-  private int awaiting;
+  private int awaitingFirstEvent;
   private int reportedRequests;
   private long reportedMicros;
 
-  /** A backend that was registered at this time. */
+  /** Creates a backend that was first registered at this time, in microseconds. */
   public Backend(
       BackendSession session, long nowMicros, ServiceModel service, RoutingPolicy policy) {
     this.session = session;
@@ -37,100 +37,120 @@
     this.hash = seed;
   }
 
-  /** Its incarnation id. */
+  /** Returns the incarnation id, which changes at each start of the backend. */
   public String id() {
     return session.id();
   }
 
-  /** Its newest registration. */
+  /** Returns the latest registration of the backend. */
   public BackendSession session() {
     return session;
   }
 
-  /** Takes over a newer registration. */
-  public void registered(BackendSession newer) {
+  /** Updates the registration; the backend counts as listed again. */
+  public void updateRegistration(BackendSession newer) {
     session = newer;
     listed = true;
   }
 
-  /** Its registration was withdrawn. */
+  /** Records that the backend is no longer in the list of registrations. */
   public void withdrawn() {
     listed = false;
   }
 
-  /** Another instance was met at its address. */
+  /**
+   * Records that another instance responded at the address of the backend, so that no new requests
+   * are sent there.
+   */
   public void replaced() {
     replaced = true;
   }
 
-  /** Whether new requests may be sent to it at all. */
-  public boolean registered() {
+  /**
+   * Returns whether new requests may be sent to the backend: it is listed, not replaced by another
+   * instance and not draining.
+   */
+  public boolean acceptsRequests() {
     return listed && !replaced && !session.draining();
   }
 
-  /** Whether nothing of it is left to keep. */
-  public boolean forgettable() {
+  /**
+   * Returns whether the backend is neither listed nor serving a request of this data plane, so that
+   * its state can be removed.
+   */
+  public boolean canBeRemoved() {
     return !listed && inFlight == 0;
   }
 
-  /** Whether it is in the list of registrations. */
+  /** Returns whether the backend is in the list of registrations. */
   public boolean listed() {
     return listed;
   }
 
-  /** Its health. */
+  /** Returns the monitor of the backend's health at this data plane. */
   public BackendHealthMonitor healthMonitor() {
     return healthMonitor;
   }
 
-  /** What is believed of its engine; of use only for model services. */
+  /**
+   * Returns the model of the backend's engine, which is meaningful only for services with engines.
+   */
   public EngineModel engine() {
     return engine;
   }
 
-  /** Weight in the order in which all data planes turn to backends with a key. */
+  /**
+   * Returns the rendezvous hash of this backend for a key. All data planes prefer backends in the
+   * same order, by descending weight.
+   */
   public long weight(long key) {
     return RendezvousHash.weight(key, hash);
   }
 
-  /** Own requests that have not ended there. */
+  /** Returns the number of attempts of this data plane that are in flight at the backend. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Whether own requests there wait for their first event or answer. */
-  public boolean someAwait() {
-    return awaiting > 0;
+  /**
+   * Returns whether an attempt of this data plane waits for its first event or response from the
+   * backend.
+   */
+  public boolean hasAwaitingAttempts() {
+    return awaitingFirstEvent > 0;
   }
 
-  /** A request is sent to it. */
+  /** Records that an attempt is sent to the backend. */
   public void sent() {
     inFlight++;
-    awaiting++;
+    awaitingFirstEvent++;
   }
 
-  /** The first event of a request has come, or it has ended without. */
-  public void noLongerAwaiting() {
-    awaiting--;
+  /** Records that an attempt has received its first event or has ended without one. */
+  public void stopAwaiting() {
+    awaitingFirstEvent--;
   }
 
-  /** A request has ended. */
+  /** Records that an attempt has ended. */
   public void ended() {
     inFlight--;
   }
 
-  /** It told how many requests run and wait there. */
+  /** Records the total number of running and waiting requests that the backend reported. */
   public void loadReported(int requests, long nowMicros) {
     reportedRequests = requests;
     reportedMicros = nowMicros;
   }
 
-  /** Requests there as far as known: own ones, and what it told while that is fresh. */
+  /**
+   * Returns the estimated number of requests at the backend: the larger of the attempts in flight
+   * from this data plane and the reported load, which decays with its age.
+   */
   public double load(long nowMicros) {
     if (!policy.uses(Mechanism.LOAD_REPORTS)) {
       return inFlight;
     }
-    double fade = Math.exp((reportedMicros - nowMicros) / loadDecayMicros);
-    return Math.max(inFlight, reportedRequests * fade);
+    double decay = Math.exp((reportedMicros - nowMicros) / loadDecayMicros);
+    return Math.max(inFlight, reportedRequests * decay);
   }
 }
--- a/src/main/java/slateslip/routing/placement/EngineModel.java
+++ b/src/main/java/slateslip/routing/placement/EngineModel.java
@@ -7,12 +7,12 @@
 import slateslip.routing.policy.RoutingPolicy;
 
 /**
- * What this data plane believes of one model backend: the parts of prompts it keeps, and when it
- * will have read the prompts that wait. Times are in microseconds.
+ * The model that this data plane keeps of the engine of one backend: the cached prompt parts, and
+ * the time at which the prefill of the waiting prompts will be complete. Times are in microseconds.
  */
 public final class EngineModel {
-  /** A request that is expected to wait for less counts as one that does not wait. */
-  private static final long NO_WAIT_MICROS = 2_000;
+  /** A request with a shorter expected wait counts as a request that does not wait. */
+  private static final long NEGLIGIBLE_WAIT_MICROS = 2_000;
 
   private final ServiceModel service;
   private final RoutingPolicy policy;
@@ -23,7 +23,7 @@
   private double delayMicros;
   private long delayMeasuredMicros;
 
-  /** An engine of this service. */
+  /** Creates the model of an engine of this service, with an empty cache and no waiting prompts. */
   EngineModel(ServiceModel service, RoutingPolicy policy) {
     this.service = service;
     this.policy = policy;
@@ -31,62 +31,74 @@
     delayDecayMicros = (double) policy.micros(RoutingParameter.DELAY_DECAY_MILLIS);
   }
 
-  /** Tokens of the prompt that the engine probably keeps. */
-  public long cachedTokens(List<PromptPart> prompt, long memoryTokens, int agents) {
-    return prefixCache.cachedTokens(prompt, memoryTokens, agents);
+  /** Returns the number of tokens of the prompt that are probably in the cache of the engine. */
+  public long cachedTokens(List<PromptPart> prompt, long memoryTokens, int dataPlanes) {
+    return prefixCache.cachedTokens(prompt, memoryTokens, dataPlanes);
   }
 
-  /** Time to read what is missing of a prompt. */
+  /**
+   * Returns the expected first-token latency of a request with this prefill work that does not
+   * wait.
+   */
   public long prefillMicros(PrefillWork work) {
     return service.prefill().micros(work);
   }
 
-  /** Time that a request would wait before its prompt is read. */
+  /**
+   * Returns the expected wait of a new request before its prefill starts; 0 if {@link
+   * Mechanism#QUEUE_ESTIMATE} is disabled.
+   */
   public long queueMicros(long nowMicros) {
     if (!policy.uses(Mechanism.QUEUE_ESTIMATE)) {
       return 0;
     }
-    double fade = Math.exp((delayMeasuredMicros - nowMicros) / delayDecayMicros);
-    return Math.max(0, prefillUntilMicros - nowMicros) + (long) (delayMicros * fade);
+    double decay = Math.exp((delayMeasuredMicros - nowMicros) / delayDecayMicros);
+    return Math.max(0, prefillUntilMicros - nowMicros) + (long) (delayMicros * decay);
   }
 
-  /** Notes a prompt that is sent now. */
+  /** Records a prompt that is sent to the engine now. */
   public void sent(
       List<PromptPart> prompt,
       long newTokens,
       long prefillMicros,
       long memoryTokens,
-      int agents,
+      int dataPlanes,
       long nowMicros) {
-    prefixCache.sent(prompt, newTokens, memoryTokens, agents);
+    prefixCache.sent(prompt, newTokens, memoryTokens, dataPlanes);
     prefillUntilMicros = Math.max(prefillUntilMicros, nowMicros) + prefillMicros;
   }
 
   /**
-   * Takes a measured time to the first event.
+   * Records the measured first-token latency of a request.
    *
-   * @param choice what was expected when it was sent
-   * @param noneWaits whether no other own request waits for its first event
+   * @param choice choice that was made for the request, with the expected latency
+   * @param noneAwaiting whether no other request of this data plane waits for its first event at
+   *     this engine
    */
-  public void started(long nowMicros, long tookMicros, Placement.Choice choice, boolean noneWaits) {
-    long expectedMicros = choice.firstMicros();
-    boolean alone = noneWaits && expectedMicros - choice.readMicros() < NO_WAIT_MICROS;
-    if (alone && policy.uses(Mechanism.ENGINE_LEARNING)) {
-      service.prefill().learn(choice.work(), tookMicros);
+  public void started(
+      long nowMicros, long measuredMicros, Placement.Choice choice, boolean noneAwaiting) {
+    long expectedFirstEventMicros = choice.expectedFirstEventMicros();
+    boolean withoutWait =
+        noneAwaiting && expectedFirstEventMicros - choice.prefillMicros() < NEGLIGIBLE_WAIT_MICROS;
+    if (withoutWait && policy.uses(Mechanism.ENGINE_LEARNING)) {
+      service.prefill().learn(choice.work(), measuredMicros);
     }
-    double fade = Math.exp((delayMeasuredMicros - nowMicros) / delayDecayMicros);
-    double measured = Math.max(0, tookMicros - expectedMicros);
-    service.delay().measured(nowMicros, (long) measured);
-    delayMicros = delayMicros * fade + delayWeight * (measured - delayMicros * fade);
+    double decay = Math.exp((delayMeasuredMicros - nowMicros) / delayDecayMicros);
+    double excessMicros = Math.max(0, measuredMicros - expectedFirstEventMicros);
+    service.delay().addSample(nowMicros, (long) excessMicros);
+    delayMicros = delayMicros * decay + delayWeight * (excessMicros - delayMicros * decay);
     delayMeasuredMicros = nowMicros;
-    if (noneWaits) {
+    if (noneAwaiting) {
       prefillUntilMicros = nowMicros;
     }
   }
 
-  /** An own request will not be read any more. */
-  public void givenUp(long prefillMicros, boolean noneWaits, long nowMicros) {
+  /**
+   * Records that a request of this data plane has ended before its first event, so that its prefill
+   * no longer delays other requests.
+   */
+  public void endedBeforeFirstEvent(long prefillMicros, boolean noneAwaiting, long nowMicros) {
     prefillUntilMicros =
-        noneWaits ? nowMicros : Math.max(nowMicros, prefillUntilMicros - prefillMicros);
+        noneAwaiting ? nowMicros : Math.max(nowMicros, prefillUntilMicros - prefillMicros);
   }
 }
--- a/src/main/java/slateslip/routing/placement/Placement.java
+++ b/src/main/java/slateslip/routing/placement/Placement.java
@@ -13,12 +13,15 @@
 import slateslip.routing.policy.RoutingPolicy;
 
 /**
- * Picks the backend of a request.
+ * Chooses the backend of a request.
  *
- * <p>Ordinary path: two random draws in the own zone, and the one with fewer requests in flight;
- * other zones only when the own has no room. For prompts, cached parts go first: all data planes
- * order the backends of a service alike by the hash of the deepest shared part, and of the first
- * few the one is taken that will have read the prompt soonest.
+ * <p>For requests without a prompt, placement compares two random backends of the data plane's zone
+ * and takes the one with fewer attempts of this data plane in flight, or with the lower estimated
+ * load if these are equal. Backends of other zones are used only if the zone has no capacity. For
+ * requests with a prompt, backends that have cached a part of it are preferred: all data planes
+ * order the backends of a service in the same way, by a rendezvous hash of the last prompt part
+ * that requests share. The first backend in this order is taken unless its expected first-token
+ * latency is too high; then the backend with the lowest cost among the first few is taken.
  */
 public final class Placement {
   private final String zone;
@@ -30,43 +33,49 @@
   private final double fullSlotsFraction;
 
   /**
-   * What is to be placed.
+   * The properties of a request that determine its placement.
    *
-   * @param service its service
-   * @param prompt parts of its prompt; empty if it has none
-   * @param promptTokens all of them, as told or added up
-   * @param objectiveMicros within which a response earns its full worth
-   * @param agents data planes that send to the same backends
+   * @param service service of the request
+   * @param prompt parts of the prompt; empty if there is none
+   * @param promptTokens length of the whole prompt in tokens
+   * @param targetLatencyMicros target latency of the route
+   * @param dataPlanes number of data planes that send to the same backends
    */
-  public record Demand(
+  public record RequestProfile(
       Service service,
       List<PromptPart> prompt,
       long promptTokens,
-      long objectiveMicros,
-      int agents) {
+      long targetLatencyMicros,
+      int dataPlanes) {
     long memoryTokens() {
       return service.engine().cacheTokens();
     }
   }
 
   /**
-   * A choice.
+   * The choice of a backend and the estimates on which the choice is based.
    *
-   * @param backend the backend
-   * @param work what it has to do before the first event
-   * @param readMicros time for reading them
-   * @param firstMicros expected until the first event; 0 if nothing is known of it
-   * @param candidates backends that it was chosen from
+   * @param backend the chosen backend
+   * @param work work of the backend's engine before the first event
+   * @param prefillMicros expected first-token latency without a wait; 0 if not known
+   * @param expectedFirstEventMicros expected first-token latency including the wait; 0 if not known
+   * @param candidates number of backends that were considered
    */
   public record Choice(
-      Backend backend, PrefillWork work, long readMicros, long firstMicros, int candidates) {
-    /** Tokens that the backend will have to read; 0 if there is no prompt. */
+      Backend backend,
+      PrefillWork work,
+      long prefillMicros,
+      long expectedFirstEventMicros,
+      int candidates) {
+    /**
+     * Returns the number of prompt tokens that the backend has to prefill; 0 if there is no prompt.
+     */
     public long newTokens() {
       return work.newTokens();
     }
   }
 
-  /** Places requests for a data plane in this zone. */
+  /** Creates the placement for a data plane in this zone. */
   public Placement(String zone, RandomGenerator random, RoutingPolicy policy) {
     this.zone = zone;
     this.policy = policy;
@@ -78,64 +87,73 @@
   }
 
   /**
-   * Picks among backends.
+   * Chooses a backend for a request.
    *
-   * @param backends of the service, in any order; not empty
-   * @param permitted those that may be sent to at all
-   * @return the choice; null if none is permitted
+   * @param backends backends of the service, in any order
+   * @param permitted condition that a backend must meet to be chosen
+   * @return the choice; null if no backend meets the condition and accepts requests
    */
   public Choice pick(
-      long nowMicros, Demand demand, List<Backend> backends, Predicate<Backend> permitted) {
-    List<Backend> open =
-        filter(backends, backend -> backend.registered() && permitted.test(backend));
-    List<Backend> candidates = healthiest(nowMicros, open);
+      long nowMicros,
+      RequestProfile profile,
+      List<Backend> backends,
+      Predicate<Backend> permitted) {
+    List<Backend> eligible =
+        filter(backends, backend -> backend.acceptsRequests() && permitted.test(backend));
+    List<Backend> candidates = healthiest(nowMicros, eligible);
     if (candidates.isEmpty()) {
       return null;
     }
-    boolean prompted = demand.service().engine() != null && !demand.prompt().isEmpty();
-    if (prompted && policy.uses(Mechanism.PREFIX_AFFINITY)) {
-      return byPrompt(nowMicros, demand, candidates);
+    boolean hasPrompt = profile.service().engine() != null && !profile.prompt().isEmpty();
+    if (hasPrompt && policy.uses(Mechanism.PREFIX_AFFINITY)) {
+      return pickByPrompt(nowMicros, profile, candidates);
     }
-    return new Choice(draw(nowMicros, candidates), PrefillWork.NONE, 0, 0, candidates.size());
+    return new Choice(pickByLoad(nowMicros, candidates), PrefillWork.NONE, 0, 0, candidates.size());
   }
 
   /**
-   * Those that nothing speaks against; else those available; else all, for none may be left out
-   * then.
+   * Returns the trusted backends. If there are none, returns the available ones, and if there are
+   * none of these either, returns all backends, because an unhealthy backend is better than none.
    */
-  private static List<Backend> healthiest(long nowMicros, List<Backend> open) {
-    List<Backend> trusted = filter(open, backend -> backend.healthMonitor().trusted(nowMicros));
+  private static List<Backend> healthiest(long nowMicros, List<Backend> eligible) {
+    List<Backend> trusted = filter(eligible, backend -> backend.healthMonitor().trusted(nowMicros));
     if (!trusted.isEmpty()) {
       return trusted;
     }
-    List<Backend> available = filter(open, backend -> backend.healthMonitor().available(nowMicros));
-    return available.isEmpty() ? open : available;
+    List<Backend> available =
+        filter(eligible, backend -> backend.healthMonitor().available(nowMicros));
+    return available.isEmpty() ? eligible : available;
   }
 
-  /** A plain loop: it runs for every request, also before it has been compiled. */
+  /**
+   * Returns the backends that meet a condition. A plain loop is used instead of a stream because
+   * this code runs for every request, even before the virtual machine has compiled it.
+   */
   private static List<Backend> filter(List<Backend> backends, Predicate<Backend> condition) {
-    List<Backend> passed = new ArrayList<>(backends.size());
+    List<Backend> matching = new ArrayList<>(backends.size());
     for (Backend backend : backends) {
       if (condition.test(backend)) {
-        passed.add(backend);
+        matching.add(backend);
       }
     }
-    return passed;
+    return matching;
   }
 
-  private Backend draw(long nowMicros, List<Backend> candidates) {
-    List<Backend> near =
-        filter(candidates, backend -> near(backend) && hasCapacity(backend, nowMicros));
-    List<Backend> roomy =
-        near.isEmpty() ? filter(candidates, backend -> hasCapacity(backend, nowMicros)) : near;
+  private Backend pickByLoad(long nowMicros, List<Backend> candidates) {
+    List<Backend> inOwnZone =
+        filter(candidates, backend -> inOwnZone(backend) && hasCapacity(backend, nowMicros));
+    List<Backend> withCapacity =
+        inOwnZone.isEmpty()
+            ? filter(candidates, backend -> hasCapacity(backend, nowMicros))
+            : inOwnZone;
     return PowerOfTwoChoices.pick(
-        roomy.isEmpty() ? candidates : roomy,
+        withCapacity.isEmpty() ? candidates : withCapacity,
         Backend::inFlight,
         Comparator.comparingDouble(backend -> backend.load(nowMicros)),
         random);
   }
 
-  private boolean near(Backend backend) {
+  private boolean inOwnZone(Backend backend) {
     return backend.session().zone().equals(zone) || !policy.uses(Mechanism.ZONE_PREFERENCE);
   }
 
@@ -144,41 +162,51 @@
     return slots <= 0 || backend.load(nowMicros) < fullSlotsFraction * slots;
   }
 
-  private Choice byPrompt(long nowMicros, Demand demand, List<Backend> candidates) {
-    long key = key(demand.prompt());
+  private Choice pickByPrompt(long nowMicros, RequestProfile profile, List<Backend> candidates) {
+    long affinityKey = affinityKey(profile.prompt());
     int count = candidates.size();
-    Choice home = reckon(nowMicros, demand, home(candidates, key), true, count);
-    return isSoon(home, demand) || !policy.uses(Mechanism.SPILL)
-        ? home
-        : spill(nowMicros, demand, candidates, key, home);
+    Choice preferred =
+        estimate(nowMicros, profile, preferred(candidates, affinityKey), true, count);
+    return isFastEnough(preferred, profile) || !policy.uses(Mechanism.SPILL)
+        ? preferred
+        : spill(nowMicros, profile, candidates, affinityKey, preferred);
   }
 
-  /** The backend that all data planes turn to first with this key. */
-  private static Backend home(List<Backend> candidates, long key) {
-    Backend home = candidates.get(0);
-    long highest = home.weight(key);
+  /** Returns the backend that all data planes prefer for this key. */
+  private static Backend preferred(List<Backend> candidates, long affinityKey) {
+    Backend preferred = candidates.get(0);
+    long highest = preferred.weight(affinityKey);
     for (int i = 1; i < candidates.size(); i++) {
-      long weight = candidates.get(i).weight(key);
+      long weight = candidates.get(i).weight(affinityKey);
       if (weight > highest) {
-        home = candidates.get(i);
+        preferred = candidates.get(i);
         highest = weight;
       }
     }
-    return home;
+    return preferred;
   }
 
-  private boolean isSoon(Choice choice, Demand demand) {
-    return choice.firstMicros() <= spillFraction * demand.objectiveMicros();
+  private boolean isFastEnough(Choice choice, RequestProfile profile) {
+    return choice.expectedFirstEventMicros() <= spillFraction * profile.targetLatencyMicros();
   }
 
-  /** Looks at the other backends, in the order of the key, until one is soon enough. */
+  /**
+   * Considers the other backends, in the order that the key determines, until the expected
+   * first-token latency of one is low enough. Returns the choice with the lowest cost among those
+   * considered.
+   */
   private Choice spill(
-      long nowMicros, Demand demand, List<Backend> candidates, long key, Choice home) {
+      long nowMicros,
+      RequestProfile profile,
+      List<Backend> candidates,
+      long affinityKey,
+      Choice preferred) {
     List<Backend> ordered = new ArrayList<>(candidates);
-    ordered.sort(Comparator.comparingLong((Backend backend) -> backend.weight(key)).reversed());
-    Choice best = home;
-    for (int rank = 1; rank < ordered.size() && !isSoon(best, demand); rank++) {
-      Choice choice = reckon(nowMicros, demand, ordered.get(rank), false, ordered.size());
+    ordered.sort(
+        Comparator.comparingLong((Backend backend) -> backend.weight(affinityKey)).reversed());
+    Choice best = preferred;
+    for (int rank = 1; rank < ordered.size() && !isFastEnough(best, profile); rank++) {
+      Choice choice = estimate(nowMicros, profile, ordered.get(rank), false, ordered.size());
       if (cost(choice) < cost(best)) {
         best = choice;
       }
@@ -186,32 +214,43 @@
     return best;
   }
 
-  /** The deepest part that other requests share: the last one is the request's own. */
-  private static long key(List<PromptPart> prompt) {
+  /**
+   * Returns the id of the last prompt part that other requests may share. The last part belongs to
+   * the request alone.
+   */
+  private static long affinityKey(List<PromptPart> prompt) {
     return prompt.get(Math.max(0, prompt.size() - 2)).id();
   }
 
-  private Choice reckon(
-      long nowMicros, Demand demand, Backend backend, boolean isHome, int candidates) {
+  private Choice estimate(
+      long nowMicros,
+      RequestProfile profile,
+      Backend backend,
+      boolean isPreferred,
+      int candidates) {
     EngineModel engine = backend.engine();
     long cachedTokens =
-        engine.cachedTokens(demand.prompt(), demand.memoryTokens(), demand.agents());
-    if (isHome && policy.uses(Mechanism.SHARED_CACHE)) {
-      int last = demand.prompt().size() - 1;
-      long shared = demand.promptTokens() - demand.prompt().get(last).tokens();
-      cachedTokens = Math.max(cachedTokens, (long) (sharedCacheFraction * shared));
+        engine.cachedTokens(profile.prompt(), profile.memoryTokens(), profile.dataPlanes());
+    if (isPreferred && policy.uses(Mechanism.SHARED_CACHE)) {
+      int last = profile.prompt().size() - 1;
+      long sharedTokens = profile.promptTokens() - profile.prompt().get(last).tokens();
+      cachedTokens = Math.max(cachedTokens, (long) (sharedCacheFraction * sharedTokens));
     }
-    PrefillWork work = PrefillWork.of(demand.promptTokens(), cachedTokens);
-    long read = engine.prefillMicros(work);
-    return new Choice(backend, work, read, engine.queueMicros(nowMicros) + read, candidates);
+    PrefillWork work = PrefillWork.of(profile.promptTokens(), cachedTokens);
+    long prefillMicros = engine.prefillMicros(work);
+    return new Choice(
+        backend, work, prefillMicros, engine.queueMicros(nowMicros) + prefillMicros, candidates);
   }
 
   /**
-   * What a choice costs, in time: until the first event, and once more for what has to be read, as
-   * that delays the other requests of the backend by about as much.
+   * Returns the cost of a choice in microseconds: the expected first-token latency, plus the
+   * prefill time once more because the prefill delays the other requests of the backend by about
+   * that time, plus a penalty for another zone.
    */
   private long cost(Choice choice) {
-    long others = policy.uses(Mechanism.READING_COST) ? choice.readMicros() : 0;
-    return choice.firstMicros() + others + (near(choice.backend()) ? 0 : otherZoneMicros);
+    long delayToOthers = policy.uses(Mechanism.READING_COST) ? choice.prefillMicros() : 0;
+    return choice.expectedFirstEventMicros()
+        + delayToOthers
+        + (inOwnZone(choice.backend()) ? 0 : otherZoneMicros);
   }
 }
--- a/src/main/java/slateslip/routing/placement/ServiceModel.java
+++ b/src/main/java/slateslip/routing/placement/ServiceModel.java
@@ -4,13 +4,14 @@
 import slateslip.routing.policy.RoutingPolicy;
 
 /**
- * What is learnt of all backends of a service together: each alone is met too seldom to learn from.
+ * Estimates that are learned from all backends of a service together, because a data plane sends
+ * too few requests to a single backend to learn from them.
  *
- * @param prefill how fast its engines read prompts
- * @param delay how much later than expected they answer
+ * @param prefill estimate of the time that engines of the service need to prefill prompts
+ * @param delay average delay of responses beyond their expected time
  */
 public record ServiceModel(PrefillEstimator prefill, ServiceDelay delay) {
-  /** Of a service of which nothing was measured. */
+  /** Returns the model of a service before any measurement. */
   public static ServiceModel initial(RoutingPolicy policy) {
     return new ServiceModel(new PrefillEstimator(policy), new ServiceDelay(policy));
   }
--- a/src/main/java/slateslip/routing/placement/package-info.java
+++ b/src/main/java/slateslip/routing/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which backend a request goes to: what each keeps of prompts, and how full it is. */
+/** Choice of the backend for a request, by cached prompt prefixes, load, health and zone. */
 package slateslip.routing.placement;
--- a/src/main/java/slateslip/routing/policy/Mechanism.java
+++ b/src/main/java/slateslip/routing/policy/Mechanism.java
@@ -3,41 +3,53 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** A mechanism of the router's decisions that an experiment can switch off. */
+/** A mechanism of the router's decisions that experiments can disable. */
 public enum Mechanism {
-  /** Prompts go to the backend that the hash of their shared part names. */
+  /** A prompt is sent preferably to the backend that the hash of its shared part selects. */
   PREFIX_AFFINITY,
-  /** The first backend of a shared part is taken to have read it for other data planes. */
+  /**
+   * The preferred backend of a shared prompt part is assumed to have cached the part already for
+   * other data planes.
+   */
   SHARED_CACHE,
-  /** Other backends are looked at where the first one is not soon enough. */
+  /**
+   * Other backends are considered if the expected first-token latency at the preferred backend is
+   * too high.
+   */
   SPILL,
-  /** What a prompt's reading delays other requests by counts in the choice of a backend. */
+  /**
+   * The choice of a backend takes into account by how much the prefill of a prompt delays other
+   * requests.
+   */
   READING_COST,
-  /** The wait before a prompt is read counts in the choice of a backend. */
+  /** The choice of a backend takes into account how long a prompt would wait before its prefill. */
   QUEUE_ESTIMATE,
-  /** The speed of a service's engines is learnt from measured times. */
+  /** The speed of a service's engines is learned from measured first-token latencies. */
   ENGINE_LEARNING,
-  /** Backends of the own zone are preferred. */
+  /** Backends in the zone of the data plane are preferred. */
   ZONE_PREFERENCE,
-  /** What backends tell of their load counts in the choice of a backend. */
+  /** The choice of a backend takes into account the load that backends report. */
   LOAD_REPORTS,
-  /** Backends are left out at the first sign that they are down. */
+  /**
+   * Backends that are suspected to be down are avoided, even before a health check has marked them
+   * as unhealthy.
+   */
   SUSPICION,
-  /** Backends that fail too large a share of their requests are left out. */
+  /** Backends that fail too large a fraction of their requests are ejected for a limited time. */
   EJECTION,
-  /** Backends without traffic are probed. */
+  /** Idle backends are probed. */
   IDLE_PROBES,
   /** Backends whose responses are overdue are probed. */
   OVERDUE_PROBES,
-  /** A backend is given more time to answer while its whole service answers late. */
+  /** The timeouts of a backend are extended while all backends of its service respond late. */
   PATIENCE_UNDER_LOAD,
-  /** Streams that make no progress are sent to another backend as well. */
+  /** A stream that makes no progress is sent to a second backend as well. */
   STREAM_TAKEOVER,
-  /** Requests that have not run, or may be repeated, are sent to another backend. */
+  /** Requests that have not run or that may be repeated are retried at another backend. */
   RETRIES;
 
-  /** The mechanism of this name, in lower case with hyphens; empty if there is none. */
-  public static Optional<Mechanism> named(String name) {
+  /** Returns the mechanism with this label; empty if there is none. */
+  public static Optional<Mechanism> fromLabel(String name) {
     for (Mechanism mechanism : values()) {
       if (mechanism.label().equals(name)) {
         return Optional.of(mechanism);
@@ -46,7 +58,9 @@
     return Optional.empty();
   }
 
-  /** Its name in files and options. */
+  /**
+   * Returns the name of the mechanism in files and command-line options: lower case with hyphens.
+   */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/src/main/java/slateslip/routing/policy/RoutingParameter.java
+++ b/src/main/java/slateslip/routing/policy/RoutingParameter.java
@@ -4,84 +4,107 @@
 import java.util.Optional;
 
 /**
- * A figure that the router's decisions depend on and that no deployment tells. What other values
- * are worth stands in docs/experiments/decisions.md, "Parameters"; experiments and a data plane's
- * command line can set one within the range.
+ * A numeric parameter of the router's decisions that is not part of a deployment's settings. The
+ * section "Parameters" of docs/experiments/decisions.md reports the effect of other values.
+ * Experiments and the command line of a data plane can set a parameter to a value within its range.
  */
 public enum RoutingParameter {
   /**
-   * Part of the latency objective above which, at the first choice, the other backends are looked
-   * at too.
+   * Fraction of the route's target latency. If the expected first-token latency at the preferred
+   * backend exceeds it, other backends are considered as well.
    */
   SPILL_FRACTION(0.4, 0, 100),
 
   /**
-   * Part of the shared tokens that the first backend of a prompt is taken to keep although this
-   * data plane has not sent them there: the others have.
+   * Fraction of a prompt's shared tokens that the preferred backend is assumed to have cached even
+   * if this data plane has not sent them there, because other data planes have.
    */
   SHARED_CACHE_FRACTION(0.95, 0, 1),
 
-  /** Time that staying in the own zone is worth, in milliseconds. */
+  /** Cost of a backend in another zone, as an additional latency in milliseconds. */
   OTHER_ZONE_MILLIS(8, 0, 10_000),
 
-  /** Part of its slots in use above which a backend of the own zone counts as full. */
+  /**
+   * Fraction of a backend's slots in use from which the backend counts as full. If all backends of
+   * the own zone are full, those of other zones are considered.
+   */
   FULL_SLOTS_FRACTION(0.8, 0, 1),
 
-  /** Weight of one measured delay beyond what own requests explain. */
+  /**
+   * Weight of one measurement in the moving average of a backend's delay beyond the expected
+   * first-token latency.
+   */
   DELAY_WEIGHT(0.5, 0, 1),
 
-  /** Time in which a measured delay falls to 1/e, in milliseconds. */
+  /** Time in milliseconds after which a measured delay has decayed to 1/e. */
   DELAY_DECAY_MILLIS(700, 1, 60_000),
 
-  /** Time in which what a backend told of its load falls to 1/e, in milliseconds. */
+  /** Time in milliseconds after which the load that a backend reported has decayed to 1/e. */
   LOAD_DECAY_MILLIS(300, 1, 60_000),
 
-  /** Time to the first event without any reading, before it has been learnt, in milliseconds. */
+  /**
+   * Initial estimate, in milliseconds, of the first-token latency of a request that needs no
+   * prefill.
+   */
   PRIOR_BASE_MILLIS(12, 0.1, 10_000),
 
   /**
-   * Tokens that an engine reads in a millisecond, before that has been learnt. Rather too few than
-   * too many: a prompt that is read at another backend for nothing costs more than one that waits.
+   * Initial estimate of the number of tokens that an engine prefills per millisecond. The value is
+   * deliberately low, because an unnecessary prefill of a prompt at another backend costs more than
+   * a wait at the preferred backend.
    */
   PRIOR_TOKENS_PER_MILLI(16, 0.1, 100_000),
 
-  /** How long after it was expected a response is overdue, in milliseconds. */
+  /**
+   * Time in milliseconds after the expected start of a response at which the response is overdue.
+   */
   OVERDUE_MILLIS(250, 1, 60_000),
 
-  /** How long a stream may run with nothing heard from its backend, in milliseconds. */
+  /**
+   * Time in milliseconds without any data from the backend of a stream after which the stream is
+   * overdue.
+   */
   STREAM_SILENCE_MILLIS(1_000, 1, 60_000),
 
-  /** Between two probes of a backend that is suspected or unhealthy, in milliseconds. */
+  /** Interval in milliseconds between two probes of a suspected or unhealthy backend. */
   SUSPECT_PROBE_MILLIS(400, 1, 60_000),
 
-  /** After this time without a reply a probe raises suspicion, in milliseconds. */
+  /**
+   * Time in milliseconds without a response to a probe after which the backend is suspected to be
+   * down.
+   */
   PROBE_REPLY_MILLIS(250, 1, 60_000),
 
-  /** Weight of one measured delay of a service's responses. */
+  /** Weight of one measurement in the moving average of the delay of a service's responses. */
   SERVICE_DELAY_WEIGHT(0.25, 0, 1),
 
-  /** Time in which the measured delay of a service falls to 1/e, in milliseconds. */
+  /** Time in milliseconds after which the measured delay of a service has decayed to 1/e. */
   SERVICE_DELAY_DECAY_MILLIS(2_000, 1, 60_000),
 
-  /** How often a service's delay is added to the time that one backend is given. */
+  /**
+   * Multiple of the delay of a service by which the timeouts of each of its backends are extended.
+   */
   SERVICE_DELAY_FACTOR(2, 0, 100),
 
-  /** Between two probes of an idle backend by all data planes together, in milliseconds. */
+  /** Interval in milliseconds between two probes of an idle backend by all data planes together. */
   IDLE_PROBE_MILLIS(8_000, 1, 3_600_000),
 
-  /** Broken responses in a row that raise suspicion. */
+  /** Number of consecutive broken responses after which a backend is suspected to be down. */
   BROKEN_IN_A_ROW(2, 1, 1_000),
 
-  /** How long a backend that failed too often is left out, in milliseconds. */
+  /** Time in milliseconds for which a backend stays ejected after too many failures. */
   REACTIVATION_MILLIS(5_000, 1, 3_600_000),
 
-  /** Data planes that share a limit before a control agent has told how many there are. */
+  /**
+   * Number of data planes that are assumed to share a limit until a control agent reports the
+   * actual number.
+   */
   INITIAL_DATA_PLANES(16, 1, 100_000),
 
-  /** Part of the retry budget that is used. */
+  /** Fraction of the retry budget that is used; the rest is a safety margin. */
   RETRY_BUDGET_FRACTION(0.8, 0, 1),
 
-  /** When a client is asked to come back whose request no backend took, in milliseconds. */
+  /** Time in milliseconds after which a client may retry a request that no backend accepted. */
   RETRY_AFTER_MILLIS(100, 1, 60_000);
 
   private final double defaultValue;
@@ -94,23 +117,25 @@
     this.max = max;
   }
 
-  /** Its value where nothing else is set. */
+  /** Returns the value of the parameter if a policy does not override it. */
   public double defaultValue() {
     return defaultValue;
   }
 
-  /** Whether it may have this value. */
+  /** Returns whether a value lies within the permitted range, limits included; false for NaN. */
   public boolean permits(double value) {
     return value >= min && value <= max;
   }
 
-  /** Its name in files and options. */
+  /**
+   * Returns the name of the parameter in files and command-line options: lower case with hyphens.
+   */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The parameter of this name, in lower case with hyphens; empty if there is none. */
-  public static Optional<RoutingParameter> named(String name) {
+  /** Returns the parameter with this label; empty if there is none. */
+  public static Optional<RoutingParameter> fromLabel(String name) {
     for (RoutingParameter parameter : values()) {
       if (parameter.label().equals(name)) {
         return Optional.of(parameter);
--- a/src/main/java/slateslip/routing/policy/package-info.java
+++ b/src/main/java/slateslip/routing/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Which mechanisms the router uses, and the parameters of its decisions. */
+/** Configuration of the router's decisions: the mechanisms in use and their parameters. */
 package slateslip.routing.policy;
--- a/src/main/java/slateslip/routing/quota/QuotaDecision.java
+++ b/src/main/java/slateslip/routing/quota/QuotaDecision.java
@@ -1,13 +1,15 @@
 package slateslip.routing.quota;
 
-/** Whether a tenant's quota lets a request in. */
+/** The decision of a tenant's quota on a request. */
 public sealed interface QuotaDecision {
-  /** It does; the units are taken. */
+  /** The request is admitted and its units are charged. */
   record Admitted(QuotaCharge charge) implements QuotaDecision {}
 
-  /** The allocator is asked for more. */
+  /**
+   * The request waits until the quota allocator assigns a larger share or the maximum wait is over.
+   */
   record Waiting(QuotaWait quotaWait) implements QuotaDecision {}
 
-  /** It does not; the client may come again after this time. */
+  /** The request is refused; the client may retry it after this time, in microseconds. */
   record Refused(long retryAfterMicros) implements QuotaDecision {}
 }
--- a/src/main/java/slateslip/routing/quota/QuotaLease.java
+++ b/src/main/java/slateslip/routing/quota/QuotaLease.java
@@ -3,7 +3,10 @@
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.quota.QuotaTiming;
 
-/** Which allocator a data plane obeys, and until when what it was allotted last holds. */
+/**
+ * Tracks the quota allocator that a data plane accepts and the time until which the latest
+ * allocation is valid. Times are in microseconds.
+ */
 final class QuotaLease {
   private long epoch;
   private long number;
@@ -13,9 +16,10 @@
   private int holders;
 
   /**
-   * Judges an allocation, and takes over its lease.
+   * Renews the lease from an allocation, unless the allocation comes from a former allocator or is
+   * older than the latest one.
    *
-   * @return whether its tenants' parts come into force
+   * @return whether the tenants' shares of the allocation apply
    */
   boolean renew(QuotaAllocation.Lease lease, long nowMicros) {
     if (lease.epoch() < epoch) {
@@ -37,7 +41,7 @@
     return true;
   }
 
-  /** Another allocator takes over; what the last one allotted goes on to hold. */
+  /** Accepts a new allocator; the allocation of the previous allocator stays valid. */
   private void claim(QuotaAllocation.Lease lease) {
     if (lease.epoch() > epoch) {
       epoch = lease.epoch();
@@ -45,7 +49,12 @@
     }
   }
 
-  /** Takes over an allocation without a lease if no allocator's lease holds. */
+  /**
+   * Accepts an allocation without a lease, as control agents of earlier versions send it, if no
+   * lease of an allocator is held.
+   *
+   * @return whether the tenants' shares of the allocation apply
+   */
   boolean renewWithoutLease(long nowMicros) {
     if (epoch > 0 && isHeld(nowMicros)) {
       return false;
@@ -60,12 +69,18 @@
     return nowMicros < untilMicros;
   }
 
-  /** Whether the newest allocation answers a report that was sent at this time or later. */
-  boolean respondsTo(long sinceMicros) {
+  /**
+   * Returns whether the latest allocation takes into account a report that was sent at this time or
+   * later.
+   */
+  boolean coversReportSentAt(long sinceMicros) {
     return reportSentMicros >= sinceMicros;
   }
 
-  /** Whether an allocation has come within this time, or none has ever. */
+  /**
+   * Returns whether the latest allocation arrived within this time before now. Returns true if none
+   * has ever arrived.
+   */
   boolean renewedWithin(long micros, long nowMicros) {
     return renewedMicros == Long.MIN_VALUE || nowMicros - renewedMicros <= micros;
   }
--- a/src/main/java/slateslip/routing/quota/QuotaWindow.java
+++ b/src/main/java/slateslip/routing/quota/QuotaWindow.java
@@ -5,8 +5,8 @@
 import slateslip.distribution.quota.QuotaTiming;
 
 /**
- * What one tenant has spent at one data plane: units of runs that are waited for, and of those that
- * began within the sliding window that the rule counts in.
+ * Units that one tenant has spent at one data plane: the units of pending attempts, and those of
+ * attempts that began to run within the sliding window.
  */
 final class QuotaWindow {
   private record Run(long expiresMicros, long units) {}
@@ -14,10 +14,10 @@
   private final long windowMicros;
   private final Deque<Run> runs = new ArrayDeque<>();
   private long pendingUnits;
-  private long ranUnits;
+  private long spentWindowUnits;
   private long returnedUnits;
 
-  /** A window in which nothing has been taken. */
+  /** Creates a window without any spent units. */
   QuotaWindow(long windowMicros) {
     this.windowMicros = windowMicros;
   }
@@ -27,26 +27,29 @@
     return new QuotaCharge(this, units);
   }
 
-  /** Units that are pending were run just now. */
-  void ran(long units, long nowMicros) {
+  /** Moves pending units to the window because a backend began to run their attempt now. */
+  void commit(long units, long nowMicros) {
     pendingUnits -= units;
-    ranUnits += units;
+    spentWindowUnits += units;
     runs.addLast(new Run(QuotaTiming.expiryMicros(nowMicros, windowMicros), units));
   }
 
-  /** Units that are pending will not be run. */
-  void giveBack(long units) {
+  /** Releases pending units to the quota because their attempt will not run. */
+  void release(long units) {
     pendingUnits -= units;
     returnedUnits += units;
   }
 
-  /** Units that count now. */
+  /** Returns the units that count as spent now. */
   long spentUnits(long nowMicros) {
-    slide(nowMicros);
-    return pendingUnits + ranUnits;
+    removeExpired(nowMicros);
+    return pendingUnits + spentWindowUnits;
   }
 
-  /** Units of those that count now which still count at a later time, whatever is given back. */
+  /**
+   * Returns how many of the units that count now will still count at a later time if no pending
+   * units are released.
+   */
   long unitsCountingAt(long laterMicros) {
     long units = pendingUnits;
     for (Run run : runs) {
@@ -55,27 +58,30 @@
     return units;
   }
 
-  /** Units given back so far. */
+  /** Returns the total number of units that were released since the start of the process. */
   long returnedUnits() {
     return returnedUnits;
   }
 
-  /** Microseconds until so many of the units that count now do no longer. */
+  /**
+   * Returns the time in microseconds until at least this many of the units that count now have
+   * expired; the length of the window if pending units would have to expire.
+   */
   long waitMicros(long units, long nowMicros) {
-    slide(nowMicros);
-    long lacking = units;
+    removeExpired(nowMicros);
+    long remainingUnits = units;
     for (Run run : runs) {
-      lacking -= run.units();
-      if (lacking <= 0) {
+      remainingUnits -= run.units();
+      if (remainingUnits <= 0) {
         return run.expiresMicros() - nowMicros;
       }
     }
     return windowMicros;
   }
 
-  private void slide(long nowMicros) {
+  private void removeExpired(long nowMicros) {
     while (!runs.isEmpty() && runs.peekFirst().expiresMicros() <= nowMicros) {
-      ranUnits -= runs.removeFirst().units();
+      spentWindowUnits -= runs.removeFirst().units();
     }
   }
 }
--- a/src/main/java/slateslip/routing/quota/TenantQuota.java
+++ b/src/main/java/slateslip/routing/quota/TenantQuota.java
@@ -4,25 +4,32 @@
 import slateslip.distribution.Spending;
 import slateslip.distribution.TenantDemand;
 
-/** One tenant's quota at one data plane: its limit, what it spent, and what waits. */
+/**
+ * The quota of one tenant at one data plane: its limit, its spent units and its waiting requests.
+ */
 final class TenantQuota {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** Fractions of a quota are rounded, units are whole. */
+  /** Tolerance for rounding: fractions of a quota are rounded, while units are whole numbers. */
   private static final double ROUNDING_UNITS = 0.5;
 
-  /** How long a refused request counts as demand. */
+  /** Time for which a refused request counts as demand. */
   private static final long REFUSED_DEMAND_MICROS = 1_000_000;
 
   private final String name;
   private final QuotaBounds bounds;
   private final QuotaWindow window;
 
-  /** Its entry in the newest configuration; null if it has none. */
+  /**
+   * The tenant in the current configuration; null if the configuration does not contain the tenant.
+   */
   private Tenant tenant;
 
-  /** Its last entry with a limit, in which its spending is counted; null if there was none. */
-  private Tenant limit;
+  /**
+   * The tenant as defined by the latest configuration that gave the tenant a limit. Spent units are
+   * reported as a fraction of this limit. Null if the tenant never had a limit.
+   */
+  private Tenant limitedTenant;
 
   private double fraction;
   private boolean exhausted;
@@ -33,11 +40,16 @@
   private long lastRefusedUnits;
   private long lastRefusedMicros = Long.MIN_VALUE;
 
-  /** Highest spending and largest request of late; both fade within about a window. */
+  /**
+   * Recent peak of the spent units. This peak and {@link #recentLargestUnits} decay exponentially,
+   * with the length of the window as the time constant.
+   */
   private double recentPeakUnits;
 
+  /** Units of the largest recent request. */
   private double recentLargestUnits;
-  private long fadedMicros;
+
+  private long decayedMicros;
 
   TenantQuota(String name, QuotaBounds bounds) {
     this.name = name;
@@ -45,11 +57,14 @@
     this.window = new QuotaWindow(bounds.windowMicros());
   }
 
-  /** Takes over its entry in another configuration; null if it has none. What it spent stays. */
+  /**
+   * Applies another configuration of the tenant; null if the tenant was removed. Spent units are
+   * kept.
+   */
   void configure(Tenant changed) {
     tenant = changed;
     if (isLimited()) {
-      limit = changed;
+      limitedTenant = changed;
     }
   }
 
@@ -62,19 +77,23 @@
   }
 
   /**
-   * Whether the allocator is to know of it: also while it has no limit, until its spending is over.
+   * Returns whether the tenant is reported to the allocator: while it has a limit, and after its
+   * limit was removed until its spent units have expired.
    */
   boolean isReported(long nowMicros) {
-    return isLimited() || (limit != null && window.spentUnits(nowMicros) > 0);
+    return isLimited() || (limitedTenant != null && window.spentUnits(nowMicros) > 0);
   }
 
-  /** Whether nothing is left to remember of it. */
-  boolean isForgettable(long nowMicros) {
+  /**
+   * Returns whether the tenant is no longer configured and has neither spent units nor waiting
+   * requests.
+   */
+  boolean canBeRemoved(long nowMicros) {
     return tenant == null && waitingUnits == 0 && window.spentUnits(nowMicros) == 0;
   }
 
-  void allot(double part, boolean isExhausted) {
-    fraction = part;
+  void setAllocation(double allocatedFraction, boolean isExhausted) {
+    fraction = allocatedFraction;
     exhausted = isExhausted;
   }
 
@@ -82,14 +101,19 @@
     return exhausted;
   }
 
-  /** What the rule permits all data planes together in one window. */
+  /** Returns the units that all data planes together may spend in one window. */
   private double permittedUnits() {
     double seconds = bounds.windowMicros() / MICROS_PER_SECOND;
-    double quota = limit.ratePerSecond() * seconds + limit.burst();
+    double quota = limitedTenant.ratePerSecond() * seconds + limitedTenant.burst();
     return quota * (1 + bounds.overshoot()) + bounds.slack();
   }
 
-  /** Whether units may be taken now. */
+  /**
+   * Returns whether units can be charged now.
+   *
+   * @param leased whether the lease of the latest allocation is held; without it, no units can be
+   *     charged
+   */
   boolean fits(long units, boolean leased, long nowMicros) {
     if (!isLimited()) {
       return true;
@@ -104,11 +128,11 @@
     return window.take(units);
   }
 
-  void wanted(long units) {
+  void countWanted(long units) {
     wantedUnits += units;
   }
 
-  void refused(long units, long nowMicros) {
+  void countRefused(long units, long nowMicros) {
     refusedUnits += units;
     lastRefusedUnits = units;
     lastRefusedMicros = nowMicros;
@@ -122,19 +146,22 @@
     waitingUnits -= units;
   }
 
-  /** Microseconds until units could be taken if nothing more were allotted or taken. */
+  /**
+   * Returns the time in microseconds until units could be charged if the allocation did not change
+   * and no other units were charged.
+   */
   long waitMicros(long units, boolean leased, long nowMicros) {
     double allowedUnits = leased ? fraction * permittedUnits() : 0;
-    double lacking = window.spentUnits(nowMicros) + units - allowedUnits;
-    return window.waitMicros((long) Math.ceil(lacking), nowMicros);
+    double excessUnits = window.spentUnits(nowMicros) + units - allowedUnits;
+    return window.waitMicros((long) Math.ceil(excessUnits), nowMicros);
   }
 
-  /** What is told to the allocator. */
+  /** Returns the demand that is reported to the allocator. */
   TenantDemand demand(boolean leased, long nowMicros) {
     double permitted = permittedUnits();
     double spent = window.spentUnits(nowMicros);
     double needed = spent + unmetUnits(nowMicros);
-    fade(spent, nowMicros);
+    decay(spent, nowMicros);
     double desired = Math.max(needed, recentPeakUnits) + recentLargestUnits;
     return new TenantDemand(
         name,
@@ -154,17 +181,17 @@
   }
 
   private double unmetUnits(long nowMicros) {
-    boolean refusedLately =
+    boolean recentlyRefused =
         lastRefusedMicros != Long.MIN_VALUE
             && nowMicros - lastRefusedMicros <= REFUSED_DEMAND_MICROS;
-    return Math.max(waitingUnits, refusedLately ? lastRefusedUnits : 0);
+    return Math.max(waitingUnits, recentlyRefused ? lastRefusedUnits : 0);
   }
 
-  private void fade(double spentUnits, long nowMicros) {
-    double kept = Math.exp(-(double) (nowMicros - fadedMicros) / bounds.windowMicros());
-    fadedMicros = nowMicros;
-    recentPeakUnits = Math.max(spentUnits, recentPeakUnits * kept);
-    recentLargestUnits *= kept;
+  private void decay(double spentUnits, long nowMicros) {
+    double decayFactor = Math.exp(-(double) (nowMicros - decayedMicros) / bounds.windowMicros());
+    decayedMicros = nowMicros;
+    recentPeakUnits = Math.max(spentUnits, recentPeakUnits * decayFactor);
+    recentLargestUnits *= decayFactor;
   }
 
   TenantQuotaStatus status(boolean leased, long nowMicros) {
--- a/src/main/java/slateslip/routing/quota/TenantQuotaStatus.java
+++ b/src/main/java/slateslip/routing/quota/TenantQuotaStatus.java
@@ -1,15 +1,15 @@
 package slateslip.routing.quota;
 
 /**
- * How one tenant's quota stands at this data plane, for operators.
+ * State of one tenant's quota at one data plane, for operators.
  *
- * @param tenant its name
- * @param admittedUnits let in since the start of the process
- * @param returnedUnits of these, given back as no backend ran them
- * @param refusedUnits asked for and refused since the start of the process
- * @param windowUnits that count in the present window
- * @param waitingUnits of requests that wait for the allocator
- * @param fraction of the fleet's quota that this data plane may use now
+ * @param tenant name of the tenant
+ * @param admittedUnits units admitted since the start of the process
+ * @param returnedUnits admitted units that were returned because no backend ran the request
+ * @param refusedUnits units refused since the start of the process
+ * @param windowUnits units that count as spent in the current window
+ * @param waitingUnits units of the requests that wait for the allocator
+ * @param fraction fraction of the fleet's quota that this data plane may use now
  */
 public record TenantQuotaStatus(
     String tenant,
--- a/src/main/java/slateslip/routing/quota/package-info.java
+++ b/src/main/java/slateslip/routing/quota/package-info.java
@@ -1,2 +1,5 @@
-/** Quotas of tenants, which all data planes share: local buckets, and how shares follow demand. */
+/**
+ * Tenant quotas that all data planes share: the local accounting of each data plane, its allocation
+ * from the quota allocator and the demand that it reports.
+ */
 package slateslip.routing.quota;
--- a/src/main/java/slateslip/routing/retry/RetryBudget.java
+++ b/src/main/java/slateslip/routing/retry/RetryBudget.java
@@ -6,18 +6,20 @@
 import slateslip.routing.policy.RoutingPolicy;
 
 /**
- * One data plane's part of the retry budget of one service.
+ * The share of one data plane in the retry budget of one service.
  *
- * <p>The bound holds over all data planes without any talk between them: each keeps to the ratio of
- * its own requests, and to an equal part of the slack. Both are kept with a margin, since arrivals
- * at a backend are counted a little later than they are sent.
+ * <p>The bounds hold over all data planes without communication between them: each data plane
+ * limits its retries to the ratio of its own requests plus an equal share of the slack. A margin is
+ * kept on both because backends receive and count a request slightly later than a data plane sends
+ * it.
  */
 public final class RetryBudget {
   private final RetryBounds bounds;
   private final long startMicros;
 
   /**
-   * Part of the bound that is used; the rest covers what is counted in another window than here.
+   * Fraction of the bound that is used. The rest covers retries that a backend counts in another
+   * window than this data plane does.
    */
   private final double usedFraction;
 
@@ -25,9 +27,9 @@
   private final Deque<Long> retries = new ArrayDeque<>();
 
   /**
-   * A budget from which nothing has been spent.
+   * Creates a budget from which nothing has been spent.
    *
-   * @param startMicros start of the process
+   * @param startMicros start time of the process on the steady clock, in microseconds
    */
   public RetryBudget(RetryBounds bounds, RoutingPolicy policy, long startMicros) {
     this.bounds = bounds;
@@ -35,16 +37,21 @@
     this.usedFraction = policy.value(RoutingParameter.RETRY_BUDGET_FRACTION);
   }
 
-  /** Counts a request of a client. */
-  public void request(long nowMicros) {
+  /** Counts a request of a client, which raises the number of permitted retries by the ratio. */
+  public void countRequest(long nowMicros) {
     requests.addLast(nowMicros);
-    slide(nowMicros);
+    removeExpired(nowMicros);
   }
 
-  /** Spends one retry if the budget has it, and says whether it had. */
-  public boolean spend(long nowMicros, int agents) {
-    slide(nowMicros);
-    double slack = bounds.slack() / agents * earnedPart(nowMicros);
+  /**
+   * Charges one retry if the budget permits it.
+   *
+   * @param dataPlanes number of data planes that share the slack equally
+   * @return whether the retry was charged and may be sent
+   */
+  public boolean tryCharge(long nowMicros, int dataPlanes) {
+    removeExpired(nowMicros);
+    double slack = bounds.slack() / dataPlanes * usableSlackFraction(nowMicros);
     double allowed = usedFraction * (bounds.ratio() * requests.size() + slack);
     if (retries.size() + 1 > allowed) {
       return false;
@@ -54,20 +61,22 @@
   }
 
   /**
-   * Part of the slack that this process has earned: what its predecessor spent in the window is not
-   * known here, so that one that is restarted again and again must not begin with the whole.
+   * Returns the fraction of the slack that this process may use, which grows from 0 to 1 during the
+   * first window after the start. The process does not know how many retries its predecessor sent
+   * in the current window. A process that restarts repeatedly must therefore not start with the
+   * whole slack each time.
    */
-  private double earnedPart(long nowMicros) {
+  private double usableSlackFraction(long nowMicros) {
     return Math.min(1, (double) (nowMicros - startMicros) / bounds.windowMicros());
   }
 
-  private void slide(long nowMicros) {
+  private void removeExpired(long nowMicros) {
     long start = nowMicros - bounds.windowMicros();
-    dropBefore(requests, start);
-    dropBefore(retries, start);
+    removeBefore(requests, start);
+    removeBefore(retries, start);
   }
 
-  private static void dropBefore(Deque<Long> times, long start) {
+  private static void removeBefore(Deque<Long> times, long start) {
     while (!times.isEmpty() && times.peekFirst() < start) {
       times.removeFirst();
     }
--- a/src/main/java/slateslip/routing/retry/package-info.java
+++ b/src/main/java/slateslip/routing/retry/package-info.java
@@ -1,2 +1,2 @@
-/** The budget of repeated arrivals at backends, which all data planes share. */
+/** Retry budgets, which limit the retries that all data planes together send to a service. */
 package slateslip.routing.retry;
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -210,7 +210,7 @@
     } else if (reply instanceof BackendReply.NotConnected) {
       end(exchange, call, Kind.NOT_SENT, 0, load);
     } else {
-      end(exchange, call, call.transmission().whenBroken(), 0, load);
+      end(exchange, call, call.transmission().outcomeIfBroken(), 0, load);
     }
   }
 
@@ -339,7 +339,7 @@
   private void timeOut(Exchange exchange, BackendCall call) {
     boolean silent = !exchange.started.contains(call.attempt());
     if (exchange.live.get(call.attempt()) == call && silent) {
-      leave(exchange, call, call.transmission().whenTimedOut());
+      leave(exchange, call, call.transmission().outcomeIfTimedOut());
     }
   }
 
--- a/src/test/java/slateslip/routing/Fixtures.java
+++ b/src/test/java/slateslip/routing/Fixtures.java
@@ -12,17 +12,18 @@
 import slateslip.distribution.BackendSession;
 import slateslip.routing.RequestAttributes.PromptPart;
 
-/** Configurations, backends and requests for tests of routing. */
+/** Configurations, backends and requests for routing tests. */
 public final class Fixtures {
   static final String HOST = "a.example";
   static final String KEY = "key-1";
   static final String MODEL_SERVICE = "model";
   static final String LOG_SERVICE = "ledger";
 
-  /** A service as the small deployments have it. */
+  /** A model service, configured as in the small deployments. */
   public static final Service MODEL =
       new Service(MODEL_SERVICE, "/health", 360, new Service.Engine(64, 577_468, 5));
 
+  /** A service without a model engine. */
   public static final Service LOG = new Service(LOG_SERVICE, "/health", 96, null);
 
   static final Tenant TENANT = new Tenant("t", List.of(KEY), 1, true, 200, 0, 0);
@@ -30,7 +31,7 @@
   private Fixtures() {}
 
   static Route route(
-      String prefix, RouteKind kind, String service, int attempts, boolean resumable) {
+      String prefix, RouteKind kind, String service, int maxAttempts, boolean resumable) {
     return new Route(
         "r" + prefix,
         HOST,
@@ -40,7 +41,7 @@
         600,
         0,
         List.of(new WeightedService(service, 1)),
-        attempts,
+        maxAttempts,
         false,
         kind == RouteKind.STREAMING,
         resumable,
@@ -54,7 +55,8 @@
   }
 
   /**
-   * Resumable streams at /s/, streams that are not at /n/, ledger entries at /w/, look-ups at /i/.
+   * Returns a table with resumable streams at /s/, streams that cannot be resumed at /n/,
+   * non-idempotent requests at /w/ and idempotent requests at /i/.
    */
   static RoutingTable table() {
     return table(
@@ -66,7 +68,7 @@
         route("/i/", RouteKind.IDEMPOTENT, LOG_SERVICE, 2, false));
   }
 
-  /** A registered backend. */
+  /** Returns the registration of a backend that is ready and has 64 slots. */
   public static BackendSession backend(String id, String service, String zone) {
     return new BackendSession(id, service, "10.0.0.1:80", zone, "v1", 64, false, 0, 1);
   }
--- a/src/test/java/slateslip/routing/IdleStreamTest.java
+++ b/src/test/java/slateslip/routing/IdleStreamTest.java
@@ -15,7 +15,10 @@
 import slateslip.routing.quota.QuotaBounds;
 import slateslip.routing.retry.RetryBounds;
 
-/** A backend's silence never ends a stream; a second attempt may take it up. */
+/**
+ * The silence of a backend never ends a stream, but a second attempt at another backend may resume
+ * the stream.
+ */
 class IdleStreamTest {
   private static final long REQUEST = 1;
   private static final long SECOND = 1_000_000;
@@ -25,7 +28,9 @@
   private FleetRouter router;
   private long now;
 
-  /** Begins a stream that has passed its first events on, with so many backends. */
+  /**
+   * Starts a router with this number of backends, and a stream whose first events were forwarded.
+   */
   private void beginStream(RetryBounds retries, int backends) {
     router = new FleetRouter(new RouterSettings("z0", 1, retries, QuotaBounds.DEFAULT));
     List<BackendSession> sessions = new ArrayList<>();
@@ -34,7 +39,9 @@
     }
     feed(new RouterInput.TableChanged(Fixtures.table()));
     feed(new RouterInput.BackendsChanged(sessions));
-    now += 20 * SECOND; // the process has its whole part of the retry budget
+    // More than one window after its start, the process may use its whole share of the retry
+    // budget.
+    now += 20 * SECOND;
     feed(new RouterInput.RequestArrived(REQUEST, Fixtures.attributes("/s/x")));
     feed(new RouterInput.AttemptStarted(REQUEST, 0, null));
     outputs.clear();
@@ -45,90 +52,90 @@
     outputs.addAll(router.handle(now, input));
   }
 
-  private void ended(int attempt, Kind kind) {
+  private void endAttempt(int attempt, Kind kind) {
     feed(new RouterInput.AttemptEnded(REQUEST, attempt, new AttemptOutcome(kind, 0), null, 4));
   }
 
-  private <T> List<T> take(Class<T> kind) {
+  private <T> List<T> takeOutputs(Class<T> kind) {
     List<T> taken = outputs.stream().filter(kind::isInstance).map(kind::cast).toList();
     outputs.clear();
     return taken;
   }
 
   @Test
-  void goesOnWaitingWithoutAnotherBackend() {
+  void idleStreamContinuesIfThereIsNoOtherBackend() {
     beginStream(RetryBounds.DEFAULT, 1);
     feed(new RouterInput.StreamIdle(REQUEST, 0));
-    assertThat(take(RouterOutput.AbortConnection.class), is(empty()));
+    assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(empty()));
     feed(new RouterInput.StreamIdle(REQUEST, 0));
-    assertThat(take(RouterOutput.CancelAttempt.class), is(empty()));
+    assertThat(takeOutputs(RouterOutput.CancelAttempt.class), is(empty()));
   }
 
   @Test
-  void goesOnWaitingWithoutRetryBudget() {
+  void idleStreamContinuesIfTheRetryBudgetIsExhausted() {
     beginStream(NO_RETRIES, 3);
     feed(new RouterInput.StreamIdle(REQUEST, 0));
     assertThat(outputs.stream().anyMatch(RouterOutput.SendAttempt.class::isInstance), is(false));
-    assertThat(take(RouterOutput.AbortConnection.class), is(empty()));
+    assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(empty()));
   }
 
   @Test
-  void secondAttemptIsSentBesideTheSilentOne() {
+  void idleStreamIsSentToASecondBackendOnce() {
     beginStream(RetryBounds.DEFAULT, 3);
     feed(new RouterInput.StreamIdle(REQUEST, 0));
     assertThat(outputs.stream().anyMatch(RouterOutput.CancelAttempt.class::isInstance), is(false));
-    List<RouterOutput.SendAttempt> sent = take(RouterOutput.SendAttempt.class);
+    List<RouterOutput.SendAttempt> sent = takeOutputs(RouterOutput.SendAttempt.class);
     assertThat(sent.size(), is(1));
     assertThat(sent.get(0).resumeAfter(), is(RouterOutput.AFTER_LAST_EVENT));
     feed(new RouterInput.StreamIdle(REQUEST, 0));
-    assertThat(take(RouterOutput.SendAttempt.class), is(empty()));
+    assertThat(takeOutputs(RouterOutput.SendAttempt.class), is(empty()));
   }
 
   @Test
-  void attemptThatGoesOnEndsTheOther() {
+  void progressOfTheSecondAttemptCancelsTheFirst() {
     beginStream(RetryBounds.DEFAULT, 3);
     feed(new RouterInput.StreamIdle(REQUEST, 0));
     outputs.clear();
     feed(new RouterInput.AttemptStarted(REQUEST, 1, null));
     assertThat(
-        take(RouterOutput.CancelAttempt.class),
+        takeOutputs(RouterOutput.CancelAttempt.class),
         contains(new RouterOutput.CancelAttempt(REQUEST, 0)));
-    ended(0, Kind.CANCELLED);
-    assertThat(take(RouterOutput.AbortConnection.class), is(empty()));
+    endAttempt(0, Kind.CANCELLED);
+    assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(empty()));
   }
 
   @Test
-  void silentAttemptThatGoesOnEndsTheSecond() {
+  void progressOfTheFirstAttemptCancelsTheSecond() {
     beginStream(RetryBounds.DEFAULT, 3);
     feed(new RouterInput.StreamIdle(REQUEST, 0));
     outputs.clear();
     feed(new RouterInput.AttemptStarted(REQUEST, 0, null));
     assertThat(
-        take(RouterOutput.CancelAttempt.class),
+        takeOutputs(RouterOutput.CancelAttempt.class),
         contains(new RouterOutput.CancelAttempt(REQUEST, 1)));
   }
 
   @Test
-  void failedSecondAttemptLeavesTheSilentOne() {
+  void failureOfTheSecondAttemptKeepsTheFirst() {
     for (Kind kind : List.of(Kind.NOT_EXECUTED, Kind.NOT_SENT, Kind.BROKEN, Kind.ERROR_RESPONSE)) {
       beginStream(RetryBounds.DEFAULT, 3);
       feed(new RouterInput.StreamIdle(REQUEST, 0));
       outputs.clear();
-      ended(1, kind);
-      assertThat(take(RouterOutput.AbortConnection.class), is(empty()));
-      ended(0, Kind.SUCCESS);
-      assertThat(take(RouterOutput.AbortConnection.class), is(empty()));
+      endAttempt(1, kind);
+      assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(empty()));
+      endAttempt(0, Kind.SUCCESS);
+      assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(empty()));
     }
   }
 
   @Test
-  void brokenSilentAttemptIsTakenUpByTheSecond() {
+  void streamIsAbortedOnlyAfterBothAttemptsBreak() {
     beginStream(RetryBounds.DEFAULT, 3);
     feed(new RouterInput.StreamIdle(REQUEST, 0));
     outputs.clear();
-    ended(0, Kind.BROKEN);
-    assertThat(take(RouterOutput.AbortConnection.class), is(empty()));
-    ended(1, Kind.BROKEN);
-    assertThat(take(RouterOutput.AbortConnection.class), is(not(empty())));
+    endAttempt(0, Kind.BROKEN);
+    assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(empty()));
+    endAttempt(1, Kind.BROKEN);
+    assertThat(takeOutputs(RouterOutput.AbortConnection.class), is(not(empty())));
   }
 }
--- a/src/test/java/slateslip/routing/KeyLeaseTest.java
+++ b/src/test/java/slateslip/routing/KeyLeaseTest.java
@@ -14,7 +14,7 @@
 import slateslip.routing.quota.QuotaBounds;
 import slateslip.routing.retry.RetryBounds;
 
-/** Requests with keys are sent only while a lease holds, where one is required. */
+/** If a key lease is required, requests with keys are sent only while the lease is held. */
 class KeyLeaseTest {
   private static final long SECOND = 1_000_000;
 
@@ -54,34 +54,34 @@
     return requests;
   }
 
-  private void ended(long now, long request, Kind kind) {
+  private void endAttempt(long now, long request, Kind kind) {
     outputs.clear();
     outputs.addAll(
         router.handle(
             now, new RouterInput.AttemptEnded(request, 0, new AttemptOutcome(kind, 0), null, -1)));
   }
 
-  private <T> List<T> all(Class<T> kind) {
+  private <T> List<T> outputsOf(Class<T> kind) {
     return outputs.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  private void assertRefusedWithPromise() {
-    assertThat(all(RouterOutput.SendAttempt.class), is(empty()));
-    assertThat(all(RouterOutput.Respond.class).get(0).status(), is(503));
+  private void assertRefusedWithoutAttempt() {
+    assertThat(outputsOf(RouterOutput.SendAttempt.class), is(empty()));
+    assertThat(outputsOf(RouterOutput.Respond.class).get(0).status(), is(503));
   }
 
   @Test
-  void noLeaseIsNeededWhereTheFleetIsNotClosed() {
+  void requestIsSentWithoutALeaseIfNoneIsRequired() {
     start(false);
     request(SECOND);
-    assertThat(all(RouterOutput.SendAttempt.class), hasSize(1));
+    assertThat(outputsOf(RouterOutput.SendAttempt.class), hasSize(1));
   }
 
   @Test
-  void nothingIsSentBeforeTheFirstLease() {
+  void requestIsRefusedBeforeTheFirstLease() {
     start(true);
     request(SECOND);
-    assertRefusedWithPromise();
+    assertRefusedWithoutAttempt();
   }
 
   @Test
@@ -89,45 +89,45 @@
     start(true);
     extendTo(5 * SECOND);
     request(5 * SECOND - 1);
-    assertThat(all(RouterOutput.SendAttempt.class), hasSize(1));
+    assertThat(outputsOf(RouterOutput.SendAttempt.class), hasSize(1));
     request(5 * SECOND);
-    assertRefusedWithPromise();
+    assertRefusedWithoutAttempt();
   }
 
   @Test
-  void nothingIsSentAgainAfterTheLease() {
+  void retryIsRefusedAfterTheLeaseEnds() {
     start(true);
     extendTo(2 * SECOND);
     long sent = request(SECOND);
-    ended(3 * SECOND, sent, Kind.NOT_EXECUTED);
-    assertRefusedWithPromise();
+    endAttempt(3 * SECOND, sent, Kind.NOT_EXECUTED);
+    assertRefusedWithoutAttempt();
   }
 
   @Test
-  void whatWasWithheldIsRefusedWithPromise() {
+  void withheldAttemptIsRefusedAfterTheLeaseEnds() {
     start(true);
     extendTo(2 * SECOND);
     long sent = request(SECOND);
-    ended(3 * SECOND, sent, Kind.WITHHELD);
-    assertRefusedWithPromise();
+    endAttempt(3 * SECOND, sent, Kind.WITHHELD);
+    assertRefusedWithoutAttempt();
   }
 
   @Test
-  void whatWasWithheldIsSentOnceTheLeaseIsRenewed() {
+  void withheldAttemptIsRetriedWhileARenewedLeaseIsHeld() {
     start(true);
     extendTo(2 * SECOND);
     long sent = request(SECOND);
     extendTo(9 * SECOND);
-    ended(3 * SECOND, sent, Kind.WITHHELD);
-    assertThat(all(RouterOutput.SendAttempt.class), hasSize(1));
+    endAttempt(3 * SECOND, sent, Kind.WITHHELD);
+    assertThat(outputsOf(RouterOutput.SendAttempt.class), hasSize(1));
   }
 
   @Test
-  void anEarlierTimeDoesNotShortenTheLease() {
+  void extensionToAnEarlierTimeDoesNotShortenTheLease() {
     start(true);
     extendTo(5 * SECOND);
     extendTo(3 * SECOND);
     request(4 * SECOND);
-    assertThat(all(RouterOutput.SendAttempt.class), hasSize(1));
+    assertThat(outputsOf(RouterOutput.SendAttempt.class), hasSize(1));
   }
 }
--- a/src/test/java/slateslip/routing/QuotaAdmissionTest.java
+++ b/src/test/java/slateslip/routing/QuotaAdmissionTest.java
@@ -19,22 +19,25 @@
 import slateslip.routing.quota.QuotaBounds;
 import slateslip.routing.retry.RetryBounds;
 
-/** Requests of a tenant with a limit: they wait for the allocator, and each run counts. */
+/**
+ * Requests of a tenant with a quota wait for the quota allocator, and each attempt that may have
+ * run is charged.
+ */
 class QuotaAdmissionTest {
   private static final long SECOND = 1_000_000;
   private static final QuotaBounds BOUNDS = new QuotaBounds(8 * SECOND, 0, 0);
 
-  /** Permits 9,000 units in a window; a request counts as 200. */
+  /** A tenant whose quota permits 9,000 units in a window; each request is charged 200 units. */
   private static final Tenant LIMITED =
       new Tenant("t", List.of(Fixtures.KEY), 1, true, 200, 1_000, 1_000);
 
-  private static final double REQUEST = 200.0 / 9_000;
+  private static final double REQUEST_FRACTION = 200.0 / 9_000;
 
   private final List<RouterOutput> outputs = new ArrayList<>();
   private final FleetRouter router =
       new FleetRouter(new RouterSettings("z0", 1, RetryBounds.DEFAULT, BOUNDS));
   private long now = SECOND;
-  private long number;
+  private long allocationNumber;
   private long requests;
 
   QuotaAdmissionTest() {
@@ -44,7 +47,9 @@
             List.of(
                 Fixtures.backend("m1", Fixtures.LOG_SERVICE, "z0"),
                 Fixtures.backend("m2", Fixtures.LOG_SERVICE, "z0"))));
-    now += 20 * SECOND; // the process has its whole part of the retry budget
+    // More than one window after its start, the process may use its whole share of the retry
+    // budget.
+    now += 20 * SECOND;
   }
 
   private static RoutingTable table() {
@@ -60,9 +65,9 @@
     outputs.addAll(router.handle(now, input));
   }
 
-  private void allot(double fraction, boolean exhausted) {
-    number++;
-    QuotaAllocation.Lease lease = new QuotaAllocation.Lease(1, number, 1, now, 1);
+  private void allocate(double fraction, boolean exhausted) {
+    allocationNumber++;
+    QuotaAllocation.Lease lease = new QuotaAllocation.Lease(1, allocationNumber, 1, now, 1);
     List<TenantShare> shares = List.of(new TenantShare("t", fraction, exhausted));
     feed(new RouterInput.QuotaAllocationChanged(new QuotaAllocation(1, lease, shares)));
   }
@@ -73,114 +78,114 @@
     return requests;
   }
 
-  private void ended(long request, int attempt, Kind kind) {
+  private void endAttempt(long request, int attempt, Kind kind) {
     feed(new RouterInput.AttemptEnded(request, attempt, new AttemptOutcome(kind, 503), null, -1));
   }
 
-  private <T> List<T> all(Class<T> kind) {
+  private <T> List<T> outputsOf(Class<T> kind) {
     return outputs.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  private void assertSent(int times) {
-    assertThat(all(RouterOutput.SendAttempt.class), hasSize(times));
+  private void assertAttemptsSent(int times) {
+    assertThat(outputsOf(RouterOutput.SendAttempt.class), hasSize(times));
   }
 
-  private void assertSpentRequests(double expected) {
+  private void assertRequestsCharged(double expected) {
     double spent = router.quotaReport(now).tenants().get(0).spent();
-    assertThat(spent, closeTo(expected * REQUEST, 1e-9));
+    assertThat(spent, closeTo(expected * REQUEST_FRACTION, 1e-9));
   }
 
   @Test
-  void requestThatWaitsIsSentOnceTheAllocatorHasAllotted() {
-    allot(0, false);
+  void waitingRequestIsSentAfterAnAllocation() {
+    allocate(0, false);
     request("/i/x");
-    assertThat(all(RouterOutput.Respond.class), is(empty()));
-    assertSent(0);
+    assertThat(outputsOf(RouterOutput.Respond.class), is(empty()));
+    assertAttemptsSent(0);
     assertThat(router.quotaReport(now).waiting(), is(true));
-    allot(REQUEST, false);
-    assertSent(1);
+    allocate(REQUEST_FRACTION, false);
+    assertAttemptsSent(1);
     assertThat(router.quotaReport(now).waiting(), is(false));
   }
 
   @Test
-  void requestThatWaitsIsRefusedAtOnceWhenNothingIsLeft() {
-    allot(0, false);
+  void waitingRequestIsRefusedImmediatelyWhenTheQuotaIsExhausted() {
+    allocate(0, false);
     request("/i/x");
     now += SECOND / 10;
-    allot(0, true);
-    assertThat(all(RouterOutput.Respond.class).get(0).status(), is(429));
+    allocate(0, true);
+    assertThat(outputsOf(RouterOutput.Respond.class).get(0).status(), is(429));
     request("/i/x");
-    assertThat(all(RouterOutput.Respond.class).get(0).status(), is(429));
+    assertThat(outputsOf(RouterOutput.Respond.class).get(0).status(), is(429));
   }
 
   @Test
-  void requestWaitsHalfASecondAtMost() {
-    allot(0, false);
+  void waitingRequestIsRefusedAfterHalfASecond() {
+    allocate(0, false);
     request("/i/x");
     now += SECOND / 2 + SECOND / 10;
     feed(new RouterInput.Wake());
-    assertThat(all(RouterOutput.Respond.class).get(0).status(), is(429));
+    assertThat(outputsOf(RouterOutput.Respond.class).get(0).status(), is(429));
   }
 
   @Test
-  void requestWhoseClientHasGoneWaitsNoLonger() {
-    allot(0, false);
+  void requestOfADisconnectedClientStopsWaiting() {
+    allocate(0, false);
     long request = request("/i/x");
     feed(new RouterInput.ClientGone(request));
     assertThat(router.quotaReport(now).waiting(), is(false));
-    allot(1, false);
-    assertSent(0);
+    allocate(1, false);
+    assertAttemptsSent(0);
   }
 
   @Test
-  void rejectedRunIsNotCountedTwice() {
-    allot(1, false);
+  void retryOfARejectedAttemptIsNotChargedAgain() {
+    allocate(1, false);
     long request = request("/i/x");
-    ended(request, 0, Kind.NOT_EXECUTED);
-    assertSent(1);
-    assertSpentRequests(1);
-    ended(request, 1, Kind.SUCCESS);
-    assertSpentRequests(1);
+    endAttempt(request, 0, Kind.NOT_EXECUTED);
+    assertAttemptsSent(1);
+    assertRequestsCharged(1);
+    endAttempt(request, 1, Kind.SUCCESS);
+    assertRequestsCharged(1);
   }
 
   @Test
-  void requestThatNoBackendRanIsGivenBack() {
-    allot(1, false);
+  void requestThatNoBackendRanIsNotCharged() {
+    allocate(1, false);
     long request = request("/w/x");
-    ended(request, 0, Kind.NOT_EXECUTED);
-    ended(request, 1, Kind.NOT_EXECUTED);
-    assertSpentRequests(0);
+    endAttempt(request, 0, Kind.NOT_EXECUTED);
+    endAttempt(request, 1, Kind.NOT_EXECUTED);
+    assertRequestsCharged(0);
   }
 
   @Test
-  void furtherRunOfARequestThatMayHaveRunIsCounted() {
-    allot(1, false);
+  void retryOfARequestThatMayHaveRunIsCharged() {
+    allocate(1, false);
     long request = request("/i/x");
-    ended(request, 0, Kind.BROKEN);
-    assertSent(1);
-    assertSpentRequests(2);
+    endAttempt(request, 0, Kind.BROKEN);
+    assertAttemptsSent(1);
+    assertRequestsCharged(2);
   }
 
   @Test
-  void furtherRunIsNotSentIfTheQuotaHasNoRoomForIt() {
-    allot(REQUEST, false);
+  void retryIsNotSentIfTheQuotaIsExhausted() {
+    allocate(REQUEST_FRACTION, false);
     long request = request("/i/x");
-    ended(request, 0, Kind.BROKEN);
-    assertSent(0);
-    assertThat(all(RouterOutput.Respond.class).get(0).status(), is(502));
-    assertSpentRequests(1);
+    endAttempt(request, 0, Kind.BROKEN);
+    assertAttemptsSent(0);
+    assertThat(outputsOf(RouterOutput.Respond.class).get(0).status(), is(502));
+    assertRequestsCharged(1);
   }
 
   @Test
-  void runThatIsWaitedForCountsHoweverLongItTakes() {
-    allot(REQUEST, true);
+  void pendingAttemptStaysChargedUntilAWindowAfterItsStart() {
+    allocate(REQUEST_FRACTION, true);
     long request = request("/w/x");
     now += 7 * SECOND;
     feed(new RouterInput.AttemptStarted(request, 0, null));
-    ended(request, 0, Kind.SUCCESS);
+    endAttempt(request, 0, Kind.SUCCESS);
     now += 7 * SECOND;
-    assertSpentRequests(1);
+    assertRequestsCharged(1);
     now += 2 * SECOND;
-    assertSpentRequests(0);
+    assertRequestsCharged(0);
   }
 }
--- a/src/test/java/slateslip/routing/RandomHost.java
+++ b/src/test/java/slateslip/routing/RandomHost.java
@@ -22,22 +22,24 @@
 import slateslip.routing.RouterInput.ProbeOutcome;
 
 /**
- * A host that carries out a router's outputs with seeded luck, and checks what must never happen.
+ * A simulated host that executes the outputs of a router with seeded random results. It checks the
+ * invariants: each request gets exactly one final response, requests run at most once unless they
+ * are repeatable, and attempts go only to registered backends.
  */
 final class RandomHost {
   static final long SECOND = 1_000_000;
 
   private record Event(long atMicros, long order, RouterInput input) {}
 
-  private static final class Seen {
+  private static final class TrackedRequest {
     Route route;
     long arrivedMicros;
-    int finals;
+    int finalResponses;
     boolean clientGone;
     boolean started;
     boolean mayHaveRun;
     int reachedBackends;
-    final Map<Integer, String> out = new HashMap<>();
+    final Map<Integer, String> attemptsInFlight = new HashMap<>();
   }
 
   final FleetRouter router;
@@ -49,14 +51,14 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::order));
-  private final Map<Long, Seen> requests = new HashMap<>();
+  private final Map<Long, TrackedRequest> requests = new HashMap<>();
   private final Map<String, BackendSession> registered = new HashMap<>();
-  private final Map<String, Kind> broken = new HashMap<>();
+  private final Map<String, Kind> forcedOutcomes = new HashMap<>();
   private long order;
   private long nextRequest;
   private long now;
 
-  RandomHost(long seed, int agents) {
+  RandomHost(long seed, int dataPlanes) {
     random = new Random(seed);
     router = new FleetRouter("z0", seed);
     for (int i = 0; i < 6; i++) {
@@ -64,39 +66,39 @@
       add(Fixtures.backend("l" + i, Fixtures.LOG_SERVICE, "z" + i % 3));
     }
     feed(new RouterInput.TableChanged(table));
-    feed(new RouterInput.QuotaAllocationChanged(new QuotaAllocation(agents, List.of())));
-    tellBackends();
+    feed(new RouterInput.QuotaAllocationChanged(new QuotaAllocation(dataPlanes, List.of())));
+    sendRegistrations();
   }
 
   private void add(BackendSession session) {
     registered.put(session.id(), session);
   }
 
-  void tellBackends() {
+  void sendRegistrations() {
     feed(new RouterInput.BackendsChanged(List.copyOf(registered.values())));
   }
 
-  /** From now on everything sent to this backend ends so; null mends it. */
-  void breakBackend(String id, Kind kind) {
+  /** Sets the result of all later attempts at a backend; null restores random results. */
+  void forceOutcome(String id, Kind kind) {
     if (kind == null) {
-      broken.remove(id);
+      forcedOutcomes.remove(id);
     } else {
-      broken.put(id, kind);
+      forcedOutcomes.put(id, kind);
     }
   }
 
   void drain(String id) {
-    registered.computeIfPresent(id, (same, session) -> Fixtures.draining(session));
-    tellBackends();
+    registered.computeIfPresent(id, (key, session) -> Fixtures.draining(session));
+    sendRegistrations();
   }
 
   void remove(String id) {
     registered.remove(id);
-    tellBackends();
+    sendRegistrations();
   }
 
-  /** Requests at this rate on random routes until this time. */
-  void load(double perSecond, long until) {
+  /** Sends requests at this rate on random routes until this time. */
+  void runLoad(double perSecond, long until) {
     while (now < until) {
       long next = now + 1 + (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond);
       runUntil(Math.min(next, until));
@@ -106,13 +108,13 @@
     }
   }
 
-  /** Lets everything that is open come to its end. */
-  void drainOut() {
+  /** Runs until all requests must have ended, and checks that each got one final response. */
+  void runToCompletion() {
     runUntil(now + 20 * SECOND);
     requests.forEach(
-        (id, seen) -> {
-          if (!seen.clientGone) {
-            assertThat("final answers of request " + id, seen.finals, is(1));
+        (id, tracked) -> {
+          if (!tracked.clientGone) {
+            assertThat("final responses of request " + id, tracked.finalResponses, is(1));
           }
         });
   }
@@ -123,12 +125,12 @@
 
   private void request() {
     String path = List.of("/s/x", "/n/x", "/w/x", "/i/x").get(random.nextInt(4));
-    Seen seen = new Seen();
-    seen.route = table.route(Fixtures.HOST, path).orElseThrow();
-    seen.arrivedMicros = now;
+    TrackedRequest tracked = new TrackedRequest();
+    tracked.route = table.route(Fixtures.HOST, path).orElseThrow();
+    tracked.arrivedMicros = now;
     long id = nextRequest++;
-    requests.put(id, seen);
-    String service = seen.route.targets().get(0).service();
+    requests.put(id, tracked);
+    String service = tracked.route.targets().get(0).service();
     firstArrivals.computeIfAbsent(service, name -> new ArrayList<>()).add(now);
     List<RequestAttributes.PromptPart> prompt =
         path.startsWith("/s/")
@@ -153,43 +155,43 @@
 
   private void deliver(RouterInput input) {
     if (input instanceof RouterInput.AttemptEnded ended) {
-      Seen seen = requests.get(ended.request());
-      if (seen.out.remove(ended.attempt()) == null) {
-        return; // cancelled before
+      TrackedRequest tracked = requests.get(ended.request());
+      if (tracked.attemptsInFlight.remove(ended.attempt()) == null) {
+        return; // the attempt was cancelled before
       }
-      seen.mayHaveRun |= ended.outcome().mayHaveRun();
-      if (ended.outcome().kind() == Kind.SUCCESS && !seen.clientGone) {
-        finalResponse(ended.request(), seen);
+      tracked.mayHaveRun |= ended.outcome().mayHaveRun();
+      if (ended.outcome().kind() == Kind.SUCCESS && !tracked.clientGone) {
+        finalResponse(ended.request(), tracked);
       }
     } else if (input instanceof RouterInput.AttemptStarted started) {
-      Seen seen = requests.get(started.request());
-      if (!seen.out.containsKey(started.attempt())) {
+      TrackedRequest tracked = requests.get(started.request());
+      if (!tracked.attemptsInFlight.containsKey(started.attempt())) {
         return;
       }
-      seen.started = true;
+      tracked.started = true;
     } else if (input instanceof RouterInput.ClientGone gone) {
-      Seen seen = requests.get(gone.request());
-      if (seen.finals > 0) {
+      TrackedRequest tracked = requests.get(gone.request());
+      if (tracked.finalResponses > 0) {
         return;
       }
-      seen.clientGone = true;
+      tracked.clientGone = true;
     }
     feed(input);
   }
 
   private void feed(RouterInput input) {
-    router.handle(now, input).forEach(this::carryOut);
+    router.handle(now, input).forEach(this::execute);
   }
 
-  private void carryOut(RouterOutput output) {
+  private void execute(RouterOutput output) {
     if (output instanceof RouterOutput.SendAttempt send) {
       sendAttempt(send);
     } else if (output instanceof RouterOutput.Respond response) {
       respond(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       finalResponse(relay.request(), requests.get(relay.request()));
-    } else if (output instanceof RouterOutput.AbortConnection truncated) {
-      finalResponse(truncated.request(), requests.get(truncated.request()));
+    } else if (output instanceof RouterOutput.AbortConnection abort) {
+      finalResponse(abort.request(), requests.get(abort.request()));
     } else if (output instanceof RouterOutput.CancelAttempt cancel) {
       schedule(0, ended(cancel.request(), cancel.attempt(), Kind.CANCELLED));
     } else if (output instanceof RouterOutput.Probe probe) {
@@ -200,30 +202,40 @@
   }
 
   private void sendAttempt(RouterOutput.SendAttempt send) {
-    Seen seen = requests.get(send.request());
-    int silent = seen.route.resumable() ? 1 : 0; // beside a silent one a second may be tried
-    assertThat("attempts out at once", seen.out.size(), lessThanOrEqualTo(silent));
-    assertThat("sent after its final answer", seen.finals, is(0));
+    TrackedRequest tracked = requests.get(send.request());
+    // A resumable stream may have a second attempt while the first one is silent.
+    int permittedInFlight = tracked.route.resumable() ? 1 : 0;
+    assertThat(
+        "attempts in flight before the new one",
+        tracked.attemptsInFlight.size(),
+        lessThanOrEqualTo(permittedInFlight));
+    assertThat("final responses before the attempt", tracked.finalResponses, is(0));
     boolean mayRepeat =
-        (seen.route.kind() == RouteKind.IDEMPOTENT && !seen.started) || seen.route.resumable();
-    assertThat("runs a second time", !mayRepeat && seen.mayHaveRun, is(false));
+        (tracked.route.kind() == RouteKind.IDEMPOTENT && !tracked.started)
+            || tracked.route.resumable();
+    assertThat(
+        "a request that must not repeat is sent after it may have run",
+        !mayRepeat && tracked.mayHaveRun,
+        is(false));
     BackendSession backend = registered.get(send.backendId());
     assertThat(
-        "sent to one that drains or is gone", backend != null && !backend.draining(), is(true));
-    String service = seen.route.targets().get(0).service();
+        "the backend is registered and not draining",
+        backend != null && !backend.draining(),
+        is(true));
+    String service = tracked.route.targets().get(0).service();
     assertThat(backend.service(), is(service));
-    if (seen.reachedBackends > 0) {
+    if (tracked.reachedBackends > 0) {
       retries.computeIfAbsent(service, name -> new ArrayList<>()).add(now);
     }
-    seen.out.put(send.attempt(), send.backendId());
-    Kind kind = broken.getOrDefault(send.backendId(), luck());
-    boolean counts = kind != Kind.NOT_SENT && kind != Kind.OTHER_INSTANCE;
-    seen.reachedBackends += counts ? 1 : 0;
-    assertThat(seen.reachedBackends, lessThanOrEqualTo(seen.route.maxAttempts()));
-    play(send, kind);
+    tracked.attemptsInFlight.put(send.attempt(), send.backendId());
+    Kind kind = forcedOutcomes.getOrDefault(send.backendId(), randomOutcome());
+    boolean reached = kind != Kind.NOT_SENT && kind != Kind.OTHER_INSTANCE;
+    tracked.reachedBackends += reached ? 1 : 0;
+    assertThat(tracked.reachedBackends, lessThanOrEqualTo(tracked.route.maxAttempts()));
+    scheduleOutcome(send, kind);
   }
 
-  private Kind luck() {
+  private Kind randomOutcome() {
     int drawn = random.nextInt(100);
     if (drawn < 85) {
       return Kind.SUCCESS;
@@ -232,7 +244,7 @@
         .get(drawn % 5);
   }
 
-  private void play(RouterOutput.SendAttempt send, Kind kind) {
+  private void scheduleOutcome(RouterOutput.SendAttempt send, Kind kind) {
     long first = 20_000L + random.nextInt(300_000);
     long complete = first + random.nextInt(900_000);
     boolean starts = kind == Kind.SUCCESS || (kind == Kind.BROKEN && random.nextBoolean());
@@ -250,7 +262,7 @@
   }
 
   private void probe(String backendId) {
-    Kind kind = broken.get(backendId);
+    Kind kind = forcedOutcomes.get(backendId);
     ProbeOutcome outcome = kind == null ? ProbeOutcome.HEALTHY : ProbeOutcome.UNREACHABLE;
     if (kind == Kind.TIMEOUT) {
       schedule(SECOND, new RouterInput.ProbeEnded(backendId, ProbeOutcome.TIMEOUT, null));
@@ -260,27 +272,31 @@
   }
 
   private void respond(RouterOutput.Respond response) {
-    Seen seen = requests.get(response.request());
+    TrackedRequest tracked = requests.get(response.request());
     statuses.add(response.status());
-    boolean promise = response.status() == 503 || response.status() == 429;
-    boolean once = seen.route.kind() != RouteKind.IDEMPOTENT && !seen.route.resumable();
-    if (promise && once) {
-      assertThat("promised after it may have run", seen.mayHaveRun, is(false));
-      assertThat("promised while it is out", seen.out.size(), is(0));
+    boolean refused = response.status() == 503 || response.status() == 429;
+    boolean runsOnce = tracked.route.kind() != RouteKind.IDEMPOTENT && !tracked.route.resumable();
+    if (refused && runsOnce) {
+      assertThat("refused as not run although it may have run", tracked.mayHaveRun, is(false));
+      assertThat(
+          "attempts in flight when refused as not run", tracked.attemptsInFlight.size(), is(0));
     }
-    if (promise) {
-      assertThat("a promise says when to come back", response.retryAfterMicros() > 0, is(true));
+    if (refused) {
+      assertThat("a refusal has a Retry-After time", response.retryAfterMicros() > 0, is(true));
     }
-    assertThat("answered after its answer began", seen.started, is(false));
-    finalResponse(response.request(), seen);
+    assertThat("refused after the response began", tracked.started, is(false));
+    finalResponse(response.request(), tracked);
   }
 
-  private void finalResponse(long id, Seen seen) {
-    assertThat("nothing is owed to a client that left", seen.clientGone, is(false));
-    seen.finals++;
-    assertThat("final answers of request " + id, seen.finals, is(1));
-    long queued = now - seen.arrivedMicros;
-    assertThat("held past the time-out", queued, lessThanOrEqualTo(8 * SECOND + 50_000));
+  private void finalResponse(long id, TrackedRequest tracked) {
+    assertThat("final response after the client disconnected", tracked.clientGone, is(false));
+    tracked.finalResponses++;
+    assertThat("final responses of request " + id, tracked.finalResponses, is(1));
+    long elapsedMicros = now - tracked.arrivedMicros;
+    assertThat(
+        "time from arrival to the final response",
+        elapsedMicros,
+        lessThanOrEqualTo(8 * SECOND + 50_000));
   }
 
   private static RouterInput ended(long request, int attempt, Kind kind) {
@@ -294,34 +310,35 @@
   }
 
   /**
-   * Most repeated arrivals beyond the rule in any window, over several hosts; 0 or less if none.
+   * Returns the largest excess of retries over the retry bounds in any window, over several hosts;
+   * 0 or less if the bounds hold.
    */
-  static double worstBeyondBudget(List<RandomHost> hosts, String service) {
+  static double maxRetriesOverBudget(List<RandomHost> hosts, String service) {
     List<Long> all = new ArrayList<>();
-    List<Long> again = new ArrayList<>();
+    List<Long> retried = new ArrayList<>();
     for (RandomHost host : hosts) {
       all.addAll(host.firstArrivals.getOrDefault(service, List.of()));
-      again.addAll(host.retries.getOrDefault(service, List.of()));
+      retried.addAll(host.retries.getOrDefault(service, List.of()));
     }
     all.sort(null);
-    again.sort(null);
-    double worst = Double.NEGATIVE_INFINITY;
-    for (long end : again) {
+    retried.sort(null);
+    double maxExcess = Double.NEGATIVE_INFINITY;
+    for (long end : retried) {
       long start = end - 10 * SECOND;
-      long requests = within(all, start, end);
-      long extra = within(again, start, end);
-      worst = Math.max(worst, extra - (0.2 * requests + 52));
+      long requests = countWithin(all, start, end);
+      long extra = countWithin(retried, start, end);
+      maxExcess = Math.max(maxExcess, extra - (0.2 * requests + 52));
     }
     assertThat(statusesOf(hosts), everyItem(is(true)));
-    return worst;
+    return maxExcess;
   }
 
-  /** Times after the start and up to the end, of sorted ones. */
-  private static int within(List<Long> sorted, long start, long end) {
-    return upTo(sorted, end) - upTo(sorted, start);
+  /** Returns how many of the sorted times are after the start and not after the end. */
+  private static int countWithin(List<Long> sorted, long start, long end) {
+    return countUpTo(sorted, end) - countUpTo(sorted, start);
   }
 
-  private static int upTo(List<Long> sorted, long end) {
+  private static int countUpTo(List<Long> sorted, long end) {
     int low = 0;
     int high = sorted.size();
     while (low < high) {
--- a/src/test/java/slateslip/routing/WakeScheduleTest.java
+++ b/src/test/java/slateslip/routing/WakeScheduleTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Checks of backends fall on a common grid; ends of requests are exact. */
+/** Checks of backends are rounded up to a common grid, while deadlines of requests are exact. */
 class WakeScheduleTest {
   private static final long GRID = WakeSchedule.CHECK_GRID_MICROS;
 
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void whatIsDueAlreadyIsLookedAtOnlyAtTheNextTime() {
+  void overdueCheckIsScheduledForTheNextGridTime() {
     schedule.checked(3 * GRID);
     schedule.checkAt(GRID);
     assertThat(schedule.checkDue(3 * GRID), is(false));
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void theEndOfARequestIsNotRounded() {
+  void requestDeadlineIsNotRounded() {
     schedule.checked(0);
     schedule.checkAt(5 * GRID);
     assertThat(schedule.needsWake(1, GRID + 7), is(true));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void withNothingToLookAtNoWakeUpIsAskedFor() {
+  void noWakeUpIsNeededIfNothingIsDue() {
     schedule.checked(0);
     schedule.checkAt(Long.MAX_VALUE);
     assertThat(schedule.needsWake(1, Long.MAX_VALUE), is(false));
