--- a/src/test/java/slateslip/routing/WakeTest.java
+++ b/src/test/java/slateslip/routing/WakeTest.java
@@ -17,7 +17,7 @@
 import slateslip.routing.policy.RoutingParameter;
 import slateslip.routing.policy.RoutingPolicy;
 
-/** The router asks to be woken only when something is due. */
+/** The router requests a wake-up only if a check or a deadline is due. */
 class WakeTest {
   private static final long SECOND = 1_000_000;
   private static final long IDLE_PROBE_MICROS =
@@ -27,7 +27,7 @@
 
   private final FleetRouter router = new FleetRouter("z0", 1);
 
-  private List<RouterOutput> startWith(int backends, int dataPlanes) {
+  private List<RouterOutput> start(int backends, int dataPlanes) {
     List<BackendSession> sessions = new ArrayList<>();
     for (int i = 0; i < backends; i++) {
       sessions.add(Fixtures.backend("m" + i, Fixtures.MODEL_SERVICE, "z0"));
@@ -47,7 +47,10 @@
         .toList();
   }
 
-  /** Wakes the router whenever it asks for it; the probes that it sends until then. */
+  /**
+   * Wakes the router at each time that it requests until the end, and returns the number of probes
+   * that it sends.
+   */
   private long probesUntil(long endMicros, List<RouterOutput> outputs) {
     long probes = 0;
     List<Long> due = new ArrayList<>(wakes(outputs));
@@ -63,27 +66,27 @@
   }
 
   @Test
-  void idleRouterWithoutBackendsAsksForNothing() {
+  void idleRouterWithoutBackendsRequestsNoWakeUp() {
     assertThat(router.handle(0, new RouterInput.Wake()), is(empty()));
     assertThat(router.handle(SECOND, new RouterInput.Wake()), is(empty()));
   }
 
   @Test
   void idleBackendIsProbedWithinTheInterval() {
-    List<RouterOutput> outputs = startWith(1, 1);
+    List<RouterOutput> outputs = start(1, 1);
     long probes = probesUntil(2 * IDLE_PROBE_MICROS, outputs);
     assertThat(probes, is(greaterThan(0L)));
   }
 
   @Test
   void dataPlanesShareTheProbesOfIdleBackends() {
-    List<RouterOutput> outputs = startWith(10, DATA_PLANES);
+    List<RouterOutput> outputs = start(10, DATA_PLANES);
     assertThat(probesUntil(4 * IDLE_PROBE_MICROS, outputs), is(0L));
   }
 
   @Test
-  void overdueResponseIsLookedAt() {
-    startWith(2, DATA_PLANES);
+  void overdueResponseTriggersAProbe() {
+    start(2, DATA_PLANES);
     List<RouterOutput> sent =
         router.handle(SECOND, new RouterInput.RequestArrived(REQUEST, Fixtures.attributes("/n/x")));
     List<Long> wakes = wakes(sent);
@@ -91,21 +94,21 @@
     assertThat(wakes.get(0), is(lessThanOrEqualTo(SECOND + SECOND / 2)));
     List<RouterOutput> overdue = router.handle(wakes.get(0), new RouterInput.Wake());
     assertThat(
-        "its backend is probed",
+        "probes of the backend",
         overdue.stream().filter(RouterOutput.Probe.class::isInstance).toList(),
         hasSize(1));
   }
 
   @Test
-  void brokenBackendIsProbedAtOnce() {
-    startWith(2, DATA_PLANES);
+  void brokenResponseTriggersAProbeImmediately() {
+    start(2, DATA_PLANES);
     router.handle(SECOND, new RouterInput.RequestArrived(REQUEST, Fixtures.attributes("/n/x")));
     List<RouterOutput> ended =
         router.handle(
             SECOND + 1,
             new RouterInput.AttemptEnded(REQUEST, 0, new AttemptOutcome(Kind.BROKEN, 0), null, -1));
     assertThat(
-        "its backend is probed",
+        "probes of the backend",
         ended.stream().filter(RouterOutput.Probe.class::isInstance).toList(),
         hasSize(1));
   }
--- a/src/test/java/slateslip/routing/placement/PrefillEstimatorTest.java
+++ b/src/test/java/slateslip/routing/placement/PrefillEstimatorTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import slateslip.routing.policy.RoutingPolicy;
 
+/** The estimator learns the speed of engines from measurements, of which 30 % include a wait. */
 class PrefillEstimatorTest {
   private static final int SAMPLES = 400;
   private static final double TOLERANCE = 0.25;
@@ -20,7 +21,7 @@
   private final PrefillEstimator estimator = new PrefillEstimator(RoutingPolicy.DEFAULT);
   private final Random random = new Random(7);
 
-  /** An engine that reads prompts at a given speed; other requests delay some of its responses. */
+  /** A simulated engine with a fixed prefill speed. */
   private record Engine(double baseMillis, double tokensPerMilli, double millisPerMillionPairs) {
     double micros(PrefillWork work) {
       return 1_000
@@ -31,7 +32,7 @@
   }
 
   private static final Engine FAST = new Engine(34.5, 112, 0.218);
-  private static final Engine KNOWN = new Engine(12, 63.9, 0.367);
+  private static final Engine CONFIGURED = new Engine(12, 63.9, 0.367);
   private static final Engine SLOW = new Engine(20, 30, 0.8);
 
   private void learn(Engine engine, int samples) {
@@ -48,15 +49,15 @@
   }
 
   @Test
-  void beginsWithThePriorOfItsPolicy() {
+  void initialEstimateFollowsThePolicy() {
     RoutingPolicy policy = RoutingPolicy.of("", "prior-tokens-per-milli=63.9");
     PrefillEstimator known = new PrefillEstimator(policy);
-    assertThat(known.micros(SMALL) / KNOWN.micros(SMALL), is(closeTo(1, 0.01)));
-    assertThat(known.micros(LARGE) / KNOWN.micros(LARGE), is(closeTo(1, 0.01)));
+    assertThat(known.micros(SMALL) / CONFIGURED.micros(SMALL), is(closeTo(1, 0.01)));
+    assertThat(known.micros(LARGE) / CONFIGURED.micros(LARGE), is(closeTo(1, 0.01)));
   }
 
   @Test
-  void withoutASettingItBeginsWithASlowEngine() {
+  void defaultInitialEstimateAssumesASlowEngine() {
     assertThat((double) estimator.micros(LARGE), is(greaterThan(2 * FAST.micros(LARGE))));
   }
 
@@ -74,14 +75,14 @@
   }
 
   @Test
-  void followsAChangeInMidRun() {
+  void estimateFollowsAChangeOfSpeed() {
     learn(FAST, SAMPLES);
     learn(SLOW, SAMPLES);
     assertThat(error(SLOW, LARGE), is(lessThan(TOLERANCE)));
   }
 
   @Test
-  void oneLateResponseMovesItLittle() {
+  void oneLateResponseChangesTheEstimateLittle() {
     learn(FAST, SAMPLES);
     long before = estimator.micros(LARGE);
     estimator.learn(LARGE, 60_000_000);
@@ -89,7 +90,7 @@
   }
 
   @Test
-  void wrongMeasurementsCannotTakeItFar() {
+  void estimateStaysWithinBoundsUnderWrongMeasurements() {
     long known = estimator.micros(LARGE);
     for (int i = 0; i < 10 * SAMPLES; i++) {
       estimator.learn(LARGE, 0);
--- a/src/test/java/slateslip/routing/policy/RoutingPolicyTest.java
+++ b/src/test/java/slateslip/routing/policy/RoutingPolicyTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void leavesOutWhatIsNamed() {
+  void withoutDisablesTheNamedMechanisms() {
     RoutingPolicy policy = RoutingPolicy.without("spill, idle-probes");
     assertThat(policy.uses(Mechanism.SPILL), is(false));
     assertThat(policy.uses(Mechanism.IDLE_PROBES), is(false));
@@ -27,21 +27,21 @@
   }
 
   @Test
-  void everyNameIsRead() {
+  void withoutParsesEveryLabel() {
     for (Mechanism mechanism : Mechanism.values()) {
       assertThat(RoutingPolicy.without(mechanism.label()).uses(mechanism), is(false));
     }
   }
 
   @Test
-  void unknownNameIsRejected() {
-    var wrong =
+  void withoutRejectsAnUnknownLabel() {
+    var exception =
         assertThrows(IllegalArgumentException.class, () -> RoutingPolicy.without("guessing"));
-    assertThat(wrong.getMessage(), containsString("guessing"));
+    assertThat(exception.getMessage(), containsString("guessing"));
   }
 
   @Test
-  void everyParameterHasADefaultWithinItsRangeAndIsRead() {
+  void everyParameterHasADefaultInRangeAndIsParsed() {
     for (RoutingParameter parameter : RoutingParameter.values()) {
       assertThat(parameter.label(), parameter.permits(parameter.defaultValue()), is(true));
       String assignment = parameter.label() + "=" + parameter.defaultValue();
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void parametersThatAreNotNamedKeepTheirDefaults() {
+  void unassignedParametersKeepTheirDefaults() {
     RoutingPolicy policy = RoutingPolicy.of("spill", "overdue-millis=400, spill-fraction=0.6");
     assertThat(policy.micros(RoutingParameter.OVERDUE_MILLIS), is(400_000L));
     assertThat(policy.value(RoutingParameter.SPILL_FRACTION), is(0.6));
@@ -64,9 +64,9 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"guessing=1", "overdue-millis", "overdue-millis=soon", "spill-fraction=-1"})
-  void assignmentsThatSayNothingAreRejected(String assignment) {
-    var wrong =
+  void invalidAssignmentsAreRejected(String assignment) {
+    var exception =
         assertThrows(IllegalArgumentException.class, () -> RoutingPolicy.of("", assignment));
-    assertThat(wrong.getMessage(), containsString(assignment.split("=", -1)[0]));
+    assertThat(exception.getMessage(), containsString(assignment.split("=", -1)[0]));
   }
 }
--- a/src/test/java/slateslip/simulation/quota/SimulatedDataPlane.java
+++ b/src/test/java/slateslip/simulation/quota/SimulatedDataPlane.java
@@ -118,7 +118,8 @@
     if (allocation.lease().incarnation() == incarnation) {
       allocation.tenants().forEach(share -> largest = Math.max(largest, share.fraction()));
       long obeyedEpoch = quotas.allocatorEpoch();
-      quotas.allotted(world.mutation().changed(allocation, now(), obeyedEpoch, largest), now());
+      quotas.applyAllocation(
+          world.mutation().changed(allocation, now(), obeyedEpoch, largest), now());
       decideWaiting();
     }
   }
@@ -163,7 +164,7 @@
       world.counted(false);
       send(units, charge);
     } else {
-      charge.giveBack();
+      charge.release();
     }
   }
 
@@ -173,13 +174,13 @@
 
   private void send(long units, QuotaCharge charge) {
     if (world.mutation().settlesAtAdmission()) {
-      charge.ran(now());
+      charge.commit(now());
     }
     world.sent(this, units, () -> inbound(() -> started(units, charge)));
   }
 
   private void started(long units, QuotaCharge charge) {
-    charge.ran(now());
+    charge.commit(now());
     if (!world.drawFurtherAttempt() || !isLimited()) {
       return;
     }
@@ -187,9 +188,9 @@
       world.sent(this, units, () -> {});
       return;
     }
-    QuotaCharge another = quotas.takeAgain(tenants.get(0), units, now());
+    QuotaCharge another = quotas.takeForRetry(tenants.get(0), units, now());
     if (another != null) {
-      world.sent(this, units, () -> inbound(() -> another.ran(now())));
+      world.sent(this, units, () -> inbound(() -> another.commit(now())));
     }
   }
 
