--- a/src/main/java/slateslip/loadbalancer/policy/BackendHealth.java
+++ b/src/main/java/slateslip/loadbalancer/policy/BackendHealth.java
@@ -3,18 +3,19 @@
 import java.util.Collection;
 
 /**
- * Health of one backend as one agent sees it: an active state by the agent's own probes and a
- * passive one by how its requests ended. The backend is available unless either is Unhealthy; where
- * no backend of a service is available, the caller falls back to all that may get requests at all.
+ * Health of one backend as one agent sees it: an active state set by the agent's probes and a
+ * passive state set by the outcomes of requests. The backend is available unless either state is
+ * Unhealthy. If no backend of a service is available, the caller uses all backends that may get
+ * requests.
  */
 public final class BackendHealth {
-  /** The state of one of the two checks. */
+  /** State of the active or of the passive check. */
   public enum State {
-    /** Nothing is known. */
+    /** No result is known. */
     UNKNOWN,
-    /** The last probe was answered. */
+    /** The last probe succeeded. */
     HEALTHY,
-    /** Nothing is sent while it lasts. */
+    /** The backend gets no requests. */
     UNHEALTHY
   }
 
@@ -25,12 +26,12 @@
   private int probeFailures;
   private long reactivateAt;
 
-  /** Of a backend of which nothing is known. */
+  /** Creates the health of a backend without any results. */
   public BackendHealth(HealthParameters parameters) {
     this.parameters = parameters;
   }
 
-  /** Takes a probe that was answered well; true if this ended an Unhealthy active state. */
+  /** Records a successful probe; returns true if the probe ends an Unhealthy active state. */
   public boolean probeSucceeded() {
     boolean recovered = active == State.UNHEALTHY;
     probeFailures = 0;
@@ -38,7 +39,7 @@
     return recovered;
   }
 
-  /** Takes a probe that failed; true if this made the active state Unhealthy. */
+  /** Records a failed probe; returns true if the probe makes the active state Unhealthy. */
   public boolean probeFailed() {
     probeFailures++;
     if (probeFailures < parameters.failedProbes() || active == State.UNHEALTHY) {
@@ -48,17 +49,17 @@
     return true;
   }
 
-  /** Takes a probe without a reply from a backend that has answered requests since the last one. */
+  /** Records a probe without reply from a backend that served requests since the last probe. */
   public void probeInconclusive() {
     probeFailures = 0;
   }
 
-  /** Counts how a request ended, in the sliding window. */
+  /** Records the outcome of a request in the sliding window; {@code now} is in microseconds. */
   public void requestEnded(long now, boolean failed) {
     window.add(now, parameters.window(), failed);
   }
 
-  /** Whether too large a share of the requests in the window failed. */
+  /** Returns whether the failure share of the requests in the window is above the limit. */
   public boolean failsTooOften() {
     int total = window.total();
     return total >= parameters.minimumRequests()
@@ -66,9 +67,9 @@
   }
 
   /**
-   * Makes the passive state Unhealthy when too much fails here, and more than at the peers. Danger:
-   * when everything fails alike, removing backends pushes their load onto the rest; and a few
-   * requests prove little. What peers fail would have to be exceeded clearly.
+   * Makes the passive state Unhealthy if too many requests fail here, and clearly more than at the
+   * peers. When all backends fail alike, an ejection would move load to the rest; and a few
+   * requests prove little.
    *
    * @param peers other backends that get requests of the same kind; may be empty
    * @return whether the passive state has become Unhealthy
@@ -94,7 +95,7 @@
     return true;
   }
 
-  /** Resets the passive state and the window once its time is over; true if this did it. */
+  /** Resets the passive state and the window if an ejection is over; true if this call did so. */
   public boolean reactivateIfDue(long now) {
     if (passive != State.UNHEALTHY || now < reactivateAt) {
       return false;
@@ -104,45 +105,45 @@
     return true;
   }
 
-  /** Available unless either state is Unhealthy; see {@link #reactivateIfDue}. */
+  /** Returns whether neither state is Unhealthy; see {@link #reactivateIfDue}. */
   public boolean available() {
     return active != State.UNHEALTHY && passive != State.UNHEALTHY;
   }
 
-  /** Forgets what the probes have said, as where probing ends. */
+  /** Resets the active state to Unknown, for example when probing ends. */
   public void resetActive() {
     active = State.UNKNOWN;
     probeFailures = 0;
   }
 
-  /** Forgets everything, as for a backend that has started again. */
+  /** Resets both states and the window, for example after a restart of the backend. */
   public void reset() {
     resetActive();
     passive = State.UNKNOWN;
     window.clear();
   }
 
-  /** The state by probes. */
+  /** Returns the state that the probes determine. */
   public State active() {
     return active;
   }
 
-  /** The state by requests. */
+  /** Returns the state that the outcomes of requests determine. */
   public State passive() {
     return passive;
   }
 
-  /** Probes that failed in a row. */
+  /** Returns the number of consecutive failed probes. */
   public int probeFailures() {
     return probeFailures;
   }
 
-  /** Requests in the window, as last counted. */
+  /** Returns the number of requests in the window, as of the last update. */
   public int requestsInWindow() {
     return window.total();
   }
 
-  /** Of them those that failed. */
+  /** Returns the number of failed requests in the window, as of the last update. */
   public int failuresInWindow() {
     return window.failed();
   }
--- a/src/main/java/slateslip/loadbalancer/policy/FailureWindow.java
+++ b/src/main/java/slateslip/loadbalancer/policy/FailureWindow.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** Failures and totals of one server over a sliding window of equal slots. */
+/** Counts failures and requests of one server over a sliding window of equal slots. */
 final class FailureWindow {
-  /** Slots that the window slides by. */
+  /** Number of slots; the window slides in steps of one slot. */
   static final int SLOTS = 10;
 
   private final int[] failures = new int[SLOTS];
@@ -13,27 +13,27 @@
   private int failed;
   private int total;
 
-  /** Counts one outcome. */
+  /** Records one outcome; {@code now} and the window's {@code length} are in microseconds. */
   void add(long now, long length, boolean failure) {
     slideTo(now, length);
-    int i = (int) (slot % SLOTS);
-    totals[i]++;
+    int index = (int) (slot % SLOTS);
+    totals[index]++;
     total++;
     if (failure) {
-      failures[i]++;
+      failures[index]++;
       failed++;
     }
   }
 
-  /** Forgets what is older than the window of this length. */
+  /** Removes outcomes older than the window; {@code now} and {@code length} are in microseconds. */
   void slideTo(long now, long length) {
     long newest = now / (length / SLOTS);
-    for (long s = Math.max(slot + 1, newest - SLOTS + 1); s <= newest; s++) {
-      int i = (int) (s % SLOTS);
-      total -= totals[i];
-      failed -= failures[i];
-      totals[i] = 0;
-      failures[i] = 0;
+    for (long expired = Math.max(slot + 1, newest - SLOTS + 1); expired <= newest; expired++) {
+      int index = (int) (expired % SLOTS);
+      total -= totals[index];
+      failed -= failures[index];
+      totals[index] = 0;
+      failures[index] = 0;
     }
     slot = newest;
   }
--- a/src/main/java/slateslip/loadbalancer/policy/HealthParameters.java
+++ b/src/main/java/slateslip/loadbalancer/policy/HealthParameters.java
@@ -1,15 +1,16 @@
 package slateslip.loadbalancer.policy;
 
 /**
- * When a backend's health changes.
+ * Thresholds at which the health of a backend changes.
  *
- * @param failedProbes failed probes in a row that make the active state Unhealthy
+ * @param failedProbes consecutive failed probes that make the active state Unhealthy
  * @param window length of the sliding window over requests, in microseconds
- * @param minimumRequests requests in the window before the passive state is judged
+ * @param minimumRequests requests in the window that are needed to judge the passive state
  * @param failureShare share of failed requests above which the passive state is Unhealthy
- * @param deviations by how many standard deviations the failures must exceed what the peers' share
- *     predicts
- * @param reactivation after this the passive state is Unknown again, in microseconds
+ * @param deviations number of standard deviations by which the failures must exceed the number that
+ *     the peers' failure share predicts
+ * @param reactivation time after which an Unhealthy passive state becomes Unknown again, in
+ *     microseconds
  */
 public record HealthParameters(
     int failedProbes,
@@ -20,24 +21,27 @@
     long reactivation) {
   private static final long SECOND = 1_000_000;
 
-  /** The defaults of YARP's health checks, whose passive policy does not look at the peers. */
+  /** The defaults of the health checks of YARP, whose passive policy ignores the peers. */
   public static final HealthParameters YARP =
       new HealthParameters(2, 60 * SECOND, 10, 0.3, 0, 60 * SECOND);
 
   /**
-   * Parameters that can be judged by.
+   * Checks the parameters.
    *
-   * @throws IllegalArgumentException if a count or time is not positive, or the share is no share
+   * @throws IllegalArgumentException if a count or time is not positive, the window is shorter than
+   *     its number of slots, the failure share is not between 0 and 1, or the deviations are
+   *     negative
    */
   public HealthParameters {
     if (failedProbes < 1
         || window < FailureWindow.SLOTS
         || minimumRequests < 1
         || reactivation < 1) {
-      throw new IllegalArgumentException("counts and times of health must be positive");
+      throw new IllegalArgumentException("health check counts and times must be positive");
     }
     if (!(failureShare >= 0 && failureShare <= 1) || !(deviations >= 0)) {
-      throw new IllegalArgumentException("the failure share must lie between 0 and 1");
+      throw new IllegalArgumentException(
+          "the failure share must be between 0 and 1, and the deviations must not be negative");
     }
   }
 }
--- a/src/main/java/slateslip/loadbalancer/policy/PowerOfTwoChoices.java
+++ b/src/main/java/slateslip/loadbalancer/policy/PowerOfTwoChoices.java
@@ -5,17 +5,17 @@
 import java.util.function.ToIntFunction;
 import java.util.random.RandomGenerator;
 
-/** The pick by two random draws: of two candidates the one with fewer requests in flight. */
+/** Selects the less loaded of two randomly drawn candidates (power of two choices). */
 public final class PowerOfTwoChoices {
   private PowerOfTwoChoices() {}
 
   /**
-   * Picks one candidate; with two or more, two different ones are drawn.
+   * Selects a candidate; from two or more candidates, two different ones are drawn and compared.
    *
-   * @param inFlight this agent's requests in flight at a candidate
-   * @param ties decides between two with as many in flight: the lesser wins, the first drawn where
-   *     equal
-   * @return the pick, or null if there is no candidate
+   * @param inFlight returns this agent's requests in flight at a candidate
+   * @param ties orders two candidates with equally many in flight: the lesser wins; if they are
+   *     equal, the first drawn
+   * @return the selected candidate, or null if there is none
    */
   public static <T> T pick(
       List<T> candidates, ToIntFunction<T> inFlight, Comparator<T> ties, RandomGenerator random) {
@@ -30,7 +30,7 @@
     return less(first, second, inFlight, ties);
   }
 
-  /** Of two candidates the one with fewer requests in flight. */
+  /** Returns the candidate with fewer requests in flight; {@code ties} decides between equals. */
   public static <T> T less(T first, T second, ToIntFunction<T> inFlight, Comparator<T> ties) {
     int difference = inFlight.applyAsInt(first) - inFlight.applyAsInt(second);
     int order = difference == 0 ? ties.compare(first, second) : difference;
--- a/src/main/java/slateslip/loadbalancer/policy/RetryTokenBucket.java
+++ b/src/main/java/slateslip/loadbalancer/policy/RetryTokenBucket.java
@@ -1,38 +1,38 @@
 package slateslip.loadbalancer.policy;
 
 /**
- * How many further attempts may be sent: each request earns a share of one, and some are saved up,
- * so that retries never multiply an overload.
+ * Token bucket for retries: each request earns part of a token and some tokens can be saved, so
+ * that retries never multiply an overload.
  */
 public final class RetryTokenBucket {
-  private final double earned;
+  private final double tokensPerRequest;
   private final double maxTokens;
-  private double saved;
+  private double tokens;
 
   /**
-   * An allowance that starts full.
+   * Creates a full bucket.
    *
-   * @param earned further attempts earned by each request
-   * @param maxTokens what may be saved up of them
+   * @param tokensPerRequest the tokens that each request earns; a retry costs one token
+   * @param maxTokens the capacity of the bucket
    */
-  public RetryTokenBucket(double earned, double maxTokens) {
-    this.earned = earned;
+  public RetryTokenBucket(double tokensPerRequest, double maxTokens) {
+    this.tokensPerRequest = tokensPerRequest;
     this.maxTokens = maxTokens;
-    this.saved = maxTokens;
+    this.tokens = maxTokens;
   }
 
-  /** A request has come. */
+  /** Records the arrival of a request, which earns tokens. */
   public void earn() {
-    saved = Math.min(maxTokens, saved + earned);
+    tokens = Math.min(maxTokens, tokens + tokensPerRequest);
   }
 
-  /** Whether a further attempt may be sent. */
+  /** Returns whether a retry may be sent. */
   public boolean permits() {
-    return saved >= 1;
+    return tokens >= 1;
   }
 
-  /** Takes one further attempt; to be called only where {@link #permits} holds. */
+  /** Takes one token for a retry; call only if {@link #permits} returns true. */
   public void spend() {
-    saved -= 1;
+    tokens -= 1;
   }
 }
--- a/src/test/java/slateslip/loadbalancer/policy/BackendHealthTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/BackendHealthTest.java
@@ -15,33 +15,33 @@
 
   private final BackendHealth health = new BackendHealth(YARP);
 
-  private static void count(BackendHealth health, long now, int ended, int failed) {
-    for (int i = 0; i < ended; i++) {
+  private static void recordRequests(BackendHealth health, long now, int total, int failed) {
+    for (int i = 0; i < total; i++) {
       health.requestEnded(now, i < failed);
     }
   }
 
   @Test
-  void nothingKnownIsAvailable() {
+  void newBackendIsAvailableInUnknownState() {
     assertThat(health.available(), is(true));
     assertThat(health.active(), is(State.UNKNOWN));
     assertThat(health.passive(), is(State.UNKNOWN));
   }
 
   @Test
-  void twoFailedProbesMakeUnhealthyOneSuccessHealthy() {
+  void twoFailedProbesMakeUnhealthyAndOneSuccessMakesHealthy() {
     assertThat(health.probeFailed(), is(false));
     assertThat(health.available(), is(true));
     assertThat(health.probeFailed(), is(true));
     assertThat(health.available(), is(false));
-    assertThat("told once", health.probeFailed(), is(false));
+    assertThat("the change is reported once", health.probeFailed(), is(false));
     assertThat(health.probeSucceeded(), is(true));
     assertThat(health.available(), is(true));
     assertThat(health.active(), is(State.HEALTHY));
   }
 
   @Test
-  void aSuccessOrAnAnswerBetweenFailuresCountsThemAnew() {
+  void successfulOrInconclusiveProbeResetsFailureCount() {
     health.probeFailed();
     assertThat(health.probeSucceeded(), is(false));
     health.probeFailed();
@@ -51,8 +51,8 @@
   }
 
   @Test
-  void fewRequestsAreNotJudged() {
-    count(health, START, 9, 9);
+  void tooFewRequestsDoNotEject() {
+    recordRequests(health, START, 9, 9);
     assertThat(health.ejectIfFailing(START, List.of()), is(false));
     health.requestEnded(START, true);
     assertThat(health.ejectIfFailing(START, List.of()), is(true));
@@ -60,17 +60,17 @@
   }
 
   @Test
-  void theShareMustBeExceeded() {
-    count(health, START, 10, 3);
+  void failureShareAtTheLimitDoesNotEject() {
+    recordRequests(health, START, 10, 3);
     assertThat(health.ejectIfFailing(START, List.of()), is(false));
     health.requestEnded(START, true);
     assertThat(health.ejectIfFailing(START, List.of()), is(true));
   }
 
   @Test
-  void whatIsOlderThanTheWindowIsForgotten() {
-    count(health, START, 10, 10);
-    count(health, START + YARP.window() + YARP.window() / 10, 10, 0);
+  void outcomesOlderThanTheWindowAreRemoved() {
+    recordRequests(health, START, 10, 10);
+    recordRequests(health, START + YARP.window() + YARP.window() / 10, 10, 0);
     assertThat(health.requestsInWindow(), is(10));
     assertThat(health.failuresInWindow(), is(0));
     assertThat(health.ejectIfFailing(START + 2 * YARP.window(), List.of()), is(false));
@@ -78,7 +78,7 @@
 
   @Test
   void reactivationResetsThePassiveStateAndTheWindow() {
-    count(health, START, 10, 10);
+    recordRequests(health, START, 10, 10);
     health.ejectIfFailing(START, List.of());
     assertThat(health.reactivateIfDue(START + YARP.reactivation() - 1), is(false));
     assertThat(health.available(), is(false));
@@ -89,44 +89,44 @@
   }
 
   @Test
-  void repeatedEjectionDoesNotExtendTime() {
-    count(health, START, 10, 10);
+  void repeatedEjectionDoesNotExtendReactivationTime() {
+    recordRequests(health, START, 10, 10);
     health.ejectIfFailing(START, List.of());
     assertThat(health.ejectIfFailing(START + SECOND, List.of()), is(false));
     assertThat(health.reactivateIfDue(START + YARP.reactivation()), is(true));
   }
 
   @Test
-  void whatFailsEverywhereAlikeEjectsNone() {
+  void equalFailureShareAtPeersDoesNotEject() {
     HealthParameters parameters = new HealthParameters(2, 10 * SECOND, 5, 0.3, 1, 5 * SECOND);
-    BackendHealth one = new BackendHealth(parameters);
+    BackendHealth backend = new BackendHealth(parameters);
     BackendHealth peer = new BackendHealth(parameters);
-    count(one, START, 10, 6);
-    count(peer, START, 100, 60);
-    assertThat(one.ejectIfFailing(START, List.of(peer)), is(false));
-    BackendHealth sound = new BackendHealth(parameters);
-    count(sound, START, 100, 0);
-    assertThat(one.ejectIfFailing(START, List.of(sound)), is(true));
+    recordRequests(backend, START, 10, 6);
+    recordRequests(peer, START, 100, 60);
+    assertThat(backend.ejectIfFailing(START, List.of(peer)), is(false));
+    BackendHealth healthyPeer = new BackendHealth(parameters);
+    recordRequests(healthyPeer, START, 100, 0);
+    assertThat(backend.ejectIfFailing(START, List.of(healthyPeer)), is(true));
   }
 
   @Test
-  void aPeersOldFailuresExcuseNothing() {
+  void peerFailuresOlderThanTheWindowDoNotPreventEjection() {
     HealthParameters parameters = new HealthParameters(2, 10 * SECOND, 5, 0.3, 1, 5 * SECOND);
-    BackendHealth one = new BackendHealth(parameters);
+    BackendHealth backend = new BackendHealth(parameters);
     BackendHealth peer = new BackendHealth(parameters);
-    count(peer, START, 100, 100);
-    count(one, START + 20 * SECOND, 10, 10);
-    assertThat(one.ejectIfFailing(START + 20 * SECOND, List.of(peer)), is(true));
+    recordRequests(peer, START, 100, 100);
+    recordRequests(backend, START + 20 * SECOND, 10, 10);
+    assertThat(backend.ejectIfFailing(START + 20 * SECOND, List.of(peer)), is(true));
   }
 
   @Test
-  void theTwoStatesAreIndependent() {
+  void activeAndPassiveStateAreIndependent() {
     health.probeFailed();
     health.probeFailed();
-    count(health, START, 10, 10);
+    recordRequests(health, START, 10, 10);
     health.ejectIfFailing(START, List.of());
     health.probeSucceeded();
-    assertThat("still ejected", health.available(), is(false));
+    assertThat("the passive state is still Unhealthy", health.available(), is(false));
     health.resetActive();
     assertThat(health.active(), is(State.UNKNOWN));
     health.reset();
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void parametersThatCannotBeJudgedByAreRefused() {
+  void invalidParametersAreRejected() {
     assertThrows(
         IllegalArgumentException.class, () -> new HealthParameters(0, SECOND, 1, 0.3, 0, SECOND));
     assertThrows(
--- a/src/test/java/slateslip/loadbalancer/policy/PowerOfTwoChoicesTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/PowerOfTwoChoicesTest.java
@@ -12,35 +12,37 @@
 import org.junit.jupiter.api.Test;
 
 class PowerOfTwoChoicesTest {
-  private static final Comparator<Integer> FIRST = (unusedFirst, unusedSecond) -> 0;
+  private static final Comparator<Integer> FIRST_DRAWN = (unusedFirst, unusedSecond) -> 0;
   private static final int PICKS = 30_000;
 
   private final SplittableRandom random = new SplittableRandom(7);
 
   @Test
-  void noneAndOneNeedNoDraw() {
-    assertThat(PowerOfTwoChoices.pick(List.<Integer>of(), each -> 0, FIRST, null), nullValue());
-    assertThat(PowerOfTwoChoices.pick(List.of(5), each -> 0, FIRST, null), is(5));
+  void noCandidateOrOneNeedsNoRandomDraw() {
+    assertThat(
+        PowerOfTwoChoices.pick(List.<Integer>of(), each -> 0, FIRST_DRAWN, null), nullValue());
+    assertThat(PowerOfTwoChoices.pick(List.of(5), each -> 0, FIRST_DRAWN, null), is(5));
   }
 
   @Test
-  void theFullestIsNeverPicked() {
+  void mostLoadedCandidateIsNeverPicked() {
     List<Integer> inFlight = List.of(3, 1, 2);
     Map<Integer, Integer> picks = new HashMap<>();
     for (int i = 0; i < PICKS; i++) {
-      picks.merge(PowerOfTwoChoices.pick(inFlight, each -> each, FIRST, random), 1, Integer::sum);
+      picks.merge(
+          PowerOfTwoChoices.pick(inFlight, each -> each, FIRST_DRAWN, random), 1, Integer::sum);
     }
     assertThat(picks.containsKey(3), is(false));
-    // The emptiest is in two of the three pairs.
+    // The least loaded candidate is in two of the three possible pairs.
     assertThat(Math.abs(picks.get(1) - PICKS * 2 / 3) < PICKS / 50, is(true));
   }
 
   @Test
-  void equalOnesAreDrawnEvenly() {
+  void equallyLoadedCandidatesArePickedEvenly() {
     Map<Integer, Integer> picks = new HashMap<>();
     for (int i = 0; i < PICKS; i++) {
       picks.merge(
-          PowerOfTwoChoices.pick(List.of(0, 1, 2, 3, 4), each -> 9, FIRST, random),
+          PowerOfTwoChoices.pick(List.of(0, 1, 2, 3, 4), each -> 9, FIRST_DRAWN, random),
           1,
           Integer::sum);
     }
@@ -48,7 +50,7 @@
   }
 
   @Test
-  void tiesGoToTheLesser() {
+  void tieIsDecidedByTheComparator() {
     for (int i = 0; i < 100; i++) {
       int pick =
           PowerOfTwoChoices.pick(
--- a/src/test/java/slateslip/loadbalancer/policy/RendezvousHashTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/RendezvousHashTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void theOrderOfTheCandidatesDoesNotMatter() {
+  void resultDoesNotDependOnTheOrderOfTheCandidates() {
     List<Long> shuffled = new ArrayList<>(BACKENDS);
     Collections.shuffle(shuffled, new Random(1));
     for (long key = 0; key < KEYS; key++) {
@@ -28,21 +28,21 @@
   }
 
   @Test
-  void oneThatGoesMovesOnlyItsOwnKeysToTheSecondChoice() {
-    Long gone = BACKENDS.get(3);
-    List<Long> rest = BACKENDS.stream().filter(id -> !id.equals(gone)).toList();
+  void removedBackendMovesOnlyItsKeysToTheirSecondChoice() {
+    Long removed = BACKENDS.get(3);
+    List<Long> remaining = BACKENDS.stream().filter(id -> !id.equals(removed)).toList();
     int moved = 0;
     for (long key = 0; key < KEYS; key++) {
       long before = highest(BACKENDS, key, null);
-      long after = highest(rest, key, null);
+      long after = highest(remaining, key, null);
       moved += before == after ? 0 : 1;
-      assertThat(after, is(before == gone ? highest(BACKENDS, key, gone) : before));
+      assertThat(after, is(before == removed ? highest(BACKENDS, key, removed) : before));
     }
     assertThat(Math.abs(moved - KEYS / 10) < KEYS / 50, is(true));
   }
 
   @Test
-  void positionsSpreadEvenlyBetweenZeroAndOne() {
+  void positionsAreUniformBetweenZeroAndOne() {
     int low = 0;
     for (long key = 0; key < KEYS; key++) {
       double position = RendezvousHash.position(key);
--- a/src/test/java/slateslip/loadbalancer/policy/RetryTokenBucketTest.java
+++ b/src/test/java/slateslip/loadbalancer/policy/RetryTokenBucketTest.java
@@ -6,32 +6,32 @@
 import org.junit.jupiter.api.Test;
 
 class RetryTokenBucketTest {
-  private static int spendAll(RetryTokenBucket allowance) {
+  private static int spendAll(RetryTokenBucket bucket) {
     int spent = 0;
-    for (; allowance.permits(); spent++) {
-      allowance.spend();
+    for (; bucket.permits(); spent++) {
+      bucket.spend();
     }
     return spent;
   }
 
   @Test
-  void itStartsFullAndIsThenEarned() {
-    RetryTokenBucket allowance = new RetryTokenBucket(0.25, 10);
-    assertThat(spendAll(allowance), is(10));
+  void bucketStartsFullAndRequestsEarnTokens() {
+    RetryTokenBucket bucket = new RetryTokenBucket(0.25, 10);
+    assertThat(spendAll(bucket), is(10));
     for (int i = 0; i < 3; i++) {
-      allowance.earn();
+      bucket.earn();
     }
-    assertThat(allowance.permits(), is(false));
-    allowance.earn();
-    assertThat(spendAll(allowance), is(1));
+    assertThat(bucket.permits(), is(false));
+    bucket.earn();
+    assertThat(spendAll(bucket), is(1));
   }
 
   @Test
-  void tokensAreCapped() {
-    RetryTokenBucket allowance = new RetryTokenBucket(0.5, 3);
+  void earnedTokensAreLimitedToTheCapacity() {
+    RetryTokenBucket bucket = new RetryTokenBucket(0.5, 3);
     for (int i = 0; i < 1000; i++) {
-      allowance.earn();
+      bucket.earn();
     }
-    assertThat(spendAll(allowance), is(3));
+    assertThat(spendAll(bucket), is(3));
   }
 }
