--- a/src/main/java/slateslip/loadbalancer/simulator/FrameReader.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/FrameReader.java
@@ -5,17 +5,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads frames into one reused buffer and hands out the fields of their records. */
+/** Reads frames into one reused buffer and decodes the fields of their records. */
 final class FrameReader {
   private static final int HEADER_AFTER_LENGTH = 12;
   private static final int RECORD_HEADER = 5;
 
-  /** Many times what a host sends, and well within the memory the adapter is given. */
+  /**
+   * Maximum frame length in bytes: many times the length of real frames, and well within the memory
+   * that the adapter is given.
+   */
   private static final int LENGTH_MAX = 128 << 20;
 
   private final InputStream in;
   private byte[] buffer = new byte[1 << 16];
-  private int at;
+  private int position;
   private int end;
   private int recordEnd;
   private int recordsLeft;
@@ -28,7 +31,10 @@
     this.in = in;
   }
 
-  /** Reads the next frame; false at the end of the input. */
+  /**
+   * Reads the next frame; returns false at the end of the input, throws {@link WireException} if
+   * the frame is truncated or its header invalid.
+   */
   boolean nextFrame() throws IOException {
     int got = in.readNBytes(buffer, 0, 4);
     if (got == 0) {
@@ -38,7 +44,7 @@
     if (got < 4) {
       throw new WireException("frame " + frames + ": input ends inside the length");
     }
-    at = 0;
+    position = 0;
     end = 4;
     recordEnd = 4;
     int length = i32();
@@ -52,7 +58,7 @@
     if (in.readNBytes(buffer, 0, length) < length) {
       throw new WireException("frame " + frames + ": input ends inside the frame");
     }
-    at = 0;
+    position = 0;
     end = length;
     recordEnd = HEADER_AFTER_LENGTH;
     recordsLeft = i32();
@@ -68,31 +74,31 @@
     return clock;
   }
 
-  /** Moves to the next record of the frame; false after the last. */
+  /** Advances to the next record of the frame; returns false after the last. */
   boolean nextRecord() {
-    if (at != recordEnd) {
-      throw new WireException(where() + ": " + (recordEnd - at) + " bytes too many");
+    if (position != recordEnd) {
+      throw new WireException(where() + ": " + (recordEnd - position) + " bytes too many");
     }
     if (recordsLeft == 0) {
-      if (at != end) {
+      if (position != end) {
         throw new WireException(
-            "frame " + frames + ": " + (end - at) + " bytes after the last record");
+            "frame " + frames + ": " + (end - position) + " bytes after the last record");
       }
       return false;
     }
     recordsLeft--;
     recordIndex++;
     recordEnd = end;
-    if (end - at < RECORD_HEADER) {
+    if (end - position < RECORD_HEADER) {
       throw new WireException(where() + ": the frame ends inside the record");
     }
     code = u8();
     int size = i32();
-    if (size < 0 || size > end - at) {
+    if (size < 0 || size > end - position) {
       throw new WireException(
           where() + ": size " + Integer.toUnsignedString(size) + " is over the frame");
     }
-    recordEnd = at + size;
+    recordEnd = position + size;
     return true;
   }
 
@@ -104,15 +110,15 @@
     return "frame " + frames + " record " + recordIndex + " (code " + code + ")";
   }
 
-  private void need(int bytes) {
-    if (bytes < 0 || recordEnd - at < bytes) {
+  private void requireBytes(int bytes) {
+    if (bytes < 0 || recordEnd - position < bytes) {
       throw new WireException(where() + ": too short for its fields");
     }
   }
 
   int u8() {
-    need(1);
-    return buffer[at++] & 0xff;
+    requireBytes(1);
+    return buffer[position++] & 0xff;
   }
 
   int u16() {
@@ -120,13 +126,13 @@
   }
 
   int i32() {
-    need(4);
+    requireBytes(4);
     int value =
-        (buffer[at] & 0xff) << 24
-            | (buffer[at + 1] & 0xff) << 16
-            | (buffer[at + 2] & 0xff) << 8
-            | (buffer[at + 3] & 0xff);
-    at += 4;
+        (buffer[position] & 0xff) << 24
+            | (buffer[position + 1] & 0xff) << 16
+            | (buffer[position + 2] & 0xff) << 8
+            | (buffer[position + 3] & 0xff);
+    position += 4;
     return value;
   }
 
@@ -142,9 +148,12 @@
     return Float.intBitsToFloat(i32());
   }
 
-  /** Checks a count of items against what the record still holds. */
+  /**
+   * Returns the count as an int; throws {@link WireException} if the record is too short for the
+   * items.
+   */
   int count(long items, int itemSize) {
-    if (items * itemSize > recordEnd - at) {
+    if (items * itemSize > recordEnd - position) {
       throw new WireException(where() + ": too short for its fields");
     }
     return (int) items;
@@ -152,15 +161,15 @@
 
   String text(long length) {
     int n = count(length, 1);
-    String text = new String(buffer, at, n, StandardCharsets.UTF_8);
-    at += n;
+    String text = new String(buffer, position, n, StandardCharsets.UTF_8);
+    position += n;
     return text;
   }
 
   byte[] bytes(int length) {
-    need(length);
-    byte[] copy = Arrays.copyOfRange(buffer, at, at + length);
-    at += length;
+    requireBytes(length);
+    byte[] copy = Arrays.copyOfRange(buffer, position, position + length);
+    position += length;
     return copy;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/FrameWriter.java
@@ -6,31 +6,31 @@
 import java.util.Arrays;
 import slateslip.loadbalancer.LoadBalancer;
 
-/** Collects one reply in a reused buffer; the actions of the current instance become records. */
+/** Collects the actions of all instances as records of one reply, in a reused buffer. */
 final class FrameWriter implements LoadBalancer.Actions {
   private static final int HEADER = 8;
   private static final int MAX_TEXT = 0xffff;
   private static final long MAX_U32 = 0xffffffffL;
 
   private byte[] buffer = new byte[1 << 16];
-  private int at = HEADER;
+  private int position = HEADER;
   private int records;
   private int instance;
 
-  /** The instance that the following actions belong to. */
+  /** Sets the instance that the following actions belong to. */
   void instance(int instance) {
     this.instance = instance;
   }
 
-  /** Writes the reply out and starts the next. */
+  /** Writes the reply to the stream and starts the next reply. */
   void flush(OutputStream out) throws IOException {
-    int end = at;
-    at = 0;
+    int end = position;
+    position = 0;
     i32(end - 4);
     i32(records);
     out.write(buffer, 0, end);
     out.flush();
-    at = HEADER;
+    position = HEADER;
     records = 0;
   }
 
@@ -97,7 +97,7 @@
   @Override
   public void watchServers() {
     begin(26, 3);
-    buffer[at++] = 1;
+    buffer[position++] = 1;
   }
 
   @Override
@@ -105,8 +105,8 @@
     begin(27, 2);
   }
 
-  /** Tells that the module has failed. */
-  void die(String why) {
+  /** Reports that the current instance has failed with an exception. */
+  void instanceFailed(String why) {
     text(25, why);
   }
 
@@ -123,18 +123,18 @@
   }
 
   private void begin(int code, int size) {
-    if (buffer.length - at < size + 5) {
-      buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, at + size + 5));
+    if (buffer.length - position < size + 5) {
+      buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, position + size + 5));
     }
-    buffer[at++] = (byte) code;
+    buffer[position++] = (byte) code;
     i32(size);
     i16(instance);
     records++;
   }
 
   private void i16(int value) {
-    buffer[at++] = (byte) (value >>> 8);
-    buffer[at++] = (byte) value;
+    buffer[position++] = (byte) (value >>> 8);
+    buffer[position++] = (byte) value;
   }
 
   private void i32(int value) {
@@ -148,7 +148,7 @@
   }
 
   private void bytes(byte[] from, int length) {
-    System.arraycopy(from, 0, buffer, at, length);
-    at += length;
+    System.arraycopy(from, 0, buffer, position, length);
+    position += length;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/SimulatorAdapter.java
@@ -14,7 +14,7 @@
 import slateslip.loadbalancer.LoadBalancer.Phase;
 import slateslip.loadbalancer.SettingsParser;
 
-/** Speaks the simulator's wire for many instances. It decides nothing. */
+/** Connects load balancer instances to the simulator's protocol; makes no decisions. */
 public final class SimulatorAdapter {
   private static final double[] NO_LOAD = new double[0];
   private static final int LISTS = 16;
@@ -26,7 +26,7 @@
   private final Map<Integer, LoadBalancer> instances = new HashMap<>();
   private final List<List<LoadBalancer.Server>> lists = new ArrayList<>();
 
-  /** Reads frames from one stream and writes replies to the other. */
+  /** Creates an adapter that reads frames from one stream and writes replies to the other. */
   public SimulatorAdapter(InputStream in, OutputStream out) {
     this.in = new FrameReader(in);
     this.outStream = out;
@@ -35,7 +35,12 @@
     }
   }
 
-  /** Answers frames until the input ends. */
+  /**
+   * Processes frames, with one reply each, until the input ends.
+   *
+   * @throws WireException if the input violates the protocol
+   * @throws IOException if a stream fails
+   */
   public void run() throws IOException {
     while (in.nextFrame()) {
       while (in.nextRecord()) {
@@ -56,7 +61,7 @@
     if (code == 24) {
       long seed = in.i64();
       LoadBalancer.Settings settings = settings(in.text(in.u32()));
-      decide(() -> instances.put(id, new DefaultLoadBalancer(settings, seed, now, out)));
+      callInstance(() -> instances.put(id, new DefaultLoadBalancer(settings, seed, now, out)));
       return;
     }
     LoadBalancer instance = instances.get(id);
@@ -67,7 +72,7 @@
       instances.remove(id);
       return;
     }
-    decide(() -> event(code, instance, now));
+    callInstance(() -> deliverEvent(code, instance, now));
   }
 
   private static LoadBalancer.Settings settings(String text) {
@@ -78,24 +83,27 @@
     }
   }
 
-  /** Runs a piece of the decision code; its failure is told as the instance's death. */
-  private void decide(Runnable decision) {
+  /**
+   * Runs a call of a load balancer; an exception is reported to the simulator as a failure of the
+   * instance.
+   */
+  private void callInstance(Runnable call) {
     try {
-      decision.run();
+      call.run();
     } catch (WireException e) {
       throw e;
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      out.die(e + (trace.length > 0 ? " at " + trace[0] : ""));
+      out.instanceFailed(e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
   }
 
-  private void event(int code, LoadBalancer instance, long now) {
+  private void deliverEvent(int code, LoadBalancer instance, long now) {
     switch (code) {
       case 16 -> {
-        long spent = in.u32();
+        long elapsed = in.u32();
         Outcome outcome = outcome(in.u16());
-        instance.probed(now, in.u32(), outcome, spent, load());
+        instance.probed(now, in.u32(), outcome, elapsed, load());
       }
       case 17 -> instance.streamStarted(now, in.i64(), in.u16(), in.u32(), in.u32());
       case 18 -> {
@@ -123,15 +131,15 @@
                 (attributes & 2) != 0,
                 (attributes & 4) != 0));
       }
-      case 21 -> announce(instance, now);
+      case 21 -> deliverServers(instance, now);
       case 22 -> {
         long id = in.i64();
         int attempt = in.u16();
         long server = in.u32();
         Outcome outcome = outcome(in.u16());
-        long spent = in.u32();
+        long elapsed = in.u32();
         boolean closed = in.u8() != 0;
-        instance.outcome(now, id, attempt, server, outcome, spent, closed, load());
+        instance.outcome(now, id, attempt, server, outcome, elapsed, closed, load());
       }
       case 23 -> instance.clientLeft(now, in.i64());
       case 26 -> instance.timer(now, in.i64());
@@ -158,7 +166,7 @@
     lists.set(number, List.copyOf(entries));
   }
 
-  private void announce(LoadBalancer instance, long now) {
+  private void deliverServers(LoadBalancer instance, long now) {
     int number = in.u8();
     ListKind kind =
         switch (in.u8()) {
@@ -168,7 +176,7 @@
           case 4 -> ListKind.FAILED;
           default -> throw new WireException(in.where() + ": unknown kind of list");
         };
-    in.u32(); // the list's version: events are ordered and complete, so nothing hangs on it
+    in.u32(); // the version of the list is unused: events arrive in order and without gaps
     if (kind == ListKind.FAILED) {
       instance.servers(now, kind, List.of());
       return;
--- a/src/main/java/slateslip/loadbalancer/simulator/WireException.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/WireException.java
@@ -1,6 +1,9 @@
 package slateslip.loadbalancer.simulator;
 
-/** Input that does not follow the wire; the message says what is wrong and where. */
+/**
+ * Reports input that violates the simulator's protocol; the message names the error and its
+ * position.
+ */
 public final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/slateslip/loadbalancer/simulator/package-info.java
+++ b/src/main/java/slateslip/loadbalancer/simulator/package-info.java
@@ -1,2 +1,5 @@
-/** The adapter by which the simulator drives the load balancer over standard input and output. */
+/**
+ * Runs the load balancer in a simulator that sends events and receives actions as binary frames
+ * over standard input and output.
+ */
 package slateslip.loadbalancer.simulator;
--- a/src/test/java/slateslip/loadbalancer/simulator/Frames.java
+++ b/src/test/java/slateslip/loadbalancer/simulator/Frames.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds frames for the drill and takes its replies apart. */
+/** Builds frames for the simulator adapter and decodes its replies. */
 final class Frames {
   static final String SETTINGS =
       """
@@ -35,19 +35,19 @@
         obligations.fall-multiple=3.0
         obligations.overload-for-us=1000000
         obligations.stop-sending-within-us=500000
-        something.unheard-of=yes
+        unknown.setting=yes
         zones=north,south
         """;
 
-  /** A field writer that does not throw. */
+  /** Writes the fields of a record. */
   interface Fields {
     void write(DataOutputStream out) throws IOException;
   }
 
-  /** A record of a reply. */
+  /** A record of a reply, with its fields after the instance number. */
   record Reply(int code, int instance, ByteBuffer fields) {}
 
-  private final ByteArrayOutputStream all = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream frames = new ByteArrayOutputStream();
   private final List<byte[]> records = new ArrayList<>();
 
   static byte[] bytes(Fields fields) {
@@ -74,28 +74,28 @@
 
   Frames frame(long clock) {
     int length = 12 + records.stream().mapToInt(r -> r.length).sum();
-    all.writeBytes(
+    frames.writeBytes(
         bytes(
             out -> {
               out.writeInt(length);
               out.writeInt(records.size());
               out.writeLong(clock);
             }));
-    records.forEach(all::writeBytes);
+    records.forEach(frames::writeBytes);
     records.clear();
     return this;
   }
 
-  Frames raw(byte[] bytes) {
-    all.writeBytes(bytes);
+  Frames appendRaw(byte[] bytes) {
+    frames.writeBytes(bytes);
     return this;
   }
 
-  Frames spawn(int instance) {
-    return spawn(instance, SETTINGS);
+  Frames start(int instance) {
+    return start(instance, SETTINGS);
   }
 
-  Frames spawn(int instance, String settings) {
+  Frames start(int instance, String settings) {
     return record(
         24,
         out -> {
@@ -136,7 +136,7 @@
         });
   }
 
-  Frames submit(int instance, long id, long deadline) {
+  Frames request(int instance, long id, long deadline) {
     return record(
         20,
         out -> {
@@ -151,7 +151,7 @@
         });
   }
 
-  Frames finished(int instance, long id, long server, int outcome, int loads) {
+  Frames outcome(int instance, long id, long server, int outcome, int loadFields) {
     return record(
         22,
         out -> {
@@ -162,17 +162,17 @@
           out.writeShort(outcome);
           out.writeInt(1000);
           out.writeByte(outcome == 200 ? 1 : 0);
-          out.writeByte(loads);
-          for (int i = 0; i < loads; i++) {
+          out.writeByte(loadFields);
+          for (int i = 0; i < loadFields; i++) {
             out.writeFloat(i);
           }
         });
   }
 
-  /** Runs the drill over all frames; one list of records for each reply. */
+  /** Runs the adapter over all frames; returns one list of records for each reply. */
   List<List<Reply>> run() throws IOException {
     var out = new ByteArrayOutputStream();
-    new SimulatorAdapter(new ByteArrayInputStream(all.toByteArray()), out).run();
+    new SimulatorAdapter(new ByteArrayInputStream(frames.toByteArray()), out).run();
     List<List<Reply>> replies = new ArrayList<>();
     ByteBuffer in = ByteBuffer.wrap(out.toByteArray());
     while (in.hasRemaining()) {
@@ -186,7 +186,7 @@
         reply.add(new Reply(code, fields.getShort(), fields));
       }
       if (in.position() != end) {
-        throw new AssertionError("a reply's length is wrong");
+        throw new AssertionError("the length of a reply does not match its records");
       }
       replies.add(reply);
     }
--- a/src/test/java/slateslip/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/slateslip/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -11,12 +11,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.loadbalancer.simulator.Frames.Reply;
 
-/** The adapter: frames in, replies out, and plain words for what is malformed. */
+/**
+ * Tests the simulator adapter: the replies to frames, and the error messages for malformed input.
+ */
 class SimulatorAdapterTest {
   private static final int SEND = 16;
   private static final int LOG = 24;
 
-  private static List<Reply> of(List<Reply> replies, int code) {
+  private static List<Reply> withCode(List<Reply> replies, int code) {
     return replies.stream().filter(r -> r.code() == code).toList();
   }
 
@@ -25,7 +27,7 @@
   }
 
   @Test
-  void emptyBatchGetsEmptyResponse() throws IOException {
+  void emptyFrameGetsEmptyReply() throws IOException {
     assertEquals(List.of(List.of(), List.of()), new Frames().frame(1).frame(2).run());
   }
 
@@ -33,64 +35,64 @@
   void requestIsSentAndClosedByOutcome() throws IOException {
     var replies =
         new Frames()
-            .spawn(3)
+            .start(3)
             .list(0, 0x91f03b7cL)
             .announce(3, 0, 2)
             .frame(1000)
-            .submit(3, 77, 5_000_000)
+            .request(3, 77, 5_000_000)
             .frame(2000)
-            .finished(3, 77, 0x91f03b7cL, 200, 2)
+            .outcome(3, 77, 0x91f03b7cL, 200, 2)
             .frame(3000)
             .run();
-    List<Reply> sends = of(replies.get(1), SEND);
+    List<Reply> sends = withCode(replies.get(1), SEND);
     assertEquals(1, sends.size());
     assertEquals(3, sends.get(0).instance());
     assertEquals(77, sends.get(0).fields().getLong());
     assertEquals(0x91f03b7c, sends.get(0).fields().getInt());
     int timeout = sends.get(0).fields().getInt();
     assertTrue(timeout > 0 && timeout <= 1_000_000, "timeout " + timeout);
-    assertTrue(of(replies.get(2), SEND).isEmpty());
+    assertTrue(withCode(replies.get(2), SEND).isEmpty());
   }
 
   @Test
-  void aRestartInOneBatchForgetsTheList() throws IOException {
+  void restartInOneFrameDropsTheServerList() throws IOException {
     var replies =
         new Frames()
-            .spawn(3)
+            .start(3)
             .list(0, 5)
             .announce(3, 0, 2)
             .record(19, out -> out.writeShort(3))
-            .spawn(3)
-            .submit(3, 1, 5_000_000)
+            .start(3)
+            .request(3, 1, 5_000_000)
             .frame(1000)
             .run();
-    assertTrue(of(replies.get(0), SEND).isEmpty());
+    assertTrue(withCode(replies.get(0), SEND).isEmpty());
   }
 
   @Test
-  void aListNumberUsedAgainInOneBatchIsResolvedByOrder() throws IOException {
+  void listNumberReusedInOneFrameIsResolvedInOrder() throws IOException {
     var replies =
         new Frames()
-            .spawn(1)
-            .spawn(2)
+            .start(1)
+            .start(2)
             .list(0, 5)
             .announce(1, 0, 2)
             .list(0, 6)
             .announce(2, 0, 2)
-            .submit(1, 1, 5_000_000)
-            .submit(2, 2, 5_000_000)
+            .request(1, 1, 5_000_000)
+            .request(2, 2, 5_000_000)
             .frame(1000)
             .run();
-    List<Reply> sends = of(replies.get(0), SEND);
+    List<Reply> sends = withCode(replies.get(0), SEND);
     sends.forEach(s -> s.fields().getLong());
     assertEquals(List.of(5, 6), sends.stream().map(s -> s.fields().getInt()).toList());
   }
 
   @Test
-  void anExceptionInTheModuleIsToldAsItsDeath() throws IOException {
+  void exceptionInLoadBalancerIsReportedAsInstanceFailure() throws IOException {
     var replies =
         new Frames()
-            .spawn(1)
+            .start(1)
             .record(
                 20,
                 out -> {
@@ -99,73 +101,74 @@
                   out.writeLong(0);
                   out.writeByte(0);
                   out.writeLong(5_000_000);
-                  out.writeByte(200); // no such class
+                  out.writeByte(200); // a class index that the settings do not contain
                   out.writeShort(0);
                   out.writeInt(0);
                 })
             .frame(1000)
             .run();
-    assertEquals(1, of(replies.get(0), 25).size());
+    assertEquals(1, withCode(replies.get(0), 25).size());
   }
 
   @Test
-  void logLinesCarryTheServersState() throws IOException {
+  void removalOfServerIsLogged() throws IOException {
     var replies =
         new Frames()
-            .spawn(1)
+            .start(1)
             .list(0, 5)
             .announce(1, 0, 3)
             .list(1)
             .announce(1, 1, 3)
             .frame(1000)
             .run();
-    assertEquals(1, of(replies.get(0), LOG).size());
+    assertEquals(1, withCode(replies.get(0), LOG).size());
   }
 
   // ---- malformed input ----
 
   @Test
-  void aTruncatedLengthIsNamed() {
+  void truncatedLengthIsReported() {
     assertEquals(
-        "frame 1: input ends inside the length", failure(new Frames().raw(new byte[] {0, 0})));
+        "frame 1: input ends inside the length",
+        failure(new Frames().appendRaw(new byte[] {0, 0})));
   }
 
   @Test
-  void aTruncatedFrameIsNamed() {
+  void truncatedFrameIsReported() {
     assertEquals(
         "frame 2: input ends inside the frame",
-        failure(new Frames().frame(1).raw(new byte[] {0, 0, 0, 12, 0})));
+        failure(new Frames().frame(1).appendRaw(new byte[] {0, 0, 0, 12, 0})));
   }
 
   @Test
-  void aFrameLengthThatCannotBeIsNamed() {
+  void impossibleFrameLengthIsReported() {
     assertEquals(
         "frame 1: length 4294967295 is not possible",
-        failure(new Frames().raw(new byte[] {-1, -1, -1, -1})));
+        failure(new Frames().appendRaw(new byte[] {-1, -1, -1, -1})));
   }
 
-  /** Failed before: two gigabytes were set aside for a frame that said it had them. */
+  /** Guards against allocating the length that a malformed frame declares, here almost 2 GB. */
   @Test
-  void aFrameLargerThanAnyHostSendsIsNamedAndNotSetAside() {
+  void tooLargeFrameLengthIsReportedWithoutAllocation() {
     assertEquals(
         "frame 1: length 1879048192 is not possible",
-        failure(new Frames().raw(new byte[] {0x70, 0, 0, 0})));
+        failure(new Frames().appendRaw(new byte[] {0x70, 0, 0, 0})));
   }
 
   @Test
-  void aRecordTooShortForItsFieldsIsNamed() {
+  void recordTooShortForItsFieldsIsReported() {
     assertEquals(
         "frame 1 record 2 (code 20): too short for its fields",
-        failure(new Frames().spawn(1).record(20, out -> out.writeShort(1)).frame(1)));
+        failure(new Frames().start(1).record(20, out -> out.writeShort(1)).frame(1)));
   }
 
   @Test
-  void aRecordLongerThanItsFieldsIsNamed() {
+  void recordLongerThanItsFieldsIsReported() {
     assertEquals(
         "frame 1 record 2 (code 26): 1 bytes too many",
         failure(
             new Frames()
-                .spawn(1)
+                .start(1)
                 .record(
                     26,
                     out -> {
@@ -177,11 +180,11 @@
   }
 
   @Test
-  void aRecordOverTheFrameIsNamed() {
+  void recordLongerThanItsFrameIsReported() {
     assertTrue(
         failure(
                 new Frames()
-                    .raw(
+                    .appendRaw(
                         Frames.bytes(
                             out -> {
                               out.writeInt(17);
@@ -194,19 +197,19 @@
   }
 
   @Test
-  void unknownCodesInstancesListsAndOutcomesAreNamed() {
+  void unknownCodesInstancesListsAndOutcomesAreReported() {
     assertEquals(
         "frame 1 record 2 (code 99): unknown code",
-        failure(new Frames().spawn(1).record(99, out -> out.writeShort(1)).frame(1)));
+        failure(new Frames().start(1).record(99, out -> out.writeShort(1)).frame(1)));
     assertEquals(
         "frame 1 record 1 (code 20): instance 4 was never started",
-        failure(new Frames().submit(4, 1, 1).frame(1)));
+        failure(new Frames().request(4, 1, 1).frame(1)));
     assertEquals(
         "frame 1 record 2 (code 21): list 2 was never defined",
-        failure(new Frames().spawn(1).announce(1, 2, 3).frame(1)));
+        failure(new Frames().start(1).announce(1, 2, 3).frame(1)));
     assertEquals(
         "frame 1 record 2 (code 22): unknown outcome 999",
-        failure(new Frames().spawn(1).finished(1, 1, 1, 999, 0).frame(1)));
+        failure(new Frames().start(1).outcome(1, 1, 1, 999, 0).frame(1)));
   }
 
   // ---- settings ----
@@ -214,26 +217,27 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"caps.max-attempts", "classes.0.semantics", "discovery", "granularity-us", "me"})
-  void aMissingSettingIsNamed(String key) {
+  void missingSettingIsReported(String key) {
     String without = Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", "");
     assertEquals(
-        "settings: " + key + " is missing", failure(new Frames().spawn(1, without).frame(1)));
+        "settings: " + key + " is missing", failure(new Frames().start(1, without).frame(1)));
   }
 
   @Test
-  void anUnusableSettingIsNamed() {
+  void invalidSettingIsReported() {
     String bad = Frames.SETTINGS.replace("semantics=safe", "semantics=perhaps");
     assertEquals(
         "settings: classes.0.semantics has an unusable value: perhaps",
-        failure(new Frames().spawn(1, bad).frame(1)));
+        failure(new Frames().start(1, bad).frame(1)));
     String letters = Frames.SETTINGS.replace("group-size=2", "group-size=two");
     assertEquals(
         "settings: group-size has an unusable value: two",
-        failure(new Frames().spawn(1, letters).frame(1)));
+        failure(new Frames().start(1, letters).frame(1)));
   }
 
   /**
-   * Failed before: these were taken, and showed only as a failed decision or a stack trace later.
+   * Guards against invalid values that are accepted and cause a failed decision or an exception
+   * later.
    */
   @ParameterizedTest
   @ValueSource(
@@ -246,23 +250,23 @@
         "classes.0.aim-us=0",
         "group-size=Infinity"
       })
-  void aSettingOutOfRangeIsNamed(String pair) {
+  void settingOutOfRangeIsReported(String pair) {
     String key = pair.substring(0, pair.indexOf('='));
     String bad =
         Frames.SETTINGS.replaceAll("(?m)^" + key.replace(".", "\\.") + "=.*\n", pair + "\n");
     assertEquals(
         "settings: " + key + " has an unusable value: " + pair.substring(key.length() + 1),
-        failure(new Frames().spawn(1, bad).frame(1)));
+        failure(new Frames().start(1, bad).frame(1)));
   }
 
   @Test
   void unknownSettingsAreIgnored() throws IOException {
-    assertEquals(1, new Frames().spawn(1, Frames.SETTINGS + "new.thing=1\n").frame(1).run().size());
+    assertEquals(1, new Frames().start(1, Frames.SETTINGS + "new.thing=1\n").frame(1).run().size());
   }
 
   @Test
   void unknownLoadValuesAreIgnored() throws IOException {
     String loads = Frames.SETTINGS + "load-info.via=answers\nload-info.fields=depth,shoe_size\n";
-    assertEquals(1, new Frames().spawn(1, loads).frame(1).run().size());
+    assertEquals(1, new Frames().start(1, loads).frame(1).run().size());
   }
 }
