--- a/src/main/java/slateslip/loadbalancer/ClassPriorities.java
+++ b/src/main/java/slateslip/loadbalancer/ClassPriorities.java
@@ -1,23 +1,23 @@
 package slateslip.loadbalancer;
 
-/** Which class of requests goes first where capacity is short. */
+/** Orders the request classes by priority for times when capacity is short. */
 final class ClassPriorities {
   private static final long SECOND = 1_000_000;
 
-  /** How far back the counts of requests come and served look, for ranking the classes. */
+  /** Decay time of the counts of arrived and served requests by which the classes are ranked. */
   private static final long RATE_PERIOD = 2 * SECOND;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private final RequestClasses classes;
   private long updatedAt;
 
-  ClassPriorities(LoadBalancerContext agent, RequestClasses classes, long now) {
-    this.agent = agent;
+  ClassPriorities(LoadBalancerContext context, RequestClasses classes, long now) {
+    this.context = context;
     this.classes = classes;
     this.updatedAt = now;
   }
 
-  /** Orders the classes by what a unit of their work adds to the goal, as measured now. */
+  /** Orders the classes by the current value that a unit of their work adds to the goal. */
   void update(long now) {
     double decay = Math.exp(-(double) (now - updatedAt) / RATE_PERIOD);
     updatedAt = now;
@@ -38,18 +38,18 @@
       double classShare =
           state.type.value() * weightPerRequest(state) / Math.max(totalWeight, Double.MIN_NORMAL);
       state.value =
-          (agent.settings.goal().overall() + agent.settings.goal().worstWindow()) * classShare;
+          (context.settings.goal().overall() + context.settings.goal().worstWindow()) * classShare;
       if (state == worst) {
         state.value +=
-            agent.settings.goal().worstClass() / Math.max(state.arrivals, Double.MIN_NORMAL);
+            context.settings.goal().worstClass() / Math.max(state.arrivals, Double.MIN_NORMAL);
       }
       state.value /= Math.max(state.typicalLatency, 1);
     }
     classes.byPriority().sort((a, b) -> Double.compare(b.value, a.value));
   }
 
-  /** What one request of a class weighs: its work where worth is counted by work. */
+  /** Returns the weight of one request of a class: its latency where value is counted by work. */
   private double weightPerRequest(RequestClassState state) {
-    return agent.settings.valueByWork() ? state.typicalLatency : 1;
+    return context.settings.valueByWork() ? state.typicalLatency : 1;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java
@@ -9,30 +9,30 @@
 import slateslip.loadbalancer.policy.RetryTokenBucket;
 
 /**
- * The decisions of one agent's balancer: the life of a request and what follows from events. The
- * parts decide the rest: {@link RetryEligibility} what a request's history permits, {@link
- * EndpointSelector} where it goes, {@link Admission} how much a server gets, {@link
- * EndpointHealthChecker} which are available, {@link SlowStart} what one that has just started
- * gets, {@link ClassPriorities} which class goes first.
+ * Handles the requests and events of one agent's load balancer. {@link RetryEligibility} decides
+ * whether a request may be retried, {@link EndpointSelector} which server gets a request, {@link
+ * Admission} how many requests a server may have in flight, {@link EndpointHealthChecker} which
+ * servers are available, {@link SlowStart} how many requests a server gets during its warm-up, and
+ * {@link ClassPriorities} which request class is served first.
  */
 public final class DefaultLoadBalancer implements LoadBalancer {
 
-  /** Further attempts earned by each request: retries can never multiply an overload. */
+  /** Retry tokens that each request earns, so that retries cannot multiply an overload. */
   private static final double RETRY_BUDGET_RATIO = 0.2;
 
-  /** What may be saved up of them, enough for one broken server. */
+  /** Capacity of the retry token bucket: enough to retry the requests of one failed server. */
   private static final double MAX_RETRY_TOKENS = 10;
 
-  /** While requests are held, how often they are looked at, in ticks of the host. */
+  /** Interval between attempts to send the queued requests, in ticks of the host. */
   private static final int SWEEP_TICKS = 4;
 
-  /** Names the timer of the next probe. */
+  /** Token of the timer for the next probe. */
   static final long TIMER_PROBE = -1;
 
   private static final long TIMER_SWEEP = -2;
   static final long TIMER_POLL_DISCOVERY = -3;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private final RequestClasses classes;
   private final LatencyTracker latencies = new LatencyTracker();
   private final WarmServiceRates warmRates;
@@ -44,27 +44,27 @@
   private final ClassPriorities priorities;
   private final DiscoveryPoller discovery;
   private final RetryAfterAdvice retryAfterAdvice;
-  private final RetryTokenBucket retries =
+  private final RetryTokenBucket retryTokens =
       new RetryTokenBucket(RETRY_BUDGET_RATIO, MAX_RETRY_TOKENS);
-  private final QueueReport waitingReport = new QueueReport();
+  private final QueueReport queueReport = new QueueReport();
   private final Map<Long, PendingRequest> pending = new HashMap<>();
-  private final Map<Long, PendingRequest> byToken = new HashMap<>();
+  private final Map<Long, PendingRequest> pendingByToken = new HashMap<>();
   private long nextToken;
   private boolean sweepScheduled;
 
-  /** A new instance that knows nothing but its settings; seed for its random choices. */
+  /** Creates a balancer without learned state; the seed determines its random choices. */
   public DefaultLoadBalancer(Settings settings, long seed, long now, Actions actions) {
-    this.agent = new LoadBalancerContext(settings, seed, actions);
-    this.classes = new RequestClasses(agent);
-    this.warmRates = new WarmServiceRates(agent);
-    this.slowStart = new SlowStart(agent, warmRates);
-    this.subset = new SubsetSizer(agent);
-    this.health = new EndpointHealthChecker(agent, slowStart, subset);
-    this.admission = new Admission(agent, latencies, slowStart, health);
-    this.selector = new EndpointSelector(agent, health, admission, latencies, slowStart, subset);
-    this.priorities = new ClassPriorities(agent, classes, now);
-    this.discovery = new DiscoveryPoller(agent);
-    this.retryAfterAdvice = new RetryAfterAdvice(agent, classes);
+    this.context = new LoadBalancerContext(settings, seed, actions);
+    this.classes = new RequestClasses(context);
+    this.warmRates = new WarmServiceRates(context);
+    this.slowStart = new SlowStart(context, warmRates);
+    this.subset = new SubsetSizer(context);
+    this.health = new EndpointHealthChecker(context, slowStart, subset);
+    this.admission = new Admission(context, latencies, slowStart, health);
+    this.selector = new EndpointSelector(context, health, admission, latencies, slowStart, subset);
+    this.priorities = new ClassPriorities(context, classes, now);
+    this.discovery = new DiscoveryPoller(context);
+    this.retryAfterAdvice = new RetryAfterAdvice(context, classes);
     if (settings.pollDiscovery()) {
       discovery.start();
     }
@@ -76,26 +76,27 @@
     RequestClass type = state.type;
     long latencyTarget =
         type.latencyTarget() + (long) (type.latencyTargetPerCost() * request.cost());
-    long elapsed = state.elapsedBeforeArrival(request, now, agent.settings.tick());
-    // Danger: work for a response already too late. Where that is only reckoned, not marked, such a
-    // request is still served while nobody waits: a client may be hasty by nature.
+    long elapsed = state.elapsedBeforeArrival(request, now, context.settings.tick());
+    // Work for a response that is too late is wasted. If the request is not marked as a retry, its
+    // lateness is only inferred (the client may use short deadlines), and the request is still
+    // served unless others are queued.
     boolean alreadyLate =
         elapsed > 0
             && type.lateValueFraction() == 0
             && latencyTarget - elapsed < state.latencies.value();
     long timeLeft = alreadyLate && !request.repeated() ? latencyTarget : latencyTarget - elapsed;
-    long latestEnd = request.deadline() - agent.settings.tick();
+    long latestEnd = request.deadline() - context.settings.tick();
     long endAt =
         type.lateValueFraction() > 0
             ? latestEnd
-            : Math.min(latestEnd, now + timeLeft - agent.settings.tick());
+            : Math.min(latestEnd, now + timeLeft - context.settings.tick());
     PendingRequest pendingRequest = new PendingRequest(request, state, nextToken++, now, endAt);
     pending.put(request.id(), pendingRequest);
-    byToken.put(pendingRequest.token, pendingRequest);
-    agent.actions.timer(pendingRequest.token, Math.max(0, endAt - now));
+    pendingByToken.put(pendingRequest.token, pendingRequest);
+    context.actions.timer(pendingRequest.token, Math.max(0, endAt - now));
     state.recordArrival(request);
     subset.requestArrived(state.unloadedLatency);
-    retries.earn();
+    retryTokens.earn();
     if (alreadyLate && (request.repeated() || classes.hasQueued())) {
       finish(pendingRequest, now);
     } else {
@@ -103,9 +104,9 @@
     }
   }
 
-  /** Sends a request if its history permits and a server has capacity. */
+  /** Sends an attempt if the history permits one and a server has capacity; false if not sent. */
   private boolean dispatch(PendingRequest pendingRequest, long now) {
-    if (pendingRequest.attempts.size() >= agent.settings.permits().maxAttempts()
+    if (pendingRequest.attempts.size() >= context.settings.permits().maxAttempts()
         || now >= pendingRequest.endAt) {
       return false;
     }
@@ -117,7 +118,7 @@
     pendingRequest.attempts.add(new Attempt(target, now));
     target.inFlight++;
     target.warmupSpent++;
-    agent.actions.send(
+    context.actions.send(
         pendingRequest.request.id(),
         target.id,
         pendingRequest.type.streaming() ? 0 : pendingRequest.endAt - now);
@@ -135,13 +136,13 @@
   private void scheduleSweep() {
     if (!sweepScheduled && classes.hasQueued()) {
       sweepScheduled = true;
-      agent.actions.timer(TIMER_SWEEP, SWEEP_TICKS * agent.settings.tick());
+      context.actions.timer(TIMER_SWEEP, SWEEP_TICKS * context.settings.tick());
     }
   }
 
   /**
-   * Sends what was held for lack of capacity, the newest of each class first. Danger: oldest first,
-   * in a long queue each is sent when it is just too late, and the servers work for nobody.
+   * Sends the queued requests, the newest of each class first. With the oldest first, a long queue
+   * would delay each request until just too late, and servers would work for unused responses.
    */
   private void dispatchQueued(long now) {
     for (RequestClassState state : classes.byPriority()) {
@@ -156,7 +157,8 @@
       while (!queue.isEmpty() && (!queue.peekLast().queued || dispatch(queue.peekLast(), now))) {
         queue.pollLast();
       }
-      // Danger: the oldest would cross zones with too little time left; take the newest that may.
+      // Requests that have waited long enough may cross zones, the newest of them first: the oldest
+      // have too little time left.
       for (var newest = queue.descendingIterator(); newest.hasNext(); ) {
         PendingRequest pendingRequest = newest.next();
         if (pendingRequest.queued
@@ -170,18 +172,18 @@
 
   private void logQueue(long now) {
     long queued = pending.values().stream().filter(each -> each.queued).count();
-    if (queued > 0 && waitingReport.due(now)) {
-      agent.actions.log(
+    if (queued > 0 && queueReport.due(now)) {
+      context.actions.log(
           QueueReport.line(
               now,
               queued,
-              agent.listed,
-              agent.settings.zone(),
+              context.listed,
+              context.settings.zone(),
               each -> health.available(each, now)));
     }
   }
 
-  /** Whether a response would come too late to be worth the work. */
+  /** Returns whether the expected response is later than the request's latest useful time. */
   private boolean cannotFinishInTime(PendingRequest pendingRequest, long now) {
     return now + (long) pendingRequest.state.latencies.value() > pendingRequest.endAt;
   }
@@ -200,12 +202,12 @@
     if (pendingRequest == null
         || attempt >= pendingRequest.attempts.size()
         || pendingRequest.attempts.get(attempt).outcome != null) {
-      return; // not held any more, or told twice
+      return; // the request is complete, or this outcome was reported before
     }
     Attempt ended = pendingRequest.attempts.get(attempt);
     ended.outcome = outcome;
     ended.endpoint.inFlight--;
-    agent.servers.forget(ended.endpoint);
+    context.servers.dropIfUnused(ended.endpoint);
     admission.recordOutcome(pendingRequest, ended.endpoint, outcome, elapsed, now);
     if (closed) {
       close(pendingRequest);
@@ -219,12 +221,12 @@
     dispatchQueued(now);
   }
 
-  /** After a failed attempt: another one where permitted and affordable, or the final answer. */
+  /** Retries after a failed attempt if permitted and within the budget, else ends the request. */
   private void retryOrFinish(PendingRequest pendingRequest, long now) {
     if (!cannotFinishInTime(pendingRequest, now)
         && mayRetry(pendingRequest, now)
-        && retries.permits()) {
-      retries.spend();
+        && retryTokens.permits()) {
+      retryTokens.spend();
       dispatchOrQueue(pendingRequest, now);
     } else {
       finish(pendingRequest, now);
@@ -232,11 +234,11 @@
   }
 
   private boolean mayRetry(PendingRequest pendingRequest, long now) {
-    return pendingRequest.attempts.size() < agent.settings.permits().maxAttempts()
-        && RetryEligibility.maySend(pendingRequest, agent.settings.permits(), now);
+    return pendingRequest.attempts.size() < context.settings.permits().maxAttempts()
+        && RetryEligibility.maySend(pendingRequest, context.settings.permits(), now);
   }
 
-  /** The final answer for a request that will not be served: a refusal where permitted. */
+  /** Ends a request that no server served: refuses where a refusal is permitted, else fails. */
   private void finish(PendingRequest pendingRequest, long now) {
     if (pendingRequest.closed) {
       return;
@@ -244,22 +246,24 @@
     cancelAll(pendingRequest);
     if (!pendingRequest.request.repeated()) {
       pendingRequest.state.unservedWait +=
-          LatencyTracker.BLEND
+          LatencyTracker.EWMA_WEIGHT
               * (now - pendingRequest.arrivedAt - pendingRequest.state.unservedWait);
     }
     if (RetryEligibility.mayRefuse(pendingRequest)) {
-      agent.actions.refuse(
+      context.actions.refuse(
           pendingRequest.request.id(), retryAfterAdvice.micros(pendingRequest, now));
     } else {
-      agent.actions.fail(pendingRequest.request.id());
+      context.actions.fail(pendingRequest.request.id());
     }
     close(pendingRequest);
   }
 
   private void cancelAll(PendingRequest pendingRequest) {
-    for (int i = 0; i < pendingRequest.attempts.size() && agent.settings.permits().cancel(); i++) {
+    for (int i = 0;
+        i < pendingRequest.attempts.size() && context.settings.permits().cancel();
+        i++) {
       if (pendingRequest.attempts.get(i).outcome == null) {
-        agent.actions.cancel(pendingRequest.request.id(), i);
+        context.actions.cancel(pendingRequest.request.id(), i);
       }
     }
   }
@@ -267,7 +271,7 @@
   private void close(PendingRequest pendingRequest) {
     pendingRequest.closed = true;
     pendingRequest.queued = false;
-    byToken.remove(pendingRequest.token);
+    pendingByToken.remove(pendingRequest.token);
     if (pendingRequest.attemptsInFlight() == 0) {
       pending.remove(pendingRequest.request.id());
     }
@@ -278,8 +282,8 @@
     PendingRequest pendingRequest = pending.get(request);
     if (pendingRequest != null && !pendingRequest.closed) {
       cancelAll(pendingRequest);
-      pendingRequest.state.queued.remove(
-          pendingRequest); // it would count among those that wait until its turn came
+      // A request left in the queue would be counted as waiting until the queue is processed.
+      pendingRequest.state.queued.remove(pendingRequest);
       close(pendingRequest);
     }
   }
@@ -303,15 +307,16 @@
       sweepScheduled = false;
       scheduleSweep();
     } else if (token == TIMER_POLL_DISCOVERY) {
-      agent.actions.watchServers();
+      context.actions.watchServers();
     } else {
-      PendingRequest pendingRequest = byToken.get(token);
+      PendingRequest pendingRequest = pendingByToken.get(token);
       if (pendingRequest == null || pendingRequest.streaming) {
-        return; // answered long ago, or with the client now
+        return; // the request is complete, or its response is streaming
       }
       if (pendingRequest.attemptsInFlight() > 0
-          && now < pendingRequest.endAt + agent.settings.tick()) {
-        agent.actions.timer(token, agent.settings.tick()); // the attempt's time-out comes too
+          && now < pendingRequest.endAt + context.settings.tick()) {
+        // The host reports the timeout of the attempt within one more tick.
+        context.actions.timer(token, context.settings.tick());
       } else {
         finish(pendingRequest, now);
       }
@@ -319,7 +324,9 @@
   }
 
   @Override
-  public void message(long now, int agent, byte[] message) {} // no message has earned its price yet
+  public void message(long now, int agent, byte[] message) {
+    // Agents exchange no messages: no use of messages has been worth their cost so far.
+  }
 
   @Override
   public void settings(long now, SettingsReload next) {
@@ -330,20 +337,19 @@
           SettingsReload.strictest(
               pendingRequest.type, to < 0 ? null : next.settings().classes().get(to));
     }
-    if (next.settings().pollDiscovery() && !agent.settings.pollDiscovery()) {
-      agent.actions.watchServers();
+    if (next.settings().pollDiscovery() && !context.settings.pollDiscovery()) {
+      context.actions.watchServers();
     }
-    agent.settings = next.settings();
+    context.settings = next.settings();
     classes.reload(next);
-    if (next.movesServers() || warmRates.zonesDiffer()) {
-      agent.servers.move(next, pending.values());
+    if (next.remapsServers() || warmRates.zoneCountDiffers()) {
+      context.servers.remap(next, pending.values());
       latencies.remapKinds(next);
       warmRates.remapZones(next);
     }
     slowStart.settingsChanged(now);
     health.settingsChanged();
-    // Danger: one that may not go again would stand before others in its queue until its time is
-    // up.
+    // A queued request that must not be retried would block its queue until its deadline.
     for (RequestClassState state : classes.byPriority()) {
       List.copyOf(state.queued).stream()
           .filter(pendingRequest -> pendingRequest.queued && !mayRetry(pendingRequest, now))
@@ -363,7 +369,7 @@
   @Override
   public void servers(long now, ListKind kind, List<Server> entries) {
     if (kind == ListKind.FAILED) {
-      if (agent.settings.pollDiscovery()) {
+      if (context.settings.pollDiscovery()) {
         discovery.retryLater();
       }
       return;
@@ -373,16 +379,16 @@
     }
     warmRates.updateAll(now);
     if (kind != ListKind.DELTA) {
-      agent.servers.retain(entries);
+      context.servers.retain(entries);
     }
     for (Server entry : entries) {
-      Endpoint started = agent.servers.apply(entry);
+      Endpoint started = context.servers.apply(entry);
       if (started != null) {
         slowStart.serverStarted(now, started);
       }
     }
-    agent.servers.order(agent.settings.agent());
-    admission.startLimits(subset.idleSubsetSize(SubsetSizer.MIN_LOCAL));
+    context.servers.sortByHash(context.settings.agent());
+    admission.initializeLimits(subset.idleSubsetSize(SubsetSizer.MIN_LOCAL));
     health.probeUnlessProbing(now);
     dispatchQueued(now);
   }
--- a/src/main/java/slateslip/loadbalancer/DiscoveryPoller.java
+++ b/src/main/java/slateslip/loadbalancer/DiscoveryPoller.java
@@ -1,58 +1,58 @@
 package slateslip.loadbalancer;
 
-/** When discovery is asked again, where the load balancer has to say so. */
+/** Schedules the polls of discovery, where the settings leave polling to the load balancer. */
 final class DiscoveryPoller {
   private static final long SECOND = 1_000_000;
 
   /**
-   * Two waits in a row before discovery is asked again take this at the most: of the protocol's 6 s
-   * from a change, or the return of discovery, until it counts as told, the last second is for the
-   * answer.
+   * Limits the sum of two successive poll delays: the protocol allows 6 s from a change, or from
+   * the return of discovery, until agents must have the list; the last second is for the response.
    */
-  private static final long MAX_DOUBLE_DELAY = 5 * SECOND;
+  private static final long MAX_TWO_DELAYS = 5 * SECOND;
 
-  /** And each at the least: a discovery that rejects calls is not to be flooded with more. */
+  /** Minimum poll delay, so that agents do not flood a discovery service that rejects calls. */
   private static final long MIN_POLL_DELAY = SECOND / 2;
 
   /**
-   * The part of the time that the settings leave for asking over which the first calls are spread.
+   * Divisor of the time allowed for the first poll; the first polls of the agents are spread over
+   * the quotient.
    */
-  private static final int INITIAL_POLL_SPREAD = 4;
+  private static final int INITIAL_POLL_DIVISOR = 4;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
 
-  /** The last wait before discovery was asked again; half of two while it answers. */
-  private long pollDelay = MAX_DOUBLE_DELAY / 2;
+  /** The last poll delay in microseconds; half of the limit for two while discovery responds. */
+  private long pollDelay = MAX_TWO_DELAYS / 2;
 
-  DiscoveryPoller(LoadBalancerContext agent) {
-    this.agent = agent;
+  DiscoveryPoller(LoadBalancerContext context) {
+    this.context = context;
   }
 
   /**
-   * Asks for the first time. Danger: agents started together call together, and discovery turns
-   * most of them away.
+   * Schedules the first poll after a random delay: agents that are started together would otherwise
+   * poll together, and discovery would reject most of the calls.
    */
   void start() {
-    long spread = agent.settings.obligations().discoveryWithin() / INITIAL_POLL_SPREAD;
-    schedule(agent.random.nextLong(spread + 1));
+    long spread = context.settings.obligations().discoveryWithin() / INITIAL_POLL_DIVISOR;
+    schedule(context.random.nextLong(spread + 1));
   }
 
   /**
-   * Discovery could not be reached. Danger: waits that grow leave an old list in use; equal ones
-   * keep the agents in step, and those who were rejected together are rejected again.
+   * Schedules a poll after discovery could not be reached. Growing delays would leave an old list
+   * in use; equal delays would keep rejected agents in step, and they would be rejected again.
    */
   void retryLater() {
     pollDelay =
-        MIN_POLL_DELAY + agent.random.nextLong(MAX_DOUBLE_DELAY - pollDelay - MIN_POLL_DELAY + 1);
+        MIN_POLL_DELAY + context.random.nextLong(MAX_TWO_DELAYS - pollDelay - MIN_POLL_DELAY + 1);
     schedule(pollDelay);
   }
 
-  /** Discovery has answered. */
+  /** Resets the poll delay after a response of discovery. */
   void responded() {
-    pollDelay = MAX_DOUBLE_DELAY / 2;
+    pollDelay = MAX_TWO_DELAYS / 2;
   }
 
   private void schedule(long delay) {
-    agent.actions.timer(DefaultLoadBalancer.TIMER_POLL_DISCOVERY, delay);
+    context.actions.timer(DefaultLoadBalancer.TIMER_POLL_DISCOVERY, delay);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/Endpoint.java
+++ b/src/main/java/slateslip/loadbalancer/Endpoint.java
@@ -4,66 +4,72 @@
 import slateslip.loadbalancer.policy.BackendHealth;
 import slateslip.loadbalancer.policy.HealthParameters;
 
-/** What one agent knows of one server. State only; others decide. */
+/** State that one agent keeps of one server; the decisions are made elsewhere. */
 final class Endpoint {
   final long id;
 
-  /** Its line of the server list. */
+  /** The server's latest entry in the server list. */
   Server listing;
 
-  /** Whether new requests may go to it at all: listed as ready. */
+  /** Whether the server may get new requests: the list reports the server as ready. */
   boolean ready;
 
-  /** Whether the list has it no more. */
+  /** Whether the server list no longer contains the server. */
   boolean removed;
 
   final BackendHealth health;
   boolean probePending;
   boolean respondedSinceProbe;
 
-  /** This agent's attempts that are out. */
+  /** This agent's attempts in flight at the server. */
   int inFlight;
 
-  /** How many it may have in flight at once; 0 until reckoned. */
+  /** Limit of this agent's requests in flight at the server; 0 until the first limit is set. */
   double limit;
 
-  /** Its answer times against those of all servers, as a mean. */
+  /** Running mean of the server's response times relative to those of all servers. */
   double slowdown = 1;
 
-  /** When that was last measured. */
+  /** Time of the last change of {@link #slowdown}, in microseconds. */
   long slowdownAt;
 
-  /** A quantile of its response times, each as a multiple of its class's lowest. */
+  /** Quantile of the server's response times, each as a multiple of its class's lowest quantile. */
   final QuantileEstimator slownessQuantile = new QuantileEstimator(LatencyTracker.QUANTILE);
 
-  /** When it last answered. */
+  /** Time of the last successful response, in microseconds. */
   long respondedAt;
 
-  /** Fast failures in a row, and until when it rests for them. */
+  /** Consecutive failures, which double the backoff. */
   int consecutiveFailures;
 
+  /** End of the backoff after failures, in microseconds; nothing is sent before. */
   long backoffUntil;
 
-  /** Start and end of the warm-up this agent believes in. */
+  /** Start of the warm-up that this agent assumes, in microseconds. */
   long warmupStart;
 
+  /** End of the warm-up that this agent assumes, in microseconds. */
   long warmupEnd = Long.MIN_VALUE;
 
-  /** Requests granted since it became cold, those sent or lost, and when that was reckoned. */
+  /** Requests that this agent has been granted since the warm-up began; may be fractional. */
   double warmupGranted;
 
+  /** Granted requests that were sent or have expired. */
   double warmupSpent;
+
+  /** Time of the last change of {@link #warmupGranted}, in microseconds. */
   long warmupUpdatedAt;
 
-  /** A broken connection or a dead probe was seen and no response since. */
+  /** Whether a failed connection or probe was seen and no response since. */
   boolean suspectedRestart;
 
-  /** When that was first seen. */
+  /** Time at which {@link #suspectedRestart} was set, in microseconds. */
   long suspectedAt;
 
-  /** Answers a second, as a mean that fades, and when it was reckoned. */
+  /** Decaying mean of the server's responses per second to this agent. */
   double responseRate;
 
+  /** Time of the last change of {@link #responseRate}, in microseconds. */
   long responseRateAt;
 
   Endpoint(long id, HealthParameters parameters) {
@@ -71,7 +77,7 @@
     this.health = new BackendHealth(parameters);
   }
 
-  /** Whether it may still be warming up. */
+  /** Returns whether the server may still be warming up. */
   boolean isWarmingUp(long now) {
     return now < warmupEnd;
   }
--- a/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointHealthChecker.java
@@ -8,86 +8,75 @@
 import slateslip.loadbalancer.policy.HealthParameters;
 
 /**
- * Which servers are available: the agent's probes, and how its requests end beside those of its
- * peers.
+ * Determines which servers are available, by the agent's probes and by the outcomes of its requests
+ * at a server compared with those at the other servers of the zone.
  */
 final class EndpointHealthChecker {
   private static final long SECOND = 1_000_000;
 
-  /**
-   * Between two probes of a server, by all that share it: an unresponsive one is found for a small
-   * price.
-   */
+  /** Interval between probes of a server by all its agents: detects a failure at a low cost. */
   private static final long PROBE_INTERVAL = SECOND;
 
-  /** Failed probes in a row that make a server Unhealthy; the design's default. */
+  /** Consecutive failed probes that make a server Unhealthy; the default of the design. */
   private static final int PROBE_THRESHOLD = 2;
 
-  /**
-   * The sliding window: long enough to hold a light agent's few requests, short beside an outage.
-   */
+  /** Sliding window: holds the few requests of a lightly loaded agent, short beside an outage. */
   private static final long WINDOW = 10 * SECOND;
 
   /**
-   * Requests in the window before the passive state is judged; a light agent never sees the default
-   * 10.
+   * Requests needed to judge the passive state; lightly loaded agents never reach the default 10.
    */
-  private static final int WINDOW_MINIMUM = 5;
+  private static final int MIN_REQUESTS = 5;
 
-  /** Failure share over which the passive state is Unhealthy; the design's default. */
+  /** Failure share above which the passive state is Unhealthy; the default of the design. */
   private static final double FAILURE_LIMIT = 0.3;
 
-  /**
-   * And by how many deviations above the peers' share: what fails everywhere is no server's fault.
-   */
-  private static final double EJECTION_MARGIN = 1;
+  /** Standard deviations above the peers' share: failures common to all are no server's fault. */
+  private static final double EJECTION_DEVIATIONS = 1;
 
-  /** After this the passive state is Unknown again. */
+  /** Time after which the passive state is Unknown again, in microseconds. */
   private static final long REACTIVATION = 5 * SECOND;
 
-  /** What {@link BackendHealth} goes by. */
+  /** Thresholds for {@link BackendHealth}. */
   static final HealthParameters PARAMETERS =
       new HealthParameters(
-          PROBE_THRESHOLD, WINDOW, WINDOW_MINIMUM, FAILURE_LIMIT, EJECTION_MARGIN, REACTIVATION);
+          PROBE_THRESHOLD, WINDOW, MIN_REQUESTS, FAILURE_LIMIT, EJECTION_DEVIATIONS, REACTIVATION);
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private final SlowStart slowStart;
   private final SubsetSizer subset;
   private int nextProbeIndex;
   private boolean probing;
 
-  EndpointHealthChecker(LoadBalancerContext agent, SlowStart slowStart, SubsetSizer subset) {
-    this.agent = agent;
+  EndpointHealthChecker(LoadBalancerContext context, SlowStart slowStart, SubsetSizer subset) {
+    this.context = context;
     this.slowStart = slowStart;
     this.subset = subset;
-    this.nextProbeIndex = agent.random.nextInt(1 << 16);
+    this.nextProbeIndex = context.random.nextInt(1 << 16);
   }
 
-  /** Whether a server is available now; its passive state is reset where that is due. */
+  /** Returns whether a server is available; resets a passive state whose time is over. */
   boolean available(Endpoint target, long now) {
     if (target.health.reactivateIfDue(now)) {
       target.limit = 1;
-      agent.servers.log(target, "passive Unknown: reactivated");
+      context.servers.log(target, "passive Unknown: reactivated");
     }
     return target.health.available();
   }
 
-  /**
-   * Makes the passive state Unhealthy when too much fails here, and more than elsewhere in its
-   * zone.
-   */
+  /** Ejects a server if its failure share is too high, and higher than that of its zone's peers. */
   void ejectIfFailing(Endpoint target, long now) {
     if (!target.health.failsTooOften()) {
       return;
     }
     List<BackendHealth> peers = new ArrayList<>();
-    for (Endpoint peer : agent.listed) {
+    for (Endpoint peer : context.listed) {
       if (peer != target && peer.listing.zone() == target.listing.zone()) {
         peers.add(peer.health);
       }
     }
     if (target.health.ejectIfFailing(now, peers)) {
-      agent.servers.log(
+      context.servers.log(
           target,
           "passive Unhealthy: "
               + target.health.failuresInWindow()
@@ -97,78 +86,76 @@
     }
   }
 
-  /** Those it draws from, and what stands before them that is not available and may recover. */
+  /** Returns the own zone's subset and the unavailable servers listed before, which may recover. */
   private List<Endpoint> probeCandidates(long now) {
     List<Endpoint> probeCandidates = new ArrayList<>();
     int remaining = subset.subsetSize(SubsetSizer.MIN_LOCAL, now);
-    for (Endpoint target : agent.listed) {
+    for (Endpoint target : context.listed) {
       if (remaining == 0) {
         break;
       }
-      if (target.ready && target.listing.zone() == agent.settings.zone()) {
+      if (target.ready && target.listing.zone() == context.settings.zone()) {
         probeCandidates.add(target);
         remaining -= available(target, now) ? 1 : 0;
       }
     }
-    return probeCandidates.isEmpty() ? agent.listed : probeCandidates;
+    return probeCandidates.isEmpty() ? context.listed : probeCandidates;
   }
 
   /**
-   * Sends the next probe and sets the time of another. Danger: every agent probes every server, and
-   * at size the probes cost more than the requests; and agents started together would probe in
-   * step.
+   * Sends the next probe and schedules another. If every agent probed every server, the probes of a
+   * large fleet would cost more than its requests. Random delays separate agents started together.
    */
   void probe(long now, double minDelayFraction) {
-    probing = agent.settings.permits().probes() && !agent.listed.isEmpty();
+    probing = context.settings.permits().probes() && !context.listed.isEmpty();
     if (!probing) {
       return;
     }
     List<Endpoint> probeCandidates = probeCandidates(now);
     double sharers =
-        (double) agent.settings.agents() * probeCandidates.size() / agent.listed.size();
+        (double) context.settings.agents() * probeCandidates.size() / context.listed.size();
     double mean = PROBE_INTERVAL * Math.max(1, sharers) / probeCandidates.size();
-    agent.actions.timer(
+    context.actions.timer(
         DefaultLoadBalancer.TIMER_PROBE,
-        1 + (long) (mean * (minDelayFraction + agent.random.nextDouble())));
+        1 + (long) (mean * (minDelayFraction + context.random.nextDouble())));
     Endpoint target = probeCandidates.get(nextProbeIndex++ % probeCandidates.size());
     if (minDelayFraction > 0 && !target.probePending) {
       target.probePending = true;
-      agent.actions.probe(target.id);
+      context.actions.probe(target.id);
     }
   }
 
   /**
-   * Takes how a probe ended.
+   * Processes the outcome of a probe.
    *
-   * @return whether that says anything about the server
+   * @return whether the outcome says anything about the server
    */
   boolean probed(long now, long server, Outcome outcome) {
-    Endpoint target = agent.servers.find(server);
+    Endpoint target = context.servers.find(server);
     if (target == null) {
       return false;
     }
     target.probePending = false;
     if (outcome == Outcome.NEVER_SENT) {
-      return false; // says nothing about the server
+      return false; // the outcome says nothing about the server
     }
     if (outcome == Outcome.OK) {
       slowStart.responseReceived(target, now);
       if (target.health.probeSucceeded()) {
-        agent.servers.log(target, "active Healthy: probe answered");
+        context.servers.log(target, "active Healthy: probe answered");
       }
     } else if ((outcome == Outcome.TIMEOUT || outcome == Outcome.RESET)
         && target.respondedSinceProbe) {
-      // Danger: a busy server answers probes late, and a connection may break under one; real
-      // answers
-      // prove that it lives.
+      // A busy server answers probes late, and a probe's connection may break; responses to
+      // requests prove that the server is alive.
       target.health.probeInconclusive();
     } else {
       if (outcome == Outcome.CONNECT_FAILED) {
-        slowStart.connectionLost(target, now);
+        slowStart.suspectRestart(target, now);
       }
       if (target.health.probeFailed()) {
-        slowStart.connectionLost(target, now);
-        agent.servers.log(
+        slowStart.suspectRestart(target, now);
+        context.servers.log(
             target, "active Unhealthy: " + target.health.probeFailures() + " probes failed");
       }
     }
@@ -176,20 +163,17 @@
     return true;
   }
 
-  /** Begins to probe where that is permitted and has not begun. */
+  /** Starts to probe if probes are permitted and not yet running. */
   void probeUnlessProbing(long now) {
     if (!probing) {
       probe(now, 0);
     }
   }
 
-  /**
-   * Danger: without probes nothing would ever make a server available again that they found
-   * Unhealthy.
-   */
+  /** Resets Unhealthy active states where probes are no longer permitted: only probes end them. */
   void settingsChanged() {
-    for (Endpoint target : agent.listed) {
-      if (!agent.settings.permits().probes() && target.health.active() == State.UNHEALTHY) {
+    for (Endpoint target : context.listed) {
+      if (!context.settings.permits().probes() && target.health.active() == State.UNHEALTHY) {
         target.health.resetActive();
       }
     }
--- a/src/main/java/slateslip/loadbalancer/EndpointSelector.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointSelector.java
@@ -7,20 +7,20 @@
 import slateslip.loadbalancer.policy.RendezvousHash;
 
 /**
- * Which server gets a request: of two random available ones of the own zone that with fewer of this
- * agent's requests in flight; then other zones; then all.
+ * Selects the server of an attempt: the one with fewer of this agent's requests in flight of two
+ * random available servers of the agent's zone, then of other zones, then of all servers.
  */
 final class EndpointSelector {
   /**
-   * How fast the share of keys that cross zones at once follows what is seen: some hundred
+   * Adaptation rate of {@link #crossZoneFraction}, which follows a change within some hundred
    * requests.
    */
   private static final double CROSS_ZONE_STEP = 0.01;
 
-  /** Of two with as many requests in flight the one that was drawn first. */
+  /** Prefers the server drawn first if two servers have equally many requests in flight. */
   private static final Comparator<Endpoint> FIRST_DRAWN = (unusedFirst, unusedSecond) -> 0;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private final EndpointHealthChecker health;
   private final Admission admission;
   private final LatencyTracker latencies;
@@ -28,17 +28,17 @@
   private final SubsetSizer subset;
   private final List<Endpoint> candidates = new ArrayList<>();
 
-  /** The share of keys that cross zones at once. */
+  /** Fraction of the keys whose requests use other zones immediately instead of waiting. */
   private double crossZoneFraction;
 
   EndpointSelector(
-      LoadBalancerContext agent,
+      LoadBalancerContext context,
       EndpointHealthChecker health,
       Admission admission,
       LatencyTracker latencies,
       SlowStart slowStart,
       SubsetSizer subset) {
-    this.agent = agent;
+    this.context = context;
     this.health = health;
     this.admission = admission;
     this.latencies = latencies;
@@ -47,20 +47,20 @@
   }
 
   Endpoint select(PendingRequest req, long now) {
-    if (!RetryEligibility.maySend(req, agent.settings.permits(), now)) {
+    if (!RetryEligibility.maySend(req, context.settings.permits(), now)) {
       return null;
     }
-    // Guards against a request held to its last moment though no server is left that it has not
-    // been to.
+    // Permits another attempt at servers that could not be reached once no untried server is left;
+    // otherwise the request would wait until its deadline.
     req.mayRevisit =
         !req.attempts.isEmpty()
-            && agent.listed.stream()
+            && context.listed.stream()
                 .allMatch(
                     each ->
                         !each.ready
                             || !health.available(each, now)
                             || req.wasSentTo(each)
-                            || !RetryEligibility.inGroups(req, each));
+                            || !RetryEligibility.inDeduplicationScope(req, each));
     boolean crossesZones =
         hasAffinity(req) && RendezvousHash.position(~req.request.key()) < crossZoneFraction;
     Endpoint best = crossesZones ? selectAmong(req, now, true, 0) : null;
@@ -69,19 +69,19 @@
       crossZoneFraction -=
           best == null
               ? 0
-              : CROSS_ZONE_STEP * agent.settings.prices().crossZone() * crossZoneFraction;
+              : CROSS_ZONE_STEP * context.settings.prices().crossZone() * crossZoneFraction;
     }
     if (best != null) {
       return best;
     }
     boolean availableAnywhere =
-        agent.listed.stream().anyMatch(each -> each.ready && health.available(each, now));
+        context.listed.stream().anyMatch(each -> each.ready && health.available(each, now));
     boolean availableHere =
-        agent.listed.stream()
+        context.listed.stream()
             .anyMatch(
                 each ->
                     each.ready
-                        && each.listing.zone() == agent.settings.zone()
+                        && each.listing.zone() == context.settings.zone()
                         && health.available(each, now));
     if (!availableAnywhere) {
       return selectAmong(req, now, false, -1);
@@ -91,48 +91,48 @@
     }
     best = selectAmong(req, now, true, 0);
     if (best != null && availableHere) {
-      // Danger: keys that cross only after waiting are met by too many servers and known to none.
-      // As
-      // long as requests have to wait out the price, more of the keys go over, always the same
-      // ones.
+      // Keys that cross zones only after a wait reach too many servers, and no server caches them.
+      // While requests have to wait, a growing and always identical set of keys crosses
+      // immediately.
       crossZoneFraction += CROSS_ZONE_STEP * (1 - crossZoneFraction);
     }
     return best;
   }
 
-  /** Whether servers are quicker with this request's key where they met it lately. */
+  /** Returns whether servers are faster with this request's key if they served the key lately. */
   private boolean hasAffinity(PendingRequest req) {
-    return agent.settings.keyAffinity() && req.request.key() != 0;
+    return context.settings.keyAffinity() && req.request.key() != 0;
   }
 
   /**
-   * Crossing zones costs its price: while servers are available here, that part of the time is
-   * waited.
+   * Returns the wait in microseconds before a request crosses zones while the own zone has
+   * available servers: the cross-zone price as a fraction of the request's time.
    */
   long crossZoneDelay(PendingRequest req) {
-    return (long) ((req.endAt - req.arrivedAt) * Math.min(1, agent.settings.prices().crossZone()));
+    return (long)
+        ((req.endAt - req.arrivedAt) * Math.min(1, context.settings.prices().crossZone()));
   }
 
-  /** The two-draw pick among servers with capacity; where: 1 own zone, 0 other zones, -1 all. */
+  /** Selects a server with capacity, or null; zoneFilter: 1 own zone, 0 other zones, -1 all. */
   private Endpoint selectAmong(PendingRequest req, long now, boolean onlyHealthy, int zoneFilter) {
     candidates.clear();
     double capacity = 0;
     int inFlight = 0;
     int minSubset = zoneFilter == 1 ? SubsetSizer.MIN_LOCAL : SubsetSizer.MIN_REMOTE;
-    int remaining = hasAffinity(req) ? agent.listed.size() : subset.subsetSize(minSubset, now);
-    for (Endpoint target : agent.listed) {
+    int remaining = hasAffinity(req) ? context.listed.size() : subset.subsetSize(minSubset, now);
+    for (Endpoint target : context.listed) {
       if (remaining == 0) {
-        break; // Danger: with a thousand agent.listed, looking at each costs more than all else
+        break; // examining all of a thousand servers would dominate the cost of a request
       }
       if (target.ready
           && (!onlyHealthy || health.available(target, now))
           && (zoneFilter < 0
-              || (target.listing.zone() == agent.settings.zone()) == (zoneFilter == 1))) {
+              || (target.listing.zone() == context.settings.zone()) == (zoneFilter == 1))) {
         remaining--;
         capacity += target.limit - target.inFlight;
         inFlight += target.inFlight;
         if (!req.isExcluded(target)
-            && RetryEligibility.inGroups(req, target)
+            && RetryEligibility.inDeduplicationScope(req, target)
             && admission.hasCapacity(target, now)
             && slowStart.canFinishInTime(req, target, now)) {
           candidates.add(target);
@@ -140,28 +140,28 @@
       }
     }
     if (inFlight > 0 && capacity < 1) {
-      return null; // Danger: one request at each of a few servers, times hundreds of agents, is a
-      // jam
+      return null; // one request per server from hundreds of agents is an overload
     }
     if (hasAffinity(req)) {
       removeBusy();
     }
     if (hasAffinity(req) && candidates.size() > 1) {
-      // All agents draw the same two by the key's hash.
+      // All agents select the same two servers by the key's hash.
       Endpoint first = highestWeight(req.request.key(), null);
       Endpoint second = highestWeight(req.request.key(), first);
       return PowerOfTwoChoices.less(first, second, Endpoint::inFlight, FIRST_DRAWN);
     }
     Comparator<Endpoint> ties =
-        agent.settings.keyAffinity()
+        context.settings.keyAffinity()
             ? FIRST_DRAWN
             : Comparator.comparingDouble(each -> latencies.slowdown(each, now));
-    return PowerOfTwoChoices.pick(candidates, Endpoint::inFlight, ties, agent.random);
+    return PowerOfTwoChoices.pick(candidates, Endpoint::inFlight, ties, context.random);
   }
 
   /**
-   * Leaves servers with at most one over the mean in flight: hashing with bounded loads. Danger:
-   * the servers of a key that many ask for have far more than the others, up to their limits.
+   * Keeps servers with at most one request above the mean in flight (hashing with bounded loads).
+   * Otherwise the servers of a popular key would be loaded far above the others, up to their
+   * limits.
    */
   private void removeBusy() {
     double max = 1 + candidates.stream().mapToInt(each -> each.inFlight).average().orElse(0);
--- a/src/main/java/slateslip/loadbalancer/EndpointTable.java
+++ b/src/main/java/slateslip/loadbalancer/EndpointTable.java
@@ -16,13 +16,13 @@
 import slateslip.loadbalancer.policy.RendezvousHash;
 
 /**
- * The servers that an agent knows: those listed now, and those gone at which requests are still
- * out.
+ * The servers known to an agent: those in the server list, and those removed from the list that
+ * still have requests in flight.
  */
 final class EndpointTable {
   private final HealthParameters health;
   private final Actions actions;
-  private final Map<Long, Endpoint> targets = new HashMap<>();
+  private final Map<Long, Endpoint> endpoints = new HashMap<>();
   private final List<Endpoint> listed = new ArrayList<>();
 
   EndpointTable(HealthParameters health, Actions actions) {
@@ -30,36 +30,39 @@
     this.actions = actions;
   }
 
-  /** The servers now listed, in the order of this agent's own hash. */
+  /** Returns the servers in the server list, ordered by a hash that differs between agents. */
   List<Endpoint> listed() {
     return listed;
   }
 
-  /** A server that is listed or at which requests are still out; null for any other. */
+  /**
+   * Returns the server with this id, or null if the server is neither listed nor has requests in
+   * flight.
+   */
   Endpoint find(long id) {
-    return targets.get(id);
+    return endpoints.get(id);
   }
 
-  /** Removes all but those of a complete list. */
+  /** Removes the listed servers that a complete list does not contain. */
   void retain(Collection<Server> entries) {
     Set<Long> complete = entries.stream().map(Server::id).collect(Collectors.toSet());
     List.copyOf(listed).stream().filter(each -> !complete.contains(each.id)).forEach(this::remove);
   }
 
   /**
-   * Takes one line of the list.
+   * Applies one entry of the server list.
    *
-   * @return the server if this line says that it has started anew, else null
+   * @return the server if the entry reports a start that is new to this agent, else null
    */
   Endpoint apply(Server entry) {
     if (entry.phase() == Phase.GONE) {
-      Endpoint removed = targets.get(entry.id());
+      Endpoint removed = endpoints.get(entry.id());
       if (removed != null) {
         remove(removed);
       }
       return null;
     }
-    Endpoint target = targets.computeIfAbsent(entry.id(), id -> new Endpoint(id, health));
+    Endpoint target = endpoints.computeIfAbsent(entry.id(), id -> new Endpoint(id, health));
     Server before = target.listing;
     if (before == null || target.removed) {
       listed.add(target);
@@ -76,10 +79,10 @@
   }
 
   /**
-   * Orders the listed by an agent's own hash: the first few are its subset, and each agent has
-   * another.
+   * Sorts the listed servers by a hash of server and agent: the first few are the agent's subset,
+   * and each agent gets a different subset.
    */
-  void order(int agent) {
+  void sortByHash(int agent) {
     listed.sort(Comparator.comparingLong(each -> RendezvousHash.weight(each.id, agent)));
   }
 
@@ -89,28 +92,32 @@
     }
     target.ready = false;
     target.removed = true;
-    forget(target);
+    dropIfUnused(target);
   }
 
   /**
-   * Danger: servers come and go for ever. What is known of one goes with it once nothing is out.
+   * Drops a removed server without requests in flight. Servers come and go all the time; without
+   * this, the table would grow without limit.
    */
-  void forget(Endpoint target) {
+  void dropIfUnused(Endpoint target) {
     if (target.removed && target.inFlight == 0) {
-      targets.remove(target.id);
+      endpoints.remove(target.id);
     }
   }
 
   /**
-   * Zones and kinds go by their new positions, also of servers that only an attempt still knows.
+   * Replaces zone and kind of each known server by their new positions, including servers that only
+   * an attempt still refers to.
    */
-  void move(SettingsReload next, Collection<PendingRequest> open) {
-    Set<Endpoint> known = new HashSet<>(targets.values());
+  void remap(SettingsReload next, Collection<PendingRequest> open) {
+    Set<Endpoint> known = new HashSet<>(endpoints.values());
     open.forEach(req -> req.attempts.forEach(attempt -> known.add(attempt.endpoint)));
     known.forEach(target -> target.listing = next.remapped(target.listing));
   }
 
-  /** Tells on-call staff of a server, unless it is gone and nobody is to look after it. */
+  /**
+   * Logs a change of a server for the operators, unless the server has been removed from the list.
+   */
   void log(Endpoint target, String what) {
     if (!target.removed) {
       actions.log("server " + target.id + " " + what);
--- a/src/main/java/slateslip/loadbalancer/LoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/LoadBalancer.java
@@ -3,72 +3,74 @@
 import java.util.List;
 
 /**
- * One agent's balancer: events in, actions out. The host calls one method for each event, in the
- * order of the events, from one thread at a time; the balancer answers through {@link Actions}
- * before the call returns. All times are microseconds on one clock that never runs backwards.
- * Instances share nothing.
+ * The load balancer of one agent: the host reports events, and the load balancer responds with
+ * actions. The host calls one method for each event, in the order of the events, from one thread at
+ * a time; the load balancer calls {@link Actions} before the method returns. All times are in
+ * microseconds of one clock that never runs backwards. Instances share no state.
  */
 public interface LoadBalancer {
 
   /** How often the effect of a request may happen. */
   enum Semantics {
-    /** Any number of times. */
+    /** The effect may happen any number of times. */
     SAFE,
-    /** Repeats dropped by a group for a while. */
+    /** A group of servers drops repeats of the request within a time window. */
     KEYED,
-    /** At most once. */
+    /** The effect may happen at most once. */
     UNSAFE
   }
 
-  /** Which servers drop the repeats of a keyed request that one of them has seen. */
+  /**
+   * The group of servers that drop the repeats of a keyed request that one of them has received.
+   */
   enum Scope {
-    /** Every server. */
+    /** All servers. */
     ALL,
-    /** Those of the server's zone. */
+    /** The servers in the zone of the server that received the request. */
     ZONE,
-    /** Those of the server's cell. */
+    /** The servers in the cell of the server that received the request. */
     CELL
   }
 
-  /** What discovery says of a server. */
+  /** State of a server in the server list. */
   enum Phase {
-    /** It takes requests. */
+    /** The server accepts requests. */
     READY,
-    /** It takes nothing new. */
+    /** The server accepts no new requests. */
     DRAINING,
-    /** It has left. */
+    /** The server has been removed. */
     GONE
   }
 
-  /** What a list of servers holds. */
+  /** What the entries of a server list stand for. */
   enum ListKind {
-    /** Changed entries only. */
+    /** Only the entries that have changed. */
     DELTA,
-    /** Every server there is. */
+    /** All servers. */
     FULL,
-    /** Every server, as last held by the host; perhaps old. */
+    /** All servers, from the host's cache; possibly out of date. */
     CACHED,
-    /** No list: discovery could not be reached. */
+    /** No list, because discovery could not be reached. */
     FAILED
   }
 
   /** How an attempt or a probe ended. */
   enum Outcome {
-    /** Responded. */
+    /** The server responded. */
     OK(false),
-    /** Error answer. */
+    /** The server responded with an error. */
     ERROR(false),
-    /** Turned away unseen. */
+    /** The server rejected the attempt without processing. */
     FULL(true),
-    /** No response in the time given. */
+    /** No response arrived within the timeout. */
     TIMEOUT(false),
-    /** No connection. */
+    /** No connection could be opened. */
     CONNECT_FAILED(true),
     /** The connection broke. */
     RESET(false),
-    /** Given up by the balancer. */
+    /** The load balancer cancelled the attempt. */
     CANCELLED(false),
-    /** The host could not send it. */
+    /** The host could not send the attempt. */
     NEVER_SENT(true);
 
     private final boolean neverRan;
@@ -78,41 +80,43 @@
     }
 
     /**
-     * Whether this outcome proves that the attempt had no effect.
+     * Returns whether this outcome proves that the attempt had no effect.
      *
-     * @return false if it may have run
+     * @return false if the attempt may have run
      */
     public boolean neverRan() {
       return neverRan;
     }
   }
 
-  /** The values a load report may hold. */
+  /** The fields that the load report of a server may contain. */
   enum LoadField {
-    /** Requests held. */
+    /** Number of requests at the server. */
     IN_FLIGHT,
-    /** Requests waiting. */
+    /** Number of requests that wait at the server. */
     QUEUED,
-    /** Part of the machine in use. */
+    /** Fraction of the machine's capacity in use. */
     CPU_SHARE,
-    /** Mean answer time. */
+    /** Mean response time in milliseconds. */
     MEAN_MILLIS,
-    /** Answers a second. */
+    /** Responses per second. */
     SERVED_PER_SECOND,
-    /** Error answers a second. */
+    /** Error responses per second. */
     ERRORS_PER_SECOND
   }
 
   /**
-   * A class of requests.
+   * A class of requests; times are in microseconds.
    *
-   * @param latencyTarget a response within this time of the request's arrival has its full worth
-   * @param latencyTargetPerCost the aim grows by this multiple of the request's own cost
-   * @param timeout how long a client waits in all
-   * @param window how long the group drops repeats of a keyed request, from its first send
-   * @param value what a response in time is worth
-   * @param lateValueFraction the part of the worth that a late answer still has
-   * @param streaming whether answers arrive in parts
+   * @param latencyTarget a response within this time of the request's arrival has its full value
+   * @param latencyTargetPerCost the latency target grows by this multiple of the request's cost
+   * @param timeout the total time that a client waits over all attempts
+   * @param semantics how often the effect of a request may happen
+   * @param scope the servers that drop the repeats of a keyed request
+   * @param window how long the scope's servers drop repeats of a keyed request, from its first send
+   * @param value the value of a response within the latency target
+   * @param lateValueFraction the fraction of the value that a late response has
+   * @param streaming whether a response arrives in parts
    */
   record RequestClass(
       long latencyTarget,
@@ -126,12 +130,14 @@
       boolean streaming) {}
 
   /**
-   * A tenant: requests a second that count in full, over all agents; its fraction of the service.
+   * A tenant: its quota in requests per second over all agents, above which requests have less
+   * value, and its fraction of the service.
    */
   record Tenant(double quotaPerSecond, double fraction) {}
 
   /**
-   * What the host permits. A retry-after of 0 sets no bound: whether clients take it is not known.
+   * What the host permits. A {@code maxRetryAfter} of 0 sets no limit: whether clients follow the
+   * advice is then unknown. Otherwise the limit is in microseconds.
    */
   record Permits(
       int maxAttempts,
@@ -141,7 +147,7 @@
       boolean messages,
       long maxRetryAfter) {}
 
-  /** What the rules on draining and on servers that are warming up say. */
+  /** Rules for draining servers, servers in warm-up and discovery; times are in microseconds. */
   record Obligations(
       long responseSlack,
       long drainGrace,
@@ -152,16 +158,21 @@
       long discoveryWithin) {}
 
   /**
-   * What things cost, in parts of the result: crossings, probes, waste, late failures, messages.
+   * Costs as fractions of the result: requests that cross zones, probes, wasted work, late failures
+   * and messages between agents.
    */
   record Prices(double crossZone, double probe, double waste, double lateFailure, double message) {}
 
   /**
-   * How the result is weighed: all of it, its worst stretch of time, worst class and worst tenant.
+   * Weights of the parts of the result: the overall value and the values of the worst time window,
+   * the worst class and the worst tenant.
    */
   record Goal(double overall, double worstWindow, double worstClass, double worstTenant) {}
 
-  /** What an instance is told at its start, and again with {@link LoadBalancer#settings}. */
+  /**
+   * Settings of an instance, given at its start and again with {@link LoadBalancer#settings};
+   * {@code tick} is in microseconds.
+   */
   record Settings(
       int agent,
       int agents,
@@ -182,14 +193,15 @@
       List<LoadField> loadFields) {}
 
   /**
-   * A line of the list of servers; {@code startedAt} is 0 if long past, {@code weight} relative.
+   * An entry of the server list; {@code startedAt} is in microseconds, or 0 if the start is long
+   * past; {@code weight} is relative to other servers.
    */
   record Server(
       long id, int zone, int cell, int kind, Phase phase, double weight, long startedAt) {}
 
   /**
-   * A client's request. Key and cost are 0 if unknown; {@code deadline} is when this attempt is
-   * given up.
+   * A client's request. Key and cost are 0 if unknown; {@code deadline} is the time, in
+   * microseconds, at which the client abandons this attempt.
    */
   record Request(
       long id,
@@ -201,134 +213,137 @@
       boolean repeated,
       boolean write) {}
 
-  /** What the balancer asks of its host. */
+  /** The actions that the load balancer requests from its host. */
   interface Actions {
     /**
      * Starts the next attempt of a request.
      *
-     * @param request its id
-     * @param server where to
-     * @param timeout after this the host ends it as {@link Outcome#TIMEOUT}; 0 for never
+     * @param request the id of the request
+     * @param server the id of the target server
+     * @param timeout the time in microseconds after which the host ends the attempt with {@link
+     *     Outcome#TIMEOUT}; 0 for no timeout
      */
     void send(long request, long server, long timeout);
 
     /**
-     * Final answer: it did not run, trying again is harmless.
+     * Ends a request with a final response that says that a retry is harmless, because no attempt
+     * had an effect or a repeat has none.
      *
-     * @param request its id
-     * @param retryAfter the wait advised to the client; 0 for no advice
+     * @param request the id of the request
+     * @param retryAfter the delay in microseconds advised to the client; 0 for no advice
      */
     void refuse(long request, long retryAfter);
 
     /**
-     * Final answer: nothing is promised.
+     * Ends a request with a final error response that guarantees nothing about its effects.
      *
-     * @param request its id
+     * @param request the id of the request
      */
     void fail(long request);
 
     /**
-     * Stops waiting for one attempt.
+     * Cancels one attempt of a request.
      *
-     * @param request its id
-     * @param attempt which of its sends, counted from 0
+     * @param request the id of the request
+     * @param attempt the index of the attempt, from 0
      */
     void cancel(long request, int attempt);
 
     /**
-     * Asks for a server's health.
+     * Probes the health of a server; the host reports the outcome with {@link LoadBalancer#probed}.
      *
-     * @param server which
+     * @param server the id of the server
      */
     void probe(long server);
 
     /**
-     * Sends bytes to other agents.
+     * Sends a message to other agents.
      *
-     * @param agent which, or all with -1
-     * @param message the bytes
+     * @param agent the index of the agent, or -1 for all
+     * @param message the bytes of the message
      */
     void sendToPeers(int agent, byte[] message);
 
     /**
-     * Asks for {@link LoadBalancer#timer}.
+     * Schedules one call of {@link LoadBalancer#timer}.
      *
-     * @param token comes back with it
-     * @param delay from now
+     * @param token passed back to the call
+     * @param delay the time until the call, in microseconds
      */
     void timer(long token, long delay);
 
     /**
-     * Closes idle connections.
+     * Closes the idle connections to a server.
      *
-     * @param server to this one
+     * @param server the id of the server
      */
     void closeIdle(long server);
 
     /** Subscribes to changes of the server list. */
     void watchServers();
 
-    /** Asks for the whole server list once. */
+    /** Requests the complete server list once. */
     void fetchServers();
 
     /**
-     * Tells on-call staff.
+     * Writes a log line for the operators.
      *
-     * @param line one plain line
+     * @param line a line of plain text
      */
     void log(String line);
   }
 
   /**
-   * Other settings are in force from now on. What has been learnt of servers and classes stays with
-   * them, and so do deadlines, timers and what is saved up for retries and servers that are warming
-   * up; an open request goes on as it was taken, but is sent again only where the old and the new
-   * settings both permit it. For all else the new settings hold for what comes after.
+   * Applies new settings from now on. The data learned about servers and classes stays with them,
+   * and so do deadlines, timers, retry tokens and the credit of servers in warm-up. A pending
+   * request continues under the class of its arrival, but is retried only where the old and the new
+   * settings both permit a retry.
    *
-   * @param now the time
+   * @param now the time, in microseconds
    * @param next settings of the same agent in the same zone
    */
   void settings(long now, SettingsReload next);
 
   /**
-   * The list of servers has changed, or could not be had.
+   * Reports a new server list, or that no list could be read.
    *
-   * @param now the time
-   * @param kind what the entries are
-   * @param entries none if it could not be had
+   * @param now the time, in microseconds
+   * @param kind what the entries stand for
+   * @param entries the entries; empty if no list could be read
    */
   void servers(long now, ListKind kind, List<Server> entries);
 
   /**
-   * A client's request has come; it is owed one final answer.
+   * Reports a client's request, to which the load balancer must give exactly one final response.
    *
-   * @param now the time
-   * @param request with an id not in use
+   * @param now the time, in microseconds
+   * @param request the request, with an id that no pending request has
    */
   void request(long now, Request request);
 
   /**
-   * The response to a streamed request has begun; no deadline applies any more.
+   * Reports that the response to a streaming request has begun; deadlines no longer apply.
    *
-   * @param now the time
-   * @param request its id
-   * @param attempt which of its sends, counted from 0
-   * @param server where it was sent
-   * @param spent since the send
+   * @param now the time, in microseconds
+   * @param request the id of the request
+   * @param attempt the index of the attempt, from 0
+   * @param server the id of the server
+   * @param elapsed the time since the send, in microseconds
    */
-  void streamStarted(long now, long request, int attempt, long server, long spent);
+  void streamStarted(long now, long request, int attempt, long server, long elapsed);
 
   /**
-   * An attempt has ended.
+   * Reports the end of an attempt.
    *
-   * @param now the time
-   * @param request its id
-   * @param attempt which of its sends, counted from 0
-   * @param server where it was sent
-   * @param outcome how it ended
-   * @param spent since the send
-   * @param closed whether the client has its final answer, by this outcome or earlier
-   * @param load the server's load report in the order of the settings' fields; empty if none came
+   * @param now the time, in microseconds
+   * @param request the id of the request
+   * @param attempt the index of the attempt, from 0
+   * @param server the id of the server
+   * @param outcome how the attempt ended
+   * @param elapsed the time since the send, in microseconds
+   * @param closed whether the client has its final response, by this outcome or earlier
+   * @param load the server's load report in the order of the fields in the settings; empty without
+   *     a report
    */
   void outcome(
       long now,
@@ -336,43 +351,44 @@
       int attempt,
       long server,
       Outcome outcome,
-      long spent,
+      long elapsed,
       boolean closed,
       double[] load);
 
   /**
-   * The client has left; nothing more is owed.
+   * Reports that the client has disconnected; the request needs no response.
    *
-   * @param now the time
-   * @param request its id
+   * @param now the time, in microseconds
+   * @param request the id of the request
    */
   void clientLeft(long now, long request);
 
   /**
-   * A probe has ended.
+   * Reports the end of a probe.
    *
-   * @param now the time
-   * @param server which
-   * @param outcome how it ended
-   * @param spent since the probe was asked for
-   * @param load its load report in the order of the settings' fields; empty if none came
+   * @param now the time, in microseconds
+   * @param server the id of the server
+   * @param outcome how the probe ended
+   * @param elapsed the time since the probe was requested, in microseconds
+   * @param load the server's load report in the order of the fields in the settings; empty without
+   *     a report
    */
-  void probed(long now, long server, Outcome outcome, long spent, double[] load);
+  void probed(long now, long server, Outcome outcome, long elapsed, double[] load);
 
   /**
-   * Another agent has sent a message.
+   * Reports a message from another agent.
    *
-   * @param now the time
-   * @param agent which
-   * @param message the bytes
+   * @param now the time, in microseconds
+   * @param agent the index of the sender
+   * @param message the bytes of the message
    */
   void message(long now, int agent, byte[] message);
 
   /**
-   * A timer has come due.
+   * Reports that a timer is due.
    *
-   * @param now the time
-   * @param token as given to {@link Actions#timer}
+   * @param now the time, in microseconds
+   * @param token the token given to {@link Actions#timer}
    */
   void timer(long now, long token);
 }
--- a/src/main/java/slateslip/loadbalancer/LoadBalancerContext.java
+++ b/src/main/java/slateslip/loadbalancer/LoadBalancerContext.java
@@ -5,19 +5,19 @@
 import slateslip.loadbalancer.LoadBalancer.Actions;
 import slateslip.loadbalancer.LoadBalancer.Settings;
 
-/** What the parts of one agent's balancer share. */
+/** State that the parts of one agent's load balancer share. */
 final class LoadBalancerContext {
-  /** In force now. */
+  /** The settings in force. */
   Settings settings;
 
   final Actions actions;
 
-  /** One source of chance for all, so that the same events give the same actions. */
+  /** Random source shared by all parts, so that equal events and seeds lead to equal actions. */
   final SplittableRandom random;
 
   final EndpointTable servers;
 
-  /** {@link EndpointTable#listed}. */
+  /** The list of {@link EndpointTable#listed}, in the order of this agent. */
   final List<Endpoint> listed;
 
   LoadBalancerContext(Settings settings, long seed, Actions actions) {
--- a/src/main/java/slateslip/loadbalancer/Main.java
+++ b/src/main/java/slateslip/loadbalancer/Main.java
@@ -13,18 +13,21 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The command line of the jar. */
+/**
+ * Command line of the load balancer's jar: {@code serve} runs an agent, {@code simulate} an
+ * adapter.
+ */
 public final class Main {
   static final String USAGE =
       """
         usage: java -jar slateslip-loadbalancer.jar serve|simulate
-          serve    run as an agent, as the configuration in $RELAY_CONFIG says
-          simulate decide for the simulator: frames on standard input, replies on standard output
+          serve    run an agent with the configuration file that $RELAY_CONFIG names
+          simulate run the load balancer for the simulator: frames on stdin, replies on stdout
           --help   show this text""";
 
   private Main() {}
 
-  /** Runs the command named by the first argument. */
+  /** Runs the command named by the first argument and ends the process with its exit code. */
   public static void main(String[] args) {
     System.exit(run(args, System.out, System.err));
   }
@@ -52,7 +55,7 @@
     }
   }
 
-  /** Runs an agent until the process is asked to end. */
+  /** Runs an agent until the process receives SIGTERM; returns 1 if the agent cannot start. */
   static int serve(String config, PrintStream err) {
     Agent agent;
     CompletableFuture<Agent> started = new CompletableFuture<>();
@@ -60,15 +63,17 @@
       if (config == null) {
         throw new IllegalArgumentException("RELAY_CONFIG is not set");
       }
-      // Before the agent says that it is ready: SIGHUP without a handler ends the JVM.
+      // Installed before the agent reports readiness: without a handler, SIGHUP ends the JVM.
       Path file = Path.of(config);
       SignalHandler before =
           Signal.handle(
               new Signal("HUP"), signal -> started.thenAccept(running -> running.reload(file)));
-      if (before == SignalHandler.SIG_IGN) { // the JVM leaves it so, and nothing else would tell
+      // If SIGHUP was ignored when the JVM started, no handler runs, and a reload request has no
+      // other trace.
+      if (before == SignalHandler.SIG_IGN) {
         err.println(
-            "SIGHUP is ignored where this was started: a new configuration needs a restart, "
-                + "or live_settings.check_ms");
+            "SIGHUP is ignored since the start of this process: a new configuration needs "
+                + "a restart, or live_settings.check_ms");
       }
       agent = Agent.start(file);
       started.complete(agent);
@@ -76,7 +81,7 @@
       err.println("slateslip-loadbalancer: " + e.getMessage());
       return 1;
     }
-    // SIGTERM runs the hooks: the agent ends in order, and that is no failure.
+    // SIGTERM runs the shutdown hooks: the agent drains, and halt(0) reports a success.
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
--- a/src/main/java/slateslip/loadbalancer/PendingRequest.java
+++ b/src/main/java/slateslip/loadbalancer/PendingRequest.java
@@ -6,20 +6,22 @@
 import slateslip.loadbalancer.LoadBalancer.Request;
 import slateslip.loadbalancer.LoadBalancer.RequestClass;
 
-/** One request that an agent has taken. State only; others decide. */
+/** One request that an agent has accepted; the decisions are made elsewhere. */
 final class PendingRequest {
   final Request request;
   final RequestClassState state;
 
-  /** Its class as it was taken, and no laxer on repeats than any settings since. */
+  /** The request's class at its arrival, with the strictest retry rules of all settings since. */
   RequestClass type;
 
-  /** Names its timer. */
+  /** Token of the request's timer. */
   final long token;
 
   final long arrivedAt;
 
-  /** When there is nothing left to win, at the latest when the client gives up. */
+  /**
+   * Time after which a response has no value, at the latest the client's deadline; in microseconds.
+   */
   final long endAt;
 
   final List<Attempt> attempts = new ArrayList<>(1);
@@ -27,7 +29,7 @@
   boolean queued;
   boolean streaming;
 
-  /** Whether it has been to every server that it may go to. */
+  /** Whether the request was sent to every server that is permitted for the request. */
   boolean mayRevisit;
 
   PendingRequest(Request request, RequestClassState state, long token, long arrivedAt, long endAt) {
@@ -39,7 +41,7 @@
     this.endAt = endAt;
   }
 
-  /** One attempt; its outcome is null while it is out. */
+  /** One attempt; the outcome is null while the attempt is in flight. */
   static final class Attempt {
     final Endpoint endpoint;
     final long sentAt;
@@ -55,7 +57,7 @@
     }
   }
 
-  /** How many attempts are out. */
+  /** Returns the number of attempts in flight. */
   int attemptsInFlight() {
     int attemptsInFlight = 0;
     for (Attempt attempt : attempts) {
@@ -69,8 +71,8 @@
   }
 
   /**
-   * Whether it is not to go there again: where it may return, one that was not reached is open to
-   * it.
+   * Returns whether the request must not be sent to a server again. If {@link #mayRevisit} is set,
+   * a server that could not be reached is permitted again.
    */
   boolean isExcluded(Endpoint endpoint) {
     for (Attempt attempt : attempts) {
--- a/src/main/java/slateslip/loadbalancer/QuantileEstimator.java
+++ b/src/main/java/slateslip/loadbalancer/QuantileEstimator.java
@@ -1,56 +1,58 @@
 package slateslip.loadbalancer;
 
-/** Follows a quantile of a stream of positive values, and the lowest it has been. */
+/** Estimates a quantile of a stream of positive values and tracks the quantile's lowest value. */
 final class QuantileEstimator {
-  /** Values before the quantile means anything. */
-  private static final int ENOUGH = 50;
+  /** Number of values needed before the quantile is meaningful. */
+  private static final int MIN_VALUES = 50;
 
-  /** A step, as a part of the value. */
-  private static final double STEP = 0.02;
+  /** Step by which a value moves the estimate, as a fraction of the estimate. */
+  private static final double STEP_FRACTION = 0.02;
 
   /**
-   * What a value adds to the lowest, as a part: an old minimum is forgotten in some ten thousands.
+   * Fraction by which each value raises the lowest estimate, so that an old minimum is forgotten
+   * after some ten thousand values.
    */
-  private static final double RISE = 0.00003;
+  private static final double LOWEST_RISE = 0.00003;
 
-  private final double share;
+  private final double quantile;
   private double value;
   private double lowest = Double.MAX_VALUE;
 
   /**
-   * The first values, in order of size: steps from a single one would be lost for long. Null before
-   * there are any and once they have served: an agent has one of these for each server listed, and
-   * uses few.
+   * The first values in ascending order; from a single first value, the steps would take long to
+   * reach the quantile. Null before the first value and after the last of them, to save memory: an
+   * agent has an estimator for each listed server and uses few of the servers.
    */
-  private double[] first;
+  private double[] initialValues;
 
   private int count;
 
-  QuantileEstimator(double share) {
-    this.share = share;
+  QuantileEstimator(double quantile) {
+    this.quantile = quantile;
   }
 
   void add(double x) {
-    if (count < ENOUGH) {
-      first = count == 0 ? new double[ENOUGH] : first;
-      int at = count++;
-      for (; at > 0 && first[at - 1] > x; at--) {
-        first[at] = first[at - 1];
+    if (count < MIN_VALUES) {
+      initialValues = count == 0 ? new double[MIN_VALUES] : initialValues;
+      int index = count++;
+      for (; index > 0 && initialValues[index - 1] > x; index--) {
+        initialValues[index] = initialValues[index - 1];
       }
-      first[at] = x;
-      value = first[(int) (share * count)];
-      first = known() ? null : first;
+      initialValues[index] = x;
+      value = initialValues[(int) (quantile * count)];
+      initialValues = isReliable() ? null : initialValues;
     } else {
-      value += x > value ? value * STEP * share : value * STEP * (share - 1);
+      value +=
+          x > value ? value * STEP_FRACTION * quantile : value * STEP_FRACTION * (quantile - 1);
     }
-    if (known()) {
-      lowest = Math.min(lowest * (1 + RISE), value);
+    if (isReliable()) {
+      lowest = Math.min(lowest * (1 + LOWEST_RISE), value);
     }
   }
 
-  /** Whether enough has been seen for {@link #lowest}. */
-  boolean known() {
-    return count >= ENOUGH;
+  /** Returns whether enough values were added for {@link #lowest} to be meaningful. */
+  boolean isReliable() {
+    return count >= MIN_VALUES;
   }
 
   double value() {
--- a/src/main/java/slateslip/loadbalancer/QueueReport.java
+++ b/src/main/java/slateslip/loadbalancer/QueueReport.java
@@ -3,14 +3,14 @@
 import java.util.Collection;
 import java.util.function.Predicate;
 
-/** Tells on-call staff, now and then, what stands between the requests queued and the servers. */
+/** Formats the periodic log line about queued requests: the state and capacity of the servers. */
 final class QueueReport {
-  /** How often it is told why requests wait, in microseconds. */
+  /** Minimum interval between two log lines, in microseconds. */
   private static final long PERIOD = 5_000_000;
 
   private long loggedAt;
 
-  /** Whether enough time has passed since the last line; then this one counts as told. */
+  /** Returns whether a log line is due; if so, the next line is due after another interval. */
   boolean due(long now) {
     if (now - loggedAt < PERIOD) {
       return false;
@@ -20,10 +20,10 @@
   }
 
   /**
-   * The line for the log.
+   * Returns the log line.
    *
-   * @param queued requests queued for lack of capacity
-   * @param available whether a server may get requests by its health
+   * @param queued number of requests queued for lack of capacity
+   * @param available whether the health of a server permits requests
    */
   static String line(
       long now,
--- a/src/main/java/slateslip/loadbalancer/RequestClassState.java
+++ b/src/main/java/slateslip/loadbalancer/RequestClassState.java
@@ -5,45 +5,58 @@
 import slateslip.loadbalancer.LoadBalancer.Request;
 import slateslip.loadbalancer.LoadBalancer.RequestClass;
 
-/** What one agent knows of one class of requests. State only; others decide. */
+/** State that one agent keeps of one request class; the decisions are made elsewhere. */
 final class RequestClassState {
-  /** Ticks by which the time that first attempts bring may differ. */
-  private static final int SAME_TICKS = 4;
+  /** Tolerance in ticks within which two remaining times count as equal. */
+  private static final int TOLERANCE_TICKS = 4;
 
-  /** Votes for that time at the most; half of them make it sure. */
-  private static final int VOTES_MAX = 20;
+  /** Limits the votes for the typical remaining time; half of the votes make the time certain. */
+  private static final int MAX_VOTES = 20;
 
-  /** As the settings in force have it; requests that are open go by {@link PendingRequest#type}. */
+  /**
+   * The class in the settings in force; pending requests use {@link PendingRequest#type} instead.
+   */
   RequestClass type;
 
-  /** Its requests that wait in this agent for lack of capacity. */
+  /** The class's requests that are queued in this agent for lack of capacity. */
   final Deque<PendingRequest> queued = new ArrayDeque<>();
 
-  /** Requests come and requests served, as counts that fade. */
+  /** Decaying count of the requests that arrived. */
   double arrivals;
 
+  /** Decaying count of the requests that were served. */
   double served;
 
-  /** The mean answer time, and the lowest that it has been. */
+  /** Running mean of the response times, in microseconds. */
   double typicalLatency;
 
+  /** The lowest value that {@link #typicalLatency} has had, in microseconds. */
   double unloadedLatency;
 
-  /** The mean of its requests' cost hints. */
+  /** Running mean of the cost hints of the class's requests. */
   double meanCost;
 
-  /** A quantile of its response times. */
+  /** Quantile of the class's response times, in microseconds. */
   final QuantileEstimator latencies;
 
-  /** How long a request unserved here had waited: what a client's repeat has behind it. */
+  /**
+   * Running mean of the time that requests spent here before they ended unserved, in microseconds:
+   * the time a client has lost when the client's repeat arrives.
+   */
   double unservedWait;
 
-  /** The time that most requests bring, a first attempt's, by a running majority vote. */
+  /**
+   * The remaining time of most requests, which is that of a first attempt; determined by a running
+   * majority vote.
+   */
   private long typicalTimeLeft;
 
   private int typicalTimeVotes;
 
-  /** What a unit of its work adds to the goal, as last measured. */
+  /**
+   * Value that a unit of the class's work adds to the goal, as of the last update of the
+   * priorities.
+   */
   double value;
 
   RequestClassState(RequestClass type, double quantile) {
@@ -51,26 +64,27 @@
     this.latencies = new QuantileEstimator(quantile);
   }
 
-  /** Counts one of its requests that has come. */
+  /** Records the arrival of one of the class's requests. */
   void recordArrival(Request request) {
-    meanCost += (meanCost == 0 ? 1 : LatencyTracker.BLEND / 2) * (request.cost() - meanCost);
+    meanCost += (meanCost == 0 ? 1 : LatencyTracker.EWMA_WEIGHT / 2) * (request.cost() - meanCost);
     arrivals++;
   }
 
   /**
-   * What a client's repeat has behind it. First tries of a class all bring the same time; a request
-   * that brings another is a repeat, and what it lacks of the time for all attempts is spent.
+   * Returns the time in microseconds that a client has lost before this request arrived. First
+   * attempts of a class all arrive with the same remaining time. A request with a different
+   * remaining time is a repeat, and the difference to the total timeout has been spent.
    */
   long elapsedBeforeArrival(Request request, long now, long tick) {
     long timeLeft = request.deadline() - now;
-    boolean isTypical = Math.abs(timeLeft - typicalTimeLeft) <= SAME_TICKS * tick;
+    boolean isTypical = Math.abs(timeLeft - typicalTimeLeft) <= TOLERANCE_TICKS * tick;
     if (isTypical) {
-      typicalTimeVotes = Math.min(VOTES_MAX, typicalTimeVotes + 1);
+      typicalTimeVotes = Math.min(MAX_VOTES, typicalTimeVotes + 1);
     } else if (--typicalTimeVotes < 0) {
       typicalTimeLeft = timeLeft;
       typicalTimeVotes = 1;
     }
-    boolean uncertain = isTypical || typicalTimeVotes < VOTES_MAX / 2;
+    boolean uncertain = isTypical || typicalTimeVotes < MAX_VOTES / 2;
     long missingTime = uncertain ? 0 : Math.max(0, type.timeout() - timeLeft);
     return Math.max(missingTime, request.repeated() ? (long) unservedWait : 0);
   }
--- a/src/main/java/slateslip/loadbalancer/RetryAfterAdvice.java
+++ b/src/main/java/slateslip/loadbalancer/RetryAfterAdvice.java
@@ -1,28 +1,28 @@
 package slateslip.loadbalancer;
 
-/** When a client whose request is rejected should come back. It reckons; others decide. */
+/** Computes when a client whose request is refused should retry. */
 final class RetryAfterAdvice {
   private static final long SECOND = 1_000_000;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private final RequestClasses classes;
 
-  RetryAfterAdvice(LoadBalancerContext agent, RequestClasses classes) {
-    this.agent = agent;
+  RetryAfterAdvice(LoadBalancerContext context, RequestClasses classes) {
+    this.context = context;
     this.classes = classes;
   }
 
   /**
-   * When a refused client should come back: once those that wait now have been sent, as answers
-   * come now, and not before one answer's time; nobody is told to wait longer than a client would
-   * for all attempts. Danger: a time that is only long keeps clients away from servers that have
-   * capacity.
+   * Returns the advised delay in microseconds: the time to send all queued requests at the current
+   * response rate, at least one typical latency, and at most the permitted maximum or, without a
+   * maximum, the client's total timeout. A longer delay would only keep clients away from servers
+   * that have capacity.
    */
   long micros(PendingRequest pendingRequest, long now) {
-    long permitted = agent.settings.permits().maxRetryAfter();
+    long permitted = context.settings.permits().maxRetryAfter();
     long maxDelay = permitted > 0 ? permitted : pendingRequest.type.timeout();
     double responsesPerSecond =
-        agent.listed.stream().mapToDouble(each -> LatencyTracker.responseRate(each, now)).sum();
+        context.listed.stream().mapToDouble(each -> LatencyTracker.responseRate(each, now)).sum();
     long queuedAhead =
         1 + classes.byPriority().stream().mapToLong(each -> each.queued.size()).sum();
     double wait = responsesPerSecond == 0 ? maxDelay : queuedAhead / responsesPerSecond * SECOND;
@@ -30,7 +30,7 @@
         Math.min(
             (double) maxDelay,
             Math.max(
-                (double) agent.settings.tick(),
+                (double) context.settings.tick(),
                 Math.max(wait, pendingRequest.state.typicalLatency)));
   }
 }
--- a/src/main/java/slateslip/loadbalancer/RetryEligibility.java
+++ b/src/main/java/slateslip/loadbalancer/RetryEligibility.java
@@ -5,19 +5,21 @@
 import slateslip.loadbalancer.LoadBalancer.Semantics;
 import slateslip.loadbalancer.PendingRequest.Attempt;
 
-/** What a request's history permits: another attempt, where, and a refusal. */
+/** Decides by a request's earlier attempts whether and where to retry, and whether to refuse. */
 final class RetryEligibility {
   /**
-   * The part of a keyed request's window in which it may be resent: a late arrival would run again.
+   * Part of a keyed request's deduplication window in which a repeat may be sent: a repeat that
+   * arrives after the window would run again.
    */
-  private static final double WINDOW_SURE = 0.75;
+  private static final double SAFE_WINDOW_FRACTION = 0.75;
 
   private RetryEligibility() {}
 
   /**
-   * Whether another attempt may be sent, given those before. Danger: an effect twice. Unsafe
-   * requests go again only once every attempt provably never ran; keyed ones only inside the window
-   * of each that may have run. {@link #inGroups} says where to.
+   * Returns whether another attempt may be sent without the risk of a second effect. Unsafe
+   * requests are retried only if no earlier attempt can have run, keyed requests only inside the
+   * deduplication window of each attempt that may have run. {@link #inDeduplicationScope} restricts
+   * the servers.
    */
   static boolean maySend(PendingRequest req, Permits permits, long now) {
     Semantics semantics = req.type.semantics();
@@ -26,8 +28,8 @@
     if (req.closed || req.streaming || sending) {
       return false;
     }
-    // Danger: a repeat that arrives after the window runs again; leave time for the way.
-    long window = (long) (WINDOW_SURE * req.type.window());
+    // The unused rest of the window is for the transfer of the repeat to the server.
+    long window = (long) (SAFE_WINDOW_FRACTION * req.type.window());
     return semantics == Semantics.SAFE
         || req.attempts.stream()
             .allMatch(
@@ -36,8 +38,8 @@
                         || (semantics == Semantics.KEYED && now < attempt.sentAt + window));
   }
 
-  /** Whether a server is in the group of every earlier attempt that may have run. */
-  static boolean inGroups(PendingRequest req, Endpoint target) {
+  /** Returns whether a server drops repeats of each earlier attempt that may have run. */
+  static boolean inDeduplicationScope(PendingRequest req, Endpoint target) {
     Scope scope = req.type.scope();
     if (req.type.semantics() != Semantics.KEYED || scope == Scope.ALL) {
       return true;
@@ -51,7 +53,7 @@
                         : attempt.endpoint.listing.cell() == target.listing.cell()));
   }
 
-  /** A refusal says that trying again is harmless: danger of an effect twice if it is not. */
+  /** Returns whether a client's retry, which a refusal invites, cannot cause a second effect. */
   static boolean mayRefuse(PendingRequest req) {
     Semantics semantics = req.type.semantics();
     return semantics == Semantics.SAFE
--- a/src/main/java/slateslip/loadbalancer/SettingsParser.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsParser.java
@@ -9,7 +9,7 @@
 import slateslip.loadbalancer.LoadBalancer.Scope;
 import slateslip.loadbalancer.LoadBalancer.Semantics;
 
-/** Turns path=value settings into the module's settings. Keys it does not know are skipped. */
+/** Parses settings in the form path=value; unknown paths are ignored. */
 public final class SettingsParser {
   private static final Map<String, LoadField> LOAD_FIELDS =
       Map.of(
@@ -26,50 +26,52 @@
           "err_ps",
           LoadField.ERRORS_PER_SECOND);
 
-  private final Map<String, String> pairs;
+  private final Map<String, String> valuesByPath;
 
-  private SettingsParser(Map<String, String> pairs) {
-    this.pairs = pairs;
+  private SettingsParser(Map<String, String> valuesByPath) {
+    this.valuesByPath = valuesByPath;
   }
 
   /**
-   * Reads the wire's settings text.
+   * Parses settings in text form.
    *
-   * @param text a path=value pair a line
+   * @param text one path=value pair in each line
    * @return the settings
-   * @throws IllegalArgumentException if a value is missing or unusable; the message names it
+   * @throws IllegalArgumentException if a value is missing or invalid; the message contains the
+   *     path
    */
   public static LoadBalancer.Settings parse(String text) {
-    Map<String, String> pairs = new HashMap<>();
+    Map<String, String> valuesByPath = new HashMap<>();
     for (String line : text.split("\n", -1)) {
       int equals = line.indexOf('=');
       if (equals > 0) {
-        pairs.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
+        valuesByPath.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
       }
     }
-    return parse(pairs);
+    return parse(valuesByPath);
   }
 
   /**
-   * Reads settings already taken apart.
+   * Parses settings given as a map.
    *
-   * @param pairs values by their paths
+   * @param valuesByPath the values by path
    * @return the settings
-   * @throws IllegalArgumentException if a value is missing or unusable; the message names it
+   * @throws IllegalArgumentException if a value is missing or invalid; the message contains the
+   *     path
    */
-  public static LoadBalancer.Settings parse(Map<String, String> pairs) {
-    return new SettingsParser(pairs).settings();
+  public static LoadBalancer.Settings parse(Map<String, String> valuesByPath) {
+    return new SettingsParser(valuesByPath).settings();
   }
 
   private LoadBalancer.Settings settings() {
     var permits =
         new LoadBalancer.Permits(
             (int) requireAtLeast(1, "caps.max-attempts"),
-            flag("caps.may-duplicate"),
-            flag("caps.cancel"),
-            flag("caps.probes"),
-            flag("caps.peers"),
-            flag("caps.retry-after") ? integer("caps.max-retry-after-us") : 0);
+            requireBoolean("caps.may-duplicate"),
+            requireBoolean("caps.cancel"),
+            requireBoolean("caps.probes"),
+            requireBoolean("caps.peers"),
+            requireBoolean("caps.retry-after") ? integer("caps.max-retry-after-us") : 0);
     var obligations =
         new LoadBalancer.Obligations(
             integer("obligations.answer-slack-us"),
@@ -91,9 +93,9 @@
             number("objective-mix.whole", 1), number("objective-mix.worst-window", 0),
             number("objective-mix.worst-class", 0), number("objective-mix.worst-tenant", 0));
     List<LoadField> fields = new ArrayList<>();
-    if (!word("load-info.via", "none").equals("none")) {
+    if (!stringOr("load-info.via", "none").equals("none")) {
       for (String name : list("load-info.fields")) {
-        fields.add(LOAD_FIELDS.get(name)); // null: a value without a name here
+        fields.add(LOAD_FIELDS.get(name)); // null for a field without a constant in LoadField
       }
     }
     return new LoadBalancer.Settings(
@@ -102,10 +104,10 @@
         (int) requireAtLeast(0, "locality"),
         zones(),
         requireAtLeast(1, "granularity-us"),
-        need("discovery").equals("subscribe"),
-        word("family-info.warm-keys", "false").equals("true"),
-        !word("weight-source", "none").equals("none"),
-        word("worth-by", "request").equals("work"),
+        require("discovery").equals("subscribe"),
+        stringOr("family-info.warm-keys", "false").equals("true"),
+        !stringOr("weight-source", "none").equals("none"),
+        stringOr("worth-by", "request").equals("work"),
         number("over-share-worth", 1),
         permits,
         obligations,
@@ -119,7 +121,7 @@
   private int zones() {
     int zones = list("zones").size();
     if (zones <= requireAtLeast(0, "locality")) {
-      throw bad("locality");
+      throw invalidValue("locality");
     }
     return zones;
   }
@@ -128,25 +130,26 @@
     List<LoadBalancer.RequestClass> classes = new ArrayList<>();
     long count = requireAtLeast(0, "classes.count");
     for (int i = 0; i < count; i++) {
-      String at = "classes." + i + ".";
+      String prefix = "classes." + i + ".";
       classes.add(
           new LoadBalancer.RequestClass(
-              requireAtLeast(1, at + "aim-us"),
-              number(at + "aim-stretch", 0),
-              requireAtLeast(1, at + "give-up-us"),
-              semantics(at + "semantics"),
-              scope(word(at + "key-scope", "all"), at + "key-scope"),
-              window(at + "window-us"),
-              number(at + "worth", 1),
-              number(at + "late-share", 0),
-              word(at + "stream", "false").equals("true")));
+              requireAtLeast(1, prefix + "aim-us"),
+              number(prefix + "aim-stretch", 0),
+              requireAtLeast(1, prefix + "give-up-us"),
+              semantics(prefix + "semantics"),
+              scope(stringOr(prefix + "key-scope", "all"), prefix + "key-scope"),
+              window(prefix + "window-us"),
+              number(prefix + "worth", 1),
+              number(prefix + "late-share", 0),
+              stringOr(prefix + "stream", "false").equals("true")));
     }
     return List.copyOf(classes);
   }
 
   /**
-   * The part of a repeat's window in which it may be decided on: its connection may take time to
-   * come up. Guards against an effect twice where a window is short beside that time.
+   * Returns the part of a class's deduplication window in which a retry may be started, in
+   * microseconds: the window without the dial timeout, because a new connection may delay the retry
+   * by that time. Otherwise a retry could arrive after a short window and run a second time.
    */
   private long window(String key) {
     long dial = has("caps.dial-timeout-us") ? integer("caps.dial-timeout-us") : 0;
@@ -157,19 +160,20 @@
     List<LoadBalancer.Tenant> tenants = new ArrayList<>();
     long count = has("realms.count") ? integer("realms.count") : 0;
     for (int i = 0; i < count; i++) {
-      String at = "realms." + i + ".";
+      String prefix = "realms." + i + ".";
       tenants.add(
-          new LoadBalancer.Tenant(number(at + "quota-per-s", 0), number(at + "fraction", 0)));
+          new LoadBalancer.Tenant(
+              number(prefix + "quota-per-s", 0), number(prefix + "fraction", 0)));
     }
     return List.copyOf(tenants);
   }
 
   private Semantics semantics(String key) {
-    return switch (need(key)) {
+    return switch (require(key)) {
       case "safe" -> Semantics.SAFE;
       case "keyed" -> Semantics.KEYED;
       case "unsafe" -> Semantics.UNSAFE;
-      default -> throw bad(key);
+      default -> throw invalidValue(key);
     };
   }
 
@@ -178,36 +182,36 @@
       case "all" -> Scope.ALL;
       case "zone" -> Scope.ZONE;
       case "cell" -> Scope.CELL;
-      default -> throw bad(key);
+      default -> throw invalidValue(key);
     };
   }
 
   private boolean has(String key) {
-    return pairs.containsKey(key);
+    return valuesByPath.containsKey(key);
   }
 
-  private String need(String key) {
-    String value = pairs.get(key);
+  private String require(String key) {
+    String value = valuesByPath.get(key);
     if (value == null) {
       throw new IllegalArgumentException("settings: " + key + " is missing");
     }
     return value;
   }
 
-  private String word(String key, String otherwise) {
-    return pairs.getOrDefault(key, otherwise);
+  private String stringOr(String key, String defaultValue) {
+    return valuesByPath.getOrDefault(key, defaultValue);
   }
 
   private List<String> list(String key) {
-    String value = word(key, "");
+    String value = stringOr(key, "");
     return value.isEmpty() ? List.of() : List.of(value.split(","));
   }
 
-  private boolean flag(String key) {
-    return switch (need(key)) {
+  private boolean requireBoolean(String key) {
+    return switch (require(key)) {
       case "true" -> true;
       case "false" -> false;
-      default -> throw bad(key);
+      default -> throw invalidValue(key);
     };
   }
 
@@ -218,29 +222,29 @@
   private long requireAtLeast(long minimum, String key) {
     long value = integer(key);
     if (value < minimum) {
-      throw bad(key);
+      throw invalidValue(key);
     }
     return value;
   }
 
-  private double number(String key, double otherwise) {
-    return has(key) ? number(key) : otherwise;
+  private double number(String key, double defaultValue) {
+    return has(key) ? number(key) : defaultValue;
   }
 
   private double number(String key) {
     try {
-      double value = Double.parseDouble(need(key));
+      double value = Double.parseDouble(require(key));
       if (!Double.isFinite(value)) {
-        throw bad(key);
+        throw invalidValue(key);
       }
       return value;
     } catch (NumberFormatException e) {
-      throw bad(key);
+      throw invalidValue(key);
     }
   }
 
-  private IllegalArgumentException bad(String key) {
+  private IllegalArgumentException invalidValue(String key) {
     return new IllegalArgumentException(
-        "settings: " + key + " has an unusable value: " + pairs.get(key));
+        "settings: " + key + " has an unusable value: " + valuesByPath.get(key));
   }
 }
--- a/src/main/java/slateslip/loadbalancer/SettingsReload.java
+++ b/src/main/java/slateslip/loadbalancer/SettingsReload.java
@@ -10,26 +10,26 @@
 import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
- * Other settings for a balancer that runs, and where what it knows by number is found in them. The
- * module knows classes, zones and kinds by their positions alone; the host knows their names.
- * Guards against what was learnt of one class, or promised for its requests, being applied to
- * another that has taken its position.
+ * New settings for a running load balancer, and the mapping from old to new positions. The load
+ * balancer identifies classes, zones and kinds by position only, while the host identifies them by
+ * name. The mapping prevents that data learned for one class, or guarantees given for its requests,
+ * are applied to another class that has taken its position.
  *
- * @param settings what is in force from now on
- * @param classes by the position of a class until now its new one, or {@link #REMOVED}
- * @param zones the same of the zones
- * @param kinds the same of the kinds of machine
+ * @param settings the new settings
+ * @param classes the new position of each old class, by old position, or {@link #REMOVED}
+ * @param zones the new position of each old zone, by old position, or {@link #REMOVED}
+ * @param kinds the new position of each old kind of machine, by old position, or {@link #REMOVED}
  */
 public record SettingsReload(
     LoadBalancer.Settings settings,
     List<Integer> classes,
     List<Integer> zones,
     List<Integer> kinds) {
-  /** The position of what the new settings have no more. */
+  /** Position of a class, zone or kind that the new settings do not contain. */
   public static final int REMOVED = -1;
 
   /**
-   * Settings that fit together.
+   * Checks that settings and positions are consistent.
    *
    * @throws IllegalArgumentException if there is no class, or a position is used twice or does not
    *     exist
@@ -39,7 +39,7 @@
     zones = List.copyOf(zones);
     kinds = List.copyOf(kinds);
     if (settings.classes().isEmpty()) {
-      throw new IllegalArgumentException("there is no class");
+      throw new IllegalArgumentException("the settings contain no request class");
     }
     check("classes", classes, settings.classes().size());
     check("zones", zones, settings.zones());
@@ -50,17 +50,18 @@
     Set<Integer> used = new HashSet<>();
     for (int position : positions) {
       if (position < REMOVED || position >= size || (position != REMOVED && !used.add(position))) {
-        throw new IllegalArgumentException(what + ": position " + position);
+        throw new IllegalArgumentException(
+            what + ": out of range or duplicate position " + position);
       }
     }
   }
 
   /**
-   * Where each name of a list is found in another.
+   * Returns the position in a new list for each name of an old list.
    *
-   * @param before names, none of them twice
-   * @param after the same
-   * @return by position in the first list the position in the second, or {@link #REMOVED}
+   * @param before the old names, without duplicates
+   * @param after the new names, without duplicates
+   * @return the new positions by old position, {@link #REMOVED} for names that are missing
    */
   public static List<Integer> positions(List<String> before, List<String> after) {
     List<Integer> positions = new ArrayList<>();
@@ -69,10 +70,10 @@
   }
 
   /**
-   * Whether any zone or kind has another position than before: the lines of the server list change
-   * with it.
+   * Returns whether the position of any zone or kind changes; the entries of the server list then
+   * change with the position.
    */
-  public boolean movesServers() {
+  public boolean remapsServers() {
     return isRemapped(zones) || isRemapped(kinds);
   }
 
@@ -85,7 +86,7 @@
     return false;
   }
 
-  /** A line of the server list with its zone and kind by their new positions. */
+  /** Returns an entry of the server list with the new positions of its zone and kind. */
   public Server remapped(Server line) {
     return new Server(
         line.id(),
@@ -102,27 +103,27 @@
   }
 
   /**
-   * The position of a kind under the new settings.
+   * Returns the position of a kind of machine in the new settings.
    *
-   * @param kind its position until now
-   * @return its new one, or {@link #REMOVED}
+   * @param kind the old position
+   * @return the new position, or {@link #REMOVED}
    */
   public int kind(int kind) {
     return remapped(kinds, kind);
   }
 
   /**
-   * The class of a request that is open when its class changes: all as it was taken, but for its
-   * repeats the stricter of what held and what holds. Guards against an effect twice: the servers
-   * follow the new settings at another moment than this agent, so a repeat has to be harmless under
-   * both. A request of a safe class brought nothing by which a repeat could be dropped; of two
-   * groups neither of which is all servers, none is known to lie within the other; and who drops
-   * the repeats of a class that is no more is not known. All three then go again only where no
-   * attempt may have run.
+   * Returns the class for a pending request whose class changes: the class at the request's
+   * arrival, with the stricter rules for retries of the old and the new class. Servers adopt the
+   * new settings at another moment than this agent, so a retry must have no second effect under
+   * either. In three cases, requests are retried only if no attempt may have run: a request of a
+   * safe class carries nothing by which servers could detect a repeat; of two different scopes,
+   * neither of which is all servers, neither is known to contain the other; and for a removed class
+   * the servers that drop repeats are unknown.
    *
-   * @param original the class as its requests go by it until now
-   * @param next the class under the new settings, or null if there is none
-   * @return the class as the open request goes by it from now on
+   * @param original the class that applies to the request before the change
+   * @param next the class in the new settings, or null if the class is removed
+   * @return the class that applies to the request from now on
    */
   static RequestClass strictest(RequestClass original, RequestClass next) {
     Semantics semantics = original.semantics();
--- a/src/main/java/slateslip/loadbalancer/SlowStart.java
+++ b/src/main/java/slateslip/loadbalancer/SlowStart.java
@@ -2,45 +2,45 @@
 
 import slateslip.loadbalancer.LoadBalancer.Obligations;
 
-/** What a server that has just started, or seems to have, may be sent. */
+/** Limits the requests to a server that has started, or seems to have restarted, recently. */
 final class SlowStart {
   private static final long SECOND = 1_000_000;
 
   /**
-   * How long a server is thought to have restarted unless the list says so: the list is seconds
-   * late.
+   * Assumed warm-up after a suspected restart that the server list does not report: the list is
+   * seconds late.
    */
   private static final long SUSPECTED_WARMUP = 5 * SECOND;
 
-  /** A break shorter than this is no restart. */
+  /** Interruptions shorter than this are not treated as a restart. */
   private static final long MIN_OUTAGE = SECOND / 2;
 
-  /** How much of the time that topples a server its burst may fill: half, the list may be late. */
+  /** Part of the overload time that a burst may fill: half, because the list may be late. */
   private static final double MAX_BURST_FRACTION = 0.5;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private final WarmServiceRates warmRates;
 
-  SlowStart(LoadBalancerContext agent, WarmServiceRates warmRates) {
-    this.agent = agent;
+  SlowStart(LoadBalancerContext context, WarmServiceRates warmRates) {
+    this.context = context;
     this.warmRates = warmRates;
   }
 
   /**
-   * It may have died. A reset is no sign of that: behind a process that died nobody takes
-   * connections. Danger: a network that breaks connections would make one server in three cold at
-   * any time.
+   * Records a sign that the server has stopped. A reset is no such sign, as connections to a
+   * stopped process fail: if resets counted, one server in three would be in warm-up at any time in
+   * a network that breaks connections.
    */
-  void connectionLost(Endpoint target, long now) {
+  void suspectRestart(Endpoint target, long now) {
     target.suspectedAt = target.suspectedRestart ? target.suspectedAt : now;
     target.suspectedRestart = true;
   }
 
   /**
-   * First answer after a break: it may have restarted, whatever the list says; treat it as cold.
-   * Danger: a network that resets connections now and then makes every server cold, over and over,
-   * and the requests of all are rejected; a process does not come back within the time of one more
-   * try.
+   * Starts a warm-up at the first response after an interruption, whatever the list says: the
+   * server may have restarted. A process does not restart within the time of one more attempt:
+   * without a minimum outage, all servers in a network that sometimes resets connections would be
+   * in warm-up again and again, and requests would be refused.
    */
   void responseReceived(Endpoint target, long now) {
     if (target.suspectedRestart) {
@@ -56,7 +56,7 @@
     target.suspectedRestart = false;
     target.limit = 0;
     target.slowdown = 1;
-    long warmAt = target.listing.startedAt() + agent.settings.obligations().warmupTime();
+    long warmAt = target.listing.startedAt() + context.settings.obligations().warmupTime();
     if (now < warmAt) {
       beginWarmup(target, now, target.listing.startedAt(), warmAt, "listed as just started");
     }
@@ -65,42 +65,42 @@
   private void beginWarmup(Endpoint target, long now, long since, long until, String why) {
     target.warmupStart = since;
     target.warmupEnd = until;
-    target.warmupGranted =
-        agent.random.nextDouble(); // one full request each: a thousand agents send a thousand
+    // A random credit below 1: with one full request each, a thousand agents send a thousand.
+    target.warmupGranted = context.random.nextDouble();
     target.warmupSpent = 0;
     target.warmupUpdatedAt = now;
-    agent.servers.log(target, "cold: " + why);
+    context.servers.log(target, "cold: " + why);
   }
 
-  /** The part of its capacity that a server that is warming up has at the least. */
+  /** Returns the minimum capacity of a server in warm-up, as a fraction of its full capacity. */
   private double warmFraction(Endpoint target, long now) {
-    Obligations rule = agent.settings.obligations();
-    double share = Math.max(0, (double) (now - target.warmupStart) / rule.warmupTime());
+    Obligations rule = context.settings.obligations();
+    double elapsedFraction = Math.max(0, (double) (now - target.warmupStart) / rule.warmupTime());
     double from = rule.warmupStartFraction();
-    return from + (1 - from) * Math.min(1, share);
+    return from + (1 - from) * Math.min(1, elapsedFraction);
   }
 
-  /** Danger: a server that has just started may need longer for one request than anybody waits. */
+  /** Returns whether the server's response, slower in warm-up, can still meet the deadline. */
   boolean canFinishInTime(PendingRequest req, Endpoint target, long now) {
     return !target.isWarmingUp(now)
         || req.state.typicalLatency / warmFraction(target, now) < req.endAt - now;
   }
 
   /**
-   * Requests this agent may send to a server that is warming up now. Danger: all agents together
-   * push it over. Each keeps to what it gets answered by a warm server, times the part that is
-   * surely warm. Danger: agents that could not use it for some seconds hold one each, however many
-   * they are, and all turn to it in the same moment. So what is not used is lost in time: all
-   * together hold no more than what the rule leaves beside the requests of one window, and half of
-   * what it puts down to chance.
+   * Returns how many requests this agent may send now to a server in warm-up. All agents together
+   * must not overload the server: each agent earns credit at the response rate that the agent gets
+   * from a warm server, times the minimum warm-up capacity. Unused credit expires: agents that
+   * could not use the credit for some seconds would otherwise hold a request each and send all at
+   * the same moment. The credit of all agents is at most what the overload rule leaves beside the
+   * requests of one window, and half of the rule's tolerance for random variation.
    */
   double availableRequests(Endpoint target, long now) {
-    Obligations rule = agent.settings.obligations();
+    Obligations rule = context.settings.obligations();
     double perSecond = warmRates.rate(target.listing.zone(), now) * warmFraction(target, now);
     double perWindow = perSecond * rule.overloadTime() / SECOND;
-    double budget = rule.overloadMultiple() * perWindow * agent.settings.agents();
-    double chance = (Math.sqrt(budget) + 1) / agent.settings.agents();
-    double maxCredit = (rule.overloadMultiple() - 1) * perWindow + chance;
+    double budget = rule.overloadMultiple() * perWindow * context.settings.agents();
+    double fluctuation = (Math.sqrt(budget) + 1) / context.settings.agents();
+    double maxCredit = (rule.overloadMultiple() - 1) * perWindow + fluctuation;
     target.warmupGranted += perSecond * (now - target.warmupUpdatedAt) / SECOND;
     target.warmupUpdatedAt = now;
     target.warmupSpent = Math.max(target.warmupSpent, Math.floor(target.warmupGranted - maxCredit));
@@ -109,15 +109,15 @@
     return Math.floor(target.warmupGranted - target.warmupSpent);
   }
 
-  /** Warm-ups that the list told of last as long as other settings say. */
+  /** Applies the new warm-up time to the warm-ups that the server list has reported. */
   void settingsChanged(long now) {
-    for (Endpoint target : agent.listed) {
+    for (Endpoint target : context.listed) {
       if (target.isWarmingUp(now)
-          && target.warmupStart == target.listing.startedAt()) { // as the list has it
-        // What it may be sent stays: a change of settings earns it nothing.
+          && target.warmupStart == target.listing.startedAt()) { // reported by the list
+        // The credit stays: a change of settings grants no requests.
         target.warmupEnd =
             Math.max(
-                target.warmupEnd, target.warmupStart + agent.settings.obligations().warmupTime());
+                target.warmupEnd, target.warmupStart + context.settings.obligations().warmupTime());
       }
     }
   }
--- a/src/main/java/slateslip/loadbalancer/SubsetSizer.java
+++ b/src/main/java/slateslip/loadbalancer/SubsetSizer.java
@@ -1,42 +1,40 @@
 package slateslip.loadbalancer;
 
-/** How many servers an agent draws from. */
+/** Computes how many servers an agent selects from. */
 final class SubsetSizer {
-  /**
-   * Servers of the own zone that a light agent draws from: two to compare, and as many may fail.
-   */
+  /** Minimum subset in the own zone: two servers to compare, and one remains if two fail. */
   static final int MIN_LOCAL = 3;
 
-  /** And of other zones, where its own has no room: two to compare. */
+  /** Minimum subset in other zones, used when the own zone has no capacity: two to compare. */
   static final int MIN_REMOTE = 2;
 
-  /** Agents that must share a server on average, so that the random subsets load it evenly. */
+  /** Average number of agents per server with which random subsets load the servers evenly. */
   private static final int MIN_AGENTS_PER_SERVER = 20;
 
-  /** Servers in the subset for each one that this agent's requests would keep busy. */
+  /** Servers in the subset per server that this agent's requests alone would keep busy. */
   private static final double SERVERS_PER_BUSY_SERVER = 4;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
 
-  /** The unhurried time of the requests that came, as a sum that fades. */
+  /** Decaying sum of the unloaded latencies of arrived requests, in microseconds. */
   private double busyTime;
 
   private long busyUpdatedAt;
 
-  SubsetSizer(LoadBalancerContext agent) {
-    this.agent = agent;
+  SubsetSizer(LoadBalancerContext context) {
+    this.context = context;
   }
 
-  /** A request came that takes this long where nothing hurries. */
+  /** Records a request; the latency of its class without load is in microseconds. */
   void requestArrived(double unloadedLatency) {
     busyTime += unloadedLatency;
   }
 
   /**
-   * From how many servers an agent draws: few while it sends little, more with the work it sends.
-   * Danger: many light agents that each use every server fill the servers' connection tables, pay a
-   * handshake for nearly every request, and none sees enough of one server to judge it. What is out
-   * does not count: it grows in a jam, and the jam with it.
+   * Returns the subset size, which grows with the work that the agent sends. If many lightly loaded
+   * agents used every server, they would fill the servers' connection tables, need a handshake for
+   * nearly every request and see too little of one server to judge it. Requests in flight do not
+   * count: they increase in an overload, and a larger subset would amplify the overload.
    */
   int subsetSize(int minimum, long now) {
     busyTime *= Math.exp(-(double) (now - busyUpdatedAt) / LatencyTracker.RATE_PERIOD);
@@ -46,8 +44,9 @@
         (int) (SERVERS_PER_BUSY_SERVER * busyTime / LatencyTracker.RATE_PERIOD));
   }
 
-  /** From how many an idle agent draws, at the least this many. */
+  /** Returns the subset size of an idle agent, at least {@code minimum}. */
   int idleSubsetSize(int minimum) {
-    return Math.max(minimum, MIN_AGENTS_PER_SERVER * agent.listed.size() / agent.settings.agents());
+    return Math.max(
+        minimum, MIN_AGENTS_PER_SERVER * context.listed.size() / context.settings.agents());
   }
 }
--- a/src/main/java/slateslip/loadbalancer/ValidatingLoadBalancer.java
+++ b/src/main/java/slateslip/loadbalancer/ValidatingLoadBalancer.java
@@ -6,29 +6,30 @@
 import java.util.Objects;
 
 /**
- * A balancer that holds its host to the contract: wrong use is an exception that says what was
- * wrong, and the balancer behind it is not told. For the time in which a host is written; {@link
- * Rules} itself disregards what it can.
+ * A load balancer that checks its host against the contract of the interface: wrong use throws an
+ * exception that describes the error, and the wrapped load balancer does not get the event.
+ * Intended for the development of a host; {@link DefaultLoadBalancer} itself ignores the wrong
+ * events that it can detect.
  */
 public final class ValidatingLoadBalancer implements LoadBalancer {
-  /** What is out for one request: the sends seen and which of them have ended. */
-  private static final class Seen {
-    int sends;
+  /** The attempts of one request: how many were sent and which of them have ended. */
+  private static final class Attempts {
+    int sent;
     long ended;
     boolean responded;
   }
 
-  /** Hands the actions on and counts the sends. */
-  private final class Counted implements Actions {
+  /** Passes the actions on to the host and counts the attempts. */
+  private final class CountingActions implements Actions {
     private final Actions host;
 
-    Counted(Actions host) {
+    CountingActions(Actions host) {
       this.host = host;
     }
 
     @Override
     public void send(long request, long server, long timeout) {
-      requests.get(request).sends++;
+      requests.get(request).sent++;
       host.send(request, server, timeout);
     }
 
@@ -87,33 +88,33 @@
 
   private Settings settings;
   private final LoadBalancer balancer;
-  private final Map<Long, Seen> requests = new HashMap<>();
-  private long latest;
-  private boolean inside;
+  private final Map<Long, Attempts> requests = new HashMap<>();
+  private long lastEventAt;
+  private boolean handlingEvent;
 
   /**
-   * A checked {@link DefaultLoadBalancer}.
+   * Creates a checked {@link DefaultLoadBalancer}.
    *
-   * @param settings what it is told at its start
-   * @param seed for its random choices
-   * @param now the time
+   * @param settings the initial settings
+   * @param seed seed of the random choices
+   * @param now the time, in microseconds
    * @param actions the host
    */
   public ValidatingLoadBalancer(Settings settings, long seed, long now, Actions actions) {
     this.settings = Objects.requireNonNull(settings, "settings");
-    this.latest = now;
-    Actions counted = new Counted(Objects.requireNonNull(actions, "actions"));
-    this.balancer = new DefaultLoadBalancer(settings, seed, now, counted);
+    this.lastEventAt = now;
+    Actions counting = new CountingActions(Objects.requireNonNull(actions, "actions"));
+    this.balancer = new DefaultLoadBalancer(settings, seed, now, counting);
   }
 
   @Override
   public void settings(long now, SettingsReload next) {
     Objects.requireNonNull(next, "next");
     Settings after = next.settings();
-    same("classes", settings.classes().size(), next.classes().size());
-    same("zones", settings.zones(), next.zones().size());
-    same("agent", settings.agent(), after.agent());
-    same("own zone", next.zones().get(settings.zone()), after.zone());
+    requireEqual("classes", settings.classes().size(), next.classes().size());
+    requireEqual("zones", settings.zones(), next.zones().size());
+    requireEqual("agent", settings.agent(), after.agent());
+    requireEqual("own zone", next.zones().get(settings.zone()), after.zone());
     event(
         now,
         () -> {
@@ -122,7 +123,7 @@
         });
   }
 
-  private static void same(String what, int expected, int found) {
+  private static void requireEqual(String what, int expected, int found) {
     if (found != expected) {
       throw new IllegalArgumentException(what + ": " + found + " instead of " + expected);
     }
@@ -142,20 +143,20 @@
     Objects.requireNonNull(request, "request");
     Objects.checkIndex(request.requestClass(), settings.classes().size());
     if (requests.containsKey(request.id())) {
-      throw new IllegalArgumentException("request " + request.id() + " has come before");
+      throw new IllegalArgumentException("request " + request.id() + " was reported before");
     }
     event(
         now,
         () -> {
-          requests.put(request.id(), new Seen());
+          requests.put(request.id(), new Attempts());
           balancer.request(now, request);
         });
   }
 
   @Override
-  public void streamStarted(long now, long request, int attempt, long server, long spent) {
-    out(request, attempt);
-    event(now, () -> balancer.streamStarted(now, request, attempt, server, spent));
+  public void streamStarted(long now, long request, int attempt, long server, long elapsed) {
+    requireInFlight(request, attempt);
+    event(now, () -> balancer.streamStarted(now, request, attempt, server, elapsed));
   }
 
   @Override
@@ -165,19 +166,19 @@
       int attempt,
       long server,
       Outcome outcome,
-      long spent,
+      long elapsed,
       boolean closed,
       double[] load) {
     Objects.requireNonNull(outcome, "outcome");
     Objects.requireNonNull(load, "load");
-    Seen seen = out(request, attempt);
+    Attempts attempts = requireInFlight(request, attempt);
     event(
         now,
         () -> {
-          seen.ended |= 1L << attempt;
-          seen.responded |= closed;
-          balancer.outcome(now, request, attempt, server, outcome, spent, closed, load);
-          forget(request, seen);
+          attempts.ended |= 1L << attempt;
+          attempts.responded |= closed;
+          balancer.outcome(now, request, attempt, server, outcome, elapsed, closed, load);
+          removeIfComplete(request, attempts);
         });
   }
 
@@ -194,10 +195,10 @@
   }
 
   @Override
-  public void probed(long now, long server, Outcome outcome, long spent, double[] load) {
+  public void probed(long now, long server, Outcome outcome, long elapsed, double[] load) {
     Objects.requireNonNull(outcome, "outcome");
     Objects.requireNonNull(load, "load");
-    event(now, () -> balancer.probed(now, server, outcome, spent, load));
+    event(now, () -> balancer.probed(now, server, outcome, elapsed, load));
   }
 
   @Override
@@ -212,42 +213,42 @@
   }
 
   private void event(long now, Runnable reported) {
-    if (inside) {
-      throw new IllegalStateException("an action has called back into the balancer");
+    if (handlingEvent) {
+      throw new IllegalStateException("an action must not call the load balancer");
     }
-    if (now < latest) {
-      throw new IllegalArgumentException("time runs backwards: " + now + " after " + latest);
+    if (now < lastEventAt) {
+      throw new IllegalArgumentException("time runs backwards: " + now + " after " + lastEventAt);
     }
-    latest = now;
-    inside = true;
+    lastEventAt = now;
+    handlingEvent = true;
     try {
       reported.run();
     } finally {
-      inside = false;
+      handlingEvent = false;
     }
   }
 
-  private Seen out(long request, int attempt) {
-    Seen seen = requests.get(request);
-    if (seen == null) {
-      throw new IllegalArgumentException("request " + request + " is not known, or has ended");
+  private Attempts requireInFlight(long request, int attempt) {
+    Attempts attempts = requests.get(request);
+    if (attempts == null) {
+      throw new IllegalArgumentException("request " + request + " is unknown or has ended");
     }
-    Objects.checkIndex(attempt, seen.sends);
-    if ((seen.ended & 1L << attempt) != 0) {
+    Objects.checkIndex(attempt, attempts.sent);
+    if ((attempts.ended & 1L << attempt) != 0) {
       throw new IllegalArgumentException(
           "attempt " + attempt + " of request " + request + " has ended");
     }
-    return seen;
+    return attempts;
   }
 
   private void responded(long request) {
-    Seen seen = requests.get(request);
-    seen.responded = true;
-    forget(request, seen);
+    Attempts attempts = requests.get(request);
+    attempts.responded = true;
+    removeIfComplete(request, attempts);
   }
 
-  private void forget(long request, Seen seen) {
-    if (seen.responded && Long.bitCount(seen.ended) == seen.sends) {
+  private void removeIfComplete(long request, Attempts attempts) {
+    if (attempts.responded && Long.bitCount(attempts.ended) == attempts.sent) {
       requests.remove(request);
     }
   }
--- a/src/main/java/slateslip/loadbalancer/WarmServiceRates.java
+++ b/src/main/java/slateslip/loadbalancer/WarmServiceRates.java
@@ -2,38 +2,40 @@
 
 import java.util.Arrays;
 
-/** What a warm server of each zone answers. It measures; others decide. */
+/** Measures the response rate of a warm server in each zone. */
 final class WarmServiceRates {
-  /** What all agents together take a warm server to answer a second while nothing is known. */
-  private static final double UNKNOWN_RATE = 5;
+  /**
+   * Assumed responses per second of a warm server to all agents together, until a rate is measured.
+   */
+  private static final double INITIAL_TOTAL_RATE = 5;
 
-  private final LoadBalancerContext agent;
+  private final LoadBalancerContext context;
   private double[] ratePerZone;
   private long[] updatedAt;
 
-  WarmServiceRates(LoadBalancerContext agent) {
-    this.agent = agent;
+  WarmServiceRates(LoadBalancerContext context) {
+    this.context = context;
     this.ratePerZone = initialRates();
     this.updatedAt = new long[ratePerZone.length];
   }
 
   private double[] initialRates() {
-    double[] initialRates = new double[agent.settings.zones()];
-    Arrays.fill(initialRates, UNKNOWN_RATE / agent.settings.agents());
+    double[] initialRates = new double[context.settings.zones()];
+    Arrays.fill(initialRates, INITIAL_TOTAL_RATE / context.settings.agents());
     return initialRates;
   }
 
   /**
-   * Answers a second from a warm server of the zone, idle ones counted. Danger: counting those in
-   * use only, light agents in hundreds each take the rate of the one server they just met for that
-   * of all.
+   * Returns the mean responses per second to this agent from a warm server of the zone, including
+   * idle servers. If only servers in use counted, each of hundreds of lightly loaded agents would
+   * take the rate of the one server it has just used for the rate of all.
    */
   double rate(int zone, long now) {
     if (updatedAt[zone] != now) {
       updatedAt[zone] = now;
       double sum = 0;
       int warmServers = 0;
-      for (Endpoint target : agent.listed) {
+      for (Endpoint target : context.listed) {
         boolean warm = target.listing.zone() == zone && target.ready && !target.isWarmingUp(now);
         sum += warm ? LatencyTracker.responseRate(target, now) : 0;
         warmServers += warm ? 1 : 0;
@@ -41,24 +43,27 @@
       ratePerZone[zone] =
           sum == 0
               ? ratePerZone[zone]
-              : sum / warmServers; // without a warm one the last known holds
+              : sum / warmServers; // if no server is warm, the last rate stays
     }
     return ratePerZone[zone];
   }
 
-  /** Reckons all as long as there are warm servers: they may leave with the next list. */
+  /**
+   * Updates the rates of all zones while their warm servers are still listed: the next list may
+   * remove the servers.
+   */
   void updateAll(long now) {
     for (int zone = 0; zone < ratePerZone.length; zone++) {
       rate(zone, now);
     }
   }
 
-  /** Whether it knows another number of zones than the settings. */
-  boolean zonesDiffer() {
-    return ratePerZone.length != agent.settings.zones();
+  /** Returns whether the number of zones differs from that in the settings. */
+  boolean zoneCountDiffers() {
+    return ratePerZone.length != context.settings.zones();
   }
 
-  /** Zones go by their new positions. */
+  /** Moves each zone's rate to the new position of the zone. */
   void remapZones(SettingsReload next) {
     double[] moved = initialRates();
     for (int zone = 0; zone < ratePerZone.length; zone++) {
--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -352,7 +352,7 @@
           e instanceof IllegalArgumentException ? e.getMessage() : e.toString());
       return;
     }
-    if (reload.movesServers()) {
+    if (reload.remapsServers()) {
       servers.replaceAll(
           (id, each) ->
               new Discovery.ListedEndpoint(
--- a/src/main/java/slateslip/loadbalancer/package-info.java
+++ b/src/main/java/slateslip/loadbalancer/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The client-side load balancer: decides which endpoint gets a request, when it is retried and when
- * it is rejected. {@link slateslip.loadbalancer.LoadBalancer} is its boundary: events in, actions
- * out, no socket, clock or thread. One instance serves one agent, from one thread at a time.
+ * The client-side load balancer: decides which server gets a request, when a request is retried and
+ * when a request is refused. {@link slateslip.loadbalancer.LoadBalancer} is the module's interface:
+ * the host reports events and the load balancer returns actions, without sockets, clocks or
+ * threads. One instance serves one agent and is called by one thread at a time.
  */
 package slateslip.loadbalancer;
--- a/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
+++ b/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
@@ -39,8 +39,8 @@
     for (int i = 0; i < 49; i++) {
       quantile.add(1);
     }
-    assertFalse(quantile.known());
+    assertFalse(quantile.isReliable());
     quantile.add(1);
-    assertTrue(quantile.known());
+    assertTrue(quantile.isReliable());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
@@ -296,9 +296,12 @@
     LoadBalancer checked = new ValidatingLoadBalancer(one, 1, host.now, host);
     for (String[] wrong :
         new String[][] {
-          {"0,0", "0,1", "classes: position 0"}, {"1", "0,1", "classes: position 1"},
-          {"0", "0,2", "zones: position 2"}, {"0,-1", "0,1", "classes: 2 instead of 1"},
-          {"0", "0", "zones: 1 instead of 2"}, {"0", "1,0", "own zone: 0 instead of 1"}
+          {"0,0", "0,1", "classes: out of range or duplicate position 0"},
+          {"1", "0,1", "classes: out of range or duplicate position 1"},
+          {"0", "0,2", "zones: out of range or duplicate position 2"},
+          {"0,-1", "0,1", "classes: 2 instead of 1"},
+          {"0", "0", "zones: 1 instead of 2"},
+          {"0", "1,0", "own zone: 0 instead of 1"}
         }) {
       assertEquals(
           wrong[2],
--- a/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
@@ -92,7 +92,7 @@
   void idsUsedTwiceAndUnknownClassesAreNamed() {
     checked.request(host.now, request(5, 0));
     assertEquals(
-        "request 5 has come before",
+        "request 5 was reported before",
         message(IllegalArgumentException.class, () -> checked.request(host.now, request(5, 0))));
     assertThrows(IndexOutOfBoundsException.class, () -> checked.request(host.now, request(6, 1)));
   }
@@ -101,7 +101,7 @@
   void unknownAndRepeatedOutcomesAreReported() {
     listTwo(checked);
     assertEquals(
-        "request 4 is not known, or has ended",
+        "request 4 is unknown or has ended",
         message(
             IllegalArgumentException.class,
             () -> checked.outcome(host.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
@@ -130,7 +130,7 @@
     self[0] = new ValidatingLoadBalancer(FakeHost.safe(), 1, rash.now, rash);
     listTwo(self[0]);
     assertEquals(
-        "an action has called back into the balancer",
+        "an action must not call the load balancer",
         message(IllegalStateException.class, () -> self[0].request(rash.now, request(5, 0))));
   }
 
