--- a/src/main/java/slateslip/dataplane/status/MetricsText.java
+++ b/src/main/java/slateslip/dataplane/status/MetricsText.java
@@ -12,7 +12,7 @@
 import slateslip.routing.quota.QuotaStatus;
 import slateslip.routing.quota.TenantQuotaStatus;
 
-/** Writes metrics in the Prometheus text format. */
+/** Formats metrics in the Prometheus text format. */
 public final class MetricsText {
   private static final String PREFIX = "slateslip_dataplane_";
 
@@ -20,7 +20,7 @@
 
   private MetricsText() {}
 
-  /** All metrics of a data plane at this moment. */
+  /** Returns the current values of all metrics of a data plane, with the given gauges. */
   public static String of(
       DataPlaneMetrics metrics,
       int openRequests,
--- a/src/main/java/slateslip/dataplane/status/StatusServer.java
+++ b/src/main/java/slateslip/dataplane/status/StatusServer.java
@@ -32,8 +32,8 @@
 import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
- * Answers {@code GET /ready} (200 or 503) and {@code GET /metrics} (Prometheus text). On the event
- * loop.
+ * Serves {@code GET /ready} (status 200 or 503) and {@code GET /metrics} (Prometheus text format).
+ * Confined to the event loop.
  */
 public final class StatusServer {
   private static final int MAX_LINE_BYTES = 1024;
@@ -45,7 +45,14 @@
   private final Supplier<String> metrics;
   private final Channel server;
 
-  /** Listens; called from outside the loop. */
+  /**
+   * Starts to listen. Has to be called from outside the event loop, because the constructor waits
+   * for the loop.
+   *
+   * @param ready returns whether the process accepts requests
+   * @param metrics returns the metrics in the Prometheus text format
+   * @throws IOException if the address cannot be listened on
+   */
   public StatusServer(
       EventLoop loop, InetSocketAddress address, BooleanSupplier ready, Supplier<String> metrics)
       throws IOException {
@@ -76,7 +83,7 @@
     server = bindFuture.channel();
   }
 
-  /** Where it listens. */
+  /** Returns the address at which the server listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.localAddress();
   }
--- a/src/main/java/slateslip/dataplane/status/package-info.java
+++ b/src/main/java/slateslip/dataplane/status/package-info.java
@@ -1,2 +1,2 @@
-/** What the process tells of itself: readiness and metrics. */
+/** Status endpoints of the process: readiness and metrics. */
 package slateslip.dataplane.status;
--- a/src/main/java/slateslip/dataplane/stream/EventSplitter.java
+++ b/src/main/java/slateslip/dataplane/stream/EventSplitter.java
@@ -7,30 +7,32 @@
 import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
- * Cuts the bytes of a {@code text/event-stream} into whole events; keeps back what is not complete.
+ * Splits the bytes of a {@code text/event-stream} response into complete events, and buffers the
+ * bytes of an incomplete event.
  */
 public final class EventSplitter {
-  /** Longest event; a stream with a longer one is broken. */
+  /** Maximum length of an event in bytes; a stream with a longer event is treated as broken. */
   public static final int MAX_EVENT_BYTES = 1 << 20;
 
-  private static final int FIRST_BYTES = 256;
+  private static final int INITIAL_BUFFER_BYTES = 256;
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
-  private byte[] pending = new byte[FIRST_BYTES];
+  private byte[] pending = new byte[INITIAL_BUFFER_BYTES];
   private int length;
 
-  /** Start of the line that is coming in. */
+  /** Position in {@link #pending} at which the incomplete line starts. */
   private int lineStart;
 
-  /** Whether something but empty lines has come since the last event. */
+  /** Whether a line that is not empty has been read since the last event. */
   private boolean hasContent;
 
   private long id = StreamEvent.NO_ID;
 
   /**
-   * Takes bytes and hands out the events that are whole with them.
+   * Reads bytes and passes each event that they complete to the consumer.
    *
-   * @return false if an event is too long: nothing more can be read of this stream
+   * @return false if an event is longer than {@link #MAX_EVENT_BYTES}; the rest of the stream
+   *     cannot be read then
    */
   public boolean feed(ByteBuf bytes, Consumer<StreamEvent> events) {
     while (bytes.isReadable()) {
@@ -46,7 +48,7 @@
     return true;
   }
 
-  /** Whether bytes of an event that is not complete are kept back. */
+  /** Returns whether bytes of an incomplete event are buffered. */
   public boolean hasPartialEvent() {
     return length > 0;
   }
@@ -72,7 +74,7 @@
       reset();
       events.accept(event);
     } else {
-      reset(); // an empty line between events says nothing
+      reset(); // an empty line between events is ignored
     }
   }
 
--- a/src/main/java/slateslip/dataplane/stream/StreamEvent.java
+++ b/src/main/java/slateslip/dataplane/stream/StreamEvent.java
@@ -1,12 +1,12 @@
 package slateslip.dataplane.stream;
 
 /**
- * One whole event of a stream.
+ * One complete event of a stream.
  *
- * @param id its id; {@link #NO_ID} if it has none
- * @param bytes as sent, with the empty line that ends it
+ * @param id numeric id of the event, or {@link #NO_ID} if the event has no such id
+ * @param bytes bytes as received, including the empty line that ends the event
  */
 public record StreamEvent(long id, byte[] bytes) {
-  /** Of an event without an id. */
+  /** Id of an event without a numeric id. */
   public static final long NO_ID = -1;
 }
--- a/src/main/java/slateslip/dataplane/stream/package-info.java
+++ b/src/main/java/slateslip/dataplane/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Streams of events: cutting them into whole events, and going on with one at another backend. */
+/** Splitting of event streams into complete events. */
 package slateslip.dataplane.stream;
--- a/src/main/java/slateslip/dataplane/transport/PendingRead.java
+++ b/src/main/java/slateslip/dataplane/transport/PendingRead.java
@@ -1,13 +1,13 @@
 package slateslip.dataplane.transport;
 
-/** What a read of a socket outside the event loop's own reads has found. */
+/** Results of {@link PollableSocketChannel#readPending}. */
 public enum PendingRead {
-  /** Bytes, which have been passed on as any other; all that had arrived. */
+  /** All bytes that had arrived were read and passed to the pipeline. */
   BYTES,
-  /** As many bytes as are read at once; there may be more. */
+  /** The buffer was filled and passed to the pipeline; more bytes may have arrived. */
   MORE_BYTES,
-  /** Nothing. */
+  /** No bytes had arrived. */
   NONE,
-  /** The end of the connection, which is still to be closed. */
+  /** The connection has ended or failed; the caller has to close the channel. */
   ENDED
 }
--- a/src/main/java/slateslip/dataplane/transport/PollableSocketChannel.java
+++ b/src/main/java/slateslip/dataplane/transport/PollableSocketChannel.java
@@ -8,8 +8,8 @@
 import slateslip.loadbalancer.net.InspectableSocketChannel;
 
 /**
- * A socket to a backend or a control agent that can be read when its owner wants to, and that
- * counts the bytes that it has taken.
+ * A socket to a backend or a control agent that its owner can read at any time, and that counts the
+ * bytes written to it.
  */
 public class PollableSocketChannel extends InspectableSocketChannel {
   private static final int END = -1;
@@ -17,12 +17,12 @@
   private long writtenBytes;
   private long unwrittenBytes;
 
-  /** Bytes that the socket has taken: they may have reached the peer. */
+  /** Returns the number of bytes that the socket has accepted, which may have reached the peer. */
   public final long writtenBytes() {
     return writtenBytes;
   }
 
-  /** Bytes that were flushed and that the socket had not taken when it was last written to. */
+  /** Returns the number of flushed bytes that the socket had not accepted at the last write. */
   public final long unwrittenBytes() {
     return unwrittenBytes;
   }
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Writes what was flushed, as far as the socket takes it. */
+  /** Writes the flushed bytes that the socket accepts. */
   protected void writeToSocket(ChannelOutboundBuffer outbound) throws Exception {
     super.doWrite(outbound);
   }
@@ -54,10 +54,10 @@
   }
 
   /**
-   * Reads once what has arrived since the loop last looked, and passes it on as any other bytes. On
-   * the event loop.
+   * Reads once the bytes that have arrived since the event loop last read the socket, and passes
+   * them to the pipeline like any other bytes. Has to be called on the event loop.
    *
-   * @param buffer bytes are read into it; no more than it holds
+   * @param buffer buffer to read into; its capacity limits the number of bytes read
    */
   public final PendingRead readPending(ByteBuffer buffer) {
     int count = isActive() ? readInto(buffer) : END;
--- a/src/main/java/slateslip/dataplane/transport/package-info.java
+++ b/src/main/java/slateslip/dataplane/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Sockets that are read outside the turns in which the event loop finds them readable. */
+/** Sockets that their owner can read without waiting until the event loop finds them readable. */
 package slateslip.dataplane.transport;
--- a/src/test/java/slateslip/dataplane/status/MetricsTextTest.java
+++ b/src/test/java/slateslip/dataplane/status/MetricsTextTest.java
@@ -11,7 +11,7 @@
 
 class MetricsTextTest {
   @Test
-  void quotaOfEachTenantIsTold() {
+  void containsTheQuotaOfEachTenant() {
     List<TenantQuotaStatus> quotas =
         List.of(new TenantQuotaStatus("a \"b\"", 900, 100, 70, 800, 50, 0.25));
     String text =
--- a/src/test/java/slateslip/dataplane/stream/EventSplitterTest.java
+++ b/src/test/java/slateslip/dataplane/stream/EventSplitterTest.java
@@ -11,7 +11,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where one event ends and the next begins, however the bytes come. */
+/**
+ * Tests the splitting of a stream into events, independent of how its bytes are divided into reads.
+ */
 class EventSplitterTest {
   private final EventSplitter splitter = new EventSplitter();
   private final List<StreamEvent> events = new ArrayList<>();
@@ -39,7 +41,7 @@
   }
 
   @Test
-  void readsTheSameByteByByte() {
+  void emitsTheSameEventsByteByByte() {
     String text = "id: 1\r\ndata: a\r\n\r\nversions: 7\nid: 12\ndata: b\n\n";
     for (int i = 0; i < text.length(); i++) {
       feed(text.substring(i, i + 1));
@@ -50,7 +52,7 @@
   }
 
   @Test
-  void anEventMayHaveNoIdOrOneThatIsNoNumber() {
+  void missingOrNonNumericIdIsReadAsNoId() {
     feed("data: a\n\nid: x\ndata: b\n\nid:\n\n");
     assertThat(ids(), contains(StreamEvent.NO_ID, StreamEvent.NO_ID, StreamEvent.NO_ID));
   }
@@ -63,7 +65,7 @@
   }
 
   @Test
-  void anEventThatIsTooLongEndsTheStream() {
+  void overlongEventIsRejected() {
     assertThat(feed("x".repeat(EventSplitter.MAX_EVENT_BYTES)), is(true));
     assertThat(feed("x"), is(false));
     assertThat(events, is(empty()));
--- a/src/test/java/slateslip/dataplane/transport/LoopbackConnection.java
+++ b/src/test/java/slateslip/dataplane/transport/LoopbackConnection.java
@@ -18,7 +18,10 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** A connection on the loopback interface: a polled channel on a loop of its own, and its peer. */
+/**
+ * A connection on the loopback interface between a {@link PollableSocketChannel}, which has its own
+ * event loop, and a peer socket.
+ */
 public final class LoopbackConnection implements Closeable {
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -27,7 +30,9 @@
   private final PollableSocketChannel channel;
   private final Socket peer;
 
-  /** Connects; bytes are counted before they come to this handler. */
+  /**
+   * Connects the two ends. Received bytes are counted and discarded before they reach the handler.
+   */
   public LoopbackConnection(ChannelHandler handler) throws IOException {
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       channel =
@@ -44,42 +49,42 @@
     }
   }
 
-  /** The loop that the channel lives on. */
+  /** Returns the event loop of the channel. */
   public EventLoop loop() {
     return loop;
   }
 
-  /** The end that is tested. */
+  /** Returns the channel under test. */
   public PollableSocketChannel channel() {
     return channel;
   }
 
-  /** The other end. */
+  /** Returns the socket at the other end of the connection. */
   public Socket peer() {
     return peer;
   }
 
-  /** Does something on the loop and waits for it. */
+  /** Runs a task on the event loop and waits for its end. */
   public void run(Runnable task) {
     loop.submit(task).syncUninterruptibly();
   }
 
-  /** Asks something on the loop. */
+  /** Calls a function on the event loop and returns its result. */
   public <T> T ask(Callable<T> question) {
     return loop.submit(question).syncUninterruptibly().getNow();
   }
 
-  /** Bytes that have been read so far. */
+  /** Returns the number of bytes that the channel has read so far. */
   public int receivedBytes() {
     return ask(() -> received.bytes);
   }
 
-  /** Whether the event loop reads the channel by itself. */
+  /** Returns whether the event loop reads the channel when bytes arrive. */
   public boolean isReadByLoop() {
     return ask(() -> channel.config().isAutoRead());
   }
 
-  /** The peer writes this many bytes. */
+  /** Writes this number of bytes from the peer to the channel. */
   public void write(int bytes) throws IOException {
     peer.getOutputStream().write(new byte[bytes]);
   }
@@ -90,7 +95,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  /** Counts bytes in place of passing them on. */
+  /** Counts received bytes and discards them. */
   private static final class ReceivedBytes extends ChannelInboundHandlerAdapter {
     private int bytes;
 
