--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -36,33 +36,39 @@
 import slateslip.settings.Bounds;
 import slateslip.settings.NodeSettings;
 
-/** One data plane process: its parts, wired on one event loop that owns them all. */
+/**
+ * A data plane process: creates and connects its components, which are all confined to one event
+ * loop.
+ */
 public final class DataPlane {
   private static final Logger LOG = Logger.getLogger(DataPlane.class);
 
   /**
-   * Descriptors that the settings keep for files, and those for listeners, control agents and the
-   * runtime.
+   * File descriptors that are not available to client and backend connections: those that the
+   * settings reserve for files, and those of listeners, control-agent connections and the runtime.
    */
-  private static final int DESCRIPTORS_RESERVED = 264;
+  private static final int RESERVED_DESCRIPTORS = 264;
 
-  /** System property with the mechanisms that an experiment switches off. */
+  /** System property that lists the routing mechanisms that an experiment disables. */
   private static final String DISABLED_MECHANISMS = "slateslip.disabled";
 
-  /** System property with parameters that an experiment sets, {@code name=value}. */
+  /** System property with the routing parameters that an experiment sets, as {@code name=value}. */
   private static final String PARAMETERS = "slateslip.parameters";
 
-  /** Part of the time until a key that was taken away is refused for which a lease lasts. */
+  /**
+   * Duration of a key lease, as a fraction of the time within which a revoked key has to be
+   * refused.
+   */
   private static final double LEASE_FRACTION = 0.9;
 
   /**
-   * A running stream is read so often within the time in which each of its events has to be passed
-   * on, so that events wait for a fraction of it at most.
+   * Number of times that a running stream is read within the time limit for forwarding an event, so
+   * that an event waits for a fraction of this limit at most.
    */
-  private static final long POLLS_IN_PASS_TIME = 5;
+  private static final long POLLS_PER_FORWARDING_LIMIT = 5;
 
-  /** Where the settings name no limit. */
-  private static final int DESCRIPTORS_DEFAULT = 1_024;
+  /** Number of file descriptors that is assumed if the settings contain no limit. */
+  private static final int DEFAULT_DESCRIPTORS = 1_024;
 
   private final NodeSettings settings;
   private final DataPlaneMetrics metrics = new DataPlaneMetrics();
@@ -76,9 +82,9 @@
   private final StatusServer status;
   private final Subscription subscription;
   private final SubscriptionClient client;
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final CountDownLatch terminated = new CountDownLatch(1);
   private final KeyLease keyLease;
-  private boolean keysNeeded;
+  private boolean keysRequired;
   private boolean shuttingDown;
 
   private DataPlane(NodeSettings settings) throws IOException {
@@ -92,7 +98,7 @@
             loop,
             periodic,
             maxConnections(),
-            settings.bounds().passMillis() / POLLS_IN_PASS_TIME,
+            settings.bounds().passMillis() / POLLS_PER_FORWARDING_LIMIT,
             metrics,
             PollableSocketChannel::new);
     keyLease = settings.bounds().closed() ? KeyLease.required() : KeyLease.notRequired();
@@ -111,7 +117,7 @@
             subscription,
             settings.ports().first(),
             () -> router.quotaReport(nowMicros()),
-            this::learnt);
+            this::applyOutput);
     status = new StatusServer(loop, settings.readyListen(), this::isReady, this::metricsText);
     ingress =
         new ClientIngress(loop, periodic, settings.frontListen(), maxConnections(), forwarder);
@@ -119,7 +125,7 @@
   }
 
   /**
-   * Starts a data plane; it listens when this returns.
+   * Starts a data plane, which is listening when this method returns.
    *
    * @throws IOException if an address cannot be listened on
    */
@@ -156,16 +162,23 @@
         TimeUnit.MILLISECONDS.toMicros(settings.heartbeatMillis()));
   }
 
-  /** Shorter than the bound, for clocks that differ and a processor that is held up; 0 if none. */
+  /**
+   * Returns the duration of a key lease in milliseconds, or 0 if the fleet needs no leases. The
+   * lease is shorter than the bound on revocation to allow for clock differences and for delays of
+   * this process.
+   */
   private static long leaseMillis(Bounds bounds) {
     return bounds.closed() ? (long) (LEASE_FRACTION * bounds.revokeTimeoutMillis()) : 0;
   }
 
-  /** Connections on either side. */
+  /**
+   * Returns the maximum number of client connections, which is also the maximum number of backend
+   * connections.
+   */
   private int maxConnections() {
     int descriptors = settings.limits().maxFileDescriptors();
-    int usable = descriptors > 0 ? descriptors : DESCRIPTORS_DEFAULT;
-    return Math.max(1, (usable - DESCRIPTORS_RESERVED) / 2);
+    int available = descriptors > 0 ? descriptors : DEFAULT_DESCRIPTORS;
+    return Math.max(1, (available - RESERVED_DESCRIPTORS) / 2);
   }
 
   private static List<String> seeds(NodeSettings settings) {
@@ -177,7 +190,7 @@
   }
 
   private boolean isReady() {
-    boolean mayServeKeys = !keysNeeded || keyLease.isHeld(nowMicros());
+    boolean mayServeKeys = !keysRequired || keyLease.isHeld(nowMicros());
     return subscription.isReady() && mayServeKeys && !shuttingDown;
   }
 
@@ -191,24 +204,24 @@
         router.quotaStatus(nowMicros()));
   }
 
-  private void learnt(SubscriptionOutput output) {
+  private void applyOutput(SubscriptionOutput output) {
     if (output instanceof SubscriptionOutput.Configure configure) {
       configure(configure.configuration());
-    } else if (output instanceof SubscriptionOutput.ListBackends list) {
-      forwarder.backendsChanged(list.backends());
-    } else if (output instanceof SubscriptionOutput.Share share) {
-      forwarder.sharesChanged(share.shares());
+    } else if (output instanceof SubscriptionOutput.ReplaceBackends replace) {
+      forwarder.backendsChanged(replace.backends());
+    } else if (output instanceof SubscriptionOutput.ApplyAllocation apply) {
+      forwarder.sharesChanged(apply.allocation());
     } else if (output instanceof SubscriptionOutput.ExtendKeyLease lease) {
       forwarder.keyLeaseExtended(TimeUnit.MILLISECONDS.toMicros(lease.untilMillis()));
-    } else if (output instanceof SubscriptionOutput.Report report) {
-      LOG.info(report.line());
+    } else if (output instanceof SubscriptionOutput.LogLine logLine) {
+      LOG.info(logLine.line());
     }
   }
 
   private void configure(FleetConfiguration configuration) {
     ingress.apply(configuration.limits());
     RoutingTable table = new RoutingTable(configuration);
-    keysNeeded = table.needsKeys();
+    keysRequired = table.needsKeys();
     forwarder.tableChanged(table);
     LogContext.version(configuration.version());
     LOG.infof("configuration %d in force", configuration.version());
@@ -218,54 +231,63 @@
         .forEach(name -> LOG.warnf("tenant not served, no header can carry its name: %s", name));
   }
 
-  /** Takes over what may change while it runs: the control agents that the settings name. */
+  /**
+   * Applies the settings that may change at run time, which are the addresses of the control
+   * agents.
+   */
   public void settingsChanged(NodeSettings changed) {
-    whileItRuns(() -> client.seedsChanged(seeds(changed)));
+    executeUnlessTerminated(() -> client.seedsChanged(seeds(changed)));
   }
 
-  /** Signals come at any time, also when the loop has ended: there is nothing left to do then. */
-  private void whileItRuns(Runnable task) {
+  /**
+   * Runs a task on the event loop, or does nothing if the loop has terminated. A signal may arrive
+   * after that; no work is left then.
+   */
+  private void executeUnlessTerminated(Runnable task) {
     try {
       loop.execute(task);
-    } catch (RejectedExecutionException over) {
-      LOG.debug("ended already", over);
+    } catch (RejectedExecutionException rejected) {
+      LOG.debug("ignored a signal after the event loop has terminated", rejected);
     }
   }
 
-  /** Where clients connect. */
+  /** Returns the address at which clients connect. */
   public InetSocketAddress address() {
     return ingress.address();
   }
 
-  /** Where readiness is asked. */
+  /** Returns the address that serves readiness and metrics. */
   public InetSocketAddress statusAddress() {
     return status.address();
   }
 
-  /** Leaves in order, within the grace period; returns when all is done. */
+  /** Shuts down gracefully within the grace period, and returns when the shutdown is complete. */
   public void stop() {
     long signalNanos = System.nanoTime();
-    whileItRuns(
+    executeUnlessTerminated(
         () -> {
           if (!shuttingDown) {
             shuttingDown = true;
             LOG.infof("leaving with %d requests open", forwarder.openRequests());
             long graceMillis = settings.bounds().gracePeriodMillis();
-            new GracefulShutdown(loop, ingress, forwarder, signalNanos, graceMillis, this::end)
+            new GracefulShutdown(
+                    loop, ingress, forwarder, signalNanos, graceMillis, this::shutDownEventLoop)
                 .start();
           }
         });
-    awaitEnd();
+    awaitTermination();
   }
 
-  private void end() {
-    group.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS).addListener(done -> ended.countDown());
+  private void shutDownEventLoop() {
+    group
+        .shutdownGracefully(0, 200, TimeUnit.MILLISECONDS)
+        .addListener(done -> terminated.countDown());
   }
 
-  /** Waits until it has ended. */
-  public void awaitEnd() {
+  /** Waits until the event loop has terminated, or until the calling thread is interrupted. */
+  public void awaitTermination() {
     try {
-      ended.await();
+      terminated.await();
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/slateslip/dataplane/DataPlaneMetrics.java
+++ b/src/main/java/slateslip/dataplane/DataPlaneMetrics.java
@@ -5,69 +5,75 @@
 import slateslip.eventloop.WakeUpCounter;
 import slateslip.routing.AbortReason;
 
-/** Counters of one data plane since its start; written and read on the event loop. */
+/** Counters of one data plane since the start of the process. Confined to the event loop. */
 public final class DataPlaneMetrics {
-  /** Turns of the event loop, by cause. */
+  /** Number of turns of the event loop, by cause. */
   public final WakeUpCounter wakeUps = new WakeUpCounter();
 
-  /** Requests read whole. */
+  /** Number of requests that were read completely. */
   public long requests;
 
-  /** Requests whose client left before its response was complete. */
+  /** Number of requests whose client disconnected before the response was complete. */
   public long clientsGone;
 
-  /** Answers of the data plane's own. */
+  /** Number of responses that the data plane generated itself. */
   public long localResponses;
 
-  /** Requests that were read whole and got no response, as their connection ended first. */
+  /**
+   * Number of requests that were read completely and got no response, because their connection
+   * ended first.
+   */
   public long dropped;
 
-  /** Streams taken up at another backend. */
+  /** Number of streams that were resumed at another backend. */
   public long resumed;
 
-  /** Events passed on. */
+  /** Number of events that were forwarded to clients. */
   public long events;
 
-  /** Connections to backends that were dialled. */
+  /** Number of connections to backends that were dialled, whether or not they were established. */
   public long dialled;
 
-  /** Attempts that were sent on an idle connection. */
+  /** Number of attempts that were sent on a connection that had been idle. */
   public long reused;
 
-  /** Attempts that ended when a part of their request had been sent, but not all of it. */
+  /**
+   * Number of attempts that ended when a part of their request had been sent, but not the complete
+   * request.
+   */
   public long partlySent;
 
-  /** Answers of backends that belonged to no request. */
+  /** Number of backend responses that belonged to no request. */
   public long surplusResponses;
 
-  /** Answers of backends that could not be read or were incomplete. */
+  /** Number of backend responses that were malformed or incomplete. */
   public long malformedResponses;
 
   private final Map<RequestOutcome, Long> byOutcome = new EnumMap<>(RequestOutcome.class);
 
   private final Map<AbortReason, Long> brokenOff = new EnumMap<>(AbortReason.class);
 
-  /** A request has ended so. */
+  /** Counts a request that ended with this outcome. */
   public void ended(RequestOutcome outcome) {
     byOutcome.merge(outcome, 1L, Long::sum);
   }
 
-  /** How many requests have ended so. */
+  /** Returns the number of requests that ended with this outcome. */
   public long endedWith(RequestOutcome outcome) {
     return byOutcome.getOrDefault(outcome, 0L);
   }
 
-  /** A response was broken off. */
+  /** Counts a response that was broken off for this reason. */
   public void brokenOff(AbortReason reason) {
     brokenOff.merge(reason, 1L, Long::sum);
   }
 
-  /** How many responses were broken off for this reason. */
+  /** Returns the number of responses that were broken off for this reason. */
   public long brokenOffFor(AbortReason reason) {
     return brokenOff.getOrDefault(reason, 0L);
   }
 
-  /** How many responses were broken off. */
+  /** Returns the number of responses that were broken off for any reason. */
   public long brokenOff() {
     return brokenOff.values().stream().mapToLong(Long::longValue).sum();
   }
--- a/src/main/java/slateslip/dataplane/GracefulShutdown.java
+++ b/src/main/java/slateslip/dataplane/GracefulShutdown.java
@@ -6,9 +6,10 @@
 import slateslip.dataplane.ingress.ClientIngress;
 
 /**
- * The end of a process in order. It serves on while clients may still be sent here, then refuses
- * what still comes, closes connections that rest, and ends when none is left. Just before the grace
- * period is over it ends all responses, and waits until their bytes have left.
+ * Carries out a graceful shutdown. The data plane first serves requests as before, because new
+ * clients may still be routed to this process. Then it stops listening, refuses new requests,
+ * closes idle connections, and ends when no connection is left. Shortly before the end of the grace
+ * period it ends all responses and waits until their bytes have been sent.
  */
 final class GracefulShutdown {
   private static final long POLL_INTERVAL_MILLIS = 50;
@@ -16,17 +17,19 @@
   private final EventLoop loop;
   private final ClientIngress ingress;
   private final Forwarder forwarder;
-  private final Runnable end;
+  private final Runnable onEnd;
   private final long signalNanos;
   private final ShutdownSchedule schedule;
-  private boolean closing;
+  private boolean refusing;
   private boolean aborted;
 
   /**
-   * A shutdown that has not begun.
+   * Creates a shutdown that has not started.
    *
-   * @param signalNanos when the process was asked to end; the loop may learn of it later
-   * @param end run once, when nothing is open or the time is up
+   * @param signalNanos time of the termination signal on the steady clock, in nanoseconds; the
+   *     event loop may handle the signal later
+   * @param graceMillis length of the grace period, in milliseconds
+   * @param onEnd called once, when no connection is open or the grace period is nearly over
    */
   GracefulShutdown(
       EventLoop loop,
@@ -34,13 +37,13 @@
       Forwarder forwarder,
       long signalNanos,
       long graceMillis,
-      Runnable end) {
+      Runnable onEnd) {
     this.loop = loop;
     this.ingress = ingress;
     this.forwarder = forwarder;
     this.signalNanos = signalNanos;
     this.schedule = new ShutdownSchedule(graceMillis);
-    this.end = end;
+    this.onEnd = onEnd;
   }
 
   void start() {
@@ -50,13 +53,13 @@
   }
 
   private void poll() {
-    if (stepNow() != ShutdownSchedule.Step.SERVE) {
-      close();
+    if (currentStep() != ShutdownSchedule.Step.SERVE) {
+      refuseNewRequests();
     }
-    ShutdownSchedule.Step step = stepNow(); // connections have been closed, or accepted
+    ShutdownSchedule.Step step = currentStep(); // the number of connections may have changed
     if (step == ShutdownSchedule.Step.END) {
       abort();
-      end.run();
+      onEnd.run();
       return;
     }
     if (step == ShutdownSchedule.Step.ABORT) {
@@ -65,16 +68,16 @@
     loop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private ShutdownSchedule.Step stepNow() {
-    long passed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos);
-    return schedule.stepAt(passed, ingress.size());
+  private ShutdownSchedule.Step currentStep() {
+    long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos);
+    return schedule.stepAt(elapsedMillis, ingress.size());
   }
 
-  private void close() {
-    if (!closing) {
-      closing = true;
+  private void refuseNewRequests() {
+    if (!refusing) {
+      refusing = true;
       ingress.stopListening();
-      ingress.refuseRequests(); // what still comes could not be finished for sure
+      ingress.refuseRequests(); // a new request might not finish within the grace period
     }
     ingress.closeIdle();
   }
--- a/src/main/java/slateslip/dataplane/PeriodicTasks.java
+++ b/src/main/java/slateslip/dataplane/PeriodicTasks.java
@@ -8,13 +8,13 @@
 import slateslip.eventloop.WakeUpCounter;
 
 /**
- * Runs the periodic work of a data plane in common turns of its event loop: to wake a process costs
- * more than most of this work. Ticks come at multiples of {@link #TICK_MILLIS} of the steady clock,
- * so that whoever rounds a time up to these shares a turn with them. On the event loop, but for
- * {@link #every} and {@link #start}.
+ * Runs the periodic work of a data plane in shared turns of its event loop, because waking a
+ * process costs more than most of this work. Ticks fall on multiples of {@link #TICK_MILLIS} of the
+ * steady clock, so that a timer that is rounded up to such a multiple shares a turn with them. All
+ * methods except {@link #every} and {@link #start} have to be called on the event loop.
  */
 public final class PeriodicTasks {
-  /** Between two ticks. */
+  /** Interval between two ticks, in milliseconds. */
   public static final long TICK_MILLIS = 100;
 
   private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS);
@@ -24,25 +24,30 @@
   private final List<PeriodicTask> tasks = new ArrayList<>();
   private long ticks;
 
-  private record PeriodicTask(long everyTicks, Runnable task) {}
+  private record PeriodicTask(long intervalTicks, Runnable task) {}
 
-  /** Nothing runs before {@link #start}. */
+  /** Creates a schedule without tasks, which does not run before {@link #start}. */
   public PeriodicTasks(EventLoop loop, WakeUpCounter wakeUps) {
     this.loop = loop;
     this.wakeUps = wakeUps;
   }
 
-  /** Counts the turns of this event loop. */
+  /** Returns the counter of the turns of this event loop. */
   public WakeUpCounter wakeUps() {
     return wakeUps;
   }
 
-  /** Adds work to be done in this interval, rounded up to ticks; before the start. */
+  /**
+   * Adds a task that runs at a fixed interval, rounded up to whole ticks. Has to be called before
+   * {@link #start}.
+   *
+   * @param millis interval in milliseconds
+   */
   public void every(long millis, Runnable task) {
     tasks.add(new PeriodicTask(Math.max(1, (millis + TICK_MILLIS - 1) / TICK_MILLIS), task));
   }
 
-  /** Begins to run what was added. */
+  /** Starts to run the added tasks. */
   public void start() {
     loop.execute(this::scheduleNext);
   }
@@ -53,11 +58,11 @@
   }
 
   private void tick() {
-    scheduleNext(); // before the work, which may fail
+    scheduleNext(); // schedule the next tick first, because a task may throw
     wakeUps.attribute(WakeUpCause.PERIODIC);
     ticks++;
     for (PeriodicTask periodic : tasks) {
-      if (ticks % periodic.everyTicks() == 0) {
+      if (ticks % periodic.intervalTicks() == 0) {
         periodic.task().run();
       }
     }
--- a/src/main/java/slateslip/dataplane/RequestOutcome.java
+++ b/src/main/java/slateslip/dataplane/RequestOutcome.java
@@ -2,25 +2,31 @@
 
 import java.util.Locale;
 
-/** How a request ended, as its client has seen it. */
+/** Outcomes of a request from the view of its client. */
 public enum RequestOutcome {
-  /** Answered within the latency objective of its route. */
+  /** A response was sent within the latency objective of the route. */
   SERVED,
-  /** Answered, later than that. */
+  /** A response was sent after the latency objective of the route. */
   LATE,
-  /** Refused with 503: nothing has run, and the client may come back. */
+  /**
+   * The request was refused with status 503: no backend executed the request, and the client may
+   * retry.
+   */
   REFUSED,
-  /** Refused with 429, as its tenant's quota is used up. */
+  /** The request was refused with status 429, because the quota of its tenant is used up. */
   OVER_QUOTA,
-  /** Refused for what it is: unknown route, missing key, too long. */
+  /**
+   * The request was rejected because of its contents, such as an unknown route, a missing key or an
+   * excessive size.
+   */
   DENIED,
-  /** Its time was up: 504. */
+  /** The request reached its deadline, and status 504 was sent. */
   TIMED_OUT,
-  /** A backend failed, and it could not be sent again. */
+  /** A backend failed, and the request could not be retried. */
   FAILED,
-  /** Its response had begun and was cut. */
+  /** The response had begun and was broken off. */
   BROKEN_OFF,
-  /** The client left before the end. */
+  /** The client disconnected before the response was complete. */
   CLIENT_GONE;
 
   private static final int TOO_MANY_REQUESTS = 429;
@@ -28,8 +34,8 @@
   private static final int GATEWAY_TIMEOUT = 504;
   private static final int FIRST_SERVER_ERROR = 500;
 
-  /** The outcome of a response of the data plane's own with this status. */
-  public static RequestOutcome ofOwnStatus(int status) {
+  /** Returns the outcome of a response with this status that the data plane generated itself. */
+  public static RequestOutcome ofLocalResponse(int status) {
     return switch (status) {
       case UNAVAILABLE -> REFUSED;
       case TOO_MANY_REQUESTS -> OVER_QUOTA;
@@ -38,7 +44,7 @@
     };
   }
 
-  /** The name of this outcome in metrics. */
+  /** Returns the name of this outcome in metrics, in lower case. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/slateslip/dataplane/ShutdownSchedule.java
+++ b/src/main/java/slateslip/dataplane/ShutdownSchedule.java
@@ -1,62 +1,66 @@
 package slateslip.dataplane;
 
 /**
- * When the steps of a graceful shutdown are due, by the time since the process was asked to end.
+ * Determines the current step of a graceful shutdown from the time since the termination signal.
  */
 final class ShutdownSchedule {
-  /** What is to be done now. */
+  /** Steps of a shutdown, in their order. */
   enum Step {
     /** Requests are served as before. */
     SERVE,
     /** New requests are refused, and idle connections closed. */
     CLOSE,
-    /** Responses that are still owed are ended, and their last bytes leave. */
+    /** Incomplete responses are ended, and their remaining bytes are sent. */
     ABORT,
     /** The process ends. */
     END
   }
 
   /**
-   * How long the platform may still send new connections here: it asks for readiness once a second
-   * and goes by the second miss.
+   * How long the platform may still route new connections to this process, in milliseconds. The
+   * platform checks readiness once a second, and stops routing after the second failed check.
    */
-  private static final long SERVE_ON_MILLIS = 2_500;
+  private static final long MAX_ROUTING_DELAY_MILLIS = 2_500;
 
   /**
-   * What is still open so long before the end of the grace period is broken off, and no sooner than
-   * in its last tenth: backends may be at work until then.
+   * Maximum time between the abort of open responses and the end of the grace period, in
+   * milliseconds. Responses are aborted in the last tenth of the grace period at the earliest,
+   * because backends may work on them until then.
    */
   private static final long MAX_ABORT_MARGIN_MILLIS = 800;
 
-  private static final long ABORT_MARGIN_PART = 10;
+  private static final long ABORT_MARGIN_DIVISOR = 10;
 
-  /** Of the time from there on, this part is left for the process to end. */
-  private static final long END_PART = 4;
+  /**
+   * Divisor for the last part of the time after the abort; this part is reserved for the process to
+   * end.
+   */
+  private static final long END_MARGIN_DIVISOR = 4;
 
-  private final long closeMillis;
+  private final long refuseMillis;
   private final long abortMillis;
   private final long endMillis;
 
   ShutdownSchedule(long graceMillis) {
-    long margin = Math.min(MAX_ABORT_MARGIN_MILLIS, graceMillis / ABORT_MARGIN_PART);
+    long margin = Math.min(MAX_ABORT_MARGIN_MILLIS, graceMillis / ABORT_MARGIN_DIVISOR);
     abortMillis = graceMillis - margin;
-    endMillis = graceMillis - margin / END_PART;
-    closeMillis = Math.min(SERVE_ON_MILLIS, abortMillis / 2);
+    endMillis = graceMillis - margin / END_MARGIN_DIVISOR;
+    refuseMillis = Math.min(MAX_ROUTING_DELAY_MILLIS, abortMillis / 2);
   }
 
   /**
-   * What is due.
+   * Returns the current step.
    *
-   * @param passedMillis since the process was asked to end
-   * @param connections how many clients are connected
+   * @param elapsedMillis time since the termination signal, in milliseconds
+   * @param connections number of client connections
    */
-  Step stepAt(long passedMillis, int connections) {
-    if (passedMillis < closeMillis) {
+  Step stepAt(long elapsedMillis, int connections) {
+    if (elapsedMillis < refuseMillis) {
       return Step.SERVE;
     }
-    if (connections == 0 || passedMillis >= endMillis) {
+    if (connections == 0 || elapsedMillis >= endMillis) {
       return Step.END;
     }
-    return passedMillis < abortMillis ? Step.CLOSE : Step.ABORT;
+    return elapsedMillis < abortMillis ? Step.CLOSE : Step.ABORT;
   }
 }
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -252,7 +252,7 @@
       return;
     }
     metrics.localResponses++;
-    forwarded.account.ended(RequestOutcome.ofOwnStatus(response.status()));
+    forwarded.account.ended(RequestOutcome.ofLocalResponse(response.status()));
     HttpResponseStatus status = HttpResponseStatus.valueOf(response.status());
     forwarded.exchange.respond(status, response.retryAfterMicros());
     forgetIfDone(forwarded);
--- a/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
@@ -259,7 +259,7 @@
     body = Unpooled.EMPTY_BUFFER;
     HttpHeaders headers = new DefaultHttpHeaders().set(head.headers());
     HeaderNames.removeHopByHop(headers);
-    HeaderNames.removeOwn(headers);
+    HeaderNames.removeDataPlaneHeaders(headers);
     var attributes = RequestHead.attributes(head, bytes.length);
     String target = HeaderText.decode(head.uri());
     var request = new ClientRequest(head.method(), target, headers, bytes, attributes);
--- a/src/main/java/slateslip/dataplane/package-info.java
+++ b/src/main/java/slateslip/dataplane/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The data plane binary: sockets, threads and clocks around the state machines of {@link
- * slateslip.routing}, and its graceful shutdown.
+ * The data plane program: the sockets, threads and clocks that surround the state machines of
+ * {@link slateslip.routing}, and the graceful shutdown.
  */
 package slateslip.dataplane;
--- a/src/main/java/slateslip/dataplane/subscription/BackendDirectory.java
+++ b/src/main/java/slateslip/dataplane/subscription/BackendDirectory.java
@@ -10,43 +10,48 @@
 import slateslip.distribution.BackendSession;
 
 /**
- * Registered backends as control agents tell of them. Of one incarnation only what is newer counts,
- * so that an agent that lags behind brings back neither a backend that was told to be gone nor one
- * that drains. One that was only missing in an agent's list may come back as it was: that agent may
- * not have heard of it yet.
+ * Registered backends as reported by the control agents. An older state of a backend incarnation is
+ * ignored, so that an agent that lags behind restores neither a backend that was reported as
+ * removed nor a backend's state before it began to drain. A backend that was only missing from the
+ * complete list of an agent may return with the same sequence number, because that agent may not
+ * have received the registration yet.
  */
 final class BackendDirectory {
-  /** How long a backend that is gone is remembered. */
-  private static final long GONE_MILLIS = 60_000;
+  /** How long the removal of a backend is remembered, in milliseconds. */
+  private static final long REMOVAL_RETENTION_MILLIS = 60_000;
 
   /**
-   * A backend that is not listed any more.
+   * The removal of a backend.
    *
-   * @param sequence of what was known last
-   * @param announced whether an agent has said so; else it was missing in an agent's whole list
+   * @param sequence sequence number of the last known state of the backend
+   * @param announced whether an agent reported the removal; otherwise the backend was missing from
+   *     the complete list of an agent
+   * @param atMillis time of the removal on the steady clock, in milliseconds
    */
-  private record Gone(long sequence, boolean announced, long atMillis) {
-    /** Whether a session is not newer than what is gone. */
-    boolean covers(BackendSession session) {
+  private record Removal(long sequence, boolean announced, long atMillis) {
+    /**
+     * Returns whether a session is not newer than this removal, so that the backend stays removed.
+     */
+    boolean supersedes(BackendSession session) {
       return announced ? session.sequence() <= sequence : session.sequence() < sequence;
     }
   }
 
   private final Map<String, BackendSession> sessions = new LinkedHashMap<>();
-  private final Map<String, Gone> gone = new HashMap<>();
+  private final Map<String, Removal> removals = new HashMap<>();
 
-  /** All backends. */
+  /** Returns all registered backends. */
   List<BackendSession> all() {
     return List.copyOf(sessions.values());
   }
 
   /**
-   * Takes the whole list of one agent.
+   * Applies the list of backends of one agent.
    *
-   * @param complete whether what is missing is gone
-   * @return whether the list has changed
+   * @param complete whether the list contains all backends, so that missing backends are removed
+   * @return whether the directory has changed in a way that matters for routing
    */
-  boolean snapshot(long nowMillis, boolean complete, List<BackendSession> listed) {
+  boolean applySnapshot(long nowMillis, boolean complete, List<BackendSession> listed) {
     boolean changed = false;
     Set<String> present = new HashSet<>();
     for (BackendSession session : listed) {
@@ -61,42 +66,48 @@
     return changed;
   }
 
-  /** Takes a change of one agent's list; returns whether this list has changed. */
-  boolean delta(long nowMillis, List<BackendSession> changedSessions, List<String> goneIds) {
+  /**
+   * Applies a change to the list of one agent. Returns whether the directory has changed in a way
+   * that matters for routing.
+   */
+  boolean applyDelta(long nowMillis, List<BackendSession> updated, List<String> removedIds) {
     boolean changed = false;
-    for (BackendSession session : changedSessions) {
+    for (BackendSession session : updated) {
       changed |= put(session);
     }
-    for (String id : goneIds) {
+    for (String id : removedIds) {
       changed |= remove(nowMillis, id, true);
     }
     return changed;
   }
 
-  /** Forgets backends that are gone for long. */
+  /** Discards removals that are older than the retention time. */
   void expire(long nowMillis) {
-    for (Iterator<Gone> each = gone.values().iterator(); each.hasNext(); ) {
-      if (nowMillis - each.next().atMillis >= GONE_MILLIS) {
+    for (Iterator<Removal> each = removals.values().iterator(); each.hasNext(); ) {
+      if (nowMillis - each.next().atMillis >= REMOVAL_RETENTION_MILLIS) {
         each.remove();
       }
     }
   }
 
   private boolean put(BackendSession session) {
-    BackendSession known = sessions.get(session.id());
-    if (known != null && known.sequence() > session.sequence()) {
+    BackendSession current = sessions.get(session.id());
+    if (current != null && current.sequence() > session.sequence()) {
       return false;
     }
-    Gone before = gone.get(session.id());
-    if (before != null && before.covers(session)) {
+    Removal removal = removals.get(session.id());
+    if (removal != null && removal.supersedes(session)) {
       return false;
     }
-    gone.remove(session.id());
+    removals.remove(session.id());
     sessions.put(session.id(), session);
-    return known == null || !sameForRouting(known, session);
+    return current == null || !sameForRouting(current, session);
   }
 
-  /** Whether two states of an incarnation differ in nothing but their number and the time left. */
+  /**
+   * Returns whether two states of an incarnation differ only in their sequence number and the
+   * length of the remaining warm-up.
+   */
   private static boolean sameForRouting(BackendSession one, BackendSession other) {
     return one.draining() == other.draining()
         && one.address().equals(other.address())
@@ -108,14 +119,14 @@
   }
 
   private boolean remove(long nowMillis, String id, boolean announced) {
-    BackendSession known = sessions.remove(id);
-    if (known != null) {
-      gone.put(id, new Gone(known.sequence(), announced, nowMillis));
+    BackendSession current = sessions.remove(id);
+    if (current != null) {
+      removals.put(id, new Removal(current.sequence(), announced, nowMillis));
       return true;
     }
-    Gone before = gone.get(id);
-    if (before != null && announced) {
-      gone.put(id, new Gone(before.sequence, true, nowMillis));
+    Removal removal = removals.get(id);
+    if (removal != null && announced) {
+      removals.put(id, new Removal(removal.sequence, true, nowMillis));
     }
     return false;
   }
--- a/src/main/java/slateslip/dataplane/subscription/ControlConnection.java
+++ b/src/main/java/slateslip/dataplane/subscription/ControlConnection.java
@@ -5,13 +5,17 @@
 import slateslip.dataplane.transport.PollableSocketChannel;
 
 /**
- * The connection to one control agent. While little comes on it, it is read once a tick, together
- * with those to the other agents, so that heartbeats do not wake the event loop. While much comes,
- * as with a whole configuration, it is read as it comes. On the event loop.
+ * The connection to one control agent. While the agent sends little, the connection is read once
+ * per tick together with the connections to the other agents, so that heartbeats do not wake the
+ * event loop. While the agent sends much, for example a complete configuration, the event loop
+ * reads the connection as soon as bytes arrive. Confined to the event loop.
  */
 final class ControlConnection {
-  /** Bytes in one tick above which the connection is read as they come. */
-  private static final int QUIET_BYTES = 2_048;
+  /**
+   * Maximum number of bytes received within one tick with which the connection is still read only
+   * once per tick.
+   */
+  private static final int MAX_POLLED_BYTES_PER_TICK = 2_048;
 
   private static final int BUFFER_BYTES = 8_192;
 
@@ -23,13 +27,14 @@
     this.channel = channel;
   }
 
-  /** Bytes of a message have come. */
-  void received(int bytes) {
+  /** Counts the received bytes of a message. */
+  void countReceived(int bytes) {
     bytesInTick += bytes;
   }
 
   /**
-   * Reads what has come since the last tick, and decides how the connection is read until the next.
+   * Reads the bytes that have arrived since the last tick, and decides how the connection is read
+   * until the next tick. Closes the connection if the agent has ended it.
    *
    * @param mayWait whether messages may wait for the next tick
    */
@@ -43,7 +48,7 @@
       channel.close();
       return;
     }
-    boolean quiet = bytesInTick <= QUIET_BYTES && read != PendingRead.MORE_BYTES;
+    boolean quiet = bytesInTick <= MAX_POLLED_BYTES_PER_TICK && read != PendingRead.MORE_BYTES;
     bytesInTick = 0;
     if (channel.isActive()) {
       channel.config().setAutoRead(!quiet || !mayWait);
--- a/src/main/java/slateslip/dataplane/subscription/ControlStream.java
+++ b/src/main/java/slateslip/dataplane/subscription/ControlStream.java
@@ -3,63 +3,66 @@
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.loadbalancer.net.Backoff;
 
-/** What is known of one control agent and the stream to it. */
+/**
+ * State of one control agent and of the stream to it. Times are in milliseconds of the steady
+ * clock.
+ */
 final class ControlStream {
-  /** State of the stream. */
+  /** States of the stream. */
   enum State {
     CLOSED,
     DIALLING,
     OPEN
   }
 
-  private static final long FIRST_WAIT_MILLIS = 100;
-  private static final long LONGEST_WAIT_MILLIS = 2_000;
+  private static final long MIN_BACKOFF_MILLIS = 100;
+  private static final long MAX_BACKOFF_MILLIS = 2_000;
 
   final String agent;
 
-  /** Lower is preferred. */
+  /** Preference of the agent; a lower rank is preferred. */
   final long rank;
 
   private final Backoff backoff;
   State state = State.CLOSED;
 
-  /** When it may be dialled again. */
-  long notBeforeMillis;
+  /** Earliest time at which the agent may be dialled again. */
+  long earliestDialMillis;
 
-  /** When it was dialled last. */
-  long dialledMillis;
+  /** Time at which the agent was last dialled. */
+  long lastDialMillis;
 
-  /** When the last message came, or the stream was opened or dialled. */
-  long heardMillis;
+  /** Time of the last message, or of the opening or dialling of the stream if that is later. */
+  long lastReceivedMillis;
 
-  /** The newest heartbeat of this stream; null if none has come. */
+  /** The newest heartbeat on this stream, or null if none has arrived. */
   ControlPlaneMessage.Heartbeat heartbeat;
 
-  /** Since when it has been alive and current without a break. */
-  long goodSinceMillis;
+  /** Start of the current period without interruption in which the agent was alive and current. */
+  long currentSinceMillis;
 
-  /** Revision of the agent's session table that was taken last on this stream. */
+  /** Revision of the agent's session table that was last applied from this stream. */
   long sessionRevision;
 
   ControlStream(String agent, long rank, long seed) {
     this.agent = agent;
     this.rank = rank;
-    this.backoff = new Backoff(FIRST_WAIT_MILLIS, LONGEST_WAIT_MILLIS, seed);
+    this.backoff = new Backoff(MIN_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, seed);
   }
 
   boolean mayBeDialled(long nowMillis) {
-    return state == State.CLOSED && nowMillis >= notBeforeMillis;
+    return state == State.CLOSED && nowMillis >= earliestDialMillis;
   }
 
   void dialled(long nowMillis) {
     state = State.DIALLING;
-    dialledMillis = nowMillis;
-    heardMillis = nowMillis;
+    lastDialMillis = nowMillis;
+    lastReceivedMillis = nowMillis;
   }
 
   void opened(long nowMillis) {
     state = State.OPEN;
-    heardMillis = nowMillis;
+    lastReceivedMillis = nowMillis;
     heartbeat = null;
     sessionRevision = 0;
   }
@@ -67,13 +70,13 @@
   void closed(long nowMillis) {
     state = State.CLOSED;
     heartbeat = null;
-    notBeforeMillis = nowMillis + backoff.next();
+    earliestDialMillis = nowMillis + backoff.next();
   }
 
   void heartbeat(long nowMillis, ControlPlaneMessage.Heartbeat next) {
     backoff.reset();
     if (heartbeat == null || !heartbeat.current() || !next.current()) {
-      goodSinceMillis = nowMillis;
+      currentSinceMillis = nowMillis;
     }
     heartbeat = next;
   }
@@ -82,17 +85,26 @@
     return state == State.OPEN;
   }
 
-  /** Whether it has said that it is up to date. */
+  /**
+   * Returns whether the stream is open and the agent's last heartbeat says that the agent is
+   * current.
+   */
   boolean isCurrent() {
     return isOpen() && heartbeat != null && heartbeat.current();
   }
 
-  /** Whether it has said that it may not be up to date, as it hears no majority. */
-  boolean isBehind() {
+  /**
+   * Returns whether the stream is open and the agent's last heartbeat says that the agent may not
+   * be current, because it does not reach a majority.
+   */
+  boolean reportsNotCurrent() {
     return isOpen() && heartbeat != null && !heartbeat.current();
   }
 
-  /** Newest configuration that it knows; 0 if it has said nothing. */
+  /**
+   * Returns the configuration version in the agent's last heartbeat, or 0 if no heartbeat has
+   * arrived.
+   */
   long configurationVersion() {
     return heartbeat == null ? 0 : heartbeat.configurationVersion();
   }
--- a/src/main/java/slateslip/dataplane/subscription/ControlStreams.java
+++ b/src/main/java/slateslip/dataplane/subscription/ControlStreams.java
@@ -12,25 +12,29 @@
 import slateslip.loadbalancer.net.Backoff;
 
 /**
- * The control agents that a data plane knows, and which of them it should have streams to: the
- * three that it prefers. While none of its streams leads to an agent that is current, all of them
- * may be on the smaller side of a partition: then it tries the other agents one after the other.
+ * The known control agents and the streams to them. A data plane keeps streams to its three most
+ * preferred agents. While none of its streams leads to a current agent, all of these agents may be
+ * in the minority of a network partition; the data plane then tries the other agents one after the
+ * other.
  */
 final class ControlStreams {
-  /** Streams that are kept. */
+  /** Number of streams that are kept open. */
   private static final int MAX_STREAMS = 3;
 
-  /** Between two trials of other agents while no stream leads to one that is current. */
-  private static final long FIRST_SEARCH_WAIT_MILLIS = 150;
+  /**
+   * Shortest backoff between two attempts to reach another agent while no stream leads to a current
+   * agent.
+   */
+  private static final long MIN_SEARCH_BACKOFF_MILLIS = 150;
 
-  private static final long LONGEST_SEARCH_WAIT_MILLIS = 1_500;
+  private static final long MAX_SEARCH_BACKOFF_MILLIS = 1_500;
 
   private final DataPlaneIdentity identity;
   private final Map<String, ControlStream> streams = new LinkedHashMap<>();
   private final Set<String> seeds = new LinkedHashSet<>();
 
-  /** The agents that a current one named last. */
-  private final Set<String> lastNamed = new LinkedHashSet<>();
+  /** The agents in the last heartbeat of a current agent. */
+  private final Set<String> lastKnownAgents = new LinkedHashSet<>();
 
   private final Backoff searchBackoff;
   private long nextSearchMillis;
@@ -39,7 +43,7 @@
     this.identity = identity;
     this.seeds.addAll(seeds);
     searchBackoff =
-        new Backoff(FIRST_SEARCH_WAIT_MILLIS, LONGEST_SEARCH_WAIT_MILLIS, identity.incarnation());
+        new Backoff(MIN_SEARCH_BACKOFF_MILLIS, MAX_SEARCH_BACKOFF_MILLIS, identity.incarnation());
   }
 
   void seedsChanged(Collection<String> changed) {
@@ -47,7 +51,7 @@
     seeds.addAll(changed);
   }
 
-  /** The stream to an agent, in any state; null if the agent is not known. */
+  /** Returns the stream to an agent in any state, or null if the agent is not known. */
   ControlStream of(String agent) {
     return streams.get(agent);
   }
@@ -60,15 +64,15 @@
     return streams.values().stream().filter(ControlStream::isOpen).toList();
   }
 
-  /** An agent has told of itself and of the agents that it reaches. */
+  /** Records the agents that a heartbeat names, if its sender is current. */
   void heartbeatReceived(ControlStream stream) {
     if (stream.isCurrent()) {
-      lastNamed.clear();
-      lastNamed.addAll(stream.heartbeat.controlAgents());
+      lastKnownAgents.clear();
+      lastKnownAgents.addAll(stream.heartbeat.controlAgents());
     }
   }
 
-  /** Streams that should be dialled now; they are marked as being dialled. */
+  /** Returns the streams to dial now, and marks them as being dialled. */
   List<ControlStream> dial(long nowMillis) {
     Set<String> candidates = candidates();
     streams
@@ -78,40 +82,46 @@
                 stream.state == ControlStream.State.CLOSED && !candidates.contains(stream.agent));
     candidates.forEach(agent -> streams.computeIfAbsent(agent, this::newStream));
     List<ControlStream> dialled = new ArrayList<>(dialPreferred(nowMillis));
-    searchCurrent(nowMillis).ifPresent(dialled::add);
+    dialNextIfNoneCurrent(nowMillis).ifPresent(dialled::add);
     return dialled;
   }
 
-  /** Opens streams: to three agents, and to a preferred one in place of another. */
+  /**
+   * Marks streams for dialling: until {@link #MAX_STREAMS} are in use, and one more to a preferred
+   * agent, which then replaces a less preferred one.
+   */
   private List<ControlStream> dialPreferred(long nowMillis) {
     List<ControlStream> dialled = new ArrayList<>();
-    long inUse = inUse();
+    long openOrDialling = openOrDialling();
     int position = 0;
     for (ControlStream stream : byRank()) {
       boolean preferred = position++ < MAX_STREAMS;
       if (stream.mayBeDialled(nowMillis)
-          && (inUse < MAX_STREAMS || (preferred && inUse == MAX_STREAMS))) {
+          && (openOrDialling < MAX_STREAMS || (preferred && openOrDialling == MAX_STREAMS))) {
         stream.dialled(nowMillis);
-        inUse++;
+        openOrDialling++;
         dialled.add(stream);
       }
     }
     return dialled;
   }
 
-  /** Tries the agent that was not tried for longest while no stream is known to be current. */
-  private Optional<ControlStream> searchCurrent(long nowMillis) {
-    if (!allBehind()) {
+  /**
+   * Selects the agent whose last dial is the longest ago, if all open streams lead to agents that
+   * are not current and the backoff has passed. Returns empty otherwise.
+   */
+  private Optional<ControlStream> dialNextIfNoneCurrent(long nowMillis) {
+    if (!allReportNotCurrent()) {
       searchBackoff.reset();
       return Optional.empty();
     }
-    if (nowMillis < nextSearchMillis || inUse() > MAX_STREAMS + 1) {
+    if (nowMillis < nextSearchMillis || openOrDialling() > MAX_STREAMS + 1) {
       return Optional.empty();
     }
     Optional<ControlStream> next =
         byRank().stream()
             .filter(stream -> stream.mayBeDialled(nowMillis))
-            .min(Comparator.comparingLong(stream -> stream.dialledMillis));
+            .min(Comparator.comparingLong(stream -> stream.lastDialMillis));
     next.ifPresent(
         stream -> {
           stream.dialled(nowMillis);
@@ -120,13 +130,16 @@
     return next;
   }
 
-  /** Whether every open stream leads to an agent that says that it is not current. */
-  private boolean allBehind() {
+  /**
+   * Returns whether at least one stream is open and the agent of every open stream reports that it
+   * is not current.
+   */
+  private boolean allReportNotCurrent() {
     List<ControlStream> open = open();
-    return !open.isEmpty() && open.stream().allMatch(ControlStream::isBehind);
+    return !open.isEmpty() && open.stream().allMatch(ControlStream::reportsNotCurrent);
   }
 
-  private long inUse() {
+  private long openOrDialling() {
     return streams.values().stream()
         .filter(stream -> stream.state != ControlStream.State.CLOSED)
         .count();
@@ -139,9 +152,10 @@
   }
 
   /**
-   * The agents to choose from: those that a current agent names. One that is not current may know
-   * only its side of a partition, so what it names is added to what is known, and takes nothing
-   * away.
+   * Returns the agents that may be dialled: the seeds, the agents with open streams, and the agents
+   * that a current agent names. An agent that is not current may know only the agents in its part
+   * of a network partition, so the agents that it names are added to the known agents and replace
+   * none of them.
    */
   private Set<String> candidates() {
     Set<String> candidates = new LinkedHashSet<>(seeds);
@@ -154,9 +168,9 @@
       }
     }
     if (!anyCurrent) {
-      candidates.addAll(lastNamed);
+      candidates.addAll(lastKnownAgents);
       open().stream()
-          .filter(ControlStream::isBehind)
+          .filter(ControlStream::reportsNotCurrent)
           .forEach(stream -> candidates.addAll(stream.heartbeat.controlAgents()));
     }
     return candidates;
@@ -168,22 +182,31 @@
   }
 
   /**
-   * A stream that is not needed, if there are more than are kept: one that is behind rather than
-   * one that is not, the least preferred of those.
+   * Returns a stream to close, or empty if no more streams are open than are kept. One additional
+   * stream may stay open while an open stream has received no heartbeat yet. A stream to an agent
+   * that is not current is closed first, and among equals the least preferred one. The active
+   * stream is never returned.
    */
   Optional<ControlStream> surplus(ControlStream active) {
     List<ControlStream> open = open();
-    boolean untold = open.stream().anyMatch(stream -> stream.heartbeat == null);
-    if (open.size() <= MAX_STREAMS || (untold && open.size() == MAX_STREAMS + 1)) {
+    boolean awaitingHeartbeat = open.stream().anyMatch(stream -> stream.heartbeat == null);
+    if (open.size() <= MAX_STREAMS || (awaitingHeartbeat && open.size() == MAX_STREAMS + 1)) {
       return Optional.empty();
     }
     return open.stream()
         .filter(stream -> stream != active)
         .max(
-            Comparator.comparing(ControlStream::isBehind).thenComparingLong(stream -> stream.rank));
+            Comparator.comparing(ControlStream::reportsNotCurrent)
+                .thenComparingLong(stream -> stream.rank));
   }
 
-  /** The open stream that knows most, the most preferred of those; null if none has told. */
+  /**
+   * Returns the best open stream, or null if no heartbeat has arrived: a stream to a current agent
+   * first, then one to an agent with a newer configuration version, then the most preferred one.
+   *
+   * @param configurationVersion version in force at this data plane; older versions count as equal
+   *     to it
+   */
   ControlStream best(long configurationVersion) {
     ControlStream best = null;
     for (ControlStream stream : open()) {
--- a/src/main/java/slateslip/dataplane/subscription/DataPlaneIdentity.java
+++ b/src/main/java/slateslip/dataplane/subscription/DataPlaneIdentity.java
@@ -1,12 +1,12 @@
 package slateslip.dataplane.subscription;
 
 /**
- * Who subscribes.
+ * Identity of a data plane that subscribes to control agents.
  *
- * @param node name of its machine
- * @param incarnation drawn at random at the start of the process
- * @param zone its zone
- * @param address its IPv4 address
+ * @param node name of the node
+ * @param incarnation random id that is drawn at each start of the process
+ * @param zone zone of the node
+ * @param address IPv4 address of the node
  */
 public record DataPlaneIdentity(String node, long incarnation, String zone, String address) {
   private static final int RANK_SHIFT = 32;
@@ -14,9 +14,11 @@
   private static final int HASH_FACTOR = 0x9e37_79b1;
 
   /**
-   * Preference among control agents; lower is better. Addresses that share more leading parts with
-   * this one's are taken to be nearer, as deployments number their zones; among equals each data
-   * plane has an order of its own.
+   * Returns the preference for a control agent; a lower rank is preferred. Addresses with more
+   * leading parts in common with this node's address are assumed to be nearer, because deployments
+   * number addresses by zone. Agents at equal distance are ordered differently by each data plane.
+   *
+   * @param agent IPv4 address of the control agent
    */
   long rank(String agent) {
     long distance = 4L - commonParts(agent);
--- a/src/main/java/slateslip/dataplane/subscription/Subscription.java
+++ b/src/main/java/slateslip/dataplane/subscription/Subscription.java
@@ -10,54 +10,54 @@
 import slateslip.distribution.QuotaReport;
 
 /**
- * Keeps streams to up to three control agents, one of them active: it carries configurations,
- * sessions and shares, the others heartbeats. A state machine without sockets, clocks or threads.
+ * Keeps streams to up to three control agents. The active stream carries configurations, backend
+ * sessions and quota allocations; the others carry heartbeats. This class is a state machine
+ * without sockets, clocks or threads.
  *
- * <p>Versions of the configuration only rise. What was learnt last stays while no control agent can
- * be reached.
+ * <p>The version of the configuration in force never decreases. The last received configuration,
+ * backends and allocations stay in force while no control agent is reachable.
  */
 public final class Subscription {
-  /** Between two ticks. */
+  /** Interval between two ticks, in milliseconds. */
   public static final long TICK_MILLIS = 100;
 
-  /**
-   * A stream on which nothing came for so long is dead; agents send heartbeats several times a
-   * second.
-   */
+  /** Time without a message that closes a stream. Agents send several heartbeats a second. */
   private static final long STREAM_TIMEOUT_MILLIS = 700;
 
-  /** How long a stream may take to come up. */
+  /** How long a stream may take to be established. */
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** By how much the active agent may lag behind another's configuration. */
+  /** How long the active agent may lag behind the version of another before it is replaced. */
   private static final long MAX_LAG_MILLIS = 200;
 
-  /**
-   * How long a preferred agent has to be good before it takes over from one that is good as well.
-   */
+  /** How long a preferred agent has to stay current before it replaces another current agent. */
   private static final long PREFERRED_STABLE_MILLIS = 3_000;
 
-  /**
-   * Two ticks that are further apart mean that this process was held up, not that its peers were
-   * unresponsive.
-   */
+  /** A longer time between two ticks means that this process was delayed, not its peers. */
   private static final long STALL_THRESHOLD_MILLIS = 3 * TICK_MILLIS;
 
   private static final long REPORT_INTERVAL_MILLIS = 250;
 
   /**
-   * The same without tenants: the report then says only that this data plane is there, and has to
-   * come well within the time after which it counts as silent (1.5 s).
+   * Interval between two quota reports without tenants. Such a report only shows that this data
+   * plane is alive, and has to arrive well within the 1.5 s after which a data plane is treated as
+   * unresponsive.
    */
   private static final long EMPTY_REPORT_INTERVAL_MILLIS = 500;
 
-  /** Backends report to control agents that have started anew within three heartbeats. */
+  /**
+   * How long the list of backends may stay incomplete after a restart of all control agents: each
+   * backend registers again within three heartbeats.
+   */
   private static final long SETTLING_MILLIS = 4_000;
 
-  /** Control agents close a stream on which nothing comes for three seconds. */
+  /** Interval between two pings. Agents close a stream after three seconds without a message. */
   private static final long PING_INTERVAL_MILLIS = 1_000;
 
-  /** A lease is renewed so many times in its time at least, and once in a ping's interval. */
+  /**
+   * Minimum number of lease renewals within the duration of a lease. A lease is also renewed at
+   * least once per {@link #PING_INTERVAL_MILLIS}.
+   */
   private static final long RENEWALS_PER_LEASE = 8;
 
   private final DataPlaneIdentity identity;
@@ -68,22 +68,23 @@
   private ConfigurationDocument document;
   private boolean backendsReceived;
   private ControlStream active;
-  private long behindSinceMillis = Long.MAX_VALUE;
+  private long laggingSinceMillis = Long.MAX_VALUE;
   private long lastTickMillis;
   private long lastReportMillis;
   private long lastPingMillis;
   private long readySinceMillis = Long.MAX_VALUE;
 
-  /** A subscription that knows nothing yet, of a data plane that needs no lease. */
+  /** Creates a subscription of a data plane that needs no key lease. */
   public Subscription(DataPlaneIdentity identity, List<String> seeds) {
     this(identity, seeds, 0);
   }
 
   /**
-   * A subscription that knows nothing yet.
+   * Creates a subscription without a configuration or backends.
    *
-   * @param leaseMillis how long keys may be served after the newest configuration was known for
-   *     sure; 0 if that needs no lease
+   * @param seeds IPv4 addresses of control agents from the settings
+   * @param leaseMillis how long requests with keys may be served after the last confirmation that
+   *     the newest configuration is in force, in milliseconds; 0 if no lease is needed
    */
   public Subscription(DataPlaneIdentity identity, List<String> seeds, long leaseMillis) {
     this.identity = identity;
@@ -91,29 +92,29 @@
     this.streams = new ControlStreams(identity, seeds);
   }
 
-  /** Version of the configuration in force; 0 if none. */
+  /** Returns the version of the configuration in force, or 0 if there is none. */
   public long configurationVersion() {
     return document == null ? 0 : document.version();
   }
 
-  /** Whether a configuration and a list of backends have come. */
+  /** Returns whether a configuration and a list of backends have been received. */
   public boolean isReady() {
     return document != null && backendsReceived;
   }
 
   /**
-   * Whether what control agents send may wait for a tick: not before the list of backends has had
-   * time to become whole after a start of everything.
+   * Returns whether messages from control agents may wait for a tick. They may not wait until the
+   * list of backends has had time to become complete after a restart of the whole fleet.
    */
   boolean isSettled(long nowMillis) {
     return isReady() && nowMillis - readySinceMillis >= SETTLING_MILLIS;
   }
 
   /**
-   * Takes one input.
+   * Handles one input.
    *
-   * @param nowMillis steady clock, in milliseconds
-   * @return what the host has to do, in order
+   * @param nowMillis time of the steady clock, in milliseconds
+   * @return actions that the host has to carry out in this order
    */
   public List<SubscriptionOutput> handle(long nowMillis, SubscriptionInput input) {
     outputs = new ArrayList<>();
@@ -131,8 +132,6 @@
     return outputs;
   }
 
-  // ---- streams ----
-
   private void connected(long now, String agent) {
     ControlStream stream = streams.of(agent);
     if (stream == null || stream.state != ControlStream.State.DIALLING) {
@@ -179,33 +178,35 @@
     extendTimeoutsAfterStall(now);
     sessions.expire(now);
     for (ControlStream stream : streams.all()) {
-      closeIfDead(now, stream);
+      closeIfTimedOut(now, stream);
     }
     streams.dial(now).forEach(this::dial);
     closeSurplusStream(now);
     chooseActive(now);
     reportQuotas(now, report);
-    pingOthers(now);
+    sendPings(now);
     if (isReady() && readySinceMillis == Long.MAX_VALUE) {
       readySinceMillis = now;
     }
   }
 
   private void extendTimeoutsAfterStall(long now) {
-    long passed = now - lastTickMillis;
-    if (passed > STALL_THRESHOLD_MILLIS) {
-      streams.all().forEach(stream -> stream.heardMillis = Math.max(stream.heardMillis, now));
+    long sinceLastTick = now - lastTickMillis;
+    if (sinceLastTick > STALL_THRESHOLD_MILLIS) {
+      streams
+          .all()
+          .forEach(stream -> stream.lastReceivedMillis = Math.max(stream.lastReceivedMillis, now));
     }
     lastTickMillis = now;
   }
 
-  private void closeIfDead(long now, ControlStream stream) {
-    long idleMillis = now - stream.heardMillis;
-    boolean dead =
+  private void closeIfTimedOut(long now, ControlStream stream) {
+    long idleMillis = now - stream.lastReceivedMillis;
+    boolean timedOut =
         (stream.isOpen() && idleMillis > STREAM_TIMEOUT_MILLIS)
             || (stream.state == ControlStream.State.DIALLING
                 && idleMillis > CONNECT_TIMEOUT_MILLIS);
-    if (dead) {
+    if (timedOut) {
       close(now, stream);
     }
   }
@@ -218,23 +219,22 @@
     streams.surplus(active).ifPresent(stream -> close(now, stream));
   }
 
-  // ---- the active stream ----
-
   private void chooseActive(long now) {
     ControlStream best = streams.best(configurationVersion());
     if (best == null || best == active) {
-      behindSinceMillis = Long.MAX_VALUE;
+      laggingSinceMillis = Long.MAX_VALUE;
       return;
     }
     if (active == null || (!active.isCurrent() && best.isCurrent())) {
       activate(best);
     } else if (best.configurationVersion()
         > Math.max(configurationVersion(), active.configurationVersion())) {
-      behindSinceMillis = Math.min(behindSinceMillis, now);
-      if (now - behindSinceMillis >= MAX_LAG_MILLIS) {
+      laggingSinceMillis = Math.min(laggingSinceMillis, now);
+      if (now - laggingSinceMillis >= MAX_LAG_MILLIS) {
         activate(best);
       }
-    } else if (best.rank < active.rank && now - best.goodSinceMillis >= PREFERRED_STABLE_MILLIS) {
+    } else if (best.rank < active.rank
+        && now - best.currentSinceMillis >= PREFERRED_STABLE_MILLIS) {
       activate(best);
     }
   }
@@ -244,9 +244,9 @@
       subscribe(active, false);
     }
     active = stream;
-    behindSinceMillis = Long.MAX_VALUE;
+    laggingSinceMillis = Long.MAX_VALUE;
     subscribe(stream, true);
-    outputs.add(new SubscriptionOutput.Report("active control agent: " + stream.agent));
+    outputs.add(new SubscriptionOutput.LogLine("active control agent: " + stream.agent));
   }
 
   private void reportQuotas(long now, QuotaReport report) {
@@ -258,16 +258,18 @@
 
   private static long reportIntervalMillis(QuotaReport report) {
     if (report.waiting()) {
-      return TICK_MILLIS / 2; // at each tick, which may come early
+      // half a tick, so that a report is sent at each tick even if the tick comes early
+      return TICK_MILLIS / 2;
     }
     return report.tenants().isEmpty() ? EMPTY_REPORT_INTERVAL_MILLIS : REPORT_INTERVAL_MILLIS;
   }
 
   /**
-   * Shows on the streams that carry nothing else that this data plane is alive. Where keys are
-   * leased, all agents are asked: a pong is the agent's word that it knows the newest version.
+   * Sends pings on the streams that carry no quota reports, so that the agents see that this data
+   * plane is alive. Where keys are leased, all agents are pinged, because a pong confirms that the
+   * agent knows the newest configuration version.
    */
-  private void pingOthers(long now) {
+  private void sendPings(long now) {
     if (now - lastPingMillis < pingIntervalMillis()) {
       return;
     }
@@ -285,18 +287,23 @@
         : PING_INTERVAL_MILLIS;
   }
 
-  /** Without keys there is nothing to lease. */
+  /**
+   * Returns whether keys are leased, which requires a lease duration and a configuration with
+   * tenants.
+   */
   private boolean needsLease() {
     return leaseMillis > 0 && document != null && document.hasTenants();
   }
 
   /**
-   * The heartbeat before this pong names a version that is at least as new as every one that was
-   * acknowledged before the ping was sent. If it is the one in force here, whatever is newer was
-   * acknowledged after that time, from which the lease therefore counts. An agent that is behind
-   * may not know of any key yet, and has then confirmed nothing.
+   * Extends the key lease if the pong confirms the configuration in force.
+   *
+   * <p>The agent's last heartbeat before the pong names a version that is at least as new as every
+   * version that was acknowledged before the ping was sent. If this version is in force here, every
+   * newer version was acknowledged after the ping was sent, so the lease starts at the time of the
+   * ping. An agent with an older version may not know any key yet; its pong confirms nothing.
    */
-  private void leaseConfirmed(ControlStream stream, ControlPlaneMessage.Pong pong) {
+  private void extendLease(ControlStream stream, ControlPlaneMessage.Pong pong) {
     boolean newestInForce =
         stream.heartbeat != null && stream.configurationVersion() == configurationVersion();
     if (needsLease() && newestInForce) {
@@ -304,14 +311,12 @@
     }
   }
 
-  // ---- messages ----
-
   private void received(long now, SubscriptionInput.Received received) {
     ControlStream stream = streams.of(received.agent());
     if (stream == null || !stream.isOpen()) {
       return;
     }
-    stream.heardMillis = now;
+    stream.lastReceivedMillis = now;
     ControlPlaneMessage message = received.message();
     if (message instanceof ControlPlaneMessage.Heartbeat heartbeat) {
       stream.heartbeat(now, heartbeat);
@@ -322,34 +327,38 @@
     } else if (message instanceof ControlPlaneMessage.ConfigurationPatch patch) {
       applyUpdate(stream, patch);
     } else if (message instanceof ControlPlaneMessage.Pong pong) {
-      leaseConfirmed(stream, pong);
+      extendLease(stream, pong);
     } else if (stream == active) {
-      activeStreamMessage(now, stream, message);
+      receivedOnActiveStream(now, stream, message);
     }
   }
 
-  private void activeStreamMessage(long now, ControlStream stream, ControlPlaneMessage message) {
+  private void receivedOnActiveStream(long now, ControlStream stream, ControlPlaneMessage message) {
     if (message instanceof ControlPlaneMessage.SessionSnapshot snapshot) {
-      boolean changed = sessions.snapshot(now, snapshot.complete(), snapshot.sessions());
+      boolean changed = sessions.applySnapshot(now, snapshot.complete(), snapshot.sessions());
       sessionsApplied(stream, snapshot.revision(), changed || !backendsReceived);
       backendsReceived = true;
     } else if (message instanceof ControlPlaneMessage.SessionDelta delta) {
-      boolean changed = sessions.delta(now, delta.changed(), delta.removedIds());
+      boolean changed = sessions.applyDelta(now, delta.changed(), delta.removedIds());
       sessionsApplied(stream, delta.revision(), changed);
-    } else if (message instanceof ControlPlaneMessage.QuotaUpdate update && isForThis(update)) {
-      outputs.add(new SubscriptionOutput.Share(update.allocation()));
+    } else if (message instanceof ControlPlaneMessage.QuotaUpdate update
+        && isForThisProcess(update)) {
+      outputs.add(new SubscriptionOutput.ApplyAllocation(update.allocation()));
     }
   }
 
-  /** An allocation for an earlier process of this node may still be on its way. */
-  private boolean isForThis(ControlPlaneMessage.QuotaUpdate update) {
+  /**
+   * Returns whether an allocation is for this process. An allocation for an earlier process of the
+   * same node may still be in flight.
+   */
+  private boolean isForThisProcess(ControlPlaneMessage.QuotaUpdate update) {
     QuotaAllocation.Lease lease = update.allocation().lease();
     return lease == null || lease.incarnation() == identity.incarnation();
   }
 
   private void sessionsApplied(ControlStream stream, long revision, boolean changed) {
     if (changed) {
-      outputs.add(new SubscriptionOutput.ListBackends(sessions.all()));
+      outputs.add(new SubscriptionOutput.ReplaceBackends(sessions.all()));
     }
     stream.sessionRevision = revision;
     acknowledge(stream);
@@ -374,8 +383,8 @@
       apply(document.committedPatch(patch.patch()));
       acknowledge(stream);
     } else {
-      subscribe(
-          stream, stream == active); // says which version is here, so that a complete one comes
+      // reports the version in force, so that the agent sends a complete configuration
+      subscribe(stream, stream == active);
     }
   }
 
@@ -384,7 +393,7 @@
       document = parsed.document();
       outputs.add(new SubscriptionOutput.Configure(document.configuration()));
     } else if (outcome instanceof ConfigurationOutcome.Invalid invalid) {
-      outputs.add(new SubscriptionOutput.Report("configuration not usable: " + invalid.message()));
+      outputs.add(new SubscriptionOutput.LogLine("configuration not usable: " + invalid.message()));
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/subscription/SubscriptionClient.java
+++ b/src/main/java/slateslip/dataplane/subscription/SubscriptionClient.java
@@ -28,14 +28,14 @@
 import slateslip.protocol.distribution.DistributionCodec;
 
 /**
- * Carries out what a {@link Subscription} asks for: TCP streams to control agents. On the event
- * loop.
+ * Carries out the actions of a {@link Subscription} over TCP streams to control agents. Confined to
+ * the event loop, except for {@link #receivedBytes}.
  */
 public final class SubscriptionClient {
-  /** What is learnt. */
+  /** Receives the outputs of the subscription that do not concern its streams. */
   public interface Listener {
-    /** What the subscription asks to put into force or to log. */
-    void learnt(SubscriptionOutput output);
+    /** Puts an output into force or logs it. Called on the event loop. */
+    void outputProduced(SubscriptionOutput output);
   }
 
   private static final int CONNECT_MILLIS = 1_000;
@@ -51,11 +51,11 @@
   private final AtomicLong receivedBytes = new AtomicLong();
 
   /**
-   * A client that does nothing before {@link #start}.
+   * Creates a client that does nothing before {@link #start}.
    *
-   * @param periodic gives it a turn at each tick
-   * @param port at which control agents listen for data planes
-   * @param quotaReport how tenants' quotas stand now
+   * @param periodic runs the client at each tick
+   * @param port port at which control agents listen for data planes
+   * @param quotaReport returns the current quota state of the tenants
    */
   public SubscriptionClient(
       EventLoop loop,
@@ -73,7 +73,7 @@
     periodic.every(Subscription.TICK_MILLIS, this::tick);
   }
 
-  /** Begins to connect, without waiting for the first tick. */
+  /** Starts to connect without waiting for the first tick. */
   public void start() {
     tick();
   }
@@ -87,12 +87,15 @@
     feed(new SubscriptionInput.Tick(report));
   }
 
-  /** Bytes of messages received so far, their length fields included; from any thread. */
+  /**
+   * Returns the number of bytes received in messages so far, including the length fields. May be
+   * called from any thread.
+   */
   public long receivedBytes() {
     return receivedBytes.get();
   }
 
-  /** Other control agents are named by the settings. */
+  /** Replaces the control agents that the settings name. */
   public void seedsChanged(List<String> seeds) {
     feed(new SubscriptionInput.SeedsChanged(seeds));
   }
@@ -122,7 +125,7 @@
         channel.writeAndFlush(Framing.frame(channel.alloc(), codec.encode(send.message())));
       }
     } else {
-      listener.learnt(output);
+      listener.outputProduced(output);
     }
   }
 
@@ -138,7 +141,7 @@
                   @Override
                   protected void initChannel(SocketChannel channel) {
                     Framing.addDecoder(channel.pipeline());
-                    channel.pipeline().addLast(new Messages(agent));
+                    channel.pipeline().addLast(new MessageHandler(agent));
                   }
                 })
             .connect(new InetSocketAddress(agent, port));
@@ -151,13 +154,16 @@
           if (done.isSuccess() && connections.get(agent) == connection) {
             feed(new SubscriptionInput.Connected(agent));
           } else if (!done.isSuccess()) {
-            ended(agent, connection.channel);
+            channelEnded(agent, connection.channel);
           }
         });
   }
 
-  /** A channel has ended; told once, and not of one that the subscription has closed. */
-  private void ended(String agent, Channel channel) {
+  /**
+   * Reports the end of a channel to the subscription: once per channel, and not for a channel that
+   * the subscription has closed.
+   */
+  private void channelEnded(String agent, Channel channel) {
     ControlConnection connection = connections.get(agent);
     if (connection != null && connection.channel == channel) {
       connections.remove(agent);
@@ -165,10 +171,10 @@
     }
   }
 
-  private final class Messages extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class MessageHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final String agent;
 
-    Messages(String agent) {
+    MessageHandler(String agent) {
       this.agent = agent;
     }
 
@@ -181,20 +187,21 @@
       if (connection == null || connection.channel != context.channel()) {
         return;
       }
-      connection.received(bytes);
+      connection.countReceived(bytes);
       Decoded<ControlPlaneMessage> decoded = codec.decodeToDataPlane(frame);
       if (decoded instanceof Decoded.Message<ControlPlaneMessage> message) {
         feed(new SubscriptionInput.Received(agent, message.value()));
       } else if (decoded instanceof Decoded.Malformed<ControlPlaneMessage> malformed) {
-        listener.learnt(
-            new SubscriptionOutput.Report("message of " + agent + ": " + malformed.reason()));
+        listener.outputProduced(
+            new SubscriptionOutput.LogLine(
+                "malformed message from control agent " + agent + ": " + malformed.reason()));
         context.close();
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      ended(agent, context.channel());
+      channelEnded(agent, context.channel());
     }
 
     @Override
--- a/src/main/java/slateslip/dataplane/subscription/SubscriptionInput.java
+++ b/src/main/java/slateslip/dataplane/subscription/SubscriptionInput.java
@@ -4,24 +4,24 @@
 import slateslip.distribution.ControlPlaneMessage;
 import slateslip.distribution.QuotaReport;
 
-/** What can happen to a {@link Subscription}. Control agents are named by their IPv4 address. */
+/** Inputs of a {@link Subscription}. Control agents are identified by their IPv4 address. */
 public sealed interface SubscriptionInput {
-  /** A stream that was dialled is up. */
+  /** A dialled stream has been established. */
   record Connected(String agent) implements SubscriptionInput {}
 
-  /** A stream has ended, or could not be opened. */
+  /** A stream has ended or could not be established. */
   record Disconnected(String agent) implements SubscriptionInput {}
 
-  /** A message has come. */
+  /** A message has been received on a stream. */
   record Received(String agent, ControlPlaneMessage message) implements SubscriptionInput {}
 
-  /** The settings name other control agents. */
+  /** The list of control agents in the settings has changed. */
   record SeedsChanged(List<String> agents) implements SubscriptionInput {}
 
   /**
-   * Time has passed; wanted every 100 ms or so.
+   * Advances the time. The host sends a tick about every {@link Subscription#TICK_MILLIS} ms.
    *
-   * @param report how each tenant's quota stands at the data plane
+   * @param report quota state of each tenant at this data plane
    */
   record Tick(QuotaReport report) implements SubscriptionInput {}
 }
--- a/src/main/java/slateslip/dataplane/subscription/SubscriptionOutput.java
+++ b/src/main/java/slateslip/dataplane/subscription/SubscriptionOutput.java
@@ -6,29 +6,29 @@
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.QuotaAllocation;
 
-/** What a {@link Subscription} asks of its host. */
+/** Actions that a {@link Subscription} requests from its host. */
 public sealed interface SubscriptionOutput {
-  /** Open a stream; it ends in {@code Connected} or {@code Disconnected}. */
+  /** Opens a stream to an agent; the result is {@code Connected} or {@code Disconnected}. */
   record Dial(String agent) implements SubscriptionOutput {}
 
-  /** Close a stream, also one being opened; nothing more is told of it. */
+  /** Closes a stream, also while it is being established; no {@code Disconnected} follows. */
   record Close(String agent) implements SubscriptionOutput {}
 
-  /** Send a message on a stream. */
+  /** Sends a message on the stream to an agent. */
   record Send(String agent, DataPlaneMessage message) implements SubscriptionOutput {}
 
-  /** Put this configuration into force; it is newer than every one before. */
+  /** Puts a configuration into force; its version is higher than all versions before. */
   record Configure(FleetConfiguration configuration) implements SubscriptionOutput {}
 
-  /** The whole list of registered backends has changed. */
-  record ListBackends(List<BackendSession> backends) implements SubscriptionOutput {}
+  /** Replaces the list of registered backends. */
+  record ReplaceBackends(List<BackendSession> backends) implements SubscriptionOutput {}
 
-  /** This data plane's share of the fleet-wide limits. */
-  record Share(QuotaAllocation shares) implements SubscriptionOutput {}
+  /** Applies this data plane's allocation of the fleet-wide quotas. */
+  record ApplyAllocation(QuotaAllocation allocation) implements SubscriptionOutput {}
 
-  /** Requests with keys may be sent until this time of the steady clock. */
+  /** Extends the lease for requests with keys to this time of the steady clock, in milliseconds. */
   record ExtendKeyLease(long untilMillis) implements SubscriptionOutput {}
 
-  /** A line for the log. */
-  record Report(String line) implements SubscriptionOutput {}
+  /** Writes a line to the log. */
+  record LogLine(String line) implements SubscriptionOutput {}
 }
--- a/src/main/java/slateslip/dataplane/subscription/package-info.java
+++ b/src/main/java/slateslip/dataplane/subscription/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What a data plane learns from control agents: configuration, backends, and its share of limits.
+ * Subscriptions of a data plane to control agents, which send configurations, backends and quota
+ * allocations.
  */
 package slateslip.dataplane.subscription;
--- a/src/scale/java/slateslip/scale/HollowDataPlane.java
+++ b/src/scale/java/slateslip/scale/HollowDataPlane.java
@@ -45,7 +45,7 @@
     if (output instanceof SubscriptionOutput.Configure configure) {
       versionNanos.set(System.nanoTime());
       version.set(configure.configuration().version());
-    } else if (output instanceof SubscriptionOutput.ListBackends list) {
+    } else if (output instanceof SubscriptionOutput.ReplaceBackends list) {
       backends.set(list.backends().size());
     }
   }
--- a/src/test/java/slateslip/dataplane/ArrivedRequestTest.java
+++ b/src/test/java/slateslip/dataplane/ArrivedRequestTest.java
@@ -31,11 +31,12 @@
 import slateslip.loadbalancer.net.ScriptedPeer;
 
 /**
- * Requests that have arrived in a socket, or in the accept queue, while the event loop was busy:
- * their clients cannot tell them from requests that were read, and get a response as well.
+ * Tests requests that have arrived in a socket or in the accept queue while the event loop was
+ * busy. A client cannot distinguish such a request from one that was read, so each of them has to
+ * get a response too.
  */
 class ArrivedRequestTest {
-  private static final int CONNECTIONS = 100;
+  private static final int MAX_CONNECTIONS = 100;
   private static final String EVENT = "id: 1\n\n";
 
   private final EventLoopGroup group =
@@ -44,7 +45,7 @@
   private final BlockingQueue<ClientExchange> arrived = new LinkedBlockingQueue<>();
   private ClientIngress ingress;
 
-  /** A step of a test that may fail with its sockets. */
+  /** A step of a test, which may throw an {@link IOException}. */
   private interface Step {
     void run() throws IOException;
   }
@@ -53,7 +54,7 @@
   void open() throws IOException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     PeriodicTasks periodic = new PeriodicTasks(loop, new WakeUpCounter());
-    ingress = new ClientIngress(loop, periodic, any, CONNECTIONS, new Listener());
+    ingress = new ClientIngress(loop, periodic, any, MAX_CONNECTIONS, new Listener());
     periodic.start();
   }
 
@@ -62,7 +63,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
   }
 
-  /** Runs all of it in one turn of the event loop, which reads nothing meanwhile. */
+  /** Runs a step in one turn of the event loop, which reads no sockets meanwhile. */
   private void inOneTurn(Step step) {
     loop.submit(
             () -> {
@@ -74,7 +75,7 @@
 
   private Socket dial() throws IOException {
     Socket socket = new Socket(ingress.address().getAddress(), ingress.address().getPort());
-    socket.setSoTimeout(DataPlaneFixture.GENEROUS_MILLIS);
+    socket.setSoTimeout(DataPlaneFixture.TIMEOUT_MILLIS);
     return socket;
   }
 
@@ -87,11 +88,11 @@
   }
 
   private ClientExchange nextArrived() throws InterruptedException {
-    return arrived.poll(DataPlaneFixture.GENEROUS_MILLIS, TimeUnit.MILLISECONDS);
+    return arrived.poll(DataPlaneFixture.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   @Test
-  void requestThatArrivesBeforeTheResponseIsServedBehindIt() throws Exception {
+  void requestThatArrivesBeforeTheResponseIsServedAfterIt() throws Exception {
     try (Socket socket = dial()) {
       send(socket, "a1");
       ClientExchange first = nextArrived();
@@ -113,7 +114,7 @@
   }
 
   @Test
-  void requestThatArrivesBehindAnAnnouncedLastResponseIsRefused() throws Exception {
+  void requestThatArrivesAfterAnAnnouncedLastResponseIsRefused() throws Exception {
     try (Socket socket = dial()) {
       send(socket, "a1");
       ClientExchange first = nextArrived();
@@ -137,7 +138,7 @@
   }
 
   @Test
-  void connectionThatWaitsToBeAcceptedIsAnsweredBeforeTheListenerCloses() throws Exception {
+  void requestInTheAcceptQueueIsRefusedBeforeTheListenerCloses() throws Exception {
     Socket[] waiting = new Socket[1];
     inOneTurn(
         () -> {
@@ -156,7 +157,7 @@
     }
   }
 
-  /** Keeps the exchanges of the requests that were read. */
+  /** Collects the exchanges of the requests that were read. */
   private final class Listener implements IngressListener {
     @Override
     public void requestArrived(ClientRequest request, ClientExchange exchange) {
--- a/src/test/java/slateslip/dataplane/BackendsTest.java
+++ b/src/test/java/slateslip/dataplane/BackendsTest.java
@@ -33,7 +33,7 @@
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterInput.ProbeOutcome;
 
-/** Backends that misbehave, and the connections that are kept to them. */
+/** Tests misbehaving backends and the reuse of connections to backends. */
 class BackendsTest {
   private DataPlaneFixture fixture;
 
@@ -47,14 +47,14 @@
     fixture.close();
   }
 
-  private ScriptedPeer good() throws IOException {
+  private ScriptedPeer healthyBackend() throws IOException {
     return fixture.backend(
         (message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
   }
 
-  private void awaitEnds(AttemptOutcome.Kind... expected) {
-    DataPlaneFixture.await(() -> fixture.router.ends().size() >= expected.length);
-    assertThat(fixture.router.ends(), is(List.of(expected)));
+  private void awaitOutcomes(AttemptOutcome.Kind... expected) {
+    DataPlaneFixture.await(() -> fixture.router.outcomes().size() >= expected.length);
+    assertThat(fixture.router.outcomes(), is(List.of(expected)));
   }
 
   @ParameterizedTest
@@ -73,53 +73,53 @@
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Response-Stamp: s\r\nContent-Length: 4\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
       })
-  void neverServesWhatIsNoWholeStampedAnswer(String bytes) throws IOException {
+  void neverRelaysAnInvalidOrIncompleteResponse(String bytes) throws IOException {
     fixture.backend(
         (message, socket) -> {
           ScriptedPeer.write(socket, bytes);
           socket.close();
         });
-    good();
+    healthyBackend();
     assertThat(fixture.call("a1").body(), is("good"));
-    awaitEnds(BROKEN, SUCCESS);
+    awaitOutcomes(BROKEN, SUCCESS);
   }
 
   @Test
-  void doesNotRepeatWhatMayHaveRun() throws IOException {
-    fixture.router.repeatable = false;
+  void doesNotRetryARequestThatMayHaveRun() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.backend((message, socket) -> ScriptedPeer.reset(socket));
-    ScriptedPeer second = good();
+    ScriptedPeer second = healthyBackend();
     assertThat(fixture.call("a1").status(), is(502));
-    awaitEnds(BROKEN);
+    awaitOutcomes(BROKEN);
     assertThat(second.requests.size(), is(0));
   }
 
   @Test
-  void tellsOfADeadPortThatNothingWasSent() throws IOException {
-    fixture.router.repeatable = false;
+  void reportsNotSentWhenTheConnectionIsRefused() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.deadBackend();
-    good();
+    healthyBackend();
     assertThat(fixture.call("a1").body(), is("good"));
-    awaitEnds(NOT_SENT, SUCCESS);
+    awaitOutcomes(NOT_SENT, SUCCESS);
   }
 
   @Test
-  void nothingIsWrittenForAKeyWithoutALease() throws IOException {
+  void requestWithAKeyIsWithheldWithoutALease() throws IOException {
     fixture.close();
     fixture = new DataPlaneFixture(null, KeyLease.required());
-    fixture.router.repeatable = false;
+    fixture.router.retriesBrokenAttempts = false;
     fixture.router.tenant = "t";
-    ScriptedPeer backend = good();
+    ScriptedPeer backend = healthyBackend();
     fixture.call("a1");
-    awaitEnds(AttemptOutcome.Kind.WITHHELD);
+    awaitOutcomes(AttemptOutcome.Kind.WITHHELD);
     assertThat(backend.requests.size(), is(0));
     fixture.keyLease.extendTo(Long.MAX_VALUE);
     assertThat(fixture.call("a2").body(), is("good"));
   }
 
   @Test
-  void tellsWhatABackendDidNotRun() throws IOException {
-    fixture.router.repeatable = false;
+  void reportsRequestsThatABackendDidNotExecute() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.backend(
         (message, socket) ->
             ScriptedPeer.respond(
@@ -128,16 +128,17 @@
         (message, socket) ->
             ScriptedPeer.respond(
                 socket, 421, DataPlaneFixture.idOf(message) + "X-Instance-Id: i-9\r\n", ""));
-    good();
+    healthyBackend();
     assertThat(fixture.call("a1").body(), is("good"));
-    awaitEnds(NOT_EXECUTED, OTHER_INSTANCE, SUCCESS);
+    awaitOutcomes(NOT_EXECUTED, OTHER_INSTANCE, SUCCESS);
   }
 
   /**
-   * UNASKED, related: ids are letters of any alphabet too, and are compared with what comes back.
+   * Backend ids may contain non-ASCII characters, which are sent as UTF-8 and compared with the ids
+   * in responses.
    */
   @Test
-  void idsOfBackendsTravelAsUtf8() throws Exception {
+  void backendIdsAreSentAsUtf8() throws Exception {
     String id = "i-\u017e\u6771";
     String idBytes = HeaderText.encode(id);
     ScriptedPeer backend =
@@ -148,10 +149,10 @@
                     message.target().equals("/health") ? 200 : 421,
                     DataPlaneFixture.idOf(message) + "X-Instance-Id: " + idBytes + "\r\n",
                     ""));
-    fixture.list(
+    fixture.replaceBackends(
         List.of(new BackendSession(id, "svc", backend.address(), "z", "v1", 4, false, 0, 1)));
     fixture.call("a1");
-    awaitEnds(NOT_EXECUTED);
+    awaitOutcomes(NOT_EXECUTED);
     assertThat(backend.requests.get(0).header("X-Target-Instance"), is(idBytes));
     List<ProbeOutcome> outcomes = new java.util.concurrent.CopyOnWriteArrayList<>();
     fixture.onLoop(() -> fixture.pools.probe(id, result -> outcomes.add(result.outcome())));
@@ -159,9 +160,12 @@
     assertThat(outcomes, contains(ProbeOutcome.HEALTHY));
   }
 
-  /** A health path from the configuration that no request line can carry as it stands. */
+  /**
+   * A health path from the configuration may contain characters that a request line can only carry
+   * percent-encoded.
+   */
   @Test
-  void probesPathsWithAnyLetters() throws Exception {
+  void probesHealthPathsWithNonAsciiCharacters() throws Exception {
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) -> ScriptedPeer.respond(socket, 200, "X-Instance-Id: b-1\r\n", ""));
@@ -177,7 +181,7 @@
   }
 
   @Test
-  void relaysAFailureUnchanged() throws IOException {
+  void relaysAnErrorResponseUnchanged() throws IOException {
     fixture.backend(
         (message, socket) ->
             ScriptedPeer.respond(
@@ -186,12 +190,12 @@
     assertThat(response.status(), is(500));
     assertThat(response.body(), is("broken inside"));
     assertThat(response.header("X-Why"), is("w"));
-    awaitEnds(ERROR_RESPONSE);
+    awaitOutcomes(ERROR_RESPONSE);
   }
 
   @Test
-  void passesOverAnAnswerToAnEarlierRequest() throws IOException {
-    fixture.router.repeatable = false;
+  void skipsAResponseToAnEarlierRequest() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) -> {
@@ -201,8 +205,7 @@
             });
     assertThat(fixture.call("a1").body(), is("mine"));
     assertThat(fixture.call("a2").body(), is("mine"));
-    assertThat(
-        backend.sockets.size(), is(2)); // a connection with surplus answers is not used again
+    assertThat(backend.sockets.size(), is(2)); // a connection with a surplus response is not reused
     fixture.onLoop(() -> assertThat(fixture.metrics.surplusResponses, is(2L)));
   }
 
@@ -219,7 +222,7 @@
   }
 
   @Test
-  void doesNotReuseAConnectionThatItsBackendEnds() throws IOException {
+  void doesNotReuseAConnectionAfterConnectionClose() throws IOException {
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) ->
@@ -231,7 +234,7 @@
   }
 
   @Test
-  void doesNotReuseAConnectionWithBytesBehindItsAnswer() throws IOException {
+  void doesNotReuseAConnectionWithBytesAfterTheResponse() throws IOException {
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) ->
@@ -246,8 +249,8 @@
   }
 
   @Test
-  void doesNotUseAConnectionThatHasBeenClosed() throws IOException {
-    fixture.router.repeatable = false;
+  void doesNotReuseAConnectionThatTheBackendHasClosed() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) -> {
@@ -257,48 +260,48 @@
     fixture.call("a1");
     DataPlaneFixture.await(() -> backend.ended.size() == 1);
     assertThat(fixture.call("a2").body(), is("x"));
-    awaitEnds(SUCCESS, SUCCESS);
+    awaitOutcomes(SUCCESS, SUCCESS);
   }
 
   @Test
   void unresponsiveBackendTimesOut() throws IOException {
     fixture.router.firstEventTimeoutMicros =
-        1_000_000; // well above what a connection takes to come up
+        1_000_000; // well above the time to establish a connection
     ScriptedPeer unresponsive = fixture.backend((message, socket) -> {});
     assertThat(fixture.call("a1").status(), is(502));
-    awaitEnds(TIMEOUT);
+    awaitOutcomes(TIMEOUT);
     DataPlaneFixture.await(() -> unresponsive.ended.size() == 1);
   }
 
   @Test
-  void sendsNothingNewToABackendThatDrains() throws IOException {
-    fixture.router.repeatable = false;
+  void sendsNoRequestToABackendThatIsNoLongerListed() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) ->
                 DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", "x"));
     fixture.call("a1");
     fixture.onLoop(() -> fixture.pools.backendsChanged(List.of()));
-    DataPlaneFixture.await(() -> backend.ended.size() == 1); // nothing is kept for it
+    DataPlaneFixture.await(() -> backend.ended.size() == 1); // the idle connection is closed
     assertThat(fixture.call("a2").status(), is(502));
-    awaitEnds(SUCCESS, NOT_SENT);
+    awaitOutcomes(SUCCESS, NOT_SENT);
   }
 
   @Test
-  void tellsTheLoadOfABackend() throws IOException {
+  void reportsTheLoadOfABackendWithTheOutcome() throws IOException {
     fixture.backend(
         (message, socket) ->
             DataPlaneFixture.serve(message, socket, "X-Backend-Load: 3, 1, 8\r\n", "x"));
     ClientResponse response = fixture.call("a1");
     assertThat(response.headers().containsKey("X-Backend-Load"), is(false));
-    awaitEnds(SUCCESS);
+    awaitOutcomes(SUCCESS);
     RouterInput.AttemptEnded ended =
         (RouterInput.AttemptEnded) fixture.router.inputs.get(fixture.router.inputs.size() - 1);
     assertThat(ended.load(), is(new BackendLoad(3, 1, 8)));
   }
 
   @Test
-  void readsWhatAProbeFinds() throws Exception {
+  void reportsTheOutcomesOfProbes() throws Exception {
     fixture.backend(
         (message, socket) -> ScriptedPeer.respond(socket, 200, "X-Instance-Id: b-1\r\n", ""));
     fixture.backend(
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -21,7 +21,9 @@
 import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput;
 
-/** Clients of every manner: what goes on to a backend, and what is rejected. */
+/**
+ * Tests which parts of client requests are forwarded to a backend, and which requests are rejected.
+ */
 class ClientsTest {
   private static final String HEAD = "POST /a/b HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\n";
 
@@ -37,7 +39,7 @@
     fixture.close();
   }
 
-  private ScriptedPeer echo() throws IOException {
+  private ScriptedPeer echoBackend() throws IOException {
     return fixture.backend(
         (message, socket) ->
             DataPlaneFixture.serve(message, socket, "X-Other: 1\r\n", message.text()));
@@ -50,8 +52,8 @@
   }
 
   @Test
-  void passesMethodTargetBodyAndHeadersOn() throws IOException {
-    ScriptedPeer backend = echo();
+  void forwardsMethodTargetBodyAndHeaders() throws IOException {
+    ScriptedPeer backend = echoBackend();
     fixture.router.tenant = "t-1";
     fixture.router.priority = 3;
     ClientResponse response =
@@ -63,38 +65,38 @@
     assertThat(response.header("X-Response-Stamp"), is("s1"));
     assertThat(response.header("X-Attempt-Id"), is("a1"));
     assertThat(response.header("X-Other"), is("1"));
-    ScriptedPeer.Message got = backend.requests.get(0);
-    assertThat(got.first(), is("POST /a/b?q=1 HTTP/1.1"));
-    assertThat(got.header("Host"), is("h.example"));
-    assertThat(got.header("X-Custom"), is("c"));
-    assertThat(got.header("X-Model"), is("m"));
-    assertThat(got.header("X-Attempt-Id"), is("a1"));
-    assertThat(got.header("X-Target-Instance"), is("b-1"));
-    assertThat(got.header("X-Tenant"), is("t-1"));
-    assertThat(got.header("Priority"), is("3"));
-    assertThat(got.header("X-Credential"), is(nullValue()));
-    assertThat(Integer.parseInt(got.header("X-Deadline-Ms")), lessThanOrEqualTo(8000));
+    ScriptedPeer.Message received = backend.requests.get(0);
+    assertThat(received.first(), is("POST /a/b?q=1 HTTP/1.1"));
+    assertThat(received.header("Host"), is("h.example"));
+    assertThat(received.header("X-Custom"), is("c"));
+    assertThat(received.header("X-Model"), is("m"));
+    assertThat(received.header("X-Attempt-Id"), is("a1"));
+    assertThat(received.header("X-Target-Instance"), is("b-1"));
+    assertThat(received.header("X-Tenant"), is("t-1"));
+    assertThat(received.header("Priority"), is("3"));
+    assertThat(received.header("X-Credential"), is(nullValue()));
+    assertThat(Integer.parseInt(received.header("X-Deadline-Ms")), lessThanOrEqualTo(8000));
   }
 
   @Test
-  void dropsWhatOnlyTheDataPlaneMaySay() throws IOException {
-    ScriptedPeer backend = echo();
+  void removesHeadersThatOnlyTheDataPlaneSets() throws IOException {
+    ScriptedPeer backend = echoBackend();
     String forged =
         "X-Tenant: other\r\nX-Target-Instance: b-9\r\nPriority: 0\r\nKeep-Alive: timeout=9\r\n"
             + "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n";
     assertThat(send(DataPlaneFixture.request("a1", forged, "")).status(), is(200));
-    ScriptedPeer.Message got = backend.requests.get(0);
-    assertThat(got.header("X-Tenant"), is(nullValue()));
-    assertThat(got.header("X-Target-Instance"), is("b-1"));
-    assertThat(got.header("Priority"), is(nullValue()));
-    assertThat(got.header("Keep-Alive"), is(nullValue()));
-    assertThat(got.header("Connection"), is(nullValue()));
-    assertThat(got.header("X-Hop"), is(nullValue()));
+    ScriptedPeer.Message received = backend.requests.get(0);
+    assertThat(received.header("X-Tenant"), is(nullValue()));
+    assertThat(received.header("X-Target-Instance"), is("b-1"));
+    assertThat(received.header("Priority"), is(nullValue()));
+    assertThat(received.header("Keep-Alive"), is(nullValue()));
+    assertThat(received.header("Connection"), is(nullValue()));
+    assertThat(received.header("X-Hop"), is(nullValue()));
   }
 
   @Test
-  void keepsWhatConnectionMayNotTakeAway() throws IOException {
-    ScriptedPeer backend = echo();
+  void connectionOptionsDoNotRemoveEndToEndHeaders() throws IOException {
+    ScriptedPeer backend = echoBackend();
     String headers = "Connection: X-Attempt-Id, Host\r\n";
     assertThat(send(DataPlaneFixture.request("a1", headers, "")).status(), is(200));
     assertThat(backend.requests.get(0).header("X-Attempt-Id"), is("a1"));
@@ -102,8 +104,8 @@
   }
 
   @Test
-  void passesAChunkedBodyOnWithItsLength() throws IOException {
-    ScriptedPeer backend = echo();
+  void forwardsAChunkedBodyWithItsContentLength() throws IOException {
+    ScriptedPeer backend = echoBackend();
     ClientResponse response =
         send(HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     assertThat(response.body(), is("abcde"));
@@ -112,8 +114,8 @@
   }
 
   @Test
-  void drawsAnIdForARequestWithoutOneAndTakesItAwayAgain() throws IOException {
-    ScriptedPeer backend = echo();
+  void generatesAMissingAttemptIdAndRemovesItFromTheResponse() throws IOException {
+    ScriptedPeer backend = echoBackend();
     ClientResponse response = send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     assertThat(response.status(), is(200));
     assertThat(response.header("X-Attempt-Id"), is(nullValue()));
@@ -121,8 +123,8 @@
   }
 
   @Test
-  void answersPipelinedRequestsInTheirOrder() throws IOException {
-    echo();
+  void respondsToPipelinedRequestsInOrder() throws IOException {
+    echoBackend();
     Socket socket = fixture.dial();
     ScriptedPeer.write(
         socket,
@@ -135,8 +137,8 @@
   }
 
   @Test
-  void keepsAConnectionAndEndsOneThatAsksForIt() throws IOException {
-    echo();
+  void keepsTheConnectionOpenUntilTheClientRequestsItsEnd() throws IOException {
+    echoBackend();
     Socket socket = fixture.dial();
     ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", "one"));
     assertThat(ClientResponse.read(socket.getInputStream()).header("Connection"), is(nullValue()));
@@ -161,8 +163,8 @@
         "POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\nContent-Length: 0\r\n\r\n",
         "POST /a HTTP/1.1\r\nHost: h\r\nno colon\r\n\r\n",
       })
-  void turnsAwayWhatCanBeReadInTwoWays(String bytes) throws IOException {
-    ScriptedPeer backend = echo();
+  void rejectsMalformedAndAmbiguousRequests(String bytes) throws IOException {
+    ScriptedPeer backend = echoBackend();
     Socket socket = fixture.dial();
     ScriptedPeer.write(socket, bytes);
     assertThat(ClientResponse.read(socket.getInputStream()).status(), is(400));
@@ -171,8 +173,8 @@
   }
 
   @Test
-  void answersWhatCameBeforeGarbageFirst() throws IOException {
-    echo();
+  void respondsToRequestsBeforeAMalformedRequest() throws IOException {
+    echoBackend();
     Socket socket = fixture.dial();
     ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", "one") + "garbage\r\n\r\n");
     assertThat(ClientResponse.read(socket.getInputStream()).body(), is("one"));
@@ -180,8 +182,8 @@
   }
 
   @Test
-  void holdsToTheLimitsOfTheConfiguration() throws IOException {
-    ScriptedPeer backend = echo();
+  void enforcesTheConfiguredSizeLimits() throws IOException {
+    ScriptedPeer backend = echoBackend();
     fixture.limits(new IngressLimits(512, 10, 3_000, 15_000));
     String longHeader = "X-Long: " + "x".repeat(600) + "\r\n";
     assertThat(send(HEAD + longHeader + "Content-Length: 0\r\n\r\n").status(), is(431));
@@ -194,28 +196,28 @@
   }
 
   @Test
-  void givesUpOnAHeadThatDoesNotComeWhole() throws IOException {
+  void incompleteHeadTimesOut() throws IOException {
     fixture.limits(new IngressLimits(512, 10, 1, 15_000));
     assertThat(send("POST /a HT").status(), is(408));
   }
 
   @Test
-  void endsAConnectionThatRestsTooLong() throws IOException {
+  void closesAConnectionAfterTheIdleTimeout() throws IOException {
     fixture.limits(new IngressLimits(512, 10, 1_000, 1));
     assertThat(fixture.dial().getInputStream().read(), is(-1));
   }
 
   @Test
-  void cancelsTheAttemptOfAClientThatHasGone() throws IOException {
+  void cancelsTheAttemptWhenTheClientDisconnects() throws IOException {
     ScriptedPeer backend = fixture.backend((message, socket) -> {});
     Socket socket = fixture.dial();
     ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", ""));
     DataPlaneFixture.await(() -> backend.requests.size() == 1);
     socket.close();
     DataPlaneFixture.await(() -> backend.ended.size() == 1);
-    DataPlaneFixture.await(() -> fixture.router.got(RouterInput.ClientGone.class));
-    DataPlaneFixture.await(() -> fixture.router.ends().size() == 1);
-    assertThat(fixture.router.ends(), contains(RouterInput.AttemptOutcome.Kind.CANCELLED));
+    DataPlaneFixture.await(() -> fixture.router.hasReceived(RouterInput.ClientGone.class));
+    DataPlaneFixture.await(() -> fixture.router.outcomes().size() == 1);
+    assertThat(fixture.router.outcomes(), contains(RouterInput.AttemptOutcome.Kind.CANCELLED));
     fixture.onLoop(() -> assertThat(fixture.forwarder.openRequests(), is(0)));
   }
 
--- a/src/test/java/slateslip/dataplane/ConfiguredTextTest.java
+++ b/src/test/java/slateslip/dataplane/ConfiguredTextTest.java
@@ -20,8 +20,8 @@
 import slateslip.routing.FleetRouter;
 
 /**
- * Text of a configuration with letters of any alphabet, on its way to backends and where clients
- * send it.
+ * Tests configurations with non-ASCII text, which is sent to backends and compared with the text
+ * that clients send.
  */
 class ConfiguredTextTest {
   private static final String DOCUMENT =
@@ -46,7 +46,10 @@
     fixture.close();
   }
 
-  /** Puts a configuration in force; a tenant's key is "key-" and its number. */
+  /**
+   * Puts a configuration with these tenants into force. The API key of a tenant is "key-" and its
+   * index.
+   */
   private void configure(List<String> jsonNames) {
     StringBuilder tenants = new StringBuilder();
     for (String name : jsonNames) {
@@ -74,11 +77,12 @@
   }
 
   /**
-   * UNASKED: X-Tenant had '?' for letters beyond ISO 8859-1, and others in an encoding that is not
-   * the configuration's, so that several tenants reached backends under one name.
+   * Guards against wrong tenant names at backends: the header X-Tenant had '?' for characters
+   * outside ISO 8859-1, and an encoding other than that of the configuration for other characters,
+   * so that several tenants reached backends under the same name.
    */
   @Test
-  void aBackendGetsTheNameInTheBytesOfTheConfiguration() throws IOException {
+  void tenantNameIsSentToTheBackendAsUtf8() throws IOException {
     List<String> names =
         List.of(
             "Zona C",
@@ -97,9 +101,12 @@
     }
   }
 
-  /** Such a name is valid; its requests end with an answer, and reach no backend under another. */
+  /**
+   * A tenant name that no header can carry is valid. The requests of such a tenant are refused, and
+   * reach no backend under another name.
+   */
   @Test
-  void aTenantWhoseNameNoHeaderCanCarryIsRefusedWithAPromise() throws IOException {
+  void requestsOfATenantWhoseNameFitsNoHeaderAreRefusedWith503() throws IOException {
     List<String> names = List.of(" a", "a ", "a\\nb", "a\\u0000b", "a\\u007fb", "plain");
     configure(names);
     for (int tenant = 0; tenant < names.size() - 1; tenant++) {
@@ -109,9 +116,12 @@
     assertThat(callAs(names.size() - 1).status(), is(200));
   }
 
-  /** DENIED: keys, hosts and paths with letters beyond ASCII got 401, 404 or 400. */
+  /**
+   * Guards against rejected requests: keys, hosts and paths with non-ASCII characters got status
+   * 401, 404 or 400.
+   */
   @Test
-  void whatAClientSendsIsMatchedWithTheConfiguration() throws IOException {
+  void nonAsciiKeysHostsAndPathsMatchTheConfiguration() throws IOException {
     configure(
         DOCUMENT
             .replace("h.example", "\u017eilina.example")
@@ -130,9 +140,9 @@
     assertThat(callRaw("\u017eilina.example", "/ziadosti/", "k").status(), is(404));
   }
 
-  /** Clients that write ISO 8859-1 go on to be known by keys with such letters. */
+  /** Clients that send ISO 8859-1 are still recognized by keys with non-ASCII characters. */
   @Test
-  void keysInIso88591AreStillKnown() throws IOException {
+  void keysSentInIso88591AreRecognized() throws IOException {
     configure(DOCUMENT.formatted("{\"name\":\"t\",\"api_keys\":[\"cl\u00e9\"]}"));
     Socket socket = fixture.dial();
     ScriptedPeer.write(
@@ -141,7 +151,7 @@
   }
 
   @Test
-  void aPathWhoseBytesAreNotUtf8IsNoRequest() throws IOException {
+  void pathThatIsNotUtf8IsRejected() throws IOException {
     configure(List.of("t"));
     Socket socket = fixture.dial();
     ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", "").replace("/a/b", "/a/\u00e9"));
--- a/src/test/java/slateslip/dataplane/ConnectionRaceTest.java
+++ b/src/test/java/slateslip/dataplane/ConnectionRaceTest.java
@@ -18,36 +18,38 @@
 import slateslip.loadbalancer.net.ScriptedPeer;
 
 /**
- * A request that may not be repeated meets one behaviour of a backend, and what goes on elsewhere
- * meets another: it runs once at most, its response is its own, and the connection that it leaves
- * behind spoils no later request.
+ * Sends a request that may not be retried to a backend with one behaviour, and to a backend with
+ * another behaviour if the first backend did not run the request. The request has to run at most
+ * once and get its own response, and the connection that it used must not affect later requests.
  */
 class ConnectionRaceTest {
   private static final long IDLE_TIMEOUT_MICROS = 800_000;
-  private static final int NOT_REPEATED = 502;
+  private static final int NOT_RETRIED = 502;
 
-  /** What a backend does with a request. */
+  /** Ways in which a backend handles a request. */
   enum Behaviour {
-    /** Runs it and answers. */
+    /** Runs the request and responds. */
     RESPONDS(true, 200),
-    /** Runs it and fails. */
+    /** Runs the request and responds with an error. */
     FAILS(true, 500),
-    /** Runs it, and its response is lost with the connection. */
-    RESETS(true, NOT_REPEATED),
-    /** Runs it and says nothing. */
-    NEVER_RESPONDS(true, NOT_REPEATED),
-    /** Runs it and breaks its response off. */
-    BREAKS_OFF(true, NOT_REPEATED),
-    /** Runs it, and sends a response to an earlier request before its own. */
+    /** Runs the request, and resets the connection before the response. */
+    RESETS(true, NOT_RETRIED),
+    /** Runs the request and sends nothing. */
+    NEVER_RESPONDS(true, NOT_RETRIED),
+    /** Runs the request and closes the connection in the middle of the response. */
+    BREAKS_OFF(true, NOT_RETRIED),
+    /**
+     * Runs the request, and sends a response to an earlier request before the response to this one.
+     */
     OTHER_RESPONSE_FIRST(true, 200),
-    /** Runs it, and sends bytes behind its response. */
+    /** Runs the request, and sends bytes after the response. */
     SURPLUS_RESPONSE(true, 200),
-    /** Runs it, and only a response to another request comes. */
-    ONLY_OTHER_RESPONSE(true, NOT_REPEATED),
-    /** Is full, and says that it has not run it. */
-    IS_FULL(false, 0),
-    /** Is another instance at the same address. */
-    IS_ANOTHER(false, 0);
+    /** Runs the request, and sends only a response to another request. */
+    ONLY_OTHER_RESPONSE(true, NOT_RETRIED),
+    /** Has no free capacity, and responds that it did not run the request. */
+    REJECTS_FOR_CAPACITY(false, 0),
+    /** Is another instance at the same address, and does not run the request. */
+    IS_ANOTHER_INSTANCE(false, 0);
 
     private final boolean runs;
     private final int status;
@@ -73,7 +75,7 @@
   @BeforeEach
   void open() throws IOException {
     fixture = new DataPlaneFixture();
-    fixture.router.repeatable = false;
+    fixture.router.retriesBrokenAttempts = false;
     fixture.router.firstEventTimeoutMicros = IDLE_TIMEOUT_MICROS;
   }
 
@@ -86,24 +88,25 @@
     fixture.backend(
         (message, socket) -> {
           String id = message.header("X-Attempt-Id");
-          if (!id.startsWith("crossing")) {
+          if (!id.startsWith("tested")) {
             DataPlaneFixture.serve(message, socket, "Keep-Alive: timeout=60\r\n", id);
             return;
           }
           if (behaviour.runs) {
             runs.add(id);
           }
-          behave(behaviour, message, socket);
+          carryOut(behaviour, message, socket);
         });
   }
 
-  private static void behave(Behaviour behaviour, ScriptedPeer.Message message, Socket socket)
+  private static void carryOut(Behaviour behaviour, ScriptedPeer.Message message, Socket socket)
       throws IOException {
     String id = message.header("X-Attempt-Id");
-    String keep = "Keep-Alive: timeout=60\r\n";
+    String keepAlive = "Keep-Alive: timeout=60\r\n";
     switch (behaviour) {
-      case RESPONDS -> DataPlaneFixture.serve(message, socket, keep, id);
-      case FAILS -> ScriptedPeer.respond(socket, 500, DataPlaneFixture.stamped(message) + keep, id);
+      case RESPONDS -> DataPlaneFixture.serve(message, socket, keepAlive, id);
+      case FAILS ->
+          ScriptedPeer.respond(socket, 500, DataPlaneFixture.stamped(message) + keepAlive, id);
       case RESETS -> ScriptedPeer.reset(socket);
       case NEVER_RESPONDS -> {}
       case BREAKS_OFF -> {
@@ -117,14 +120,14 @@
       }
       case OTHER_RESPONSE_FIRST -> {
         ScriptedPeer.respond(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
-        DataPlaneFixture.serve(message, socket, keep, id);
+        DataPlaneFixture.serve(message, socket, keepAlive, id);
       }
       case SURPLUS_RESPONSE ->
           ScriptedPeer.write(
               socket,
               "HTTP/1.1 200 OK\r\n"
                   + DataPlaneFixture.stamped(message)
-                  + keep
+                  + keepAlive
                   + "Content-Length: "
                   + id.length()
                   + "\r\n\r\n"
@@ -132,38 +135,46 @@
                   + "HTTP/1.1 200 OK\r\nX-Attempt-Id: later-1\r\nContent-Length: 0\r\n\r\n");
       case ONLY_OTHER_RESPONSE ->
           ScriptedPeer.respond(socket, 200, "X-Attempt-Id: old\r\nX-Response-Stamp: s\r\n", "old");
-      case IS_FULL ->
+      case REJECTS_FOR_CAPACITY ->
           ScriptedPeer.respond(
-              socket, 503, DataPlaneFixture.idOf(message) + keep + "X-Not-Executed: 1\r\n", "");
-      case IS_ANOTHER ->
+              socket,
+              503,
+              DataPlaneFixture.idOf(message) + keepAlive + "X-Not-Executed: 1\r\n",
+              "");
+      case IS_ANOTHER_INSTANCE ->
           ScriptedPeer.respond(
-              socket, 421, DataPlaneFixture.idOf(message) + keep + "X-Instance-Id: i-9\r\n", "");
+              socket,
+              421,
+              DataPlaneFixture.idOf(message) + keepAlive + "X-Instance-Id: i-9\r\n",
+              "");
     }
   }
 
   @ParameterizedTest
   @MethodSource("pairs")
-  void onANewConnection(Behaviour first, Behaviour second) throws IOException {
+  void requestRunsAtMostOnceOnANewConnection(Behaviour first, Behaviour second) throws IOException {
     backend(first);
     backend(second);
-    check(first, second, "crossing-1");
+    checkResponseAndRuns(first, second, "tested-1");
   }
 
   @ParameterizedTest
   @MethodSource("pairs")
-  void onReusedConnection(Behaviour first, Behaviour second) throws IOException {
+  void requestRunsAtMostOnceOnAReusedConnection(Behaviour first, Behaviour second)
+      throws IOException {
     backend(first);
     assertThat(fixture.call("before").body(), is("before"));
     backend(second);
-    check(first, second, "crossing-1");
+    checkResponseAndRuns(first, second, "tested-1");
   }
 
-  private void check(Behaviour first, Behaviour second, String id) throws IOException {
+  private void checkResponseAndRuns(Behaviour first, Behaviour second, String id)
+      throws IOException {
     Behaviour last = first.runs ? first : second;
     ClientResponse response = fixture.call(id);
-    int expected = last.status == 0 ? NOT_REPEATED : last.status;
+    int expected = last.status == 0 ? NOT_RETRIED : last.status;
     assertThat(response.status(), is(expected));
-    if (last.status != NOT_REPEATED && last.status != 0) {
+    if (last.status != NOT_RETRIED && last.status != 0) {
       assertThat(response.body(), is(id));
     }
     assertThat(runs.size(), lessThanOrEqualTo(1));
--- a/src/test/java/slateslip/dataplane/DataPlaneFixture.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneFixture.java
@@ -28,14 +28,16 @@
 import slateslip.routing.KeyLease;
 import slateslip.routing.RequestRouter;
 
-/** The path of requests on loopback ports, between scripted clients and scripted backends. */
+/**
+ * The request path of a data plane on loopback ports, with scripted clients and scripted backends.
+ */
 final class DataPlaneFixture implements Closeable {
-  static final int GENEROUS_MILLIS = 20_000;
-  private static final int CONNECTIONS = 200;
+  static final int TIMEOUT_MILLIS = 20_000;
+  private static final int MAX_CONNECTIONS = 200;
   private static final int STREAM_POLL_MILLIS = 24;
   private static final String STAMP = "X-Response-Stamp: s1\r\n";
 
-  final PlainRouter router = new PlainRouter();
+  final SequentialRouter router = new SequentialRouter();
   final DataPlaneMetrics metrics = new DataPlaneMetrics();
   final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   final EventLoop loop = group.next();
@@ -52,59 +54,66 @@
     this(null);
   }
 
-  /** With a router of the test's own. */
-  DataPlaneFixture(RequestRouter other) throws IOException {
-    this(other, KeyLease.notRequired());
+  /** Creates a fixture with this router, or with {@link #router} if it is null. */
+  DataPlaneFixture(RequestRouter customRouter) throws IOException {
+    this(customRouter, KeyLease.notRequired());
   }
 
-  /** With a router of the test's own, and a lease for requests with keys. */
-  DataPlaneFixture(RequestRouter other, KeyLease keyLease) throws IOException {
-    this(other, keyLease, PollableSocketChannel::new);
+  /**
+   * Creates a fixture with this router, or with {@link #router} if it is null, and a lease for
+   * requests with keys.
+   */
+  DataPlaneFixture(RequestRouter customRouter, KeyLease keyLease) throws IOException {
+    this(customRouter, keyLease, PollableSocketChannel::new);
   }
 
-  /** With a router of the test's own, and its own sockets to backends. */
+  /**
+   * Creates a fixture with this router, or with {@link #router} if it is null, a lease for requests
+   * with keys, and a factory for the sockets to backends.
+   */
   DataPlaneFixture(
-      RequestRouter other, KeyLease keyLease, ChannelFactory<PollableSocketChannel> sockets)
+      RequestRouter customRouter, KeyLease keyLease, ChannelFactory<PollableSocketChannel> sockets)
       throws IOException {
     this.keyLease = keyLease;
-    pools = new BackendPools(loop, periodic, CONNECTIONS, STREAM_POLL_MILLIS, metrics, sockets);
-    RequestRouter decides = other == null ? router : other;
+    pools = new BackendPools(loop, periodic, MAX_CONNECTIONS, STREAM_POLL_MILLIS, metrics, sockets);
+    RequestRouter usedRouter = customRouter == null ? router : customRouter;
     forwarder =
-        new Forwarder(loop, decides, () -> System.nanoTime() / 1_000, pools, metrics, 1, keyLease);
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    ingress = new ClientIngress(loop, periodic, any, CONNECTIONS, forwarder);
+        new Forwarder(
+            loop, usedRouter, () -> System.nanoTime() / 1_000, pools, metrics, 1, keyLease);
+    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    ingress = new ClientIngress(loop, periodic, anyPort, MAX_CONNECTIONS, forwarder);
     periodic.every(PeriodicTasks.TICK_MILLIS, forwarder::wakeIfDue);
     periodic.start();
   }
 
-  /** Adds a backend, {@code b-1} and so on. */
+  /** Starts a backend and lists it with the next id: {@code b-1}, {@code b-2} and so on. */
   ScriptedPeer backend(ScriptedPeer.Script script) throws IOException {
     ScriptedPeer peer = new ScriptedPeer(script);
     backends.add(peer);
-    listed(peer.address());
+    listBackend(peer.address());
     return peer;
   }
 
-  /** Lists a backend at an address where nobody listens. */
+  /** Lists a backend at an address that refuses connections. */
   void deadBackend() throws IOException {
     ScriptedPeer peer = new ScriptedPeer((message, socket) -> {});
     peer.close();
-    listed(peer.address());
+    listBackend(peer.address());
   }
 
-  /** Lists a backend at this address. */
-  void listed(String address) {
+  /** Lists a backend at this address with the next id. */
+  void listBackend(String address) {
     String id = "b-" + (sessions.size() + 1);
     sessions.add(new BackendSession(id, "svc", address, "z", "v1", 4, false, 0, 1));
-    list(List.copyOf(sessions));
+    replaceBackends(List.copyOf(sessions));
   }
 
-  /** Makes these the backends that are registered. */
-  void list(List<BackendSession> backendSessions) {
+  /** Replaces the list of registered backends. */
+  void replaceBackends(List<BackendSession> backendSessions) {
     onLoop(() -> forwarder.backendsChanged(backendSessions));
   }
 
-  /** All backends as listed so far. */
+  /** Returns all backends that were listed so far. */
   List<BackendSession> sessions() {
     return List.copyOf(sessions);
   }
@@ -117,14 +126,17 @@
     loop.submit(task).syncUninterruptibly();
   }
 
-  /** Bytes of answers that wait for their clients to read on. */
+  /** Returns the number of response bytes that wait until their clients read. */
   long bufferedForClients() {
     long[] bytes = new long[1];
     onLoop(() -> bytes[0] = ingress.pendingBytes());
     return bytes[0];
   }
 
-  /** Requests that were read whole and wait for the responses before them. */
+  /**
+   * Returns the number of requests that were read completely and wait for the responses before
+   * them.
+   */
   int pipelinedRequests() {
     int[] requests = new int[1];
     onLoop(() -> requests[0] = ingress.pipelinedRequests());
@@ -133,7 +145,7 @@
 
   Socket dial() throws IOException {
     Socket socket = new Socket(ingress.address().getAddress(), ingress.address().getPort());
-    socket.setSoTimeout(GENEROUS_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     clients.add(socket);
     return socket;
   }
@@ -149,14 +161,16 @@
         + body;
   }
 
-  /** Sends a plain request on a new connection and reads the whole answer. */
+  /**
+   * Sends a request without special headers on a new connection and reads the complete response.
+   */
   ClientResponse call(String id) throws IOException {
     Socket socket = dial();
     ScriptedPeer.write(socket, request(id, "", "body"));
     return ClientResponse.read(socket.getInputStream());
   }
 
-  /** A backend's success with the id of the request. */
+  /** Sends a backend's response with status 200, the request's id and a response stamp. */
   static void serve(ScriptedPeer.Message message, Socket socket, String headers, String body)
       throws IOException {
     ScriptedPeer.respond(socket, 200, stamped(message) + headers, body);
@@ -170,7 +184,7 @@
     return "X-Attempt-Id: " + message.header("X-Attempt-Id") + "\r\n";
   }
 
-  /** The head of a backend's stream. */
+  /** Sends the head of a backend's event stream. */
   static void beginStream(ScriptedPeer.Message message, Socket socket) throws IOException {
     ScriptedPeer.write(
         socket,
@@ -192,10 +206,10 @@
   }
 
   static void await(BooleanSupplier condition) {
-    long end = System.nanoTime() + 1_000_000L * GENEROUS_MILLIS;
+    long end = System.nanoTime() + 1_000_000L * TIMEOUT_MILLIS;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("waited in vain");
+        throw new AssertionError("the condition was not met in time");
       }
       Thread.onSpinWait();
     }
@@ -215,16 +229,19 @@
   }
 
   /**
-   * A response as a client reads it.
+   * A response as read by a client.
    *
-   * @param complete whether its end has come as its head said
+   * @param complete whether the body arrived completely, according to the head
    */
   record ClientResponse(int status, Map<String, String> headers, String body, boolean complete) {
     String header(String name) {
       return headers.get(name);
     }
 
-    /** Reads one answer; what has no end is read to the end of the connection. */
+    /**
+     * Reads one response; a chunked body without a last chunk is read up to the end of the
+     * connection.
+     */
     static ClientResponse read(InputStream in) throws IOException {
       String first = line(in);
       Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
@@ -258,17 +275,20 @@
       }
     }
 
-    /** Reads one chunk; empty for the last. */
+    /**
+     * Reads one chunk. Returns an empty string for the last chunk, and throws an {@link
+     * IOException} if the connection ends within the chunk.
+     */
     static String readChunk(InputStream in) throws IOException {
       int length = Integer.parseInt(line(in), 16);
       byte[] bytes = in.readNBytes(length);
       if (bytes.length < length || !line(in).isEmpty()) {
-        throw new IOException("cut inside a chunk");
+        throw new IOException("incomplete chunk");
       }
       return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads the lines of a head. */
+    /** Reads the lines of a response head, without the empty line after them. */
     static List<String> readHead(InputStream in) throws IOException {
       List<String> lines = new ArrayList<>();
       for (String line = line(in); !line.isEmpty(); line = line(in)) {
@@ -281,7 +301,7 @@
       ByteArrayOutputStream line = new ByteArrayOutputStream();
       for (int next = in.read(); next != '\n'; next = in.read()) {
         if (next < 0) {
-          throw new IOException("ended");
+          throw new IOException("the connection ended inside a line");
         }
         line.write(next);
       }
--- a/src/test/java/slateslip/dataplane/DataPlaneMainTest.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneMainTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.io.TempDir;
 import slateslip.cli.CommandLine;
 
-/** The data plane's program, in a process of its own. */
+/** Tests the data plane program in a separate process. */
 class DataPlaneMainTest {
   private static final int FAILURE = 1;
 
   @TempDir private Path folder;
 
   @Test
-  void startThatFailsIsToldByTheExitStatus() throws IOException, InterruptedException {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      Path settings = Files.writeString(folder.resolve("edge.conf"), settings(taken));
+  void failedStartEndsWithAFailureExitStatus() throws IOException, InterruptedException {
+    try (ServerSocket portInUse = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      Path settings = Files.writeString(folder.resolve("edge.conf"), settings(portInUse));
       ProcessBuilder builder =
           new ProcessBuilder(
                   Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -39,13 +39,13 @@
     }
   }
 
-  private static String settings(ServerSocket taken) {
+  private static String settings(ServerSocket portInUse) {
     return String.join(
         "\n",
         "node=edge-1",
         "ip=127.0.0.1",
         "zone=z",
-        "listen.front=127.0.0.1:" + taken.getLocalPort(),
+        "listen.front=127.0.0.1:" + portInUse.getLocalPort(),
         "listen.ready=127.0.0.1:0",
         "port_range=20000,20010",
         "seed_nodes=127.0.0.1:1",
--- a/src/test/java/slateslip/dataplane/DataPlaneTest.java
+++ b/src/test/java/slateslip/dataplane/DataPlaneTest.java
@@ -24,7 +24,10 @@
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
-/** The whole process on loopback ports, between a scripted control agent, a backend and clients. */
+/**
+ * Tests a complete data plane on loopback ports, with a scripted control agent, a backend and
+ * clients.
+ */
 class DataPlaneTest {
   private static final String DOCUMENT =
       "{\"version\":5,\"routes\":[{\"name\":\"r\",\"hostname\":\"h.example\",\"path_prefix\":\"/a/\","
@@ -36,7 +39,7 @@
 
   private final List<Socket> sockets = new ArrayList<>();
   private ScriptedPeer backend;
-  private ScriptedControlAgent control;
+  private ScriptedControlAgent controlAgent;
   private DataPlane dataPlane;
 
   @BeforeEach
@@ -46,7 +49,7 @@
             (message, socket) -> DataPlaneFixture.serve(message, socket, "", "served"));
     BackendSession session =
         new BackendSession("b-1", "svc", backend.address(), "z", "v1", 4, false, 0, 1);
-    control =
+    controlAgent =
         new ScriptedControlAgent(
             List.of(
                 new ControlPlaneMessage.ConfigurationSnapshot(
@@ -63,7 +66,7 @@
     for (Socket socket : sockets) {
       socket.close();
     }
-    control.close();
+    controlAgent.close();
     backend.close();
   }
 
@@ -76,7 +79,7 @@
             "zone=z",
             "listen.front=127.0.0.1:0",
             "listen.ready=127.0.0.1:0",
-            "port_range=" + control.port() + "," + control.port(),
+            "port_range=" + controlAgent.port() + "," + controlAgent.port(),
             "seed_nodes=127.0.0.1:1",
             "bounds.grace_period_s=2");
     SettingsOutcome outcome = NodeSettings.parse(new StringReader(text));
@@ -85,7 +88,7 @@
 
   private Socket dial(InetSocketAddress address) throws IOException {
     Socket socket = new Socket(address.getAddress(), address.getPort());
-    socket.setSoTimeout(DataPlaneFixture.GENEROUS_MILLIS);
+    socket.setSoTimeout(DataPlaneFixture.TIMEOUT_MILLIS);
     sockets.add(socket);
     return socket;
   }
@@ -105,7 +108,7 @@
   }
 
   @Test
-  void servesWhatControlAgentsTell() throws IOException {
+  void servesRequestsWithTheReceivedConfiguration() throws IOException {
     ClientResponse response = call(dial(dataPlane.address()), "a1");
     assertThat(response.body(), is("served"));
     assertThat(response.header("Connection"), is(nullValue()));
@@ -113,11 +116,12 @@
     assertThat(
         get("/metrics").body(), containsString("slateslip_dataplane_configuration_version 5\n"));
     assertThat(get("/other").status(), is(404));
-    DataPlaneFixture.await(() -> control.heard.contains(new DataPlaneMessage.Acknowledge(5, 1)));
+    DataPlaneFixture.await(
+        () -> controlAgent.received.contains(new DataPlaneMessage.Acknowledge(5, 1)));
   }
 
   @Test
-  void servesOnWhileItLeavesAndEndsWhenNothingIsOpen() throws IOException {
+  void servesDuringShutdownAndEndsWhenNoConnectionIsOpen() throws IOException {
     Socket retained = dial(dataPlane.address());
     assertThat(call(retained, "a1").status(), is(200));
     ScriptedPeer.daemon(dataPlane::stop);
@@ -126,11 +130,11 @@
     assertThat(last.body(), is("served"));
     assertThat(last.header("Connection"), is("close"));
     assertThat(retained.getInputStream().read(), is(-1));
-    dataPlane.awaitEnd();
+    dataPlane.awaitTermination();
   }
 
   @Test
-  void answersAtTheEndWhatABackendDoesNotFinish() throws IOException {
+  void unfinishedRequestGets504AtTheEndOfTheGracePeriod() throws IOException {
     ScriptedPeer unresponsive = new ScriptedPeer((message, socket) -> {});
     BackendSession session =
         new BackendSession("b-2", "svc", unresponsive.address(), "z", "v1", 4, false, 0, 1);
@@ -140,15 +144,15 @@
                 new ControlPlaneMessage.ConfigurationSnapshot(
                     5, DOCUMENT.getBytes(StandardCharsets.UTF_8)),
                 new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session))))) {
-      ScriptedControlAgent first = control;
-      control = other;
-      DataPlane leaving = DataPlane.start(settings());
-      control = first;
-      DataPlaneFixture.await(() -> other.heard.contains(new DataPlaneMessage.Acknowledge(5, 1)));
-      Socket client = dial(leaving.address());
+      ScriptedControlAgent first = controlAgent;
+      controlAgent = other;
+      DataPlane stopping = DataPlane.start(settings());
+      controlAgent = first;
+      DataPlaneFixture.await(() -> other.received.contains(new DataPlaneMessage.Acknowledge(5, 1)));
+      Socket client = dial(stopping.address());
       ScriptedPeer.write(client, DataPlaneFixture.request("a1", "", ""));
       DataPlaneFixture.await(() -> unresponsive.requests.size() == 1);
-      leaving.stop();
+      stopping.stop();
       ClientResponse response = ClientResponse.read(client.getInputStream());
       assertThat(response.status(), is(504));
       assertThat(response.complete(), is(true));
@@ -158,10 +162,11 @@
   }
 
   @Test
-  void takesTheControlAgentsOfChangedSettings() throws IOException {
-    int before = control.heard.size();
+  void staysReadyAfterAChangeOfTheControlAgents() throws IOException {
+    int before = controlAgent.received.size();
     dataPlane.settingsChanged(settings());
-    DataPlaneFixture.await(() -> control.heard.size() > before); // it goes on to report
+    // the data plane still sends messages to the control agent
+    DataPlaneFixture.await(() -> controlAgent.received.size() > before);
     assertThat(get("/ready").status(), is(200));
   }
 }
--- a/src/test/java/slateslip/dataplane/EarlyResponseTest.java
+++ b/src/test/java/slateslip/dataplane/EarlyResponseTest.java
@@ -22,11 +22,14 @@
 import slateslip.loadbalancer.net.ScriptedPeer;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
-/** Backends that answer a request that may not be repeated before they have read its body. */
+/**
+ * Tests backends that respond to a request that may not be retried before they have read the
+ * request body.
+ */
 class EarlyResponseTest {
   private static final int RECEIVE_BUFFER = 4_096;
 
-  /** More than the sockets between the two hold. */
+  /** More bytes than the buffers of the sockets between data plane and backend hold. */
   private static final int BODY_BYTES = 4_000_000;
 
   private static final long FIRST_EVENT_TIMEOUT_MICROS = 1_000_000;
@@ -35,7 +38,7 @@
   private DataPlaneFixture fixture;
   private ServerSocket server;
 
-  /** What a backend does once it has read the head of a request. */
+  /** Handles a request whose head a backend has read. */
   private interface HeadScript {
     void handle(String attemptId, Socket socket) throws IOException;
   }
@@ -43,7 +46,7 @@
   @BeforeEach
   void open() throws IOException {
     fixture = new DataPlaneFixture();
-    fixture.router.repeatable = false;
+    fixture.router.retriesBrokenAttempts = false;
     server = new ServerSocket();
     server.setReceiveBufferSize(RECEIVE_BUFFER);
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -58,7 +61,7 @@
     fixture.close();
   }
 
-  private void backendThatReadsHeads(HeadScript script) {
+  private void startBackendThatReadsOnlyHeads(HeadScript script) {
     ScriptedPeer.daemon(
         () -> {
           while (true) {
@@ -67,7 +70,7 @@
             script.handle(attemptId(socket), socket);
           }
         });
-    fixture.listed(server.getInetAddress().getHostAddress() + ":" + server.getLocalPort());
+    fixture.listBackend(server.getInetAddress().getHostAddress() + ":" + server.getLocalPort());
   }
 
   private static String attemptId(Socket socket) throws IOException {
@@ -78,7 +81,7 @@
         .orElseThrow();
   }
 
-  private ScriptedPeer good() throws IOException {
+  private ScriptedPeer healthyBackend() throws IOException {
     return fixture.backend(
         (message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
   }
@@ -90,37 +93,37 @@
     return ClientResponse.read(client.getInputStream());
   }
 
-  private void awaitEnds(AttemptOutcome.Kind... expected) {
-    DataPlaneFixture.await(() -> fixture.router.ends().size() >= expected.length);
-    assertThat(fixture.router.ends(), is(List.of(expected)));
+  private void awaitOutcomes(AttemptOutcome.Kind... expected) {
+    DataPlaneFixture.await(() -> fixture.router.outcomes().size() >= expected.length);
+    assertThat(fixture.router.outcomes(), is(List.of(expected)));
   }
 
   @Test
-  void anEarlyRejectionSaysThatItHasNotRun() throws IOException {
-    backendThatReadsHeads(
+  void requestThatIsRejectedEarlyAsNotExecutedIsRetried() throws IOException {
+    startBackendThatReadsOnlyHeads(
         (id, socket) ->
             ScriptedPeer.respond(
                 socket, 503, "X-Attempt-Id: " + id + "\r\nX-Not-Executed: 1\r\n", ""));
-    good();
+    healthyBackend();
     assertThat(callWithLongBody("a1").body(), is("good"));
-    awaitEnds(NOT_EXECUTED, SUCCESS);
+    awaitOutcomes(NOT_EXECUTED, SUCCESS);
   }
 
   @Test
-  void anEarlyFailureIsPassedOnAndNotRepeated() throws IOException {
-    backendThatReadsHeads(
+  void earlyErrorResponseIsRelayedAndNotRetried() throws IOException {
+    startBackendThatReadsOnlyHeads(
         (id, socket) ->
             ScriptedPeer.respond(
                 socket, 500, "X-Attempt-Id: " + id + "\r\nX-Response-Stamp: s\r\n", "failed"));
-    ScriptedPeer other = good();
+    ScriptedPeer other = healthyBackend();
     assertThat(callWithLongBody("a1").status(), is(500));
-    awaitEnds(ERROR_RESPONSE);
+    awaitOutcomes(ERROR_RESPONSE);
     assertThat(other.requests.size(), is(0));
   }
 
   @Test
-  void anEarlyAnswerThatBreaksOffIsNotRepeated() throws IOException {
-    backendThatReadsHeads(
+  void requestWithAnIncompleteEarlyResponseIsNotRetried() throws IOException {
+    startBackendThatReadsOnlyHeads(
         (id, socket) -> {
           ScriptedPeer.write(
               socket,
@@ -129,41 +132,44 @@
                   + "\r\nX-Response-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf");
           socket.shutdownOutput();
         });
-    ScriptedPeer other = good();
+    ScriptedPeer other = healthyBackend();
     assertThat(callWithLongBody("a1").status(), is(502));
-    awaitEnds(BROKEN);
+    awaitOutcomes(BROKEN);
     assertThat(other.requests.size(), is(0));
     fixture.onLoop(() -> assertThat(fixture.metrics.partlySent, is(1L)));
   }
 
   /**
-   * TWICE: a request that may not be repeated went to a second backend when the first crashed with
-   * a part of its body.
+   * Guards against a second execution: a request that may not be retried was sent to a second
+   * backend when the first backend crashed after it had received a part of the body.
    */
   @Test
-  void aRequestThatHasPartlyLeftWhenItsBackendCrashesIsNotRepeated() throws IOException {
-    backendThatReadsHeads((id, socket) -> ScriptedPeer.reset(socket));
-    ScriptedPeer other = good();
+  void partlySentRequestIsNotRetriedAfterABackendCrash() throws IOException {
+    startBackendThatReadsOnlyHeads((id, socket) -> ScriptedPeer.reset(socket));
+    ScriptedPeer other = healthyBackend();
     assertThat(callWithLongBody("a1").status(), is(502));
-    awaitEnds(BROKEN);
+    awaitOutcomes(BROKEN);
     assertThat(other.requests.size(), is(0));
     fixture.onLoop(() -> assertThat(fixture.metrics.partlySent, is(1L)));
   }
 
-  /** TWICE, and REFUSED: the same where the backend is silent until the attempt times out. */
+  /**
+   * Guards against a second execution, or a refusal, of a partly sent request when its backend
+   * sends nothing until the attempt times out.
+   */
   @Test
-  void aRequestThatHasPartlyLeftWhenItTimesOutIsNotRepeated() throws IOException {
+  void partlySentRequestIsNotRetriedAfterATimeout() throws IOException {
     fixture.router.firstEventTimeoutMicros = FIRST_EVENT_TIMEOUT_MICROS;
-    backendThatReadsHeads((id, socket) -> {});
-    ScriptedPeer other = good();
+    startBackendThatReadsOnlyHeads((id, socket) -> {});
+    ScriptedPeer other = healthyBackend();
     assertThat(callWithLongBody("a1").status(), is(502));
-    awaitEnds(TIMEOUT);
+    awaitOutcomes(TIMEOUT);
     assertThat(other.requests.size(), is(0));
   }
 
   @Test
-  void aConnectionWhoseBodyIsNotOutIsNotUsedAgain() throws IOException {
-    backendThatReadsHeads(
+  void connectionWithAnIncompletelySentBodyIsNotReused() throws IOException {
+    startBackendThatReadsOnlyHeads(
         (id, socket) ->
             ScriptedPeer.respond(
                 socket,
--- a/src/test/java/slateslip/dataplane/LastResponseTest.java
+++ b/src/test/java/slateslip/dataplane/LastResponseTest.java
@@ -15,9 +15,12 @@
 import slateslip.dataplane.DataPlaneFixture.ClientResponse;
 import slateslip.loadbalancer.net.ScriptedPeer;
 
-/** The end of client connections in a shutdown: no request that was read whole goes unanswered. */
+/**
+ * Tests that every request that was read completely gets a response when client connections end in
+ * a shutdown.
+ */
 class LastResponseTest {
-  /** More than a connection reads at once, and than it reads ahead. */
+  /** More requests than a connection reads at once and than it reads ahead. */
   private static final int PIPELINED = 100;
 
   private DataPlaneFixture fixture;
@@ -37,7 +40,7 @@
   }
 
   @Test
-  void requestsReadBeforeTheLastResponseAreAnswered() throws IOException {
+  void requestsReadBeforeTheLastResponseGetResponses() throws IOException {
     fixture.backend(
         (message, socket) -> DataPlaneFixture.serve(message, socket, "", message.text()));
     startShutdown();
@@ -59,7 +62,7 @@
   }
 
   @Test
-  void requestReadBehindTheLastResponseIsToldThatItHasNotRun() throws Exception {
+  void requestReadAfterTheLastResponseIsRefused() throws Exception {
     CountDownLatch secondIsRead = new CountDownLatch(1);
     ScriptedPeer backend =
         fixture.backend(
@@ -89,7 +92,7 @@
   }
 
   @Test
-  void requestThatComesTooLateToBeFinishedIsToldThatItHasNotRun() throws IOException {
+  void requestThatArrivesTooLateToFinishIsRefused() throws IOException {
     ScriptedPeer backend = fixture.backend((message, socket) -> {});
     Socket socket = fixture.dial();
     String request = DataPlaneFixture.request("a1", "", "body");
@@ -106,7 +109,7 @@
   }
 
   @Test
-  void pipelinedRequestsThatComeTooLateAreAllToldThatTheyHaveNotRun() throws IOException {
+  void pipelinedRequestsThatArriveTooLateAreAllRefused() throws IOException {
     startShutdown();
     fixture.onLoop(fixture.ingress::refuseRequests);
     Socket socket = fixture.dial();
@@ -125,7 +128,7 @@
   }
 
   @Test
-  void idleConnectionIsNotClosedOverARequestThatHasArrived() throws Exception {
+  void idleConnectionWithAnArrivedRequestIsNotClosed() throws Exception {
     fixture.backend(
         (message, socket) -> DataPlaneFixture.serve(message, socket, "", message.text()));
     startShutdown();
@@ -133,7 +136,8 @@
     DataPlaneFixture.await(() -> fixture.ingress.size() == 1);
     fixture.onLoop(
         () -> {
-          // the loop is busy here, so that it cannot have read what is written meanwhile
+          // This task keeps the event loop busy, so that the loop cannot read the request before
+          // closeIdle().
           try {
             ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", "one"));
           } catch (IOException failed) {
@@ -145,7 +149,7 @@
   }
 
   @Test
-  void requestsWithoutAResponseAtTheEndAreAnsweredAndBegunOnesBrokenOff() throws Exception {
+  void abortResponds504OrBreaksOffAStartedResponse() throws Exception {
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) -> {
--- a/src/test/java/slateslip/dataplane/PartlySentRequestTest.java
+++ b/src/test/java/slateslip/dataplane/PartlySentRequestTest.java
@@ -22,31 +22,36 @@
 import slateslip.routing.RouterInput.AttemptOutcome.Kind;
 
 /**
- * TWICE: a request that may not be repeated, whose connection to its backend ends between any two
- * bytes, ran a second time elsewhere as long as its last byte had not left.
+ * Guards against a second execution of a request that may not be retried. When the connection to
+ * the backend ended after a part of the request had been sent, the request was retried at another
+ * backend as long as its last byte had not been sent. The test ends the connection after every
+ * number of bytes.
  */
 class PartlySentRequestTest {
-  /** Ends with an error once it has taken so many bytes, if it is the first of its test. */
-  private static final class CutSocket extends PollableSocketChannel {
-    private long left;
+  /** Accepts this number of bytes and then fails. */
+  private static final class FailingSocket extends PollableSocketChannel {
+    private long remainingBytes;
 
-    CutSocket(long bytes) {
-      left = bytes;
+    FailingSocket(long bytes) {
+      remainingBytes = bytes;
     }
 
     @Override
     protected void writeToSocket(ChannelOutboundBuffer outbound) throws Exception {
-      while (outbound.current() instanceof ByteBuf bytes && left > 0) {
-        int count = (int) Math.min(left, bytes.readableBytes());
+      while (outbound.current() instanceof ByteBuf bytes && remainingBytes > 0) {
+        int count = (int) Math.min(remainingBytes, bytes.readableBytes());
         bytes.getBytes(bytes.readerIndex(), javaChannel(), count);
-        left -= count;
+        remainingBytes -= count;
         outbound.removeBytes(count);
       }
       throw new IOException("reset by the test");
     }
   }
 
-  /** Takes one request, and then nothing more, as its peer has reset it. */
+  /**
+   * Accepts the first write and fails all later ones, like a connection that the peer resets while
+   * it is idle.
+   */
   private static final class ResetWhileIdleSocket extends PollableSocketChannel {
     private boolean used;
 
@@ -60,22 +65,26 @@
     }
   }
 
-  /** Attempts of one request, how its client was answered, and bytes of it that had left. */
-  private record Trial(List<Kind> ends, int status, boolean partial) {}
+  /**
+   * Outcomes of the attempts of one request, the status that the client received, and whether the
+   * request was partly sent.
+   */
+  private record CutResult(List<Kind> outcomes, int status, boolean partlySent) {}
 
-  private static Trial cutAfter(long bytes) throws IOException {
-    try (DataPlaneFixture fixture = fixtureWithFirst(() -> new CutSocket(bytes));
-        ServerSocket cut = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      fixture.router.repeatable = false;
-      fixture.listed(cut.getInetAddress().getHostAddress() + ":" + cut.getLocalPort());
+  private static CutResult cutAfter(long bytes) throws IOException {
+    try (DataPlaneFixture fixture = fixtureWithFirst(() -> new FailingSocket(bytes));
+        ServerSocket failingBackend = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+      fixture.router.retriesBrokenAttempts = false;
+      fixture.listBackend(
+          failingBackend.getInetAddress().getHostAddress() + ":" + failingBackend.getLocalPort());
       ScriptedPeer other =
           fixture.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "good"));
       int status = fixture.call("a1").status();
-      boolean repeated = !other.requests.isEmpty();
-      assertThat("repeated after " + bytes + " bytes", repeated, is(bytes == 0));
-      boolean[] partial = new boolean[1];
-      fixture.onLoop(() -> partial[0] = fixture.metrics.partlySent > 0);
-      return new Trial(fixture.router.ends(), status, partial[0]);
+      boolean retried = !other.requests.isEmpty();
+      assertThat("retried after " + bytes + " bytes", retried, is(bytes == 0));
+      boolean[] partlySent = new boolean[1];
+      fixture.onLoop(() -> partlySent[0] = fixture.metrics.partlySent > 0);
+      return new CutResult(fixture.router.outcomes(), status, partlySent[0]);
     }
   }
 
@@ -89,9 +98,9 @@
   }
 
   @Test
-  void isRepeatedIfAKeptConnectionTakesNoByte() throws IOException {
+  void requestIsRetriedIfAReusedConnectionAcceptsNoByte() throws IOException {
     try (DataPlaneFixture fixture = fixtureWithFirst(ResetWhileIdleSocket::new)) {
-      fixture.router.repeatable = false;
+      fixture.router.retriesBrokenAttempts = false;
       for (int i = 0; i < 2; i++) {
         fixture.backend(
             (message, socket) ->
@@ -100,25 +109,25 @@
       assertThat(fixture.call("a1").body(), is("good"));
       assertThat(fixture.call("a2").body(), is("good"));
       // The client reads the response before the event loop records the outcome of the attempt.
-      DataPlaneFixture.await(() -> fixture.router.ends().size() >= 3);
-      assertThat(fixture.router.ends(), is(List.of(SUCCESS, NOT_SENT, SUCCESS)));
+      DataPlaneFixture.await(() -> fixture.router.outcomes().size() >= 3);
+      assertThat(fixture.router.outcomes(), is(List.of(SUCCESS, NOT_SENT, SUCCESS)));
     }
   }
 
   @Test
-  void isRepeatedOnlyIfNoByteHasLeft() throws IOException {
-    Trial none = cutAfter(0);
-    assertThat(none.ends(), is(List.of(NOT_SENT, SUCCESS)));
+  void requestIsRetriedOnlyIfNoByteWasSent() throws IOException {
+    CutResult none = cutAfter(0);
+    assertThat(none.outcomes(), is(List.of(NOT_SENT, SUCCESS)));
     assertThat(none.status(), is(200));
     long bytes = 1;
-    Trial trial = cutAfter(bytes);
-    while (trial.partial()) {
-      assertThat("cut after " + bytes, trial.ends(), is(List.of(BROKEN)));
-      assertThat("cut after " + bytes, trial.status(), is(502));
+    CutResult result = cutAfter(bytes);
+    while (result.partlySent()) {
+      assertThat("cut after " + bytes, result.outcomes(), is(List.of(BROKEN)));
+      assertThat("cut after " + bytes, result.status(), is(502));
       bytes++;
-      trial = cutAfter(bytes);
+      result = cutAfter(bytes);
     }
-    assertThat(bytes, greaterThan(100L)); // head and body
-    assertThat(trial.ends(), is(List.of(BROKEN)));
+    assertThat(bytes, greaterThan(100L)); // the cuts covered both head and body
+    assertThat(result.outcomes(), is(List.of(BROKEN)));
   }
 }
--- a/src/test/java/slateslip/dataplane/PeriodicTasksTest.java
+++ b/src/test/java/slateslip/dataplane/PeriodicTasksTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import slateslip.eventloop.WakeUpCounter;
 
-/** Periodic work shares its ticks; time is the test's. */
+/** Tests that periodic tasks run on shared ticks. The test controls the clock. */
 class PeriodicTasksTest {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final PeriodicTasks periodic =
       new PeriodicTasks(channel.eventLoop(), new WakeUpCounter());
-  private final AtomicInteger often = new AtomicInteger();
-  private final AtomicInteger seldom = new AtomicInteger();
+  private final AtomicInteger runsEveryTick = new AtomicInteger();
+  private final AtomicInteger runsEveryThirdTick = new AtomicInteger();
 
   PeriodicTasksTest() {
     channel.freezeTime();
@@ -27,7 +27,10 @@
     channel.close();
   }
 
-  /** The next tick comes within its interval, wherever on the steady clock that begins. */
+  /**
+   * Advances the clock by one tick interval, which contains exactly one tick, whatever the current
+   * time of the steady clock is.
+   */
   private void passTick() {
     channel.advanceTimeBy(PeriodicTasks.TICK_MILLIS, TimeUnit.MILLISECONDS);
     channel.runPendingTasks();
@@ -36,21 +39,21 @@
 
   @Test
   void eachTaskRunsInItsOwnIntervalRoundedUpToTicks() {
-    periodic.every(PeriodicTasks.TICK_MILLIS, often::incrementAndGet);
-    periodic.every(2 * PeriodicTasks.TICK_MILLIS + 1, seldom::incrementAndGet);
+    periodic.every(PeriodicTasks.TICK_MILLIS, runsEveryTick::incrementAndGet);
+    periodic.every(2 * PeriodicTasks.TICK_MILLIS + 1, runsEveryThirdTick::incrementAndGet);
     periodic.start();
     channel.runPendingTasks();
     for (int tick = 0; tick < 6; tick++) {
       passTick();
     }
-    assertThat(often.get(), is(6));
-    assertThat(seldom.get(), is(2));
+    assertThat(runsEveryTick.get(), is(6));
+    assertThat(runsEveryThirdTick.get(), is(2));
   }
 
   @Test
-  void nothingRunsBeforeTheStart() {
-    periodic.every(PeriodicTasks.TICK_MILLIS, often::incrementAndGet);
+  void noTaskRunsBeforeTheStart() {
+    periodic.every(PeriodicTasks.TICK_MILLIS, runsEveryTick::incrementAndGet);
     passTick();
-    assertThat(often.get(), is(0));
+    assertThat(runsEveryTick.get(), is(0));
   }
 }
--- a/src/test/java/slateslip/dataplane/RequestCostTest.java
+++ b/src/test/java/slateslip/dataplane/RequestAllocationTest.java
@@ -15,20 +15,20 @@
 import slateslip.loadbalancer.net.ScriptedPeer;
 
 /**
- * What the event loop allocates for a request. Bytes, not times: they hardly depend on the machine.
- * A bound is raised only with a reason in the commit.
+ * Limits the number of bytes that the event loop allocates for a request. Unlike times, allocations
+ * hardly depend on the machine. A limit may be raised only with a reason in the commit message.
  */
-class RequestCostTest {
-  private static final int WARM_UP = 300;
-  private static final int REQUESTS = 200;
+class RequestAllocationTest {
+  private static final int WARM_UP_REQUESTS = 300;
+  private static final int MEASURED_REQUESTS = 200;
   private static final int EVENTS = 10;
-  private static final long MAX_BYTES_OF_A_RESPONSE = 40_000;
-  private static final long MAX_BYTES_OF_A_STREAM = 70_000;
+  private static final long MAX_BYTES_PER_RESPONSE = 40_000;
+  private static final long MAX_BYTES_PER_STREAM = 70_000;
 
   private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
   private DataPlaneFixture fixture;
 
-  /** A request on a connection that is kept. */
+  /** Sends a request on a persistent connection and reads the response. */
   private interface Call {
     void run(Socket socket, String attemptId) throws IOException;
   }
@@ -50,33 +50,36 @@
     return bytes[0];
   }
 
-  /** Bytes allocated for one request, once the runtime has compiled what requests use. */
-  private long bytesOfOne(Call call) throws IOException {
+  /**
+   * Returns the mean number of bytes allocated for one request, after enough requests that the
+   * runtime has compiled the request path.
+   */
+  private long bytesPerRequest(Call call) throws IOException {
     Socket socket = fixture.dial();
-    for (int i = 0; i < WARM_UP; i++) {
+    for (int i = 0; i < WARM_UP_REQUESTS; i++) {
       call.run(socket, "w" + i);
     }
     long before = allocatedBytes();
-    for (int i = 0; i < REQUESTS; i++) {
+    for (int i = 0; i < MEASURED_REQUESTS; i++) {
       call.run(socket, "r" + i);
     }
-    return (allocatedBytes() - before) / REQUESTS;
+    return (allocatedBytes() - before) / MEASURED_REQUESTS;
   }
 
   @Test
-  void aResponse() throws IOException {
+  void allocationForAResponseStaysBelowTheLimit() throws IOException {
     fixture.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "x"));
     long bytes =
-        bytesOfOne(
+        bytesPerRequest(
             (socket, id) -> {
               ScriptedPeer.write(socket, DataPlaneFixture.request(id, "", "body"));
               assertThat(ClientResponse.read(socket.getInputStream()).status(), is(200));
             });
-    assertThat(bytes, is(lessThan(MAX_BYTES_OF_A_RESPONSE)));
+    assertThat(bytes, is(lessThan(MAX_BYTES_PER_RESPONSE)));
   }
 
   @Test
-  void aStream() throws IOException {
+  void allocationForAStreamStaysBelowTheLimit() throws IOException {
     StringBuilder events = new StringBuilder();
     for (int id = 1; id <= EVENTS; id++) {
       events.append(DataPlaneFixture.event(id));
@@ -88,11 +91,11 @@
           DataPlaneFixture.lastChunk(socket);
         });
     long bytes =
-        bytesOfOne(
+        bytesPerRequest(
             (socket, id) -> {
               ScriptedPeer.write(socket, DataPlaneFixture.request(id, "", "body"));
               assertThat(ClientResponse.read(socket.getInputStream()).complete(), is(true));
             });
-    assertThat(bytes, is(lessThan(MAX_BYTES_OF_A_STREAM)));
+    assertThat(bytes, is(lessThan(MAX_BYTES_PER_STREAM)));
   }
 }
--- a/src/test/java/slateslip/dataplane/RequestOutcomeTest.java
+++ b/src/test/java/slateslip/dataplane/RequestOutcomeTest.java
@@ -11,7 +11,7 @@
 import slateslip.dataplane.DataPlaneFixture.ClientResponse;
 import slateslip.loadbalancer.net.ScriptedPeer;
 
-/** Every request is counted once, by how its client has seen it end. */
+/** Tests that every request is counted once, under the outcome that its client has seen. */
 class RequestOutcomeTest {
   private DataPlaneFixture fixture;
 
@@ -31,7 +31,7 @@
     return count[0];
   }
 
-  private long endedAtAll() {
+  private long totalEnded() {
     long all = 0;
     for (RequestOutcome outcome : RequestOutcome.values()) {
       all += ended(outcome);
@@ -41,18 +41,18 @@
 
   private void awaitEnded(RequestOutcome outcome) {
     DataPlaneFixture.await(() -> ended(outcome) == 1);
-    assertThat("counted once", endedAtAll(), is(1L));
+    assertThat("counted once", totalEnded(), is(1L));
   }
 
   @Test
-  void aWholeResponseIsServed() throws IOException {
+  void completeResponseIsCountedAsServed() throws IOException {
     fixture.backend((message, socket) -> DataPlaneFixture.serve(message, socket, "", "x"));
     fixture.call("a1");
     awaitEnded(RequestOutcome.SERVED);
   }
 
   @Test
-  void aWholeStreamIsServed() throws IOException {
+  void completeStreamIsCountedAsServed() throws IOException {
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -64,8 +64,8 @@
   }
 
   @Test
-  void aStreamThatIsCutIsBrokenOff() throws IOException {
-    fixture.router.repeatable = false;
+  void interruptedStreamIsCountedAsBrokenOff() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aClientThatLeavesIsCountedAsGone() throws IOException {
+  void disconnectedClientIsCountedAsGone() throws IOException {
     ScriptedPeer backend = fixture.backend((message, socket) -> {});
     Socket socket = fixture.dial();
     ScriptedPeer.write(socket, DataPlaneFixture.request("a1", "", ""));
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void aFailureOfTheBackendIsFailed() throws IOException {
+  void errorResponseOfTheBackendIsCountedAsFailed() throws IOException {
     fixture.backend(
         (message, socket) ->
             ScriptedPeer.respond(socket, 500, DataPlaneFixture.stamped(message), "broken"));
@@ -97,11 +97,11 @@
   }
 
   @Test
-  void statusesOfTheDataPlanesOwnHaveTheirOutcomes() {
-    assertThat(RequestOutcome.ofOwnStatus(503), is(RequestOutcome.REFUSED));
-    assertThat(RequestOutcome.ofOwnStatus(429), is(RequestOutcome.OVER_QUOTA));
-    assertThat(RequestOutcome.ofOwnStatus(504), is(RequestOutcome.TIMED_OUT));
-    assertThat(RequestOutcome.ofOwnStatus(502), is(RequestOutcome.FAILED));
-    assertThat(RequestOutcome.ofOwnStatus(404), is(RequestOutcome.DENIED));
+  void localResponsesMapToOutcomesByStatus() {
+    assertThat(RequestOutcome.ofLocalResponse(503), is(RequestOutcome.REFUSED));
+    assertThat(RequestOutcome.ofLocalResponse(429), is(RequestOutcome.OVER_QUOTA));
+    assertThat(RequestOutcome.ofLocalResponse(504), is(RequestOutcome.TIMED_OUT));
+    assertThat(RequestOutcome.ofLocalResponse(502), is(RequestOutcome.FAILED));
+    assertThat(RequestOutcome.ofLocalResponse(404), is(RequestOutcome.DENIED));
   }
 }
--- a/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
+++ b/src/test/java/slateslip/dataplane/ScriptedControlAgent.java
@@ -16,19 +16,19 @@
 import slateslip.protocol.distribution.DistributionCodec;
 
 /**
- * A control agent on a loopback port: a heartbeat for each message, and the script's messages to an
- * active stream.
+ * A control agent on a loopback port. The agent responds to each message with a heartbeat, and to a
+ * subscription as active agent also with the scripted messages.
  */
 final class ScriptedControlAgent implements Closeable {
-  /** What every data plane has said, in order. */
-  final List<DataPlaneMessage> heard = new CopyOnWriteArrayList<>();
+  /** The messages of all data planes in the order of their arrival. */
+  final List<DataPlaneMessage> received = new CopyOnWriteArrayList<>();
 
   private final ServerSocket listener;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  private final List<ControlPlaneMessage> whenActive;
+  private final List<ControlPlaneMessage> activeStreamMessages;
 
-  ScriptedControlAgent(List<ControlPlaneMessage> whenActive) throws IOException {
-    this.whenActive = whenActive;
+  ScriptedControlAgent(List<ControlPlaneMessage> activeStreamMessages) throws IOException {
+    this.activeStreamMessages = activeStreamMessages;
     listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     ScriptedPeer.daemon(
         () -> {
@@ -52,10 +52,10 @@
       in.readFully(frame);
       Decoded<DataPlaneMessage> decoded = codec.decodeToControl(frame);
       DataPlaneMessage message = ((Decoded.Message<DataPlaneMessage>) decoded).value();
-      heard.add(message);
+      received.add(message);
       send(socket, new ControlPlaneMessage.Heartbeat(true, 5, 1, List.of("127.0.0.1")));
       if (message instanceof DataPlaneMessage.Subscribe subscribe && subscribe.active()) {
-        for (ControlPlaneMessage response : whenActive) {
+        for (ControlPlaneMessage response : activeStreamMessages) {
           send(socket, response);
         }
       }
--- a/src/test/java/slateslip/dataplane/PlainRouter.java
+++ b/src/test/java/slateslip/dataplane/SequentialRouter.java
@@ -13,17 +13,18 @@
 import slateslip.routing.RouterOutput;
 
 /**
- * A router with the plainest decisions: backends in the order listed, one attempt after the other.
+ * A router that sends the attempts of a request one after the other to the backends in the order of
+ * their list.
  */
-final class PlainRouter implements RequestRouter {
-  /** Every input, in order. */
+final class SequentialRouter implements RequestRouter {
+  /** All inputs in their order. */
   final List<RouterInput> inputs = new ArrayList<>();
 
-  /** Backends that one request is sent to at most. */
+  /** Maximum number of attempts of one request. */
   int maxAttempts = 3;
 
-  /** Whether broken attempts are repeated, and streams taken up. */
-  boolean repeatable = true;
+  /** Whether failed attempts are retried and broken streams are resumed. */
+  boolean retriesBrokenAttempts = true;
 
   long firstEventTimeoutMicros;
   long idleTimeoutMicros;
@@ -31,10 +32,10 @@
   int priority = RouterOutput.NO_PRIORITY;
 
   private final Map<Long, Integer> attempts = new HashMap<>();
-  private final Map<Long, RequestFactsAndState> requests = new HashMap<>();
+  private final Map<Long, RequestState> requests = new HashMap<>();
   private List<BackendSession> backends = List.of();
 
-  private static final class RequestFactsAndState {
+  private static final class RequestState {
     long deadlineMillis;
     boolean started;
   }
@@ -45,16 +46,18 @@
     if (input instanceof RouterInput.BackendsChanged changed) {
       backends = changed.backends();
     } else if (input instanceof RouterInput.RequestArrived arrived) {
-      RequestFactsAndState state = new RequestFactsAndState();
+      RequestState state = new RequestState();
       state.deadlineMillis = arrived.attributes().deadlineMillis();
       requests.put(arrived.request(), state);
-      return next(arrived.request(), RouterOutput.AS_SENT);
+      return sendNextAttempt(arrived.request(), RouterOutput.AS_SENT);
     } else if (input instanceof RouterInput.AttemptStarted started) {
       requests.get(started.request()).started = true;
       return cancelOthers(started);
     } else if (input instanceof RouterInput.StreamIdle idle) {
-      boolean another = attempts.get(idle.request()) < Math.min(maxAttempts, backends.size());
-      return another ? next(idle.request(), RouterOutput.AFTER_LAST_EVENT) : List.of();
+      boolean backendLeft = attempts.get(idle.request()) < Math.min(maxAttempts, backends.size());
+      return backendLeft
+          ? sendNextAttempt(idle.request(), RouterOutput.AFTER_LAST_EVENT)
+          : List.of();
     } else if (input instanceof RouterInput.ClientGone gone) {
       return List.of(
           new RouterOutput.CancelAttempt(gone.request(), attempts.get(gone.request()) - 1));
@@ -80,16 +83,18 @@
       case SUCCESS, CANCELLED -> List.of();
       case ERROR_RESPONSE -> List.of(new RouterOutput.RelayError(ended.request(), ended.attempt()));
       case NOT_EXECUTED, OTHER_INSTANCE, NOT_SENT, WITHHELD ->
-          next(ended.request(), RouterOutput.AS_SENT);
+          sendNextAttempt(ended.request(), RouterOutput.AS_SENT);
       case BROKEN, TIMEOUT ->
-          repeatable ? next(ended.request(), ended.lastEventId()) : giveUp(ended.request());
+          retriesBrokenAttempts
+              ? sendNextAttempt(ended.request(), ended.lastEventId())
+              : failRequest(ended.request());
     };
   }
 
-  private List<RouterOutput> next(long request, long resumeAfter) {
+  private List<RouterOutput> sendNextAttempt(long request, long resumeAfter) {
     int attempt = attempts.merge(request, 1, Integer::sum) - 1;
     if (attempt >= Math.min(maxAttempts, backends.size())) {
-      return giveUp(request);
+      return failRequest(request);
     }
     return List.of(
         new RouterOutput.SendAttempt(
@@ -104,7 +109,7 @@
             resumeAfter));
   }
 
-  private List<RouterOutput> giveUp(long request) {
+  private List<RouterOutput> failRequest(long request) {
     return requests.get(request).started
         ? List.of(new RouterOutput.AbortConnection(request, AbortReason.NO_BACKEND))
         : List.of(new RouterOutput.Respond(request, 502, 0));
@@ -115,16 +120,16 @@
     return QuotaReport.NOTHING;
   }
 
-  /** How the attempts ended, in order. */
-  synchronized List<AttemptOutcome.Kind> ends() {
+  /** Returns the outcomes of all ended attempts in their order. */
+  synchronized List<AttemptOutcome.Kind> outcomes() {
     return inputs.stream()
         .filter(RouterInput.AttemptEnded.class::isInstance)
         .map(input -> ((RouterInput.AttemptEnded) input).outcome().kind())
         .toList();
   }
 
-  /** Whether an input of this kind has come. */
-  synchronized boolean got(Class<? extends RouterInput> kind) {
+  /** Returns whether an input of this type has been received. */
+  synchronized boolean hasReceived(Class<? extends RouterInput> kind) {
     return inputs.stream().anyMatch(kind::isInstance);
   }
 }
--- a/src/test/java/slateslip/dataplane/ShutdownScheduleTest.java
+++ b/src/test/java/slateslip/dataplane/ShutdownScheduleTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 import slateslip.dataplane.ShutdownSchedule.Step;
 
-/** The steps of a graceful shutdown and their times. */
+/** Tests the times of the steps of a graceful shutdown. */
 class ShutdownScheduleTest {
   private final ShutdownSchedule eightSeconds = new ShutdownSchedule(8_000);
 
   @Test
-  void clientsAreServedUntilThePlatformSendsNoMore() {
+  void requestsAreServedUntilThePlatformStopsRouting() {
     assertThat(eightSeconds.stepAt(0, 0), is(Step.SERVE));
     assertThat(eightSeconds.stepAt(2_499, 0), is(Step.SERVE));
     assertThat(eightSeconds.stepAt(2_500, 1), is(Step.CLOSE));
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void responsesAreEndedInTheLastTenthAndTheirBytesGetMostOfIt() {
+  void responsesAreAbortedInTheLastTenthAndProcessEndsInItsLastQuarter() {
     assertThat(eightSeconds.stepAt(7_199, 3), is(Step.CLOSE));
     assertThat(eightSeconds.stepAt(7_200, 3), is(Step.ABORT));
     assertThat(eightSeconds.stepAt(7_799, 3), is(Step.ABORT));
--- a/src/test/java/slateslip/dataplane/StreamsTest.java
+++ b/src/test/java/slateslip/dataplane/StreamsTest.java
@@ -19,7 +19,10 @@
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
-/** Streams of events: passed on at once, whole, and taken up again. */
+/**
+ * Tests that events of a stream are forwarded immediately and completely, and that broken streams
+ * are resumed.
+ */
 class StreamsTest {
   private DataPlaneFixture fixture;
 
@@ -58,18 +61,19 @@
     parts.add(DataPlaneFixture.event(1) + "id: 2\nda");
     ClientResponse.readHead(in);
     assertThat(
-        ClientResponse.readChunk(in), is(DataPlaneFixture.event(1))); // the half event is held back
+        ClientResponse.readChunk(in),
+        is(DataPlaneFixture.event(1))); // the incomplete event is held back
     parts.add("ta: piece 2\n\n");
     assertThat(ClientResponse.readChunk(in), is(DataPlaneFixture.event(2)));
     parts.add("");
     assertThat(ClientResponse.readChunk(in), is(""));
     ScriptedPeer.write(socket, DataPlaneFixture.request("a2", "", ""));
     parts.add(DataPlaneFixture.event(1));
-    ClientResponse.readHead(in); // the connection goes on
+    ClientResponse.readHead(in); // the connection is still usable
   }
 
   @Test
-  void takesABrokenStreamUpAtAnotherBackend() throws IOException {
+  void resumesABrokenStreamAtAnotherBackend() throws IOException {
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -80,7 +84,8 @@
         fixture.backend(
             (message, socket) -> {
               DataPlaneFixture.beginStream(message, socket);
-              DataPlaneFixture.chunk(socket, events(3, 5)); // one that the client has had
+              DataPlaneFixture.chunk(
+                  socket, events(3, 5)); // includes event 3, which the client has received already
               DataPlaneFixture.lastChunk(socket);
             });
     Socket socket = fixture.dial();
@@ -96,9 +101,9 @@
   }
 
   @Test
-  void leavesABackendThatFallsSilentInTheMiddle() throws IOException {
+  void resumesAtAnotherBackendAfterTheIdleTimeout() throws IOException {
     fixture.router.idleTimeoutMicros = 100_000;
-    ScriptedPeer dark =
+    ScriptedPeer silentBackend =
         fixture.backend(
             (message, socket) -> {
               DataPlaneFixture.beginStream(message, socket);
@@ -106,7 +111,8 @@
             });
     fixture.backend(
         (message, socket) -> {
-          String rest = events(3, 4); // in one write, so that no pause falls between its parts
+          // a single write, so that no idle timeout can occur between its parts
+          String rest = events(3, 4);
           DataPlaneFixture.beginStream(message, socket);
           ScriptedPeer.write(
               socket, Integer.toHexString(rest.length()) + "\r\n" + rest + "\r\n0\r\n\r\n");
@@ -114,7 +120,7 @@
     ClientResponse response = fixture.call("a1");
     assertThat(response.body(), is(events(1, 4)));
     assertThat(response.complete(), is(true));
-    DataPlaneFixture.await(() -> dark.ended.size() == 1);
+    DataPlaneFixture.await(() -> silentBackend.ended.size() == 1);
   }
 
   @Test
@@ -138,8 +144,8 @@
   }
 
   @Test
-  void breaksOffWhatCannotBeFinished() throws IOException {
-    fixture.router.repeatable = false;
+  void breaksOffAStreamThatCannotBeResumed() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -152,8 +158,8 @@
   }
 
   @Test
-  void aStreamThatEndsInsideAnEventIsNotComplete() throws IOException {
-    fixture.router.repeatable = false;
+  void streamThatEndsInsideAnEventIsIncomplete() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -166,8 +172,8 @@
   }
 
   @Test
-  void aStreamWithoutAFramingIsNotComplete() throws IOException {
-    fixture.router.repeatable = false;
+  void streamWithoutFramingIsIncomplete() throws IOException {
+    fixture.router.retriesBrokenAttempts = false;
     fixture.backend(
         (message, socket) -> {
           ScriptedPeer.write(
@@ -182,7 +188,7 @@
   }
 
   @Test
-  void breaksOffWhereTheStreamDoesNotGoOn() throws IOException {
+  void breaksOffWhenTheNextBackendSendsNoStream() throws IOException {
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -196,7 +202,7 @@
   }
 
   @Test
-  void tellsTheLoadOfAStreamsHeadWhenItStarts() throws IOException {
+  void reportsTheLoadInAStreamHeadAtTheStart() throws IOException {
     fixture.backend(
         (message, socket) -> {
           ScriptedPeer.write(
@@ -209,7 +215,7 @@
           DataPlaneFixture.lastChunk(socket);
         });
     assertThat(fixture.call("a1").complete(), is(true));
-    DataPlaneFixture.await(() -> fixture.router.ends().size() == 1);
+    DataPlaneFixture.await(() -> fixture.router.outcomes().size() == 1);
     assertThat(
         fixture.router.inputs,
         hasItem(new RouterInput.AttemptStarted(1, 0, new RouterInput.BackendLoad(3, 1, 8))));
@@ -221,7 +227,7 @@
   }
 
   @Test
-  void anErrorAfterTheFirstEventBreaksOff() throws IOException {
+  void errorResponseToAResumptionBreaksOffTheStream() throws IOException {
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -235,7 +241,7 @@
   }
 
   @Test
-  void aStreamWithoutEventsIsServed() throws IOException {
+  void streamWithoutEventsIsRelayedCompletely() throws IOException {
     fixture.backend(
         (message, socket) -> {
           DataPlaneFixture.beginStream(message, socket);
@@ -248,7 +254,7 @@
   }
 
   @Test
-  void cancelsAStreamWhoseClientHasGone() throws IOException {
+  void cancelsAStreamWhenTheClientDisconnects() throws IOException {
     ScriptedPeer backend =
         fixture.backend(
             (message, socket) -> {
@@ -263,7 +269,7 @@
   }
 
   @Test
-  void aSlowClientHoldsItsBackendUp() throws IOException {
+  void slowClientLimitsTheBufferedBytes() throws IOException {
     int maxBytes = 64 << 20;
     String event = "data: " + "x".repeat(1 << 16) + "\n\n";
     long[] sent = new long[1];
--- a/src/test/java/slateslip/dataplane/subscription/ControlConnectionTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/ControlConnectionTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import slateslip.dataplane.transport.LoopbackConnection;
 
-/** How a connection to a control agent is read, by what comes on it; ticks are the test's. */
+/**
+ * Tests when a connection to a control agent is read by the event loop and when once per tick. The
+ * test triggers the ticks.
+ */
 class ControlConnectionTest {
   private LoopbackConnection loopback;
   private ControlConnection connection;
@@ -31,13 +34,13 @@
   }
 
   @Test
-  void whatIsUrgentIsReadAsItComes() {
+  void eventLoopReadsMessagesThatMayNotWait() {
     tick(false);
     assertThat(loopback.isReadByLoop(), is(true));
   }
 
   @Test
-  void aQuietConnectionIsReadOnceATick() throws IOException {
+  void connectionWithLittleTrafficIsReadOncePerTick() throws IOException {
     tick(true);
     loopback.write(100);
     assertThat(loopback.isReadByLoop(), is(false));
@@ -48,8 +51,8 @@
   }
 
   @Test
-  void aBusyConnectionIsReadAsItComesUntilItIsQuiet() {
-    loopback.run(() -> connection.received(100_000));
+  void eventLoopReadsAConnectionWithMuchTrafficUntilTheNextQuietTick() {
+    loopback.run(() -> connection.countReceived(100_000));
     tick(true);
     assertThat(loopback.isReadByLoop(), is(true));
     tick(true);
@@ -57,7 +60,7 @@
   }
 
   @Test
-  void moreThanFitsIsReadOnAsItComes() throws IOException {
+  void eventLoopReadsTheRestWhenTheBufferIsFilled() throws IOException {
     tick(true);
     loopback.write(20_000);
     tick(true);
@@ -65,7 +68,7 @@
   }
 
   @Test
-  void theEndIsFoundAtATick() throws IOException {
+  void endOfTheConnectionIsDetectedAtATick() throws IOException {
     tick(true);
     loopback.peer().close();
     tick(true);
--- a/src/test/java/slateslip/dataplane/subscription/KeyLeaseRenewalTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/KeyLeaseRenewalTest.java
@@ -14,7 +14,10 @@
 import slateslip.distribution.DataPlaneMessage;
 import slateslip.distribution.QuotaReport;
 
-/** What a pong is worth: a lease from the time of its ping, if the newest version is in force. */
+/**
+ * Tests that a pong extends the key lease from the time of its ping, if the newest configuration
+ * version is in force.
+ */
 class KeyLeaseRenewalTest {
   private static final String AGENT = "10.1.0.6";
   private static final long LEASE_MILLIS = 4_500;
@@ -25,7 +28,7 @@
   private Subscription subscription;
   private long now = 10_000;
 
-  private void begin(long leaseMillis, String tenants) {
+  private void subscribe(long leaseMillis, String tenants) {
     subscription = new Subscription(identity, List.of(AGENT), leaseMillis);
     feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
     feed(new SubscriptionInput.Connected(AGENT));
@@ -65,8 +68,8 @@
   }
 
   @Test
-  void leaseCountsFromThePing() {
-    begin(LEASE_MILLIS, TENANTS);
+  void leaseStartsAtTheTimeOfThePing() {
+    subscribe(LEASE_MILLIS, TENANTS);
     now += 2_000;
     heartbeat(3);
     receive(new ControlPlaneMessage.Pong(10_500));
@@ -74,32 +77,32 @@
   }
 
   @Test
-  void aNewerVersionHasToBeInForceFirst() {
-    begin(LEASE_MILLIS, TENANTS);
+  void pongExtendsNoLeaseBeforeTheNewestVersionIsInForce() {
+    subscribe(LEASE_MILLIS, TENANTS);
     heartbeat(4);
     receive(new ControlPlaneMessage.Pong(10_000));
     assertThat(leases(), is(empty()));
   }
 
   @Test
-  void anAgentThatIsBehindConfirmsNothing() {
-    begin(LEASE_MILLIS, TENANTS);
+  void pongOfAnAgentWithAnOlderVersionExtendsNoLease() {
+    subscribe(LEASE_MILLIS, TENANTS);
     heartbeat(2);
     receive(new ControlPlaneMessage.Pong(10_000));
     assertThat(leases(), is(empty()));
   }
 
   @Test
-  void theActiveAgentIsAskedToo() {
-    begin(LEASE_MILLIS, TENANTS);
+  void activeAgentIsPingedToo() {
+    subscribe(LEASE_MILLIS, TENANTS);
     now += 600;
     feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
     assertThat(pings(), is(not(empty())));
   }
 
   @Test
-  void withoutKeysNothingIsAsked() {
-    begin(LEASE_MILLIS, "[]");
+  void configurationWithoutTenantsCausesNoPingsAndNoLeases() {
+    subscribe(LEASE_MILLIS, "[]");
     now += 600;
     feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
     receive(new ControlPlaneMessage.Pong(10_000));
@@ -108,8 +111,8 @@
   }
 
   @Test
-  void whereTheFleetIsNotClosedNothingIsAsked() {
-    begin(0, TENANTS);
+  void activeAgentIsNotPingedInAFleetWithoutLeases() {
+    subscribe(0, TENANTS);
     now += 600;
     feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
     assertThat(pings(), is(empty()));
--- a/src/test/java/slateslip/dataplane/subscription/QuotaReportingTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/QuotaReportingTest.java
@@ -14,7 +14,7 @@
 import slateslip.distribution.QuotaReport;
 import slateslip.distribution.TenantDemand;
 
-/** Reports on quotas, and whose allocations count. */
+/** Tests when quota reports are sent, and which quota allocations a data plane accepts. */
 class QuotaReportingTest {
   private static final String NEAR = "10.1.0.6";
   private static final String FAR = "10.2.0.6";
@@ -49,33 +49,33 @@
     feed(new SubscriptionInput.Received(agent, heartbeat));
   }
 
-  private <T> List<T> all(Class<T> kind) {
+  private <T> List<T> outputsOf(Class<T> kind) {
     return outputs.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  private List<String> agentsToldDemandInASecond() {
+  private List<String> recipientsOfReportsInOneSecond() {
     for (long end = now + 1_000; now < end; ) {
       now += Subscription.TICK_MILLIS;
       heartbeat(NEAR);
       heartbeat(FAR);
       tick();
     }
-    return all(SubscriptionOutput.Send.class).stream()
+    return outputsOf(SubscriptionOutput.Send.class).stream()
         .filter(send -> send.message() instanceof DataPlaneMessage.Demand)
         .map(SubscriptionOutput.Send::agent)
         .toList();
   }
 
   @Test
-  void demandGoesToTheActiveAgentAFewTimesASecond() {
+  void reportsGoToTheActiveAgentFourTimesASecond() {
     report = report(false);
-    assertThat(agentsToldDemandInASecond(), is(List.of(NEAR, NEAR, NEAR, NEAR)));
+    assertThat(recipientsOfReportsInOneSecond(), is(List.of(NEAR, NEAR, NEAR, NEAR)));
   }
 
   @Test
-  void reportsAtEachTickWhileRequestsWaitForTheirQuota() {
+  void reportsAreSentAtEachTickWhileRequestsWaitForQuota() {
     report = report(true);
-    assertThat(agentsToldDemandInASecond().size(), is(10));
+    assertThat(recipientsOfReportsInOneSecond().size(), is(10));
   }
 
   private static QuotaReport report(boolean waiting) {
@@ -85,20 +85,20 @@
   @Test
   void allocationForAnEarlierProcessOfThisNodeIsDropped() {
     long incarnation = identity.incarnation();
-    allotted(incarnation + 1);
-    assertThat(all(SubscriptionOutput.Share.class), is(empty()));
-    allotted(incarnation);
-    assertThat(all(SubscriptionOutput.Share.class).size(), is(1));
+    receiveAllocation(incarnation + 1);
+    assertThat(outputsOf(SubscriptionOutput.ApplyAllocation.class), is(empty()));
+    receiveAllocation(incarnation);
+    assertThat(outputsOf(SubscriptionOutput.ApplyAllocation.class).size(), is(1));
   }
 
-  private void allotted(long incarnation) {
+  private void receiveAllocation(long incarnation) {
     QuotaAllocation.Lease lease = new QuotaAllocation.Lease(1, 1, incarnation, 0, 6);
     QuotaAllocation allocation = new QuotaAllocation(6, lease, List.of());
     feed(new SubscriptionInput.Received(NEAR, new ControlPlaneMessage.QuotaUpdate(allocation)));
   }
 
   @Test
-  void withoutTenantsTheReportComesOftenEnoughToCountAsAlive() {
-    assertThat(agentsToldDemandInASecond(), is(List.of(NEAR, NEAR)));
+  void reportsWithoutTenantsAreSentTwiceASecond() {
+    assertThat(recipientsOfReportsInOneSecond(), is(List.of(NEAR, NEAR)));
   }
 }
--- a/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
@@ -19,7 +19,9 @@
 import slateslip.distribution.QuotaAllocation;
 import slateslip.distribution.QuotaReport;
 
-/** Which control agent a data plane listens to, and what it takes from it. */
+/**
+ * Tests which control agent a data plane makes active, and which messages of the agents it applies.
+ */
 class SubscriptionTest {
   private static final String NEAR = "10.1.0.6";
   private static final String FAR = "10.2.0.20";
@@ -32,7 +34,7 @@
   private long now = 1_000;
 
   @BeforeEach
-  void begin() {
+  void sendFirstTick() {
     tick();
   }
 
@@ -44,8 +46,8 @@
     feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
   }
 
-  /** Lets time pass in ticks; the agents given send heartbeats meanwhile. */
-  private void pass(long millis, HeartbeatSample... heartbeats) {
+  /** Advances the time in ticks; the given heartbeats are received before each tick. */
+  private void advance(long millis, HeartbeatSample... heartbeats) {
     for (long end = now + millis; now < end; ) {
       now += 100;
       for (HeartbeatSample heartbeat : heartbeats) {
@@ -58,7 +60,7 @@
   private record HeartbeatSample(
       String agent, boolean current, long version, List<String> agents) {}
 
-  private static HeartbeatSample good(String agent) {
+  private static HeartbeatSample currentHeartbeat(String agent) {
     return new HeartbeatSample(agent, true, 0, List.of(NEAR, FAR, FARTHER));
   }
 
@@ -79,15 +81,18 @@
     }
   }
 
-  private <T> List<T> take(Class<T> kind) {
+  private <T> List<T> takeOutputs(Class<T> kind) {
     List<T> taken = outputs.stream().filter(kind::isInstance).map(kind::cast).toList();
     outputs.removeIf(kind::isInstance);
     return taken;
   }
 
-  /** Agents that were told to be active, in order. */
-  private List<String> activated() {
-    return take(SubscriptionOutput.Send.class).stream()
+  /**
+   * Removes the sent messages from the outputs and returns the agents to which an active
+   * subscription was sent, in order.
+   */
+  private List<String> takeActivatedAgents() {
+    return takeOutputs(SubscriptionOutput.Send.class).stream()
         .filter(
             send ->
                 send.message() instanceof DataPlaneMessage.Subscribe subscribe
@@ -98,10 +103,10 @@
 
   private void makeNearActive() {
     connect(NEAR, FAR, FARTHER);
-    heartbeat(good(NEAR));
-    heartbeat(good(FAR));
-    heartbeat(good(FARTHER));
-    assertThat(activated(), contains(NEAR));
+    heartbeat(currentHeartbeat(NEAR));
+    heartbeat(currentHeartbeat(FAR));
+    heartbeat(currentHeartbeat(FARTHER));
+    assertThat(takeActivatedAgents(), contains(NEAR));
   }
 
   private static byte[] document(long version, String service) {
@@ -128,22 +133,23 @@
     return new BackendSession(id, "s", "10.9.0.1:80", "z1", "v", 4, draining, 0, sequence);
   }
 
-  private List<Long> versionsApplied() {
-    return take(SubscriptionOutput.Configure.class).stream()
+  private List<Long> takeAppliedVersions() {
+    return takeOutputs(SubscriptionOutput.Configure.class).stream()
         .map(configure -> configure.configuration().version())
         .toList();
   }
 
-  private List<DataPlaneMessage.Acknowledge> acknowledged() {
-    return take(SubscriptionOutput.Send.class).stream()
+  private List<DataPlaneMessage.Acknowledge> takeAcknowledgements() {
+    return takeOutputs(SubscriptionOutput.Send.class).stream()
         .map(SubscriptionOutput.Send::message)
         .filter(DataPlaneMessage.Acknowledge.class::isInstance)
         .map(DataPlaneMessage.Acknowledge.class::cast)
         .toList();
   }
 
-  private List<String> listed() {
-    List<SubscriptionOutput.ListBackends> lists = take(SubscriptionOutput.ListBackends.class);
+  private List<String> takeListedBackends() {
+    List<SubscriptionOutput.ReplaceBackends> lists =
+        takeOutputs(SubscriptionOutput.ReplaceBackends.class);
     return lists.get(lists.size() - 1).backends().stream()
         .map(session -> session.id() + (session.draining() ? " draining" : ""))
         .toList();
@@ -152,54 +158,59 @@
   @Test
   void dialsAllSeedsAndMakesTheNearestActive() {
     assertThat(
-        take(SubscriptionOutput.Dial.class).stream().map(SubscriptionOutput.Dial::agent).toList(),
+        takeOutputs(SubscriptionOutput.Dial.class).stream()
+            .map(SubscriptionOutput.Dial::agent)
+            .toList(),
         containsInAnyOrder(NEAR, FAR, FARTHER));
     makeNearActive();
   }
 
   @Test
-  void aSeedThatDoesNotAnswerIsDialledAgainLater() {
+  void unreachableSeedIsDialledAgainLater() {
     outputs.clear();
     feed(new SubscriptionInput.Disconnected(NEAR));
     tick();
-    assertThat(take(SubscriptionOutput.Dial.class), is(empty()));
-    pass(200);
-    assertThat(take(SubscriptionOutput.Dial.class), hasItem(new SubscriptionOutput.Dial(NEAR)));
+    assertThat(takeOutputs(SubscriptionOutput.Dial.class), is(empty()));
+    advance(200);
+    assertThat(
+        takeOutputs(SubscriptionOutput.Dial.class), hasItem(new SubscriptionOutput.Dial(NEAR)));
   }
 
   @Test
-  void agentsNamedInHeartbeatsAreConnected() {
+  void agentsNamedInHeartbeatsAreDialled() {
     feed(new SubscriptionInput.Disconnected(FARTHER));
     connect(NEAR, FAR);
     outputs.clear();
     heartbeat(new HeartbeatSample(NEAR, true, 0, List.of(NEAR, FAR, REPLACED)));
     tick();
     assertThat(
-        take(SubscriptionOutput.Dial.class), contains(new SubscriptionOutput.Dial(REPLACED)));
+        takeOutputs(SubscriptionOutput.Dial.class),
+        contains(new SubscriptionOutput.Dial(REPLACED)));
   }
 
   @Test
-  void aSilentActiveAgentIsLeftForAnother() {
+  void unresponsiveActiveAgentIsReplaced() {
     makeNearActive();
-    pass(1_000, good(FAR), good(FARTHER));
-    assertThat(activated().size(), is(1));
-    assertThat(take(SubscriptionOutput.Close.class), contains(new SubscriptionOutput.Close(NEAR)));
+    advance(1_000, currentHeartbeat(FAR), currentHeartbeat(FARTHER));
+    assertThat(takeActivatedAgents().size(), is(1));
+    assertThat(
+        takeOutputs(SubscriptionOutput.Close.class), contains(new SubscriptionOutput.Close(NEAR)));
   }
 
   @Test
-  void itsOwnPauseIsNotTakenForSilence() {
+  void stallOfThisProcessClosesNoStream() {
     makeNearActive();
     now += 5_000;
     tick();
-    assertThat(take(SubscriptionOutput.Close.class), is(empty()));
-    assertThat(activated(), is(empty()));
+    assertThat(takeOutputs(SubscriptionOutput.Close.class), is(empty()));
+    assertThat(takeActivatedAgents(), is(empty()));
   }
 
   @Test
-  void anAgentThatIsNotCurrentIsLeftForOneThatIs() {
+  void activeAgentThatIsNotCurrentIsReplacedByACurrentAgent() {
     makeNearActive();
     heartbeat(new HeartbeatSample(NEAR, false, 0, List.of(NEAR, FAR, FARTHER)));
-    assertThat(activated().size(), is(1));
+    assertThat(takeActivatedAgents().size(), is(1));
   }
 
   @Test
@@ -207,57 +218,59 @@
     makeNearActive();
     heartbeat(new HeartbeatSample(NEAR, false, 0, List.of(NEAR, FAR, FARTHER)));
     outputs.clear();
-    pass(2_000, good(NEAR), good(FAR), good(FARTHER));
-    assertThat(activated(), is(empty()));
-    pass(2_000, good(NEAR), good(FAR), good(FARTHER));
-    assertThat(activated(), contains(NEAR));
+    advance(2_000, currentHeartbeat(NEAR), currentHeartbeat(FAR), currentHeartbeat(FARTHER));
+    assertThat(takeActivatedAgents(), is(empty()));
+    advance(2_000, currentHeartbeat(NEAR), currentHeartbeat(FAR), currentHeartbeat(FARTHER));
+    assertThat(takeActivatedAgents(), contains(NEAR));
   }
 
   @Test
-  void anAgentThatStaysBehindIsLeft() {
+  void activeAgentThatLagsTooLongIsReplaced() {
     makeNearActive();
     HeartbeatSample ahead = new HeartbeatSample(FAR, true, 9, List.of(NEAR, FAR, FARTHER));
-    pass(100, good(NEAR), ahead);
-    assertThat(activated(), is(empty()));
-    pass(300, good(NEAR), ahead);
-    assertThat(activated(), contains(FAR));
+    advance(100, currentHeartbeat(NEAR), ahead);
+    assertThat(takeActivatedAgents(), is(empty()));
+    advance(300, currentHeartbeat(NEAR), ahead);
+    assertThat(takeActivatedAgents(), contains(FAR));
   }
 
   @Test
-  void configurationsOnlyRiseWhoeverSendsThem() {
+  void olderConfigurationsAreIgnoredFromEveryAgent() {
     makeNearActive();
     receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
     receive(FAR, new ControlPlaneMessage.ConfigurationSnapshot(3, document(3, "t")));
     receive(NEAR, new ControlPlaneMessage.ConfigurationPatch(5, 8, patch(8)));
     receive(FAR, new ControlPlaneMessage.ConfigurationPatch(3, 5, patch(5)));
-    assertThat(versionsApplied(), contains(5L, 8L));
+    assertThat(takeAppliedVersions(), contains(5L, 8L));
     assertThat(
-        acknowledged().stream().map(DataPlaneMessage.Acknowledge::configurationVersion).toList(),
+        takeAcknowledgements().stream()
+            .map(DataPlaneMessage.Acknowledge::configurationVersion)
+            .toList(),
         contains(5L, 5L, 8L, 8L));
   }
 
   @Test
-  void aPatchThatDoesNotFitAsksForAWholeConfiguration() {
+  void patchForAnotherVersionRequestsACompleteConfiguration() {
     makeNearActive();
     receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
     outputs.clear();
     receive(NEAR, new ControlPlaneMessage.ConfigurationPatch(6, 8, patch(8)));
-    assertThat(versionsApplied(), is(empty()));
+    assertThat(takeAppliedVersions(), is(empty()));
     assertThat(
-        take(SubscriptionOutput.Send.class).get(0).message(),
+        takeOutputs(SubscriptionOutput.Send.class).get(0).message(),
         is(new DataPlaneMessage.Subscribe("edge-1", 7, "z1", 5, true)));
   }
 
   @Test
-  void aConfigurationThatCannotBeReadChangesNothing() {
+  void invalidConfigurationIsIgnored() {
     makeNearActive();
     receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, new byte[] {'{'}));
-    assertThat(versionsApplied(), is(empty()));
+    assertThat(takeAppliedVersions(), is(empty()));
     assertThat(subscription.configurationVersion(), is(0L));
   }
 
   @Test
-  void readyOnceAConfigurationAndBackendsHaveCome() {
+  void readyOnceConfigurationAndBackendsAreReceived() {
     makeNearActive();
     receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
     assertThat(subscription.isReady(), is(false));
@@ -266,21 +279,21 @@
   }
 
   @Test
-  void anIncompleteListOnlyAdds() {
+  void incompleteListRemovesNoBackend() {
     makeNearActive();
     receive(
         NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
-    assertThat(listed(), contains("a"));
+    assertThat(takeListedBackends(), contains("a"));
     receive(
         NEAR, new ControlPlaneMessage.SessionSnapshot(2, false, List.of(session("b", false, 1))));
-    assertThat(listed(), containsInAnyOrder("a", "b"));
+    assertThat(takeListedBackends(), containsInAnyOrder("a", "b"));
     receive(
         NEAR, new ControlPlaneMessage.SessionSnapshot(3, true, List.of(session("b", false, 2))));
-    assertThat(listed(), contains("b"));
+    assertThat(takeListedBackends(), contains("b"));
   }
 
   @Test
-  void whatIsOlderBringsNothingBack() {
+  void olderStatesDoNotRestoreBackends() {
     makeNearActive();
     receive(
         NEAR,
@@ -289,31 +302,31 @@
     receive(
         NEAR,
         new ControlPlaneMessage.SessionDelta(2, List.of(session("a", true, 6)), List.of("b")));
-    assertThat(listed(), contains("a draining"));
+    assertThat(takeListedBackends(), contains("a draining"));
     receive(
         NEAR,
         new ControlPlaneMessage.SessionSnapshot(
             3, false, List.of(session("a", false, 5), session("b", false, 5))));
-    assertThat(take(SubscriptionOutput.ListBackends.class), is(empty()));
+    assertThat(takeOutputs(SubscriptionOutput.ReplaceBackends.class), is(empty()));
     receive(
         NEAR, new ControlPlaneMessage.SessionDelta(4, List.of(session("b", false, 6)), List.of()));
-    assertThat(listed(), containsInAnyOrder("a draining", "b"));
+    assertThat(takeListedBackends(), containsInAnyOrder("a draining", "b"));
   }
 
   @Test
-  void aRenewalThatChangesNothingIsAcknowledgedOnly() {
+  void unchangedRenewalIsAcknowledgedWithoutANewList() {
     makeNearActive();
     receive(
         NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
     outputs.clear();
     receive(
         NEAR, new ControlPlaneMessage.SessionDelta(2, List.of(session("a", false, 2)), List.of()));
-    assertThat(take(SubscriptionOutput.ListBackends.class), is(empty()));
-    assertThat(acknowledged(), contains(new DataPlaneMessage.Acknowledge(0, 2)));
+    assertThat(takeOutputs(SubscriptionOutput.ReplaceBackends.class), is(empty()));
+    assertThat(takeAcknowledgements(), contains(new DataPlaneMessage.Acknowledge(0, 2)));
   }
 
   @Test
-  void sessionsAndSharesCountFromTheActiveAgentOnly() {
+  void sessionsAndAllocationsApplyFromTheActiveAgentOnly() {
     makeNearActive();
     outputs.clear();
     receive(FAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
@@ -321,26 +334,26 @@
     assertThat(outputs, is(empty()));
     receive(NEAR, new ControlPlaneMessage.QuotaUpdate(new QuotaAllocation(6, List.of())));
     assertThat(
-        take(SubscriptionOutput.Share.class),
-        contains(new SubscriptionOutput.Share(new QuotaAllocation(6, List.of()))));
+        takeOutputs(SubscriptionOutput.ApplyAllocation.class),
+        contains(new SubscriptionOutput.ApplyAllocation(new QuotaAllocation(6, List.of()))));
   }
 
   @Test
-  void whatWasLearntStaysWhileAllAreAway() {
+  void configurationAndBackendsStayInForceWithoutReachableAgents() {
     makeNearActive();
     receive(NEAR, new ControlPlaneMessage.ConfigurationSnapshot(5, document(5, "s")));
     receive(
         NEAR, new ControlPlaneMessage.SessionSnapshot(1, true, List.of(session("a", false, 1))));
     outputs.clear();
     Stream.of(NEAR, FAR, FARTHER).forEach(agent -> feed(new SubscriptionInput.Disconnected(agent)));
-    pass(20_000);
-    assertThat(take(SubscriptionOutput.ListBackends.class), is(empty()));
+    advance(20_000);
+    assertThat(takeOutputs(SubscriptionOutput.ReplaceBackends.class), is(empty()));
     assertThat(subscription.isReady(), is(true));
     assertThat(subscription.configurationVersion(), is(5L));
   }
 
   @Test
-  void findsAnAgentOfTheMajorityWhenAllItsStreamsAreInTheMinority() {
+  void findsAnAgentOfTheMajorityWhenAllStreamsAreInTheMinority() {
     List<String> all = List.of(NEAR, FAR, FARTHER, "11.0.0.7", "11.0.0.8");
     connect(NEAR, FAR, FARTHER);
     Stream.of(NEAR, FAR, FARTHER)
@@ -351,12 +364,14 @@
         Stream.of(NEAR, FAR, FARTHER)
             .map(agent -> new HeartbeatSample(agent, false, 0, List.of(NEAR, FAR, FARTHER)))
             .toArray(HeartbeatSample[]::new);
-    pass(500, minority);
+    advance(500, minority);
     List<String> dialled =
-        take(SubscriptionOutput.Dial.class).stream().map(SubscriptionOutput.Dial::agent).toList();
+        takeOutputs(SubscriptionOutput.Dial.class).stream()
+            .map(SubscriptionOutput.Dial::agent)
+            .toList();
     assertThat(dialled.stream().anyMatch(all.subList(3, 5)::contains), is(true));
     connect(dialled.get(0));
     heartbeat(new HeartbeatSample(dialled.get(0), true, 0, all));
-    assertThat(activated(), hasItem(dialled.get(0)));
+    assertThat(takeActivatedAgents(), hasItem(dialled.get(0)));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -182,9 +182,9 @@
       configuration = configure.configuration();
     } else if (output instanceof SubscriptionOutput.ExtendKeyLease lease) {
       leaseUntilMillis = Math.max(leaseUntilMillis, lease.untilMillis());
-    } else if (output instanceof SubscriptionOutput.Report) {
+    } else if (output instanceof SubscriptionOutput.LogLine) {
       reportedAt = events.nowMicros();
-    } else if (output instanceof SubscriptionOutput.ListBackends list) {
+    } else if (output instanceof SubscriptionOutput.ReplaceBackends list) {
       listed = true;
       backends = new TreeMap<>();
       list.backends().forEach(session -> backends.put(session.id(), session));
