--- a/src/main/java/slateslip/dataplane/backend/AttemptListener.java
+++ b/src/main/java/slateslip/dataplane/backend/AttemptListener.java
@@ -4,26 +4,32 @@
 import slateslip.routing.RouterInput.BackendLoad;
 
 /**
- * What is told of one attempt; all on the event loop, and never from within the call that started
- * it.
+ * Receives the events of one attempt. All methods are called on the event loop, and none is called
+ * from within the call that started the attempt.
  */
 public interface AttemptListener {
   /**
-   * The head of a stream has come; its events follow.
+   * Called when the head of a stream has arrived; the events of the stream follow.
    *
-   * @param load that the backend told in it; null if none
+   * @param load load that the backend reported in the head, or null if none
    */
-  void streamBegan(BackendResponse head, BackendLoad load);
+  void streamStarted(BackendResponse head, BackendLoad load);
 
-  /** A whole event has come. */
-  void event(StreamEvent event);
+  /** Called when a complete event has arrived. */
+  void eventReceived(StreamEvent event);
 
-  /** Nothing has come of a stream that has begun for as long as the request says. */
-  void idle();
+  /**
+   * Called when a stream that has started has delivered no event for the idle timeout of the
+   * request, and again after each further idle timeout without an event.
+   */
+  void streamIdle();
 
-  /** What had come has been told; the next part may take long. */
+  /**
+   * Called when all data that had arrived has been reported to this listener; the next data may
+   * take long to arrive.
+   */
   void readComplete();
 
-  /** The attempt has ended; told once, and last. */
+  /** Called exactly once, after all other calls, when the attempt has ended. */
   void ended(AttemptResult result);
 }
--- a/src/main/java/slateslip/dataplane/backend/AttemptResult.java
+++ b/src/main/java/slateslip/dataplane/backend/AttemptResult.java
@@ -4,12 +4,12 @@
 import slateslip.routing.RouterInput.BackendLoad;
 
 /**
- * How an attempt ended.
+ * Result of an attempt at a backend.
  *
- * @param outcome for the router
- * @param load that the backend told; null if none
- * @param response whole answer of a success that is no stream, or of a failure; null otherwise
- * @param sentBytes how much of the request had left when it ended
+ * @param outcome outcome that is reported to the router
+ * @param load load that the backend reported, or null if none
+ * @param response complete response; null for a stream and if no complete response arrived
+ * @param sentBytes bytes of the request that the connection had taken when the attempt ended
  */
 public record AttemptResult(
     AttemptOutcome outcome, BackendLoad load, BackendResponse response, SentBytes sentBytes) {
@@ -17,11 +17,11 @@
     this(outcome, load, response, SentBytes.NONE);
   }
 
-  static AttemptResult without(AttemptOutcome.Kind kind) {
+  static AttemptResult withoutResponse(AttemptOutcome.Kind kind) {
     return new AttemptResult(new AttemptOutcome(kind, 0), null, null);
   }
 
-  AttemptResult with(SentBytes bytes) {
+  AttemptResult withSentBytes(SentBytes bytes) {
     return new AttemptResult(outcome, load, response, bytes);
   }
 }
--- a/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendAttempt.java
@@ -18,39 +18,50 @@
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.BackendLoad;
 
-/** One request on its way to one backend. */
+/**
+ * Sends one request to one backend and reports the result to a listener. Confined to the event
+ * loop.
+ */
 public final class BackendAttempt {
-  /** How long a connection may take to come up. */
-  private static final int CONNECT_MILLIS = 600;
+  /**
+   * Timeout for establishing a connection; it applies to the first and the second dial together.
+   */
+  private static final int CONNECT_TIMEOUT_MILLIS = 600;
 
-  /** An idle connection that breaks so soon after a write was dead before it. */
-  private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+  /**
+   * A reused connection that breaks within this time after the start of the attempt counts as dead
+   * before the attempt: the connection was lost while it was idle.
+   */
+  private static final long DEAD_ON_REUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private final BackendPools pools;
   private final BackendPool pool;
   private final OutgoingRequest request;
   private final AttemptListener listener;
   private final long startedNanos = System.nanoTime();
-  private final Set<Channel> dialling = new HashSet<>();
+  private final Set<Channel> connectingChannels = new HashSet<>();
   private BackendConnection connection;
-  private long idledNanos = -1;
+  private long reusedIdleNanos = -1;
   private final RequestTransmission transmission = new RequestTransmission();
 
-  /** Bytes that the connection had taken before this attempt. */
-  private long writtenBytesBefore;
+  /** Number of bytes that were written to the connection before this attempt. */
+  private long writtenBytesAtStart;
 
-  private boolean started;
+  private boolean firstEventReceived;
   private boolean ended;
 
-  /** The client does not read as fast as the backend writes. */
-  private boolean readingStopped;
+  /**
+   * Whether reading from the backend is paused because the client reads more slowly than the
+   * backend writes.
+   */
+  private boolean readingPaused;
 
-  private Future<?> timer;
+  private Future<?> timeoutTimer;
 
-  private long dialledNanos;
+  private long dialStartNanos;
 
-  /** For a second connection beside the first. */
-  private Future<?> dialTimer;
+  /** Dials a second connection if the first is not established in time. */
+  private Future<?> secondDialTimer;
 
   private long lastEventNanos;
 
@@ -66,7 +77,7 @@
     return request;
   }
 
-  /** Whether the whole request has left. */
+  /** Returns whether the connection has taken the whole request. */
   boolean isWritten() {
     return transmission.isComplete();
   }
@@ -85,14 +96,14 @@
       return;
     }
     if (request.firstEventTimeoutMicros() > 0) {
-      timer =
+      timeoutTimer =
           pools
               .loop()
               .schedule(this::timeOut, request.firstEventTimeoutMicros(), TimeUnit.MICROSECONDS);
     }
-    BackendConnection reused = pool.take(pools.idleTimeout().limitNanos());
+    BackendConnection reused = pool.takeIdle(pools.idleTimeout().limitNanos());
     if (reused != null) {
-      idledNanos = reused.idleNanos();
+      reusedIdleNanos = reused.idleNanos();
       pools.metrics().reused++;
       write(reused);
     } else {
@@ -101,67 +112,69 @@
   }
 
   private void connect() {
-    pool.connecting(this);
-    dialledNanos = System.nanoTime();
-    dial(CONNECT_MILLIS);
+    pool.connectStarted(this);
+    dialStartNanos = System.nanoTime();
+    dial(CONNECT_TIMEOUT_MILLIS);
     if (!ended) {
-      long lateNanos = pools.connectTimes().lateNanos();
-      dialTimer = pools.loop().schedule(this::dialAgain, lateNanos, TimeUnit.NANOSECONDS);
+      long secondDialDelayNanos = pools.connectTimes().secondDialDelayNanos();
+      secondDialTimer =
+          pools.loop().schedule(this::dialSecond, secondDialDelayNanos, TimeUnit.NANOSECONDS);
     }
   }
 
   /**
-   * Dials a second time beside the first: a lost opening packet is sent again only after seconds.
+   * Dials a second connection in parallel with the first. If the first packet of the TCP handshake
+   * is lost, TCP sends the packet again only after seconds.
    */
-  private void dialAgain() {
+  private void dialSecond() {
     if (!ended && connection == null) {
-      long passedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - dialledNanos);
-      dial((int) Math.max(1, CONNECT_MILLIS - passedMillis));
+      long passedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - dialStartNanos);
+      dial((int) Math.max(1, CONNECT_TIMEOUT_MILLIS - passedMillis));
     }
   }
 
   private void dial(int timeoutMillis) {
-    BackendConnection fresh = new BackendConnection(pool, pools.metrics());
-    ChannelFuture connecting = pools.dial(pool, fresh, timeoutMillis);
+    BackendConnection newConnection = new BackendConnection(pool, pools.metrics());
+    ChannelFuture connecting = pools.dial(pool, newConnection, timeoutMillis);
     if (connecting == null) {
-      endIfNoneComesUp();
+      endIfNoDialPending();
       return;
     }
-    dialling.add(connecting.channel());
-    connecting.addListener(done -> dialled(fresh, connecting));
+    connectingChannels.add(connecting.channel());
+    connecting.addListener(done -> dialEnded(newConnection, connecting));
   }
 
-  private void dialled(BackendConnection fresh, ChannelFuture connecting) {
+  private void dialEnded(BackendConnection newConnection, ChannelFuture connecting) {
     pools.metrics().wakeUps.attribute(WakeUpCause.BACKEND_CONNECT);
-    dialling.remove(connecting.channel());
+    connectingChannels.remove(connecting.channel());
     if (!connecting.isSuccess()) {
-      endIfNoneComesUp();
+      endIfNoDialPending();
     } else if (ended || connection != null) {
-      pool.keep(fresh);
+      pool.release(newConnection);
     } else {
-      pool.connected(this);
-      pools.connectTimes().connected(System.nanoTime() - dialledNanos);
-      write(fresh);
+      pool.connectEnded(this);
+      pools.connectTimes().recordConnectTime(System.nanoTime() - dialStartNanos);
+      write(newConnection);
     }
   }
 
-  private void endIfNoneComesUp() {
-    if (connection == null && dialling.isEmpty()) {
+  private void endIfNoDialPending() {
+    if (connection == null && connectingChannels.isEmpty()) {
       end(AttemptOutcome.Kind.NOT_SENT);
     }
   }
 
-  private void write(BackendConnection to) {
+  private void write(BackendConnection target) {
     if (!request.permitted().getAsBoolean()) {
-      pool.keep(to);
+      pool.release(target);
       end(AttemptOutcome.Kind.WITHHELD);
       return;
     }
-    connection = to;
-    writtenBytesBefore = to.channel.writtenBytes();
-    cancelDialTimer();
-    to.attempt = this;
-    to.decoder.expectNoBody(request.method().equals(HttpMethod.HEAD));
+    connection = target;
+    writtenBytesAtStart = target.channel.writtenBytes();
+    cancelSecondDialTimer();
+    target.attempt = this;
+    target.decoder.expectNoBody(request.method().equals(HttpMethod.HEAD));
     var message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -182,19 +195,20 @@
           .headers()
           .set(HeaderNames.DEADLINE_MS, Math.max(1, request.deadlineMillis() - passed));
     }
-    to.channel
+    target
+        .channel
         .writeAndFlush(message)
         .addListener(
             done -> {
               if (done.isSuccess()) {
                 transmission.completed();
               } else {
-                broken();
+                connectionBroken();
               }
             });
   }
 
-  /** The head of a response of its own has come. */
+  /** Records that the head of a response to this request has arrived. */
   void responseStarted() {
     transmission.responseStarted();
   }
@@ -203,64 +217,73 @@
     if (connection == null) {
       return SentBytes.NONE;
     }
-    long sent = connection.channel.writtenBytes() - writtenBytesBefore;
+    long sent = connection.channel.writtenBytes() - writtenBytesAtStart;
     return new SentBytes(sent, sent + connection.channel.unwrittenBytes());
   }
 
-  /** The head of a stream has come. */
-  void streamBegan(BackendResponse head, BackendLoad load) {
-    listener.streamBegan(head, load);
+  /** Reports the head of a stream to the listener. */
+  void streamStarted(BackendResponse head, BackendLoad load) {
+    listener.streamStarted(head, load);
   }
 
-  /** A whole event has come. */
-  void event(StreamEvent event) {
+  /**
+   * Reports a complete event to the listener. The first event stops the first-event timeout and
+   * starts the idle timeout.
+   */
+  void eventReceived(StreamEvent event) {
     if (ended) {
       return;
     }
     lastEventNanos = System.nanoTime();
-    if (!started) {
-      started = true;
-      cancelTimer();
+    if (!firstEventReceived) {
+      firstEventReceived = true;
+      cancelTimeoutTimer();
       startIdleTimer(request.idleTimeoutMicros());
     }
-    listener.event(event);
+    listener.eventReceived(event);
   }
 
   private void startIdleTimer(long micros) {
     if (micros > 0) {
-      timer = pools.loop().schedule(this::checkIdleTimeout, micros, TimeUnit.MICROSECONDS);
+      timeoutTimer = pools.loop().schedule(this::checkIdleTimeout, micros, TimeUnit.MICROSECONDS);
     }
   }
 
   private void checkIdleTimeout() {
     long idleMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - lastEventNanos);
     long leftMicros = request.idleTimeoutMicros() - idleMicros;
-    if (leftMicros > 0 || readingStopped) {
+    if (leftMicros > 0 || readingPaused) {
       startIdleTimer(Math.max(leftMicros, 1_000));
       return;
     }
     lastEventNanos = System.nanoTime();
     startIdleTimer(request.idleTimeoutMicros());
-    listener.idle();
+    listener.streamIdle();
   }
 
-  /** What had come has been told. */
+  /**
+   * Informs the listener that all arrived data has been reported, and adds the connection of a
+   * running stream to the stream poller.
+   */
   void readComplete() {
     if (ended) {
       return;
     }
     listener.readComplete();
-    if (started && !ended && !readingStopped) {
+    if (firstEventReceived && !ended && !readingPaused) {
       pools.streamPoller().add(connection);
     }
   }
 
-  /** Stops or goes on reading; a backend that is not read from is held up. */
+  /**
+   * Pauses or resumes reading from the backend. While reading is paused, TCP flow control stops the
+   * backend from writing.
+   */
   public void setReading(boolean reading) {
-    if (ended || connection == null || readingStopped != reading) {
+    if (ended || connection == null || readingPaused != reading) {
       return;
     }
-    readingStopped = !reading;
+    readingPaused = !reading;
     pools.streamPoller().remove(connection);
     connection.channel.config().setAutoRead(reading);
   }
@@ -270,19 +293,22 @@
     end(transmission.outcomeIfTimedOut());
   }
 
-  /** The connection has ended under the attempt, or what came is no response. */
-  void broken() {
+  /**
+   * Ends the attempt because the connection broke or because the received data is not a valid
+   * response.
+   */
+  void connectionBroken() {
     transmission.sent(sentBytes().sent());
     end(transmission.outcomeIfBroken());
   }
 
-  /** Stops it and closes its connection. */
+  /** Cancels the attempt and closes its connection. */
   public void cancel() {
     end(AttemptOutcome.Kind.CANCELLED);
   }
 
   private void end(AttemptOutcome.Kind kind) {
-    end(AttemptResult.without(kind), false);
+    end(AttemptResult.withoutResponse(kind), false);
   }
 
   void end(AttemptResult result, boolean reusable) {
@@ -292,42 +318,42 @@
     ended = true;
     SentBytes sentBytes = sentBytes();
     pools.metrics().partlySent += sentBytes.isPartial() ? 1 : 0;
-    cancelTimer();
-    cancelDialTimer();
-    if (idledNanos >= 0) {
+    cancelTimeoutTimer();
+    cancelSecondDialTimer();
+    if (reusedIdleNanos >= 0) {
       long now = System.nanoTime();
-      boolean atOnce =
+      boolean deadOnReuse =
           result.outcome().kind() == AttemptOutcome.Kind.BROKEN
-              && now - startedNanos < AT_ONCE_NANOS;
-      pools.idleTimeout().recordUse(idledNanos, atOnce, now);
+              && now - startedNanos < DEAD_ON_REUSE_NANOS;
+      pools.idleTimeout().recordUse(reusedIdleNanos, deadOnReuse, now);
     }
     if (pool != null) {
-      pool.connected(this);
+      pool.connectEnded(this);
     }
     if (connection != null) {
       pools.streamPoller().remove(connection);
       connection.attempt = null;
       if (reusable) {
         connection.channel.config().setAutoRead(true);
-        pool.keep(connection);
+        pool.release(connection);
       } else {
         connection.channel.close();
       }
     }
-    pools.loop().execute(() -> listener.ended(result.with(sentBytes)));
+    pools.loop().execute(() -> listener.ended(result.withSentBytes(sentBytes)));
   }
 
-  private void cancelDialTimer() {
-    if (dialTimer != null) {
-      dialTimer.cancel(false);
-      dialTimer = null;
+  private void cancelSecondDialTimer() {
+    if (secondDialTimer != null) {
+      secondDialTimer.cancel(false);
+      secondDialTimer = null;
     }
   }
 
-  private void cancelTimer() {
-    if (timer != null) {
-      timer.cancel(false);
-      timer = null;
+  private void cancelTimeoutTimer() {
+    if (timeoutTimer != null) {
+      timeoutTimer.cancel(false);
+      timeoutTimer = null;
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/backend/BackendConnection.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendConnection.java
@@ -10,16 +10,22 @@
 import slateslip.eventloop.WakeUpCounter;
 import slateslip.loadbalancer.net.StrictHttpDecoders;
 
-/** One connection to a backend; it serves one attempt at a time. */
+/** Connection to a backend, used by one attempt at a time. */
 final class BackendConnection extends ChannelInitializer<PollableSocketChannel> {
-  /** Bytes of a status line, and of a response's headers. */
+  /** Maximum size of a status line, and of the headers of a response, in bytes each. */
   private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-  /** How long one is kept whose backend states no time: it may be under a second. */
-  private static final long UNSTATED_KEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+  /**
+   * Time that an idle connection is kept if the backend states no keep-alive timeout: the backend's
+   * timeout may be less than a second. This is also the minimum if the backend states a timeout.
+   */
+  private static final long DEFAULT_KEEP_ALIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-  /** So much sooner than its backend would close it a connection is given up. */
-  private static final long KEEP_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  /**
+   * An idle connection is closed this much earlier than the keep-alive timeout that the backend
+   * states.
+   */
+  private static final long KEEP_ALIVE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private static final String TIMEOUT_PARAMETER = "timeout=";
 
@@ -27,14 +33,14 @@
   PollableSocketChannel channel;
   StrictHttpDecoders.Responses decoder;
 
-  /** The attempt that uses it; null if none. */
+  /** Attempt that uses this connection, or null if none. */
   BackendAttempt attempt;
 
-  /** Reads in a row by which {@link StreamPoller} found nothing. */
-  int emptyReads;
+  /** Number of consecutive reads in which {@link StreamPoller} found no data. */
+  int consecutiveEmptyReads;
 
   private long idleSince = System.nanoTime();
-  private long keepNanos = UNSTATED_KEEP_NANOS;
+  private long keepAliveNanos = DEFAULT_KEEP_ALIVE_NANOS;
 
   private final DataPlaneMetrics metrics;
 
@@ -56,16 +62,19 @@
     return metrics.wakeUps;
   }
 
-  void malformedResponse() {
+  void countMalformedResponse() {
     metrics.malformedResponses++;
   }
 
-  void surplusResponse() {
+  void countSurplusResponse() {
     metrics.surplusResponses++;
   }
 
-  /** Its last attempt has ended well, or it has just come up. */
-  void rest() {
+  /**
+   * Marks this connection as idle from now on: its last attempt ended successfully, or the
+   * connection was just established.
+   */
+  void markIdle() {
     attempt = null;
     idleSince = System.nanoTime();
   }
@@ -74,13 +83,22 @@
     return System.nanoTime() - idleSince;
   }
 
-  /** Whether its backend may have closed it, or is about to. */
-  boolean isOld(long learntLimitNanos) {
-    return idleNanos() >= Math.min(keepNanos, learntLimitNanos);
+  /**
+   * Returns whether this connection has been idle for so long that the backend may have closed the
+   * connection or may be about to close it.
+   *
+   * @param learnedLimitNanos limit on the idle time that was learned from broken connections, in
+   *     nanoseconds
+   */
+  boolean isExpired(long learnedLimitNanos) {
+    return idleNanos() >= Math.min(keepAliveNanos, learnedLimitNanos);
   }
 
-  /** Reads how long the backend keeps an idle connection. */
-  void learnKeepTime(HttpHeaders headers) {
+  /**
+   * Reads the keep-alive timeout from the {@code Keep-Alive} header of a response, if the header is
+   * present.
+   */
+  void readKeepAliveTimeout(HttpHeaders headers) {
     String keepAlive = headers.get(HeaderNames.KEEP_ALIVE);
     if (keepAlive == null) {
       return;
@@ -90,7 +108,7 @@
       if (text.startsWith(TIMEOUT_PARAMETER)) {
         long seconds = StrictHttpDecoders.digits(text.substring(TIMEOUT_PARAMETER.length()), 0);
         long nanos = TimeUnit.SECONDS.toNanos(Math.min(seconds, 3_600));
-        keepNanos = Math.max(UNSTATED_KEEP_NANOS, nanos - KEEP_MARGIN_NANOS);
+        keepAliveNanos = Math.max(DEFAULT_KEEP_ALIVE_NANOS, nanos - KEEP_ALIVE_MARGIN_NANOS);
       }
     }
   }
--- a/src/main/java/slateslip/dataplane/backend/BackendPool.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPool.java
@@ -8,19 +8,22 @@
 import java.util.Set;
 import slateslip.routing.RouterInput.AttemptOutcome;
 
-/** What is kept for one incarnation of a backend at one address. */
+/** Idle connections and connecting attempts of one incarnation of a backend at one address. */
 final class BackendPool {
   final String backendId;
   final String service;
   final InetSocketAddress address;
 
-  /** Most recently used first: what is not needed grows old and is closed. */
+  /**
+   * Idle connections, most recently used first: connections that are not needed stay at the end
+   * until they expire and are closed.
+   */
   private final Deque<BackendConnection> idle = new ArrayDeque<>();
 
-  /** Attempts whose connection is not up yet. */
-  private final Set<BackendAttempt> connecting = new HashSet<>();
+  /** Attempts that wait for a connection to be established. */
+  private final Set<BackendAttempt> connectingAttempts = new HashSet<>();
 
-  /** Connections that are up or being dialled. */
+  /** Number of connections that are established or being established. */
   int connections;
 
   private boolean retired;
@@ -31,19 +34,19 @@
     this.address = address;
   }
 
-  /** Whether nothing new may be written to this backend. */
+  /** Returns whether no new request may be sent to this backend. */
   boolean isRetired() {
     return retired;
   }
 
   /**
-   * Takes the most recently used connection that is open, has nothing to read and is not old; null
-   * if there is none.
+   * Removes and returns the most recently used idle connection that is open, has no unread bytes
+   * and has not expired, or returns null if there is none.
    */
-  BackendConnection take(long learntLimitNanos) {
+  BackendConnection takeIdle(long learnedLimitNanos) {
     while (!idle.isEmpty()) {
       BackendConnection connection = idle.pollFirst();
-      if (!connection.isOld(learntLimitNanos) && connection.channel.isIdle()) {
+      if (!connection.isExpired(learnedLimitNanos) && connection.channel.isIdle()) {
         return connection;
       }
       connection.channel.close();
@@ -51,8 +54,8 @@
     return null;
   }
 
-  void keep(BackendConnection connection) {
-    connection.rest();
+  void release(BackendConnection connection) {
+    connection.markIdle();
     if (retired) {
       connection.channel.close();
     } else {
@@ -60,34 +63,41 @@
     }
   }
 
-  void forget(BackendConnection connection) {
+  void removeIdle(BackendConnection connection) {
     idle.remove(connection);
   }
 
-  void connecting(BackendAttempt attempt) {
-    connecting.add(attempt);
+  void connectStarted(BackendAttempt attempt) {
+    connectingAttempts.add(attempt);
   }
 
-  void connected(BackendAttempt attempt) {
-    connecting.remove(attempt);
+  void connectEnded(BackendAttempt attempt) {
+    connectingAttempts.remove(attempt);
   }
 
-  void closeOld(long learntLimitNanos) {
-    while (!idle.isEmpty() && idle.peekLast().isOld(learntLimitNanos)) {
+  void closeExpired(long learnedLimitNanos) {
+    while (!idle.isEmpty() && idle.peekLast().isExpired(learnedLimitNanos)) {
       idle.pollLast().channel.close();
     }
   }
 
-  /** The connection that has been idle for longest; null if none is. */
+  /**
+   * Returns the connection that has been idle for the longest time, or null if no connection is
+   * idle.
+   */
   BackendConnection longestIdle() {
     return idle.peekLast();
   }
 
-  /** Nothing new goes to this backend; attempts that have been written go on. */
+  /**
+   * Retires this pool: no new request is sent to the backend, attempts without a connection end as
+   * not sent, and idle connections are closed. Attempts that have started to write their request
+   * continue.
+   */
   void retire() {
     retired = true;
-    for (BackendAttempt attempt : List.copyOf(connecting)) {
-      attempt.end(AttemptResult.without(AttemptOutcome.Kind.NOT_SENT), false);
+    for (BackendAttempt attempt : List.copyOf(connectingAttempts)) {
+      attempt.end(AttemptResult.withoutResponse(AttemptOutcome.Kind.NOT_SENT), false);
     }
     while (!idle.isEmpty()) {
       idle.pollFirst().channel.close();
--- a/src/main/java/slateslip/dataplane/backend/BackendPools.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPools.java
@@ -30,24 +30,30 @@
 import slateslip.loadbalancer.net.InspectableSocketChannel;
 
 /**
- * The connections to all backends, within the limits of the process and of each backend. On the
- * event loop.
+ * Connections to all backends, within the connection limits of the process and of each backend.
+ * Confined to the event loop.
  */
 public final class BackendPools {
   private static final byte[] NO_BODY = new byte[0];
-  private static final long SWEEP_MILLIS = 1_000;
+  private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
-  /** However long backends keep idle connections, none is kept for longer. */
+  /**
+   * Upper limit on the idle time of a connection, even if the backend states a longer keep-alive
+   * timeout.
+   */
   private static final long MAX_IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
   /**
-   * Part of its even share of a backend's connections that a data plane takes: shares are never
-   * even.
+   * Fraction of an equal share of a backend's connection limit that a data plane uses. The fraction
+   * is below 1 because data planes never use exactly equal shares.
    */
-  private static final double SHARE_PART = 0.9;
+  private static final double SHARE_FRACTION = 0.9;
 
-  /** However many data planes there are, each may have so many connections to a backend. */
-  private static final int MIN_CONNECTIONS = 4;
+  /**
+   * Number of connections to a backend that each data plane may open, even if its share of the
+   * backend's connection limit is smaller.
+   */
+  private static final int MIN_CONNECTIONS_PER_BACKEND = 4;
 
   private static final int PROBE_TIMEOUT_MICROS = 1_000_000;
   private static final String DEFAULT_HEALTH_PATH = "/health";
@@ -62,14 +68,15 @@
       new IdleConnectionTimeout(MAX_IDLE_NANOS, System.nanoTime());
   private final Map<String, BackendPool> pools = new HashMap<>();
   private RoutingTable table;
-  private int agents = 1;
+  private int dataPlanes = 1;
   private int connections;
 
   /**
-   * No backend is known yet.
+   * Creates pools without backends.
    *
-   * @param streamPollMillis between two reads of a running stream
-   * @param sockets makes them
+   * @param maxConnections limit on the connections to all backends together
+   * @param streamPollMillis interval between two reads of a running stream, in milliseconds
+   * @param channelFactory creates the sockets
    */
   public BackendPools(
       EventLoop loop,
@@ -77,44 +84,52 @@
       int maxConnections,
       long streamPollMillis,
       DataPlaneMetrics metrics,
-      ChannelFactory<PollableSocketChannel> sockets) {
+      ChannelFactory<PollableSocketChannel> channelFactory) {
     this.loop = loop;
     this.streamPoller = new StreamPoller(loop, metrics.wakeUps, streamPollMillis);
     this.maxConnections = maxConnections;
     this.metrics = metrics;
     this.bootstrap =
-        new Bootstrap().group(loop).channelFactory(sockets).option(ChannelOption.TCP_NODELAY, true);
-    periodic.every(SWEEP_MILLIS, this::closeOld);
+        new Bootstrap()
+            .group(loop)
+            .channelFactory(channelFactory)
+            .option(ChannelOption.TCP_NODELAY, true);
+    periodic.every(SWEEP_INTERVAL_MILLIS, this::closeExpired);
   }
 
-  /** The configuration that names services' limits and health paths. */
+  /**
+   * Applies a new routing table, which contains the connection limits and health paths of services.
+   */
   public void tableChanged(RoutingTable next) {
     table = next;
   }
 
-  /** How many data planes share what a backend takes. */
-  public void agentsChanged(int count) {
-    agents = Math.max(1, count);
+  /** Sets the number of data planes that share the connection limit of each backend. */
+  public void dataPlaneCountChanged(int count) {
+    dataPlanes = Math.max(1, count);
   }
 
-  /** The whole list of registered backends; those that drain or are missing get nothing new. */
+  /**
+   * Applies the complete list of registered backends. Backends that are draining or missing from
+   * the list receive no new requests.
+   */
   public void backendsChanged(List<BackendSession> sessions) {
-    Set<String> ready = new HashSet<>();
+    Set<String> readyIds = new HashSet<>();
     for (BackendSession session : sessions) {
       if (!session.draining()) {
-        ready.add(session.id());
-        listed(session);
+        readyIds.add(session.id());
+        addOrReplacePool(session);
       }
     }
     for (String id : List.copyOf(pools.keySet())) {
-      if (!ready.contains(id)) {
+      if (!readyIds.contains(id)) {
         pools.remove(id).retire();
       }
     }
   }
 
-  private void listed(BackendSession session) {
-    InetSocketAddress address = address(session.address());
+  private void addOrReplacePool(BackendSession session) {
+    InetSocketAddress address = parseAddress(session.address());
     BackendPool pool = pools.get(session.id());
     if (address == null || (pool != null && pool.address.equals(address))) {
       return;
@@ -125,7 +140,7 @@
     pools.put(session.id(), new BackendPool(session.id(), session.service(), address));
   }
 
-  private static InetSocketAddress address(String text) {
+  private static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     try {
       String[] parts = text.substring(0, colon).split("\\.", -1);
@@ -135,25 +150,28 @@
       }
       int port = Integer.parseInt(text.substring(colon + 1));
       return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
-    } catch (RuntimeException | java.net.UnknownHostException unreadable) {
+    } catch (RuntimeException | java.net.UnknownHostException malformed) {
       return null;
     }
   }
 
-  /** How many connections there are. */
+  /** Returns the number of connections to backends that are established or being established. */
   public int connections() {
     return connections;
   }
 
-  /** Sends a request to a backend; the listener is told later of its end, exactly once. */
+  /**
+   * Sends a request to a backend. The listener is informed of the end of the attempt later, exactly
+   * once.
+   */
   public BackendAttempt send(String backendId, OutgoingRequest request, AttemptListener listener) {
     BackendAttempt attempt = new BackendAttempt(this, pools.get(backendId), request, listener);
     attempt.start();
     return attempt;
   }
 
-  /** Asks a backend for its health. */
-  public void probe(String backendId, Consumer<ProbeResult> then) {
+  /** Sends a health probe to a backend and passes the result to a callback on the event loop. */
+  public void probe(String backendId, Consumer<ProbeResult> onResult) {
     BackendPool pool = pools.get(backendId);
     var headers = new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "backend");
     if (HeaderText.fits(backendId)) {
@@ -170,7 +188,7 @@
             PROBE_TIMEOUT_MICROS,
             0,
             () -> true);
-    new BackendAttempt(this, pool, request, new ProbeListener(backendId, then)).start();
+    new BackendAttempt(this, pool, request, new ProbeListener(backendId, onResult)).start();
   }
 
   private String healthPath(BackendPool pool) {
@@ -199,9 +217,12 @@
     return metrics;
   }
 
-  /** Begins to connect; null if there is no room for one more connection. */
+  /**
+   * Starts to establish a connection. Returns null if a connection limit is reached or the process
+   * has no file descriptor left.
+   */
   ChannelFuture dial(BackendPool pool, BackendConnection connection, int timeoutMillis) {
-    if (pool.connections >= maxConnections(pool.service) || !hasCapacity()) {
+    if (pool.connections >= maxConnections(pool.service) || !ensureCapacity()) {
       return null;
     }
     ChannelFuture connecting =
@@ -232,14 +253,16 @@
     if (service == null || service.maxConnections() <= 0) {
       return maxConnections;
     }
-    return Math.max(MIN_CONNECTIONS, (int) (SHARE_PART * service.maxConnections() / agents));
+    return Math.max(
+        MIN_CONNECTIONS_PER_BACKEND,
+        (int) (SHARE_FRACTION * service.maxConnections() / dataPlanes));
   }
 
   /**
-   * Makes room under the limit of the process by closing the connection that has been idle for
-   * longest.
+   * Returns whether the process may open one more connection. At the limit, the connection that has
+   * been idle for the longest time is closed first.
    */
-  private boolean hasCapacity() {
+  private boolean ensureCapacity() {
     if (connections < maxConnections) {
       return true;
     }
@@ -253,15 +276,15 @@
     if (oldest == null) {
       return false;
     }
-    oldest.pool.forget(oldest);
+    oldest.pool.removeIdle(oldest);
     oldest.channel.close();
     return connections < maxConnections;
   }
 
-  private void closeOld() {
+  private void closeExpired() {
     idleTimeout.decay(System.nanoTime());
     for (BackendPool pool : pools.values()) {
-      pool.closeOld(idleTimeout.limitNanos());
+      pool.closeExpired(idleTimeout.limitNanos());
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/backend/ConnectTimeEstimator.java
+++ b/src/main/java/slateslip/dataplane/backend/ConnectTimeEstimator.java
@@ -3,29 +3,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Estimates after which time a connection that is not up yet is late, as TCP estimates its
- * retransmission time-out (RFC 6298): the smoothed time and four times its mean deviation. Confined
- * to the event loop.
+ * Estimates the time after which a connection that is not yet established counts as late. The
+ * estimate is computed like the retransmission timeout of TCP (RFC 6298): the smoothed connect time
+ * plus four times its mean deviation. Confined to the event loop.
  */
 final class ConnectTimeEstimator {
   private static final double TIME_WEIGHT = 1.0 / 8;
   private static final double DEVIATION_WEIGHT = 1.0 / 4;
   private static final double DEVIATIONS = 4;
 
-  /** A process that was held up for a moment finds all its connections late by that. */
-  private static final long MIN_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
+  /**
+   * Lower limit of the estimate. After the process itself was paused for a moment, all its
+   * connections appear late by the length of the pause.
+   */
+  private static final long MIN_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
 
-  private static final long MAX_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long MAX_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** Before anything was measured. */
-  private static final long INITIAL_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
+  /** Estimate before the first measurement. */
+  private static final long INITIAL_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
 
   private double smoothedNanos;
   private double deviationNanos;
   private boolean measured;
 
-  /** A connection has come up after this time. */
-  void connected(long nanos) {
+  /** Records the time that a connection took to be established, in nanoseconds. */
+  void recordConnectTime(long nanos) {
     if (measured) {
       double error = Math.abs(smoothedNanos - nanos);
       deviationNanos += DEVIATION_WEIGHT * (error - deviationNanos);
@@ -37,12 +40,15 @@
     }
   }
 
-  /** After this time a second connection is dialled beside the first. */
-  long lateNanos() {
+  /**
+   * Returns the time after which a second connection is dialled in parallel with the first, in
+   * nanoseconds.
+   */
+  long secondDialDelayNanos() {
     if (!measured) {
-      return INITIAL_LATE_NANOS;
+      return INITIAL_DELAY_NANOS;
     }
     long estimate = (long) (smoothedNanos + DEVIATIONS * deviationNanos);
-    return Math.max(MIN_LATE_NANOS, Math.min(MAX_LATE_NANOS, estimate));
+    return Math.max(MIN_DELAY_NANOS, Math.min(MAX_DELAY_NANOS, estimate));
   }
 }
--- a/src/main/java/slateslip/dataplane/backend/OutgoingRequest.java
+++ b/src/main/java/slateslip/dataplane/backend/OutgoingRequest.java
@@ -5,18 +5,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What an attempt sends.
+ * Request that an attempt sends to a backend.
  *
- * @param method as the client sent it
- * @param uri as the client sent it
- * @param headers all but {@code X-Deadline-Ms} and {@code Content-Length}
- * @param body whole body
- * @param attemptId {@code X-Attempt-Id} that the response has to carry; empty for a probe, whose
- *     answer carries none
- * @param deadlineMillis what is left when it is handed over; 0 leaves the header out
- * @param firstEventTimeoutMicros until the first event or whole answer; 0 for none
- * @param idleTimeoutMicros between events after the first; 0 for none
- * @param permitted asked right before the first byte is written; nothing is sent if it says no
+ * @param method method as the client sent it
+ * @param uri path and query as the client sent them
+ * @param headers all headers except {@code X-Deadline-Ms} and {@code Content-Length}
+ * @param body complete body
+ * @param attemptId {@code X-Attempt-Id} that the response must carry; empty for a health probe,
+ *     whose response carries none
+ * @param deadlineMillis time until the deadline when the request is passed to the attempt, in
+ *     milliseconds; 0 omits {@code X-Deadline-Ms}
+ * @param firstEventTimeoutMicros timeout until the first event or the complete response, in
+ *     microseconds; 0 for none
+ * @param idleTimeoutMicros timeout between events after the first event, in microseconds; 0 for
+ *     none
+ * @param permitted checked immediately before the first byte is written; nothing is sent if the
+ *     supplier returns false
  */
 public record OutgoingRequest(
     HttpMethod method,
--- a/src/main/java/slateslip/dataplane/backend/ProbeListener.java
+++ b/src/main/java/slateslip/dataplane/backend/ProbeListener.java
@@ -7,31 +7,31 @@
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.routing.RouterInput.ProbeOutcome;
 
-/** Reads a health probe's outcome from that of its attempt. */
+/** Converts the result of a health probe's attempt into the result of the probe. */
 final class ProbeListener implements AttemptListener {
   private final String backendId;
-  private final Consumer<ProbeResult> then;
+  private final Consumer<ProbeResult> onResult;
 
-  ProbeListener(String backendId, Consumer<ProbeResult> then) {
+  ProbeListener(String backendId, Consumer<ProbeResult> onResult) {
     this.backendId = backendId;
-    this.then = then;
+    this.onResult = onResult;
   }
 
   @Override
-  public void streamBegan(BackendResponse head, BackendLoad load) {}
+  public void streamStarted(BackendResponse head, BackendLoad load) {}
 
   @Override
-  public void event(StreamEvent event) {}
+  public void eventReceived(StreamEvent event) {}
 
   @Override
-  public void idle() {}
+  public void streamIdle() {}
 
   @Override
   public void readComplete() {}
 
   @Override
   public void ended(AttemptResult result) {
-    then.accept(new ProbeResult(outcome(result), result.load()));
+    onResult.accept(new ProbeResult(outcome(result), result.load()));
   }
 
   private ProbeOutcome outcome(AttemptResult result) {
--- a/src/main/java/slateslip/dataplane/backend/ProbeResult.java
+++ b/src/main/java/slateslip/dataplane/backend/ProbeResult.java
@@ -4,8 +4,8 @@
 import slateslip.routing.RouterInput.ProbeOutcome;
 
 /**
- * How a health probe ended.
+ * Result of a health probe.
  *
- * @param load that the backend told; null if none
+ * @param load load that the backend reported, or null if none
  */
 public record ProbeResult(ProbeOutcome outcome, BackendLoad load) {}
--- a/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
+++ b/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
@@ -24,15 +24,22 @@
 import slateslip.routing.RouterInput.BackendLoad;
 
 /**
- * Turns what arrives on a backend connection into the outcome of its attempt. A response counts
- * only if it carries the id of the request, and a success only with a stamp and whole.
+ * Reads responses from a backend connection and determines the outcome of the attempt. A response
+ * counts only if it carries the attempt id of the request, and a success only if it also carries a
+ * response stamp and is complete. Responses to health probes need neither id nor stamp.
  */
 final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
-  /** Longest answer that is no stream; it is collected whole before it goes on. */
+  /**
+   * Maximum size of the body of a response that is not a stream; such a body is buffered completely
+   * before it is forwarded.
+   */
   private static final int MAX_BODY_BYTES = 16 << 20;
 
-  /** Answers to earlier requests that are passed over before a connection counts as broken. */
-  private static final int MAX_SURPLUS_BYTES = 2;
+  /**
+   * Number of responses to earlier requests that are skipped before the connection counts as
+   * broken.
+   */
+  private static final int MAX_SURPLUS_RESPONSES = 2;
 
   private static final String EVENT_STREAM = "text/event-stream";
 
@@ -42,7 +49,7 @@
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private EventSplitter splitter;
 
-  /** The response that is coming in belongs to an earlier request. */
+  /** Whether the response that is being read belongs to an earlier request. */
   private boolean surplus;
 
   private int surplusCount;
@@ -57,37 +64,41 @@
     connection.wakeUps().attribute(WakeUpCause.BACKEND);
     BackendAttempt attempt = connection.attempt;
     if (attempt == null) {
-      connection.pool.forget(connection);
+      connection.pool.removeIdle(connection);
       context.close();
       return;
     }
     if (!read(attempt, part)) {
-      attempt.pool().forget(connection);
-      attempt.broken();
+      attempt.pool().removeIdle(connection);
+      attempt.connectionBroken();
     }
   }
 
-  /** Takes a part of a response; false if it can be none of this attempt's. */
+  /**
+   * Handles a part of a response. Returns false if the part cannot belong to a valid response to
+   * this attempt.
+   */
   private boolean read(BackendAttempt attempt, HttpObject part) {
-    boolean early = !attempt.isWritten() && attempt.request().attemptId().isEmpty();
-    if (part.decoderResult().isFailure() || early) {
-      connection.malformedResponse();
+    boolean prematureProbeResponse =
+        !attempt.isWritten() && attempt.request().attemptId().isEmpty();
+    if (part.decoderResult().isFailure() || prematureProbeResponse) {
+      connection.countMalformedResponse();
       return false;
     }
-    if (part instanceof HttpResponse response && !begin(attempt, response)) {
+    if (part instanceof HttpResponse response && !startResponse(attempt, response)) {
       return false;
     }
-    if (part instanceof HttpContent content && !add(attempt, content)) {
-      connection.malformedResponse();
+    if (part instanceof HttpContent content && !addContent(attempt, content)) {
+      connection.countMalformedResponse();
       return false;
     }
     if (part instanceof LastHttpContent && !attempt.isEnded()) {
-      return finish(attempt);
+      return finishResponse(attempt);
     }
     return true;
   }
 
-  private boolean begin(BackendAttempt attempt, HttpResponse response) {
+  private boolean startResponse(BackendAttempt attempt, HttpResponse response) {
     head = response;
     int status = response.status().code();
     if (status < HttpResponseStatus.OK.code()) {
@@ -96,19 +107,19 @@
     HttpHeaders headers = response.headers();
     surplus = !belongsTo(attempt, headers);
     if (surplus) {
-      connection.surplusResponse();
-      return ++surplusCount <= MAX_SURPLUS_BYTES;
+      connection.countSurplusResponse();
+      return ++surplusCount <= MAX_SURPLUS_RESPONSES;
     }
     attempt.responseStarted();
     long length = StrictHttpDecoders.framing(headers);
     if (length == StrictHttpDecoders.UNCLEAR || length > MAX_BODY_BYTES) {
-      connection.malformedResponse();
+      connection.countMalformedResponse();
       return false;
     }
-    connection.learnKeepTime(headers);
+    connection.readKeepAliveTimeout(headers);
     if (isStream(response)) {
       splitter = new EventSplitter();
-      attempt.streamBegan(respond(Unpooled.EMPTY_BUFFER), load(headers));
+      attempt.streamStarted(toBackendResponse(Unpooled.EMPTY_BUFFER), parseLoad(headers));
     } else {
       body = Unpooled.buffer(Math.max(0, (int) length));
     }
@@ -127,12 +138,12 @@
         && response.headers().contains(HeaderNames.RESPONSE_STAMP);
   }
 
-  private boolean add(BackendAttempt attempt, HttpContent content) {
+  private boolean addContent(BackendAttempt attempt, HttpContent content) {
     if (surplus) {
       return true;
     }
     if (splitter != null) {
-      return splitter.feed(content.content(), attempt::event);
+      return splitter.feed(content.content(), attempt::eventReceived);
     }
     if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
       return false;
@@ -143,7 +154,7 @@
     return true;
   }
 
-  private boolean finish(BackendAttempt attempt) {
+  private boolean finishResponse(BackendAttempt attempt) {
     if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
       return true;
     }
@@ -154,17 +165,17 @@
     boolean endsWithConnection =
         StrictHttpDecoders.framing(head.headers()) == StrictHttpDecoders.NO_LENGTH;
     if (splitter != null && (splitter.hasPartialEvent() || endsWithConnection)) {
-      connection.malformedResponse();
+      connection.countMalformedResponse();
       return false;
     }
-    AttemptOutcome.Kind kind = kind(attempt);
+    AttemptOutcome.Kind kind = outcomeKind(attempt);
     if (kind == AttemptOutcome.Kind.BROKEN) {
-      connection.malformedResponse();
+      connection.countMalformedResponse();
       return false;
     }
-    BackendResponse complete = splitter == null ? respond(body) : null;
+    BackendResponse complete = splitter == null ? toBackendResponse(body) : null;
     var outcome = new AttemptOutcome(kind, head.status().code());
-    BackendLoad load = splitter == null ? load(head.headers()) : null;
+    BackendLoad load = splitter == null ? parseLoad(head.headers()) : null;
     var result = new AttemptResult(outcome, load, complete);
     boolean reusable = isReusable() && attempt.isWritten();
     reset();
@@ -185,7 +196,7 @@
         && !decoder.leftover();
   }
 
-  private AttemptOutcome.Kind kind(BackendAttempt attempt) {
+  private AttemptOutcome.Kind outcomeKind(BackendAttempt attempt) {
     HttpHeaders headers = head.headers();
     int status = head.status().code();
     if (head.status().codeClass() == HttpStatusClass.SUCCESS) {
@@ -204,7 +215,7 @@
         : AttemptOutcome.Kind.ERROR_RESPONSE;
   }
 
-  private BackendResponse respond(ByteBuf bytes) {
+  private BackendResponse toBackendResponse(ByteBuf bytes) {
     HttpHeaders headers = new DefaultHttpHeaders().set(head.headers());
     HeaderNames.removeHopByHop(headers);
     headers.remove(HeaderNames.BACKEND_LOAD);
@@ -214,7 +225,7 @@
     return new BackendResponse(head.status(), headers, copy, length);
   }
 
-  private static BackendLoad load(HttpHeaders headers) {
+  private static BackendLoad parseLoad(HttpHeaders headers) {
     String text = headers.get(HeaderNames.BACKEND_LOAD);
     if (text == null) {
       return null;
@@ -241,19 +252,18 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     connection.wakeUps().attribute(WakeUpCause.BACKEND);
-    connection.pool.forget(connection);
+    connection.pool.removeIdle(connection);
     if (connection.attempt != null) {
-      connection.attempt.broken();
+      connection.attempt.connectionBroken();
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    // before the close: a response whose length is told by the end of its connection is not
-    // complete
-    // then
+    // The attempt ends before the connection is closed. Otherwise the decoder would take the close
+    // for the regular end of a response without a length, and the response would count as complete.
     if (connection.attempt != null) {
-      connection.attempt.broken();
+      connection.attempt.connectionBroken();
     }
     context.close();
   }
--- a/src/main/java/slateslip/dataplane/backend/StreamPoller.java
+++ b/src/main/java/slateslip/dataplane/backend/StreamPoller.java
@@ -12,13 +12,16 @@
 import slateslip.eventloop.WakeUpCounter;
 
 /**
- * Reads the connections of running streams together, once in an interval, in place of waking the
- * event loop for each event of each stream. A stream that brings nothing for some intervals is
- * waited for as any other connection, so that no pause between two events grows by this. On the
- * event loop.
+ * Reads the connections of all running streams together at a fixed interval, so that the event loop
+ * is not woken for each event of each stream. A connection whose stream delivers no data for some
+ * intervals is returned to the event loop, so that polling does not delay the first event after a
+ * pause. Confined to the event loop.
  */
 final class StreamPoller {
-  /** Reads in a row that bring nothing before a connection is waited for again. */
+  /**
+   * Number of consecutive reads without data after which a connection is returned to the event
+   * loop.
+   */
   private static final int MAX_EMPTY_READS = 2;
 
   private static final int BUFFER_BYTES = 16_384;
@@ -31,9 +34,10 @@
   private boolean scheduled;
 
   /**
-   * Reads nothing yet.
+   * Creates a poller without connections.
    *
-   * @param intervalMillis between two reads of a stream; 0 if each event wakes the event loop
+   * @param intervalMillis interval between two reads of a stream, in milliseconds; 0 disables
+   *     polling, so that each event wakes the event loop
    */
   StreamPoller(EventLoop loop, WakeUpCounter wakeUps, long intervalMillis) {
     this.loop = loop;
@@ -41,19 +45,22 @@
     this.intervalNanos = TimeUnit.MILLISECONDS.toNanos(intervalMillis);
   }
 
-  /** Takes over a connection whose stream has just brought events. */
+  /**
+   * Starts to poll a connection whose stream has just delivered events; the event loop stops
+   * reading the connection.
+   */
   void add(BackendConnection connection) {
     if (intervalNanos == 0) {
       return;
     }
-    connection.emptyReads = 0;
+    connection.consecutiveEmptyReads = 0;
     if (polled.add(connection)) {
       connection.channel.config().setAutoRead(false);
       scheduleNext();
     }
   }
 
-  /** Leaves a connection alone; the caller says whether the event loop waits for it. */
+  /** Stops polling a connection. The caller decides whether the event loop reads the connection. */
   void remove(BackendConnection connection) {
     polled.remove(connection);
   }
@@ -66,7 +73,7 @@
     }
   }
 
-  /** Reads all that it has taken over. */
+  /** Reads all polled connections once. */
   void poll() {
     wakeUps.attribute(WakeUpCause.STREAM_POLL);
     scheduled = false;
@@ -82,22 +89,22 @@
   private void read(BackendConnection connection) {
     PendingRead read = connection.channel.readPending(buffer);
     if (!polled.contains(connection)) {
-      return; // its response is complete, or its client reads too slowly
+      return; // the response has ended, or reading is paused because the client reads slowly
     }
     switch (read) {
       case BYTES -> {}
       case NONE -> {
-        connection.emptyReads++;
-        if (connection.emptyReads >= MAX_EMPTY_READS) {
-          leaveToEventLoop(connection);
+        connection.consecutiveEmptyReads++;
+        if (connection.consecutiveEmptyReads >= MAX_EMPTY_READS) {
+          returnToEventLoop(connection);
         }
       }
-      case MORE_BYTES -> leaveToEventLoop(connection);
+      case MORE_BYTES -> returnToEventLoop(connection);
       case ENDED -> connection.channel.close();
     }
   }
 
-  private void leaveToEventLoop(BackendConnection connection) {
+  private void returnToEventLoop(BackendConnection connection) {
     polled.remove(connection);
     connection.channel.config().setAutoRead(true);
   }
--- a/src/main/java/slateslip/dataplane/backend/package-info.java
+++ b/src/main/java/slateslip/dataplane/backend/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to backends: a pool, one request a connection, attempts and probes with their
- * outcomes.
+ * Connections to backends: connection pools, attempts with one request at a time on a connection,
+ * and health probes.
  */
 package slateslip.dataplane.backend;
--- a/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
+++ b/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
@@ -41,13 +41,13 @@
   }
 
   @Override
-  public void streamBegan(BackendResponse head, BackendLoad load) {
+  public void streamStarted(BackendResponse head, BackendLoad load) {
     streamHead = head;
     streamLoad = load;
   }
 
   @Override
-  public void event(StreamEvent event) {
+  public void eventReceived(StreamEvent event) {
     ClientExchange exchange = forwarded.exchange;
     if (exchange.isEnded() || !takesStream()) {
       return;
@@ -94,7 +94,7 @@
   }
 
   @Override
-  public void idle() {
+  public void streamIdle() {
     driver.feed(new RouterInput.StreamIdle(forwarded.id, number));
   }
 
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -94,7 +94,7 @@
 
   /** This data plane's share of the fleet-wide limits. */
   public void sharesChanged(QuotaAllocation shares) {
-    pools.agentsChanged(shares.dataPlanes());
+    pools.dataPlaneCountChanged(shares.dataPlanes());
     driver.feed(new RouterInput.QuotaAllocationChanged(shares));
   }
 
--- a/src/test/java/slateslip/dataplane/backend/ConnectTimeEstimatorTest.java
+++ b/src/test/java/slateslip/dataplane/backend/ConnectTimeEstimatorTest.java
@@ -9,41 +9,41 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** When a connection that is not up yet counts as late, by the times of those before it. */
+/** Tests the time after which a connection that is not yet established counts as late. */
 class ConnectTimeEstimatorTest {
   private final ConnectTimeEstimator estimator = new ConnectTimeEstimator();
 
-  private void connected(int times, long millis) {
+  private void recordConnectTimes(int times, long millis) {
     for (int i = 0; i < times; i++) {
-      estimator.connected(TimeUnit.MILLISECONDS.toNanos(millis));
+      estimator.recordConnectTime(TimeUnit.MILLISECONDS.toNanos(millis));
     }
   }
 
-  private long lateMillis() {
-    return TimeUnit.NANOSECONDS.toMillis(estimator.lateNanos());
+  private long delayMillis() {
+    return TimeUnit.NANOSECONDS.toMillis(estimator.secondDialDelayNanos());
   }
 
   @Test
-  void beforeAnyMeasurementAFixedTimeHolds() {
-    assertThat(lateMillis(), is(60L));
+  void delayIsFixedBeforeTheFirstMeasurement() {
+    assertThat(delayMillis(), is(60L));
   }
 
   @Test
-  void quickNetworksDialAgainSooner() {
-    connected(50, 2);
-    assertThat(lateMillis(), is(30L));
+  void delayIsAtLowerLimitForShortConnectTimes() {
+    recordConnectTimes(50, 2);
+    assertThat(delayMillis(), is(30L));
   }
 
   @Test
-  void distantBackendsAreGivenTheirTime() {
-    connected(50, 80);
-    assertThat(lateMillis(), is(both(greaterThan(79L)).and(lessThan(100L))));
+  void delayExceedsLongConnectTimes() {
+    recordConnectTimes(50, 80);
+    assertThat(delayMillis(), is(both(greaterThan(79L)).and(lessThan(100L))));
   }
 
   @Test
-  void timesThatVaryWidenTheWaitUpToALimit() {
-    connected(50, 2);
-    connected(3, 150);
-    assertThat(lateMillis(), is(200L));
+  void varyingConnectTimesRaiseTheDelayUpToTheLimit() {
+    recordConnectTimes(50, 2);
+    recordConnectTimes(3, 150);
+    assertThat(delayMillis(), is(200L));
   }
 }
--- a/src/test/java/slateslip/dataplane/backend/StreamPollerTest.java
+++ b/src/test/java/slateslip/dataplane/backend/StreamPollerTest.java
@@ -14,11 +14,11 @@
 import slateslip.eventloop.WakeUpCounter;
 
 /**
- * Which connections are read together, and when one is left to the event loop again. Rounds are the
- * test's: the interval is an hour.
+ * Tests which connections are polled, and when a connection is returned to the event loop. The
+ * interval is one hour, so that the connections are polled only when the test calls the poller.
  */
 class StreamPollerTest {
-  private static final long AN_HOUR_MILLIS = TimeUnit.HOURS.toMillis(1);
+  private static final long ONE_HOUR_MILLIS = TimeUnit.HOURS.toMillis(1);
 
   private final BackendConnection connection =
       new BackendConnection(
@@ -29,7 +29,7 @@
   @BeforeEach
   void connect() throws IOException {
     loopback = new LoopbackConnection(connection);
-    poller = new StreamPoller(loopback.loop(), new WakeUpCounter(), AN_HOUR_MILLIS);
+    poller = new StreamPoller(loopback.loop(), new WakeUpCounter(), ONE_HOUR_MILLIS);
   }
 
   @AfterEach
@@ -37,56 +37,56 @@
     loopback.close();
   }
 
-  private void takeOver() {
+  private void addToPoller() {
     loopback.run(() -> poller.add(connection));
   }
 
-  private void round() {
+  private void poll() {
     loopback.run(poller::poll);
   }
 
   @Test
-  void whatArrivesIsReadInTheNextRoundAndNotBefore() throws IOException {
-    takeOver();
+  void dataIsReadInTheNextPollAndNotBefore() throws IOException {
+    addToPoller();
     loopback.write(10);
     assertThat(loopback.isReadByLoop(), is(false));
     assertThat(loopback.receivedBytes(), is(0));
-    round();
+    poll();
     assertThat(loopback.receivedBytes(), is(10));
     assertThat(loopback.isReadByLoop(), is(false));
   }
 
   @Test
-  void aStreamThatPausesIsLeftToTheEventLoop() {
-    takeOver();
-    round();
+  void pausingStreamIsReturnedToTheEventLoop() {
+    addToPoller();
+    poll();
     assertThat(loopback.isReadByLoop(), is(false));
-    round();
+    poll();
     assertThat(loopback.isReadByLoop(), is(true));
   }
 
   @Test
-  void aStreamThatBringsMoreThanFitsIsLeftToTheEventLoop() throws IOException {
-    takeOver();
+  void streamWithMoreDataThanTheBufferIsReturnedToTheEventLoop() throws IOException {
+    addToPoller();
     loopback.write(100_000);
-    round();
+    poll();
     assertThat(loopback.isReadByLoop(), is(true));
   }
 
   @Test
-  void theEndOfAConnectionIsFound() throws IOException {
-    takeOver();
+  void closedConnectionIsDetected() throws IOException {
+    addToPoller();
     loopback.peer().close();
-    round();
+    poll();
     assertThat(loopback.ask(() -> loopback.channel().isOpen()), is(false));
   }
 
   @Test
-  void oneThatWasLeftAloneIsNotRead() throws IOException {
-    takeOver();
+  void removedConnectionIsNotRead() throws IOException {
+    addToPoller();
     loopback.run(() -> poller.remove(connection));
     loopback.write(10);
-    round();
+    poll();
     assertThat(loopback.receivedBytes(), is(0));
   }
 }
