--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -198,7 +198,7 @@
     return MetricsText.of(
         metrics,
         forwarder.openRequests(),
-        ingress.size(),
+        ingress.connectionCount(),
         pools.connections(),
         subscription.configurationVersion(),
         router.quotaStatus(nowMicros()));
--- a/src/main/java/slateslip/dataplane/GracefulShutdown.java
+++ b/src/main/java/slateslip/dataplane/GracefulShutdown.java
@@ -70,7 +70,7 @@
 
   private ShutdownSchedule.Step currentStep() {
     long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos);
-    return schedule.stepAt(elapsedMillis, ingress.size());
+    return schedule.stepAt(elapsedMillis, ingress.connectionCount());
   }
 
   private void refuseNewRequests() {
--- a/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
+++ b/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
@@ -56,7 +56,7 @@
       return; // the client has had it from the attempt before
     }
     beginStream();
-    exchange.event(event.bytes());
+    exchange.writeEvent(event.bytes());
     forwarded.eventsPassed++;
     metrics.events++;
     if (event.id() != StreamEvent.NO_ID) {
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -295,7 +295,7 @@
         TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - forwarded.account.arrivedNanos()),
         forwarded.lastEventId,
         forwarded.history);
-    forwarded.exchange.breakOff();
+    forwarded.exchange.abort();
   }
 
   private void cancel(RouterOutput.CancelAttempt cancel) {
--- a/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientConnection.java
@@ -28,59 +28,67 @@
 import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
- * One client connection: reads requests whole, has them answered one after the other. What is no
- * request is answered with an error in its turn, and the connection ends.
+ * Client connection: reads complete requests and serves them one after the other. Data that is not
+ * a valid request receives an error response after the responses to earlier requests, and the
+ * connection is then closed.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
-  /** What a connection is at, as far as its time is limited. */
+  /** Phase of a connection; the phase determines which timeout applies. */
   enum Phase {
-    /** No byte of a next request has come. */
-    RESTING,
-    /** A head has begun to come. */
+    /** No byte of the next request has arrived. */
+    IDLE,
+    /** The head of a request has started to arrive. */
     READING_HEAD,
-    /** A body has begun to come. */
+    /** The body of a request has started to arrive. */
     READING_BODY,
-    /** A response is owed, or waits to be. */
-    ANSWERING,
-    /** The last response is being written or read. */
+    /** A request is being served, or a pipelined request is about to be served. */
+    RESPONDING,
+    /** The last response is being written, or the client is still reading the response. */
     CLOSING
   }
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class);
 
-  /** Requests read ahead behind the one being answered, before reading pauses. */
+  /** Number of pipelined requests at which reading from the connection is paused. */
   private static final int MAX_PIPELINED = 16;
 
   /**
-   * How long a connection with unread bytes is kept after its last response, so that no reset
-   * overtakes it.
+   * Time that a connection with unread bytes is kept open after its last response. An immediate
+   * close would send a TCP reset, which could reach the client before the response.
    */
   private static final long LINGER_MILLIS = 500;
 
   /**
-   * Reads of a connection in a row for what has arrived, and rounds of answering that at its end,
-   * before a client that goes on sending is left.
+   * Maximum number of consecutive reads of data that has already arrived, so that a client that
+   * keeps sending does not block the event loop.
    */
-  private static final int MAX_ARRIVED_READS = 64;
+  private static final int MAX_CONSECUTIVE_READS = 64;
 
+  /**
+   * Maximum number of rounds of reading and refusing requests before the connection is closed, so
+   * that a client that keeps sending does not delay the close.
+   */
   private static final int MAX_REFUSAL_ROUNDS = 4;
 
   private final ClientIngress ingress;
   private final ClientSocketChannel channel;
   private final StrictHttpDecoders.Requests decoder;
   private final PipelinedRequests pipelined = new PipelinedRequests();
-  private ClientExchange current;
+  private ClientExchange currentExchange;
   private HttpRequest head;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private int reservedBytes;
   private int currentBytes;
   private boolean readingStopped;
 
-  /** What has been read is being decoded; requests of it are served once all of it is. */
+  /**
+   * Whether received bytes are being decoded; requests are served only after all received bytes
+   * have been decoded.
+   */
   private boolean decoding;
 
-  private Phase phase = Phase.RESTING;
-  private long phaseSince = System.nanoTime();
+  private Phase phase = Phase.IDLE;
+  private long phaseStartNanos = System.nanoTime();
 
   ClientConnection(
       ClientIngress ingress, ClientSocketChannel channel, StrictHttpDecoders.Requests decoder) {
@@ -97,35 +105,43 @@
     return phase;
   }
 
-  /** How long it has been in its phase; in {@link Phase#READING_BODY}, since the last bytes. */
+  /**
+   * Returns the time since this connection entered its phase, in nanoseconds; in {@link
+   * Phase#READING_BODY}, the time since the last bytes of the body arrived.
+   */
   long phaseNanos() {
-    return System.nanoTime() - phaseSince;
+    return System.nanoTime() - phaseStartNanos;
   }
 
-  boolean owes(ClientExchange exchange) {
-    return current == exchange;
+  boolean isCurrent(ClientExchange exchange) {
+    return currentExchange == exchange;
   }
 
   int pipelinedRequests() {
     return pipelined.size();
   }
 
-  /** Whether a response that begins now is the last; not so if others are owed behind it. */
+  /**
+   * Returns whether a response that starts now is the last on this connection: either the client
+   * asked to close the connection, or the ingress is closing connections and no further request has
+   * arrived.
+   */
   boolean isLastResponse(boolean keepAlive) {
-    return !keepAlive || (ingress.endsConnections() && !hasArrived());
+    return !keepAlive || (ingress.closesAfterResponse() && !readArrivedRequests());
   }
 
   /**
-   * Reads what has arrived since the loop last looked: a client cannot tell a request that waits in
-   * the socket from one that was read.
+   * Reads the data that has arrived since the event loop last read the socket. A request in the
+   * socket buffer must be treated like a request that was read, because the client cannot
+   * distinguish the two.
    *
-   * @return whether a request waits for its response
+   * @return whether at least one request waits to be served
    */
-  private boolean hasArrived() {
+  private boolean readArrivedRequests() {
     int reads = 0;
     while (!readingStopped
         && pipelined.size() < MAX_PIPELINED
-        && reads < MAX_ARRIVED_READS
+        && reads < MAX_CONSECUTIVE_READS
         && channel.readPending()) {
       reads++;
     }
@@ -134,7 +150,7 @@
 
   private void enter(Phase next) {
     phase = next;
-    phaseSince = System.nanoTime();
+    phaseStartNanos = System.nanoTime();
   }
 
   @Override
@@ -146,14 +162,14 @@
   public void channelInactive(ChannelHandlerContext context) {
     ingress.closed(this);
     readingStopped = true;
-    pipelined.drop(ingress.listener(), DropReason.CLIENT_GONE);
+    pipelined.dropAll(ingress.listener(), DropReason.CLIENT_GONE);
     body = Unpooled.EMPTY_BUFFER;
-    ingress.release(reservedBytes);
+    ingress.releaseBodyBytes(reservedBytes);
     reservedBytes = 0;
-    ClientExchange left = current;
-    current = null;
-    if (left != null) {
-      ingress.listener().clientGone(left);
+    ClientExchange abandoned = currentExchange;
+    currentExchange = null;
+    if (abandoned != null) {
+      ingress.listener().clientGone(abandoned);
     }
   }
 
@@ -167,8 +183,8 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    if (current != null && channel.isWritable()) {
-      ingress.listener().clientWritable(current);
+    if (currentExchange != null && channel.isWritable()) {
+      ingress.listener().clientWritable(currentExchange);
     }
   }
 
@@ -176,7 +192,7 @@
   public void channelReadComplete(ChannelHandlerContext context) {
     decoding = false;
     processNext();
-    if (phase == Phase.RESTING && decoder.hasStarted()) {
+    if (phase == Phase.IDLE && decoder.hasStarted()) {
       enter(Phase.READING_HEAD);
     }
     context.fireChannelReadComplete();
@@ -213,25 +229,25 @@
       return;
     }
     if (length > 0 || length == StrictHttpDecoders.CHUNKED) {
-      enterUnlessAnswering(Phase.READING_BODY);
+      enterIfReadingNextRequest(Phase.READING_BODY);
       body = Unpooled.buffer(length > 0 ? (int) length : 1024);
-      sayContinue(request);
+      sendContinue(request);
     }
   }
 
-  private void enterUnlessAnswering(Phase next) {
-    if (expectsRequest()) {
+  private void enterIfReadingNextRequest(Phase next) {
+    if (isReadingNextRequest()) {
       enter(next);
     }
   }
 
-  /** Whether what comes now is the request to be served next. */
-  private boolean expectsRequest() {
-    return current == null && pipelined.isEmpty() && phase != Phase.CLOSING;
+  /** Returns whether the request that is being read is the next to be served. */
+  private boolean isReadingNextRequest() {
+    return currentExchange == null && pipelined.isEmpty() && phase != Phase.CLOSING;
   }
 
-  private void sayContinue(HttpRequest request) {
-    if (HttpUtil.is100ContinueExpected(request) && expectsRequest()) {
+  private void sendContinue(HttpRequest request) {
+    if (HttpUtil.is100ContinueExpected(request) && isReadingNextRequest()) {
       channel.writeAndFlush(
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
@@ -245,12 +261,12 @@
     }
     if (body.readableBytes() + count > ingress.limits().maxBodyBytes()) {
       reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-    } else if (!ingress.reserve(count)) {
+    } else if (!ingress.reserveBodyBytes(count)) {
       reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
     } else {
       reservedBytes += count;
       body.writeBytes(bytes);
-      enterUnlessAnswering(Phase.READING_BODY);
+      enterIfReadingNextRequest(Phase.READING_BODY);
     }
   }
 
@@ -266,7 +282,10 @@
     enqueue(new PipelinedRequests.ParsedRequest(request, null, HttpUtil.isKeepAlive(head)));
   }
 
-  /** Answers what is no request with an error in its turn; nothing more is read. */
+  /**
+   * Queues an error response to invalid data or to a request that exceeds a limit, and stops
+   * reading from the connection.
+   */
   private void reject(HttpResponseStatus status) {
     readingStopped = true;
     body = Unpooled.EMPTY_BUFFER;
@@ -282,45 +301,47 @@
   }
 
   /**
-   * Serves the next request, if none is being served. Not while bytes are decoded: a response at
-   * once would be given as the last before what stands behind the request is known.
+   * Serves the next request if no request is being served. Requests are not served while received
+   * bytes are being decoded: an immediate response would be announced as the last on the connection
+   * before it is known whether a further request follows in these bytes.
    */
   private void processNext() {
-    boolean ending = phase == Phase.CLOSING || !channel.isActive();
-    if (current != null || pipelined.isEmpty() || decoding || ending) {
+    boolean closing = phase == Phase.CLOSING || !channel.isActive();
+    if (currentExchange != null || pipelined.isEmpty() || decoding || closing) {
       return;
     }
     PipelinedRequests.ParsedRequest parsed = pipelined.poll();
     channel.config().setAutoRead(true);
-    enter(Phase.ANSWERING);
+    enter(Phase.RESPONDING);
     ClientRequest request = parsed.request();
     currentBytes = request == null ? 0 : request.body().length;
     String attemptId = request == null ? "" : request.attributes().attemptId();
     boolean headOnly = request != null && request.method().equals(HttpMethod.HEAD);
-    current = new ClientExchange(this, attemptId, parsed.keepAlive(), headOnly);
+    currentExchange = new ClientExchange(this, attemptId, parsed.keepAlive(), headOnly);
     if (request == null) {
-      boolean full = parsed.error().equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
-      current.respond(parsed.error(), full ? ClientIngress.RETRY_AFTER_MICROS : 0);
+      boolean retryable = parsed.error().equals(HttpResponseStatus.SERVICE_UNAVAILABLE);
+      currentExchange.respond(parsed.error(), retryable ? ClientIngress.RETRY_AFTER_MICROS : 0);
     } else if (ingress.refusesRequests()) {
-      current.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, ClientIngress.RETRY_AFTER_MICROS);
+      currentExchange.respond(
+          HttpResponseStatus.SERVICE_UNAVAILABLE, ClientIngress.RETRY_AFTER_MICROS);
     } else {
-      ingress.listener().requestArrived(request, current);
+      ingress.listener().requestArrived(request, currentExchange);
     }
   }
 
-  /** After the last byte of a response has been written to the channel. */
-  void finish(ClientExchange exchange, ChannelFuture written, boolean last) {
-    if (current != exchange) {
+  /** Ends an exchange after the last byte of its response was written to the channel. */
+  void responseWritten(ClientExchange exchange, ChannelFuture written, boolean last) {
+    if (currentExchange != exchange) {
       return;
     }
-    current = null;
+    currentExchange = null;
     reservedBytes -= currentBytes;
-    ingress.release(currentBytes);
+    ingress.releaseBodyBytes(currentBytes);
     currentBytes = 0;
     if (last) {
       closeAfter(written);
     } else if (pipelined.isEmpty()) {
-      enter(decoder.hasStarted() ? Phase.READING_HEAD : Phase.RESTING);
+      enter(decoder.hasStarted() ? Phase.READING_HEAD : Phase.IDLE);
     } else {
       channel.eventLoop().execute(this::processNext);
     }
@@ -329,7 +350,7 @@
   private void closeAfter(ChannelFuture written) {
     enter(Phase.CLOSING);
     ChannelFuture end = written;
-    for (int round = 0; round < MAX_REFUSAL_ROUNDS && hasArrived(); round++) {
+    for (int round = 0; round < MAX_REFUSAL_ROUNDS && readArrivedRequests(); round++) {
       end = pipelined.refuseAll(channel, end);
     }
     boolean unread = readingStopped || decoder.hasStarted();
@@ -342,28 +363,31 @@
     channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  void breakOff() {
+  void abort() {
     readingStopped = true;
-    current = null;
-    pipelined.drop(ingress.listener(), DropReason.BEHIND_BROKEN_RESPONSE);
+    currentExchange = null;
+    pipelined.dropAll(ingress.listener(), DropReason.BEHIND_BROKEN_RESPONSE);
     enter(Phase.CLOSING);
     channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /** Its request took too long to come. */
+  /** Rejects a request that took too long to arrive. */
   void timeOut() {
     reject(HttpResponseStatus.REQUEST_TIMEOUT);
   }
 
-  /** Closes it if it rests, also after what has arrived since the loop last looked is read. */
+  /**
+   * Closes this connection if it is idle and no data has arrived since the event loop last read the
+   * socket.
+   */
   void closeIfIdle() {
-    if (phase == Phase.RESTING && !channel.readPending()) {
+    if (phase == Phase.IDLE && !channel.readPending()) {
       readingStopped = true;
       channel.close();
     }
   }
 
-  /** Whether bytes of a response wait for the client to read on. */
+  /** Returns whether bytes of a response cannot be written until the client reads more. */
   boolean hasPendingBytes() {
     ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
     return outbound != null && outbound.totalPendingWriteBytes() > 0;
--- a/src/main/java/slateslip/dataplane/ingress/ClientExchange.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientExchange.java
@@ -15,8 +15,8 @@
 import slateslip.dataplane.HeaderNames;
 
 /**
- * One request and the response that it is owed. What comes after the end, or after the client left,
- * is dropped.
+ * One request and its response. Writes after the end of the response, or after the client
+ * disconnected, are ignored.
  */
 public final class ClientExchange {
   private static final long MICROS_PER_MILLI = 1_000;
@@ -26,7 +26,7 @@
   private final String attemptId;
   private final boolean keepAlive;
   private final boolean headOnly;
-  private boolean last;
+  private boolean lastOnConnection;
   private boolean started;
   private boolean ended;
 
@@ -38,41 +38,45 @@
     this.headOnly = headOnly;
   }
 
-  /** Whether a part of the response has been written. */
+  /** Returns whether a part of the response has been written. */
   public boolean isStarted() {
     return started;
   }
 
   /**
-   * Whether nothing more can be written: the response is complete, broken off, or the client is
-   * gone.
+   * Returns whether no more of the response can be written: the response is complete or was
+   * aborted, or the client has disconnected.
    */
   public boolean isEnded() {
-    return ended || !connection.owes(this);
+    return ended || !connection.isCurrent(this);
   }
 
-  /** Whether the client reads as fast as is written. */
+  /**
+   * Returns whether the client reads as fast as the response is written; false if too many bytes
+   * wait to be sent.
+   */
   public boolean isWritable() {
     return connection.channel().isWritable();
   }
 
   /**
-   * Gives a response of the data plane's own, without a body.
+   * Sends a response that the data plane generates itself, without a body.
    *
-   * @param retryAfterMicros what {@code Retry-After} says; 0 leaves it out
+   * @param retryAfterMicros time that {@code Retry-After} states, in microseconds; 0 omits the
+   *     header
    */
   public void respond(HttpResponseStatus status, long retryAfterMicros) {
     if (!isEnded() && !started) {
-      writeComplete(ownResponse(status, attemptId, retryAfterMicros));
+      writeComplete(localResponse(status, attemptId, retryAfterMicros));
     }
   }
 
-  /** A response of the data plane's own. */
-  static DefaultFullHttpResponse ownResponse(
+  /** Creates a response that the data plane generates itself, without a body. */
+  static DefaultFullHttpResponse localResponse(
       HttpResponseStatus status, String attemptId, long retryAfterMicros) {
     var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
     if (retryAfterMicros > 0) {
-      response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMicros));
+      response.headers().set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterMicros));
     }
     if (!attemptId.isEmpty()) {
       response.headers().set(HeaderNames.ATTEMPT_ID, attemptId);
@@ -82,16 +86,22 @@
   }
 
   /**
-   * A time in seconds with three decimals. By hand: a formatter costs a process that has just
-   * started, and refuses, more than the rest of its response.
+   * Formats a time in seconds with three decimals. A library formatter is avoided: in a process
+   * that has just started and refuses requests, the formatter costs more than the rest of the
+   * response.
    */
-  static String seconds(long micros) {
+  static String formatSeconds(long micros) {
     long millis = (micros + MICROS_PER_MILLI / 2) / MICROS_PER_MILLI;
     String fraction = Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND).substring(1);
     return millis / MILLIS_PER_SECOND + "." + fraction;
   }
 
-  /** Passes on a backend's whole answer; {@code headers} hold no hop-by-hop ones. */
+  /**
+   * Forwards a complete response of a backend.
+   *
+   * @param headers headers without hop-by-hop headers
+   * @param length value of {@code Content-Length}, in bytes
+   */
   public void relay(HttpResponseStatus status, HttpHeaders headers, byte[] body, long length) {
     if (isEnded() || started) {
       return;
@@ -109,18 +119,19 @@
   private void writeComplete(DefaultFullHttpResponse response) {
     started = true;
     ended = true;
-    last = connection.isLastResponse(keepAlive);
-    markLast(response.headers());
-    connection.finish(this, connection.channel().writeAndFlush(response), last);
+    lastOnConnection = connection.isLastResponse(keepAlive);
+    announceClose(response.headers());
+    connection.responseWritten(
+        this, connection.channel().writeAndFlush(response), lastOnConnection);
   }
 
-  private void markLast(HttpHeaders headers) {
-    if (last) {
+  private void announceClose(HttpHeaders headers) {
+    if (lastOnConnection) {
       headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
   }
 
-  /** Begins a stream of events; it goes out with the first {@link #flush}. */
+  /** Starts a stream of events; the head is sent with the first {@link #flush}. */
   public void beginStream(HttpResponseStatus status, HttpHeaders headers) {
     if (isEnded() || started) {
       return;
@@ -129,40 +140,46 @@
     var response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
     response.headers().set(headers);
     HttpUtil.setTransferEncodingChunked(response, true);
-    last = connection.isLastResponse(keepAlive);
-    markLast(response.headers());
+    lastOnConnection = connection.isLastResponse(keepAlive);
+    announceClose(response.headers());
     connection.channel().write(response);
   }
 
-  /** Writes one whole event of a stream that has begun. */
-  public void event(byte[] bytes) {
+  /**
+   * Writes one complete event of a stream that has started; the event is sent with the next {@link
+   * #flush}.
+   */
+  public void writeEvent(byte[] bytes) {
     if (!isEnded() && started) {
       connection.channel().write(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
     }
   }
 
-  /** Sends what has been written. */
+  /** Sends all data that has been written. */
   public void flush() {
     if (!isEnded()) {
       connection.channel().flush();
     }
   }
 
-  /** Completes a stream. */
+  /** Writes and sends the end of a stream. */
   public void endStream() {
     if (isEnded() || !started) {
       return;
     }
     ended = true;
     var written = connection.channel().writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-    connection.finish(this, written, last);
+    connection.responseWritten(this, written, lastOnConnection);
   }
 
-  /** Ends the connection, so that what was sent of the response cannot look complete. */
-  public void breakOff() {
+  /**
+   * Aborts the response and closes the connection, so that the client cannot take the partial
+   * response for a complete response.
+   */
+  public void abort() {
     if (!isEnded()) {
       ended = true;
-      connection.breakOff();
+      connection.abort();
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientIngress.java
@@ -17,21 +17,24 @@
 import slateslip.loadbalancer.net.StrictHttpDecoders;
 
 /**
- * Listens for clients, and keeps their connections within time, number and memory. On the event
- * loop.
+ * Listens for clients, and enforces timeouts and limits on the number and the memory of their
+ * connections. Confined to the event loop.
  */
 public final class ClientIngress {
-  /** When a client that found no memory should come back. */
+  /**
+   * Time in {@code Retry-After} for requests that are refused for lack of memory or during a
+   * shutdown.
+   */
   static final long RETRY_AFTER_MICROS = 250_000;
 
   private static final int ACCEPT_BACKLOG = 1024;
-  private static final long SWEEP_MILLIS = 200;
+  private static final long SWEEP_INTERVAL_MILLIS = 200;
 
-  /** Part of the heap that bodies of requests may take. */
-  private static final int BODIES_PART = 5;
+  /** Request bodies may use at most the maximum heap size divided by this number. */
+  private static final int BODY_HEAP_DIVISOR = 5;
 
-  /** From this part of the room on each answer is the last of its connection. */
-  private static final double PRESSED_PART = 0.8;
+  /** Fraction of the connection limit from which on each response is the last on its connection. */
+  private static final double CLOSE_CONNECTIONS_FRACTION = 0.8;
 
   private final IngressListener listener;
   private final int maxConnections;
@@ -40,9 +43,13 @@
   private IngressLimits limits = IngressLimits.DEFAULT;
   private long reservedBytes;
   private boolean shuttingDown;
-  private boolean refusing;
+  private boolean refusingRequests;
 
-  /** Listens; called from outside the loop. */
+  /**
+   * Creates an ingress and starts to listen. Must not be called on the event loop.
+   *
+   * @throws IOException if the ingress cannot listen on the address
+   */
   public ClientIngress(
       EventLoop loop,
       PeriodicTasks periodic,
@@ -72,7 +79,7 @@
       throw new IOException("cannot listen on " + address + ": " + bindFuture.cause().getMessage());
     }
     this.server = (ClientServerSocketChannel) bindFuture.channel();
-    periodic.every(SWEEP_MILLIS, this::sweep);
+    periodic.every(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 
   private void open(ClientSocketChannel channel) {
@@ -82,12 +89,14 @@
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), connection);
   }
 
-  /** Where it listens. */
+  /** Returns the address that the ingress listens on. */
   public InetSocketAddress address() {
     return server.localAddress();
   }
 
-  /** Limits that hold from now on; connections that are open keep their limit on headers. */
+  /**
+   * Applies new limits. Connections that are already open keep their limit on the size of headers.
+   */
   public void apply(IngressLimits next) {
     limits = next;
   }
@@ -100,12 +109,12 @@
     return listener;
   }
 
-  /** How many connections there are. */
-  public int size() {
+  /** Returns the number of open client connections. */
+  public int connectionCount() {
     return connections.size();
   }
 
-  /** Bytes of answers that wait for their clients to read on. */
+  /** Returns the number of response bytes that cannot be written until clients read more. */
   public long pendingBytes() {
     long bytes = 0;
     for (ClientConnection connection : connections) {
@@ -117,49 +126,61 @@
     return bytes;
   }
 
-  /** Requests that were read whole and wait for the responses before them. */
+  /**
+   * Returns the number of requests that were read completely and wait for the responses to earlier
+   * requests on their connection.
+   */
   public int pipelinedRequests() {
     return connections.stream().mapToInt(ClientConnection::pipelinedRequests).sum();
   }
 
-  /** From now on each answer is the last of its connection. */
+  /**
+   * Starts the shutdown: from now on each response is the last on its connection, unless a further
+   * request has already arrived.
+   */
   public void startShutdown() {
     shuttingDown = true;
   }
 
-  boolean endsConnections() {
-    return shuttingDown || connections.size() >= PRESSED_PART * maxConnections;
+  boolean closesAfterResponse() {
+    return shuttingDown || connections.size() >= CLOSE_CONNECTIONS_FRACTION * maxConnections;
   }
 
-  /** Closes connections on which no request is under way. */
+  /** Closes all connections on which no request is in progress. */
   public void closeIdle() {
     List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
   }
 
-  /** From now on requests get the response that they have not run, and may be sent elsewhere. */
+  /**
+   * Refuses all requests from now on with status 503: these requests are not executed, and clients
+   * may send them to another data plane.
+   */
   public void refuseRequests() {
-    refusing = true;
+    refusingRequests = true;
   }
 
   boolean refusesRequests() {
-    return refusing;
+    return refusingRequests;
   }
 
-  /** Takes no further connections but those that have come already. */
+  /**
+   * Stops listening after accepting the connections that have already arrived, up to the connection
+   * limit.
+   */
   public void stopListening() {
     server.acceptPending(maxConnections - connections.size());
     server.close();
   }
 
-  boolean reserve(int bytes) {
-    if (reservedBytes + bytes > Runtime.getRuntime().maxMemory() / BODIES_PART) {
+  boolean reserveBodyBytes(int bytes) {
+    if (reservedBytes + bytes > Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR) {
       return false;
     }
     reservedBytes += bytes;
     return true;
   }
 
-  void release(int bytes) {
+  void releaseBodyBytes(int bytes) {
     reservedBytes -= bytes;
   }
 
@@ -186,7 +207,7 @@
   private void sweep(ClientConnection connection) {
     long millis = TimeUnit.NANOSECONDS.toMillis(connection.phaseNanos());
     switch (connection.phase()) {
-      case RESTING -> {
+      case IDLE -> {
         if (millis >= limits.idleTimeoutMillis()) {
           connection.closeIfIdle();
         }
@@ -207,7 +228,7 @@
           connection.channel().close();
         }
       }
-      case ANSWERING -> {}
+      case RESPONDING -> {}
     }
   }
 }
--- a/src/main/java/slateslip/dataplane/ingress/ClientRequest.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientRequest.java
@@ -5,14 +5,14 @@
 import slateslip.routing.RequestAttributes;
 
 /**
- * A client's request, read whole.
+ * A client's request, read completely.
  *
- * @param method as sent
- * @param uri path and query as sent; letters beyond ASCII are UTF-8 on the wire
- * @param headers those that a backend may receive; what concerns one connection or is the data
- *     plane's to set is left out
- * @param body whole body; empty if there is none
- * @param attributes what the request says of itself
+ * @param method method as the client sent it
+ * @param uri path and query as the client sent them; non-ASCII characters are UTF-8 on the wire
+ * @param headers headers that a backend may receive, without hop-by-hop headers and without headers
+ *     that only the data plane may set
+ * @param body complete body; empty if there is none
+ * @param attributes attributes for routing, read from the head of the request
  */
 public record ClientRequest(
     HttpMethod method,
--- a/src/main/java/slateslip/dataplane/ingress/ClientServerSocketChannel.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientServerSocketChannel.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.jboss.logging.Logger;
 
-/** A listening socket whose connections are {@link ClientSocketChannel}s. On the event loop. */
+/**
+ * A listening socket whose accepted connections are {@link ClientSocketChannel}s. Confined to the
+ * event loop.
+ */
 final class ClientServerSocketChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(ClientServerSocketChannel.class);
 
@@ -21,22 +24,23 @@
   }
 
   /**
-   * Accepts connections that have come since the loop last looked. Closing the listener would reset
-   * them, with the requests that their clients have sent.
+   * Accepts the connections that have arrived since the event loop last accepted connections.
+   * Closing the listening socket would reset these connections and lose the requests that their
+   * clients have sent.
    *
-   * @param most how many at the most
+   * @param maxCount maximum number of connections to accept
    */
-  void acceptPending(int most) {
+  void acceptPending(int maxCount) {
     try {
-      for (int accepted = 0; accepted < most; accepted++) {
+      for (int accepted = 0; accepted < maxCount; accepted++) {
         SocketChannel socket = javaChannel().accept();
         if (socket == null) {
           break;
         }
         pipeline().fireChannelRead(new ClientSocketChannel(this, socket));
       }
-    } catch (IOException outOfDescriptors) {
-      LOG.warnf("connections are left unaccepted: %s", outOfDescriptors.getMessage());
+    } catch (IOException noDescriptorLeft) {
+      LOG.warnf("could not accept all pending connections: %s", noDescriptorLeft.getMessage());
     }
     pipeline().fireChannelReadComplete();
   }
--- a/src/main/java/slateslip/dataplane/ingress/ClientSocketChannel.java
+++ b/src/main/java/slateslip/dataplane/ingress/ClientSocketChannel.java
@@ -7,22 +7,26 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** A client's socket that can be looked into before it is closed. On the event loop. */
+/**
+ * A client's socket that can be read immediately before the socket is closed. Confined to the event
+ * loop.
+ */
 final class ClientSocketChannel extends NioSocketChannel {
-  private static final int PENDING_BYTES = 4_096;
+  private static final int READ_BUFFER_BYTES = 4_096;
 
   ClientSocketChannel(Channel parent, SocketChannel socket) {
     super(parent, socket);
   }
 
   /**
-   * Reads what has arrived since the loop last looked, and passes it on as any other bytes. Guards
-   * against closing a connection on which a request waits: it would be reset.
+   * Reads the data that has arrived since the event loop last read the socket, and passes the data
+   * to the pipeline. This prevents the close of a connection on which a request waits: the close
+   * would reset the connection.
    *
-   * @return whether there was anything
+   * @return whether any data was read
    */
   boolean readPending() {
-    ByteBuffer bytes = ByteBuffer.allocate(PENDING_BYTES);
+    ByteBuffer bytes = ByteBuffer.allocate(READ_BUFFER_BYTES);
     try {
       if (!isActive() || javaChannel().read(bytes) <= 0) {
         return false;
--- a/src/main/java/slateslip/dataplane/ingress/DropReason.java
+++ b/src/main/java/slateslip/dataplane/ingress/DropReason.java
@@ -1,9 +1,9 @@
 package slateslip.dataplane.ingress;
 
-/** Why a request that was read whole gets no response. */
+/** Reason why a request that was read completely receives no response. */
 public enum DropReason {
-  /** The client closed the connection, or it broke. */
+  /** The client closed the connection, or the connection broke. */
   CLIENT_GONE,
-  /** The response before it on its connection was broken off. */
+  /** The response to an earlier request on the same connection was aborted. */
   BEHIND_BROKEN_RESPONSE
 }
--- a/src/main/java/slateslip/dataplane/ingress/IngressListener.java
+++ b/src/main/java/slateslip/dataplane/ingress/IngressListener.java
@@ -1,16 +1,22 @@
 package slateslip.dataplane.ingress;
 
-/** What is told of client connections; all on the event loop. */
+/** Receives the events of client connections. All methods are called on the event loop. */
 public interface IngressListener {
-  /** A complete request has been read; one answer is owed through its exchange. */
+  /**
+   * Called when a complete request has been read; exactly one response must be sent through the
+   * exchange.
+   */
   void requestArrived(ClientRequest request, ClientExchange exchange);
 
-  /** The client closed its connection before its response was complete. */
+  /** Called when the client disconnected before its response was complete. */
   void clientGone(ClientExchange exchange);
 
-  /** A request that was read whole gets no response: its connection ends before its turn. */
+  /**
+   * Called when a request that was read completely receives no response, because its connection
+   * ends before the request is served.
+   */
   void requestDropped(ClientRequest request, DropReason reason);
 
-  /** The client has read on: more may be written. */
+  /** Called when the client has read data, so that more of the response may be written. */
   void clientWritable(ClientExchange exchange);
 }
--- a/src/main/java/slateslip/dataplane/ingress/PipelinedRequests.java
+++ b/src/main/java/slateslip/dataplane/ingress/PipelinedRequests.java
@@ -6,62 +6,67 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Requests of one connection that were read, and wait for the responses before them. */
+/**
+ * Queue of the requests of one connection that were read and wait for the responses to earlier
+ * requests.
+ */
 final class PipelinedRequests {
   /**
-   * One of them.
+   * A queued request, or an error in place of a request.
    *
-   * @param request null if what came was no request
-   * @param error what is said of it then; null otherwise
+   * @param request request; null if the received data was not a valid request
+   * @param error status of the error response if {@code request} is null; otherwise null
+   * @param keepAlive whether the connection may stay open after the response
    */
   record ParsedRequest(ClientRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
-  private final Deque<ParsedRequest> waiting = new ArrayDeque<>();
+  private final Deque<ParsedRequest> queue = new ArrayDeque<>();
 
   void add(ParsedRequest parsed) {
-    waiting.add(parsed);
+    queue.add(parsed);
   }
 
-  /** Takes the next one; null if there is none. */
+  /** Removes and returns the next request, or returns null if the queue is empty. */
   ParsedRequest poll() {
-    return waiting.poll();
+    return queue.poll();
   }
 
   boolean isEmpty() {
-    return waiting.isEmpty();
+    return queue.isEmpty();
   }
 
   int size() {
-    return waiting.size();
+    return queue.size();
   }
 
   /**
-   * Tells all of them that they have not run, behind a response that was announced as the last.
+   * Refuses all queued requests, none of which has been executed, after a response that was
+   * announced as the last on the connection.
    *
-   * @param written when what came before them is written
-   * @return when all is written
+   * @param written completes when all earlier responses are written
+   * @return future that completes when all refusals are written
    */
   ChannelFuture refuseAll(Channel channel, ChannelFuture written) {
     ChannelFuture end = written;
-    while (!waiting.isEmpty()) {
-      ParsedRequest parsed = waiting.poll();
+    while (!queue.isEmpty()) {
+      ParsedRequest parsed = queue.poll();
       HttpResponseStatus status =
           parsed.error == null ? HttpResponseStatus.SERVICE_UNAVAILABLE : parsed.error;
       String attemptId = parsed.request == null ? "" : parsed.request.attributes().attemptId();
       end =
           channel.writeAndFlush(
-              ClientExchange.ownResponse(status, attemptId, ClientIngress.RETRY_AFTER_MICROS));
+              ClientExchange.localResponse(status, attemptId, ClientIngress.RETRY_AFTER_MICROS));
     }
     return end;
   }
 
-  /** Forgets all of them: their connection has ended, and they get no response. */
-  void drop(IngressListener listener, DropReason reason) {
-    for (ParsedRequest parsed : waiting) {
+  /** Drops all queued requests without a response, because their connection has ended. */
+  void dropAll(IngressListener listener, DropReason reason) {
+    for (ParsedRequest parsed : queue) {
       if (parsed.request != null) {
         listener.requestDropped(parsed.request, reason);
       }
     }
-    waiting.clear();
+    queue.clear();
   }
 }
--- a/src/main/java/slateslip/dataplane/ingress/RequestHead.java
+++ b/src/main/java/slateslip/dataplane/ingress/RequestHead.java
@@ -17,9 +17,12 @@
 import slateslip.routing.RequestAttributes;
 import slateslip.routing.RequestAttributes.PromptPart;
 
-/** Checks the head of a request and reads what it says of itself. */
+/** Validates the head of a request and reads the request's attributes from it. */
 final class RequestHead {
-  /** Headers of which a second one would let two readers see two requests. */
+  /**
+   * Headers that may occur only once: with a second value, two recipients could interpret the same
+   * request differently.
+   */
   private static final List<CharSequence> SINGLE_VALUED =
       List.of(
           HttpHeaderNames.HOST,
@@ -39,10 +42,10 @@
   private RequestHead() {}
 
   /**
-   * Why this request is not taken.
+   * Returns the status of the error response if the request must be rejected, or null if the
+   * request is well-formed and its body is not too long.
    *
-   * @param length as {@link StrictHttpDecoders#framing} tells it
-   * @return null if it is well-formed and its body is not too long
+   * @param length length of the body as returned by {@link StrictHttpDecoders#framing}
    */
   static HttpResponseStatus rejection(HttpRequest head, long length, long maxBodyBytes) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
@@ -61,7 +64,7 @@
     return isWellFormed(head) ? null : HttpResponseStatus.BAD_REQUEST;
   }
 
-  /** What is said of a head that could not be read. */
+  /** Returns the status of the error response to a request whose head could not be decoded. */
   static HttpResponseStatus rejection(Throwable cause) {
     boolean tooLong =
         cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
@@ -73,7 +76,9 @@
   private static boolean isWellFormed(HttpRequest head) {
     HttpHeaders headers = head.headers();
     String target = head.uri();
-    if (!target.startsWith("/") || !isVisible(target) || !HeaderText.isUtf8(target)) {
+    if (!target.startsWith("/")
+        || !hasOnlyVisibleCharacters(target)
+        || !HeaderText.isUtf8(target)) {
       return false;
     }
     if (headers.get(HttpHeaderNames.HOST, "").isEmpty()) {
@@ -92,7 +97,7 @@
     return true;
   }
 
-  private static boolean isVisible(String text) {
+  private static boolean hasOnlyVisibleCharacters(String text) {
     for (int i = 0; i < text.length(); i++) {
       char character = text.charAt(i);
       if (character <= ' ' || character == DELETE) {
@@ -112,7 +117,10 @@
     return false;
   }
 
-  /** What a well-formed request says of itself; numbers that cannot be read count as not given. */
+  /**
+   * Reads the attributes of a well-formed request. Numbers that cannot be parsed are treated as
+   * absent.
+   */
   static RequestAttributes attributes(HttpRequest head, int bodyBytes) {
     HttpHeaders headers = head.headers();
     String usage = headers.get(HeaderNames.TOKEN_USAGE);
@@ -148,7 +156,7 @@
       }
       try {
         parts.add(new PromptPart(partId(part.substring(0, colon).trim()), (int) tokens));
-      } catch (NumberFormatException unreadable) {
+      } catch (NumberFormatException malformed) {
         return List.of();
       }
     }
--- a/src/main/java/slateslip/dataplane/ingress/package-info.java
+++ b/src/main/java/slateslip/dataplane/ingress/package-info.java
@@ -1,2 +1,2 @@
-/** Client connections: requests are read whole here, and answers written. */
+/** Client connections, on which complete requests are read and responses are written. */
 package slateslip.dataplane.ingress;
--- a/src/test/java/slateslip/dataplane/ArrivedRequestTest.java
+++ b/src/test/java/slateslip/dataplane/ArrivedRequestTest.java
@@ -122,7 +122,7 @@
           () -> {
             ingress.startShutdown();
             first.beginStream(HttpResponseStatus.OK, new DefaultHttpHeaders());
-            first.event(EVENT.getBytes(StandardCharsets.UTF_8));
+            first.writeEvent(EVENT.getBytes(StandardCharsets.UTF_8));
             send(socket, "a2");
             first.endStream();
           });
--- a/src/test/java/slateslip/dataplane/LastResponseTest.java
+++ b/src/test/java/slateslip/dataplane/LastResponseTest.java
@@ -97,7 +97,7 @@
     Socket socket = fixture.dial();
     String request = DataPlaneFixture.request("a1", "", "body");
     ScriptedPeer.write(socket, request.substring(0, 20));
-    DataPlaneFixture.await(() -> fixture.ingress.size() == 1);
+    DataPlaneFixture.await(() -> fixture.ingress.connectionCount() == 1);
     startShutdown();
     fixture.onLoop(fixture.ingress::refuseRequests);
     ScriptedPeer.write(socket, request.substring(20));
@@ -133,7 +133,7 @@
         (message, socket) -> DataPlaneFixture.serve(message, socket, "", message.text()));
     startShutdown();
     Socket socket = fixture.dial();
-    DataPlaneFixture.await(() -> fixture.ingress.size() == 1);
+    DataPlaneFixture.await(() -> fixture.ingress.connectionCount() == 1);
     fixture.onLoop(
         () -> {
           // This task keeps the event loop busy, so that the loop cannot read the request before
--- a/src/test/java/slateslip/dataplane/ingress/ClientExchangeTest.java
+++ b/src/test/java/slateslip/dataplane/ingress/ClientExchangeTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How {@code Retry-After} tells a time. */
+/** Tests the format of the time in {@code Retry-After}. */
 class ClientExchangeTest {
   @ParameterizedTest
   @CsvSource({
@@ -17,7 +17,7 @@
     "500, 0.001",
     "61005499, 61.005"
   })
-  void secondsHaveThreeDecimals(long micros, String expected) {
-    assertThat(ClientExchange.seconds(micros), is(expected));
+  void formatsSecondsWithThreeDecimals(long micros, String expected) {
+    assertThat(ClientExchange.formatSeconds(micros), is(expected));
   }
 }
