--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -210,7 +210,7 @@
     } else if (output instanceof SubscriptionOutput.ReplaceBackends replace) {
       forwarder.backendsChanged(replace.backends());
     } else if (output instanceof SubscriptionOutput.ApplyAllocation apply) {
-      forwarder.sharesChanged(apply.allocation());
+      forwarder.quotaAllocationChanged(apply.allocation());
     } else if (output instanceof SubscriptionOutput.ExtendKeyLease lease) {
       forwarder.keyLeaseExtended(TimeUnit.MILLISECONDS.toMicros(lease.untilMillis()));
     } else if (output instanceof SubscriptionOutput.LogLine logLine) {
--- a/src/main/java/slateslip/dataplane/forwarding/AttemptHistory.java
+++ b/src/main/java/slateslip/dataplane/forwarding/AttemptHistory.java
@@ -6,23 +6,28 @@
 import slateslip.routing.RouterInput.AttemptOutcome;
 
 /**
- * The attempts of one request as a log line tells them: at which backend, how each ended, and of
- * one that ended with its request partly sent, how many bytes of how many had left.
+ * Records the attempts of one request for log lines: the backend of each attempt, its outcome, and
+ * the number of bytes sent if the attempt ended after only a part of the request was sent.
  */
 final class AttemptHistory {
-  private static final String UNDER_WAY = "UNDER_WAY";
+  private static final String IN_PROGRESS = "UNDER_WAY";
 
   private final List<String> backends = new ArrayList<>();
   private final List<String> outcomes = new ArrayList<>();
 
-  /** The next attempt begins. */
-  void began(String backendId) {
+  /** Records that the next attempt starts at this backend. */
+  void attemptStarted(String backendId) {
     backends.add(backendId);
-    outcomes.add(UNDER_WAY);
+    outcomes.add(IN_PROGRESS);
   }
 
-  /** An attempt has ended. */
-  void ended(int attempt, AttemptOutcome outcome, SentBytes sentBytes) {
+  /**
+   * Records the outcome of an attempt.
+   *
+   * @param attempt number of the attempt, counted from 0
+   * @param sentBytes bytes of the request that the connection had taken when the attempt ended
+   */
+  void attemptEnded(int attempt, AttemptOutcome outcome, SentBytes sentBytes) {
     if (attempt < outcomes.size()) {
       String kind = outcome.kind().name();
       outcomes.set(attempt, sentBytes.isPartial() ? kind + ":" + sentBytes : kind);
--- a/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
+++ b/src/main/java/slateslip/dataplane/forwarding/AttemptRelay.java
@@ -12,32 +12,35 @@
 import slateslip.routing.RouterInput.AttemptOutcome;
 import slateslip.routing.RouterInput.BackendLoad;
 
-/** Passes one attempt's answer on to the client, and tells the router how the attempt went. */
+/**
+ * Forwards the response of one attempt to the client and reports the attempt's progress and outcome
+ * to the router.
+ */
 final class AttemptRelay implements AttemptListener {
   private final ForwardedRequest forwarded;
-  private final int number;
+  private final int attemptNumber;
   private final RouterDriver driver;
   private final DataPlaneMetrics metrics;
-  private final Runnable whenEnded;
+  private final Runnable onEnded;
 
-  /** Events that the client had when this attempt was sent. */
-  private final long eventsBefore;
+  /** Number of events that had been forwarded to the client when this attempt was sent. */
+  private final long eventsForwardedAtStart;
 
   private BackendResponse streamHead;
   private BackendLoad streamLoad;
 
   AttemptRelay(
       ForwardedRequest forwarded,
-      int number,
+      int attemptNumber,
       RouterDriver driver,
       DataPlaneMetrics metrics,
-      Runnable whenEnded) {
+      Runnable onEnded) {
     this.forwarded = forwarded;
-    this.number = number;
+    this.attemptNumber = attemptNumber;
     this.driver = driver;
     this.metrics = metrics;
-    this.whenEnded = whenEnded;
-    this.eventsBefore = forwarded.eventsPassed;
+    this.onEnded = onEnded;
+    this.eventsForwardedAtStart = forwarded.eventsForwarded;
   }
 
   @Override
@@ -49,15 +52,15 @@
   @Override
   public void eventReceived(StreamEvent event) {
     ClientExchange exchange = forwarded.exchange;
-    if (exchange.isEnded() || !takesStream()) {
+    if (exchange.isEnded() || !isStreamSource()) {
       return;
     }
     if (event.id() != StreamEvent.NO_ID && event.id() <= forwarded.lastEventId) {
-      return; // the client has had it from the attempt before
+      return; // an earlier attempt already delivered this event to the client
     }
     beginStream();
     exchange.writeEvent(event.bytes());
-    forwarded.eventsPassed++;
+    forwarded.eventsForwarded++;
     metrics.events++;
     if (event.id() != StreamEvent.NO_ID) {
       forwarded.lastEventId = event.id();
@@ -65,43 +68,44 @@
   }
 
   /**
-   * Whether this attempt's events are those that the client gets. It takes over from another that
-   * is silent if that one has brought nothing since this one was sent.
+   * Returns whether the events of this attempt are forwarded to the client. This is the case if
+   * this attempt already is the streaming attempt, if no streaming attempt is running, or if the
+   * streaming attempt has delivered no event since this attempt was sent.
    */
-  private boolean takesStream() {
-    boolean otherStreams = forwarded.attempts.containsKey(forwarded.streamingAttempt);
-    return forwarded.streamingAttempt == number
-        || !otherStreams
-        || forwarded.eventsPassed == eventsBefore;
+  private boolean isStreamSource() {
+    boolean streamSourceIsRunning = forwarded.attempts.containsKey(forwarded.streamingAttempt);
+    return forwarded.streamingAttempt == attemptNumber
+        || !streamSourceIsRunning
+        || forwarded.eventsForwarded == eventsForwardedAtStart;
   }
 
   private void beginStream() {
-    if (forwarded.streamingAttempt == number) {
+    if (forwarded.streamingAttempt == attemptNumber) {
       if (forwarded.attempts.size() > 1) {
-        driver.feed(new RouterInput.AttemptStarted(forwarded.id, number, null));
+        driver.feed(new RouterInput.AttemptStarted(forwarded.id, attemptNumber, null));
       }
       return;
     }
-    forwarded.streamingAttempt = number;
+    forwarded.streamingAttempt = attemptNumber;
     if (!forwarded.exchange.isStarted()) {
-      removeOwnId(forwarded, streamHead);
-      forwarded.account.answered(System.nanoTime());
+      removeGeneratedAttemptId(forwarded, streamHead);
+      forwarded.stats.responseStarted(System.nanoTime());
       forwarded.exchange.beginStream(streamHead.status(), streamHead.headers());
     } else {
       metrics.resumed++;
     }
-    driver.feed(new RouterInput.AttemptStarted(forwarded.id, number, streamLoad));
+    driver.feed(new RouterInput.AttemptStarted(forwarded.id, attemptNumber, streamLoad));
   }
 
   @Override
   public void streamIdle() {
-    driver.feed(new RouterInput.StreamIdle(forwarded.id, number));
+    driver.feed(new RouterInput.StreamIdle(forwarded.id, attemptNumber));
   }
 
   @Override
   public void readComplete() {
     forwarded.exchange.flush();
-    BackendAttempt attempt = forwarded.attempts.get(number);
+    BackendAttempt attempt = forwarded.attempts.get(attemptNumber);
     if (attempt != null && !forwarded.exchange.isEnded() && !forwarded.exchange.isWritable()) {
       attempt.setReading(false);
     }
@@ -109,54 +113,62 @@
 
   @Override
   public void ended(AttemptResult result) {
-    forwarded.attempts.remove(number);
+    forwarded.attempts.remove(attemptNumber);
     AttemptOutcome outcome = result.outcome();
-    if (outcome.kind() == AttemptOutcome.Kind.SUCCESS && !passOn(result)) {
+    if (outcome.kind() == AttemptOutcome.Kind.SUCCESS && !forwardResponse(result)) {
       outcome = new AttemptOutcome(AttemptOutcome.Kind.BROKEN, 0);
     }
-    forwarded.history.ended(number, outcome, result.sentBytes());
+    forwarded.history.attemptEnded(attemptNumber, outcome, result.sentBytes());
     if (outcome.kind() == AttemptOutcome.Kind.SUCCESS) {
       forwarded.failures.clear();
     } else if (outcome.kind() == AttemptOutcome.Kind.ERROR_RESPONSE) {
-      forwarded.failures.put(number, result.response());
+      forwarded.failures.put(attemptNumber, result.response());
     } else {
       forwarded.exchange.flush();
     }
     driver.feed(
         new RouterInput.AttemptEnded(
-            forwarded.id, number, outcome, result.load(), forwarded.lastEventId));
-    whenEnded.run();
+            forwarded.id, attemptNumber, outcome, result.load(), forwarded.lastEventId));
+    onEnded.run();
   }
 
-  /** Passes a whole response on; false if it can't be what the client is owed. */
-  private boolean passOn(AttemptResult result) {
+  /**
+   * Forwards a complete response to the client. Returns false if the response cannot follow the
+   * data that the client has already received: a response that is not a stream after a stream has
+   * started, or the end of a stream that another attempt has replaced.
+   */
+  private boolean forwardResponse(AttemptResult result) {
     ClientExchange exchange = forwarded.exchange;
     if (exchange.isEnded()) {
       return true;
     }
-    if (streamHead != null && takesStream()) {
+    if (streamHead != null && isStreamSource()) {
       beginStream();
-      forwarded.account.served(System.nanoTime());
+      forwarded.stats.responseCompleted(System.nanoTime());
       exchange.endStream();
       return true;
     }
     if (streamHead == null && !exchange.isStarted()) {
-      forwarded.account.served(System.nanoTime());
+      forwarded.stats.responseCompleted(System.nanoTime());
       relay(forwarded, result.response());
       return true;
     }
-    return false; // a whole response where a stream was to go on, or the end of one overtaken
+    return false; // the response does not match what the client has received
   }
 
-  /** Passes a whole answer on. */
+  /** Forwards a complete response of a backend to the client. */
   static void relay(ForwardedRequest forwarded, BackendResponse response) {
-    removeOwnId(forwarded, response);
+    removeGeneratedAttemptId(forwarded, response);
     forwarded.exchange.relay(
         response.status(), response.headers(), response.body(), response.contentLength());
   }
 
-  /** Takes away an attempt id that the client did not send. */
-  private static void removeOwnId(ForwardedRequest forwarded, BackendResponse response) {
+  /**
+   * Removes the attempt id header from the response if the client sent no attempt id with its
+   * request.
+   */
+  private static void removeGeneratedAttemptId(
+      ForwardedRequest forwarded, BackendResponse response) {
     if (forwarded.request.attributes().attemptId().isEmpty()) {
       response.headers().remove(HeaderNames.ATTEMPT_ID);
     }
--- a/src/main/java/slateslip/dataplane/forwarding/ForwardedRequest.java
+++ b/src/main/java/slateslip/dataplane/forwarding/ForwardedRequest.java
@@ -8,40 +8,49 @@
 import slateslip.dataplane.ingress.ClientExchange;
 import slateslip.dataplane.ingress.ClientRequest;
 
-/** A request that is under way: its response is owed, or an attempt of it has not ended. */
+/**
+ * A request in progress: its response is not complete, or at least one of its attempts has not
+ * ended.
+ */
 final class ForwardedRequest {
-  /** Of {@link #lastEventId} while no event was passed on. */
+  /** Value of {@link #lastEventId} while no event with an id has been forwarded. */
   static final long NO_EVENT = -1;
 
-  /** Of {@link #streamingAttempt} while no attempt streams. */
+  /** Value of {@link #streamingAttempt} while no attempt streams. */
   static final int NO_ATTEMPT = -1;
 
   final long id;
   final ClientRequest request;
   final ClientExchange exchange;
 
-  /** {@code X-Attempt-Id} that backends get: the client's, or one drawn here if it sent none. */
+  /**
+   * Value of {@code X-Attempt-Id} in requests to backends: the client's value, or a generated id if
+   * the client sent none.
+   */
   final String attemptId;
 
-  /** Attempts that have not ended. */
+  /** Attempts that have not ended, by attempt number. */
   final Map<Integer, BackendAttempt> attempts = new HashMap<>();
 
-  /** Failure answers, kept until the router says which to pass on. */
+  /**
+   * Error responses by attempt number, kept until the router chooses which of them is relayed to
+   * the client.
+   */
   final Map<Integer, BackendResponse> failures = new HashMap<>();
 
-  /** What became of its attempts. */
+  /** Backend and outcome of each attempt, for log lines. */
   final AttemptHistory history = new AttemptHistory();
 
-  /** Its times, and how it ended. */
-  final RequestAccount account = new RequestAccount(System.nanoTime());
+  /** Times and outcome of this request, for log lines and metrics. */
+  final RequestStats stats = new RequestStats(System.nanoTime());
 
-  /** How many events were passed on. */
-  long eventsPassed;
+  /** Number of events forwarded to the client. */
+  long eventsForwarded;
 
-  /** Id of the last event that was passed on. */
+  /** Id of the last event with an id that was forwarded to the client, or {@link #NO_EVENT}. */
   long lastEventId = NO_EVENT;
 
-  /** The attempt whose events are passed on. */
+  /** Number of the attempt whose events are forwarded to the client, or {@link #NO_ATTEMPT}. */
   int streamingAttempt = NO_ATTEMPT;
 
   ForwardedRequest(long id, ClientRequest request, ClientExchange exchange, String attemptId) {
@@ -51,12 +60,12 @@
     this.attemptId = attemptId;
   }
 
-  /** Its id as text, for the log. */
-  String attemptIdText() {
+  /** Returns the attempt id as decoded text, for log lines. */
+  String decodedAttemptId() {
     return HeaderText.decode(attemptId);
   }
 
-  /** Whether nothing is owed and nothing is under way. */
+  /** Returns whether the response has ended and no attempt is in progress. */
   boolean isDone() {
     return exchange.isEnded() && attempts.isEmpty();
   }
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -34,8 +34,8 @@
 import slateslip.routing.RouterOutput;
 
 /**
- * Holds the requests that are under way, and carries out the router's outputs for them. On the
- * event loop.
+ * Holds the requests in progress and executes the router's outputs for them. Confined to the event
+ * loop.
  */
 public final class Forwarder implements IngressListener {
   private static final Logger LOG = Logger.getLogger(Forwarder.class);
@@ -47,12 +47,18 @@
   private final LongSupplier microClock;
   private final KeyLease keyLease;
   private final SplittableRandom random;
-  private final Map<Long, ForwardedRequest> open = new HashMap<>();
-  private final Map<ClientExchange, ForwardedRequest> byExchange = new HashMap<>();
+  private final Map<Long, ForwardedRequest> requestsById = new HashMap<>();
+  private final Map<ClientExchange, ForwardedRequest> requestsByExchange = new HashMap<>();
   private final RequestLog requestLog;
   private long nextId = 1;
 
-  /** For this router, whose clock is {@code microClock}. */
+  /**
+   * Creates a forwarder without requests.
+   *
+   * @param microClock monotonic clock of the router, in microseconds
+   * @param seed seed of the random generator for attempt ids
+   * @param keyLease must be held when a request with an API key is sent to a backend
+   */
   public Forwarder(
       EventLoop loop,
       RequestRouter router,
@@ -67,62 +73,65 @@
     this.metrics = metrics;
     this.requestLog = new RequestLog(metrics);
     this.random = new SplittableRandom(seed);
-    this.driver = new RouterDriver(router, loop, microClock, this::carryOut, metrics.wakeUps);
+    this.driver = new RouterDriver(router, loop, microClock, this::execute, metrics.wakeUps);
   }
 
-  /** Wakes the router if it is due to be. */
+  /** Wakes the router if its next requested wake-up time has passed. */
   public void wakeIfDue() {
     driver.wakeIfDue();
   }
 
-  /** How many requests are under way. */
+  /** Returns the number of requests in progress. */
   public int openRequests() {
-    return open.size();
+    return requestsById.size();
   }
 
-  /** Another configuration is in force. */
+  /** Applies the routing table of a new configuration. */
   public void tableChanged(RoutingTable table) {
     pools.tableChanged(table);
     driver.feed(new RouterInput.TableChanged(table));
   }
 
-  /** The whole list of registered backends. */
+  /** Applies the complete list of registered backends. */
   public void backendsChanged(List<BackendSession> backends) {
     pools.backendsChanged(backends);
     driver.feed(new RouterInput.BackendsChanged(backends));
   }
 
-  /** This data plane's share of the fleet-wide limits. */
-  public void sharesChanged(QuotaAllocation shares) {
-    pools.dataPlaneCountChanged(shares.dataPlanes());
-    driver.feed(new RouterInput.QuotaAllocationChanged(shares));
+  /** Applies this data plane's allocation of the fleet-wide quotas. */
+  public void quotaAllocationChanged(QuotaAllocation allocation) {
+    pools.dataPlaneCountChanged(allocation.dataPlanes());
+    driver.feed(new RouterInput.QuotaAllocationChanged(allocation));
   }
 
-  /** Requests with keys may be sent until this time. */
+  /**
+   * Extends the key lease: requests with API keys may be sent to backends until this time, in
+   * microseconds of the router's clock.
+   */
   public void keyLeaseExtended(long untilMicros) {
     keyLease.extendTo(untilMicros);
     driver.feed(new RouterInput.KeyLeaseExtended(untilMicros));
   }
 
-  /** The process is leaving. */
+  /** Informs the router that the shutdown of this process has started. */
   public void startShutdown() {
     driver.feed(new RouterInput.ShutdownStarted());
   }
 
   /**
-   * Ends all requests; for the very end of the process. A response that has begun is broken off,
-   * any other says that the time is up.
+   * Ends all requests immediately; called at the end of the shutdown. A response that has started
+   * is aborted; all other requests receive status 504 (gateway timeout).
    */
   public void abortAll() {
-    for (ForwardedRequest forwarded : List.copyOf(open.values())) {
+    for (ForwardedRequest forwarded : List.copyOf(requestsById.values())) {
       if (forwarded.exchange.isStarted()) {
-        breakOff(forwarded, AbortReason.SHUTDOWN);
+        abortResponse(forwarded, AbortReason.SHUTDOWN);
       } else {
-        forwarded.account.ended(RequestOutcome.TIMED_OUT);
+        forwarded.stats.ended(RequestOutcome.TIMED_OUT);
         forwarded.exchange.respond(HttpResponseStatus.GATEWAY_TIMEOUT, 0);
       }
-      driver.feed(new RouterInput.ClientGone(forwarded.id)); // cancels its attempts
-      forgetIfDone(forwarded);
+      driver.feed(new RouterInput.ClientGone(forwarded.id)); // cancels the attempts
+      removeIfDone(forwarded);
     }
   }
 
@@ -130,31 +139,31 @@
   public void requestArrived(ClientRequest request, ClientExchange exchange) {
     metrics.wakeUps.attribute(WakeUpCause.CLIENT);
     metrics.requests++;
-    String sent = request.attributes().attemptId();
-    String attemptId = sent.isEmpty() ? drawAttemptId() : sent;
+    String clientAttemptId = request.attributes().attemptId();
+    String attemptId = clientAttemptId.isEmpty() ? generateAttemptId() : clientAttemptId;
     var forwarded = new ForwardedRequest(nextId++, request, exchange, attemptId);
-    open.put(forwarded.id, forwarded);
-    byExchange.put(exchange, forwarded);
+    requestsById.put(forwarded.id, forwarded);
+    requestsByExchange.put(exchange, forwarded);
     driver.feed(new RouterInput.RequestArrived(forwarded.id, request.attributes()));
-    forgetIfDone(forwarded);
+    removeIfDone(forwarded);
   }
 
-  private String drawAttemptId() {
+  private String generateAttemptId() {
     String digits = Long.toHexString(random.nextLong());
     return "0".repeat(ATTEMPT_ID_DIGITS - digits.length()) + digits;
   }
 
   @Override
   public void clientGone(ClientExchange exchange) {
-    ForwardedRequest forwarded = byExchange.get(exchange);
+    ForwardedRequest forwarded = requestsByExchange.get(exchange);
     if (forwarded == null) {
       return;
     }
     metrics.wakeUps.attribute(WakeUpCause.CLIENT);
     metrics.clientsGone++;
-    forwarded.account.ended(RequestOutcome.CLIENT_GONE);
+    forwarded.stats.ended(RequestOutcome.CLIENT_GONE);
     driver.feed(new RouterInput.ClientGone(forwarded.id));
-    forgetIfDone(forwarded);
+    removeIfDone(forwarded);
   }
 
   @Override
@@ -166,53 +175,55 @@
 
   @Override
   public void clientWritable(ClientExchange exchange) {
-    ForwardedRequest forwarded = byExchange.get(exchange);
+    ForwardedRequest forwarded = requestsByExchange.get(exchange);
     if (forwarded != null) {
       forwarded.attempts.values().forEach(attempt -> attempt.setReading(true));
     }
   }
 
-  private void forgetIfDone(ForwardedRequest forwarded) {
-    if (forwarded.isDone() && open.remove(forwarded.id) != null) {
-      byExchange.remove(forwarded.exchange);
+  private void removeIfDone(ForwardedRequest forwarded) {
+    if (forwarded.isDone() && requestsById.remove(forwarded.id) != null) {
+      requestsByExchange.remove(forwarded.exchange);
       requestLog.ended(forwarded);
     }
   }
 
-  private void carryOut(RouterOutput output) {
+  private void execute(RouterOutput output) {
     if (output instanceof RouterOutput.SendAttempt send) {
       send(send);
     } else if (output instanceof RouterOutput.Respond response) {
       respond(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       relayError(relay);
-    } else if (output instanceof RouterOutput.AbortConnection end) {
-      breakOff(end.request(), end.reason());
+    } else if (output instanceof RouterOutput.AbortConnection abort) {
+      abortResponse(abort.request(), abort.reason());
     } else if (output instanceof RouterOutput.CancelAttempt cancel) {
       cancel(cancel);
     } else if (output instanceof RouterOutput.Probe probe) {
-      pools.probe(probe.backendId(), result -> probed(probe.backendId(), result));
+      pools.probe(probe.backendId(), result -> probeEnded(probe.backendId(), result));
     }
   }
 
-  private void probed(String backendId, ProbeResult result) {
+  private void probeEnded(String backendId, ProbeResult result) {
     driver.feed(new RouterInput.ProbeEnded(backendId, result.outcome(), result.load()));
   }
 
   private void send(RouterOutput.SendAttempt send) {
-    ForwardedRequest forwarded = open.get(send.request());
+    ForwardedRequest forwarded = requestsById.get(send.request());
     if (forwarded == null) {
-      throw new IllegalStateException("attempt for a request that is over: " + send);
+      throw new IllegalStateException(
+          "router sent an attempt of a request that has ended: " + send);
     }
     var relay =
-        new AttemptRelay(forwarded, send.attempt(), driver, metrics, () -> forgetIfDone(forwarded));
-    BackendAttempt attempt = pools.send(send.backendId(), outgoing(forwarded, send), relay);
+        new AttemptRelay(forwarded, send.attempt(), driver, metrics, () -> removeIfDone(forwarded));
+    BackendAttempt attempt = pools.send(send.backendId(), outgoingRequest(forwarded, send), relay);
     forwarded.attempts.put(send.attempt(), attempt);
-    forwarded.history.began(send.backendId());
-    forwarded.account.sent(System.nanoTime(), send.estimate());
+    forwarded.history.attemptStarted(send.backendId());
+    forwarded.stats.attemptSent(System.nanoTime(), send.estimate());
   }
 
-  private OutgoingRequest outgoing(ForwardedRequest forwarded, RouterOutput.SendAttempt send) {
+  private OutgoingRequest outgoingRequest(
+      ForwardedRequest forwarded, RouterOutput.SendAttempt send) {
     ClientRequest request = forwarded.request;
     HttpHeaders headers = new DefaultHttpHeaders().set(request.headers());
     headers.set(HeaderNames.ATTEMPT_ID, forwarded.attemptId);
@@ -243,63 +254,63 @@
   }
 
   private void respond(RouterOutput.Respond response) {
-    ForwardedRequest forwarded = open.get(response.request());
+    ForwardedRequest forwarded = requestsById.get(response.request());
     if (forwarded == null) {
       return;
     }
     if (forwarded.exchange.isStarted()) {
-      breakOff(response.request(), AbortReason.NO_BACKEND);
+      abortResponse(response.request(), AbortReason.NO_BACKEND);
       return;
     }
     metrics.localResponses++;
-    forwarded.account.ended(RequestOutcome.ofLocalResponse(response.status()));
+    forwarded.stats.ended(RequestOutcome.ofLocalResponse(response.status()));
     HttpResponseStatus status = HttpResponseStatus.valueOf(response.status());
     forwarded.exchange.respond(status, response.retryAfterMicros());
-    forgetIfDone(forwarded);
+    removeIfDone(forwarded);
   }
 
   private void relayError(RouterOutput.RelayError relay) {
-    ForwardedRequest forwarded = open.get(relay.request());
+    ForwardedRequest forwarded = requestsById.get(relay.request());
     if (forwarded == null) {
       return;
     }
     if (forwarded.exchange.isStarted()) {
-      breakOff(relay.request(), AbortReason.ATTEMPTS_EXHAUSTED);
+      abortResponse(relay.request(), AbortReason.ATTEMPTS_EXHAUSTED);
       return;
     }
-    forwarded.account.ended(RequestOutcome.FAILED);
+    forwarded.stats.ended(RequestOutcome.FAILED);
     AttemptRelay.relay(forwarded, forwarded.failures.get(relay.attempt()));
-    forgetIfDone(forwarded);
+    removeIfDone(forwarded);
   }
 
-  private void breakOff(long request, AbortReason reason) {
-    ForwardedRequest forwarded = open.get(request);
+  private void abortResponse(long request, AbortReason reason) {
+    ForwardedRequest forwarded = requestsById.get(request);
     if (forwarded == null) {
       return;
     }
-    breakOff(forwarded, reason);
-    forgetIfDone(forwarded);
+    abortResponse(forwarded, reason);
+    removeIfDone(forwarded);
   }
 
-  /** Ends the client's connection with the response incomplete, and says why. */
-  private void breakOff(ForwardedRequest forwarded, AbortReason reason) {
+  /** Closes the client's connection although the response is incomplete, and logs the reason. */
+  private void abortResponse(ForwardedRequest forwarded, AbortReason reason) {
     if (forwarded.exchange.isEnded()) {
       return;
     }
     metrics.brokenOff(reason);
-    forwarded.account.ended(RequestOutcome.BROKEN_OFF);
+    forwarded.stats.ended(RequestOutcome.BROKEN_OFF);
     LOG.infof(
         "response broken off: reason=%s attempt_id=%s held_ms=%d last_event=%d attempts=%s",
         reason,
-        forwarded.attemptIdText(),
-        TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - forwarded.account.arrivedNanos()),
+        forwarded.decodedAttemptId(),
+        TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - forwarded.stats.arrivedNanos()),
         forwarded.lastEventId,
         forwarded.history);
     forwarded.exchange.abort();
   }
 
   private void cancel(RouterOutput.CancelAttempt cancel) {
-    ForwardedRequest forwarded = open.get(cancel.request());
+    ForwardedRequest forwarded = requestsById.get(cancel.request());
     BackendAttempt attempt = forwarded == null ? null : forwarded.attempts.get(cancel.attempt());
     if (attempt != null) {
       attempt.cancel();
--- a/src/main/java/slateslip/dataplane/forwarding/RouterDriver.java
+++ b/src/main/java/slateslip/dataplane/forwarding/RouterDriver.java
@@ -15,51 +15,55 @@
 import slateslip.routing.RouterOutput;
 
 /**
- * Feeds a router its inputs in order, has its outputs carried out, and wakes it when it asks for
- * it.
+ * Passes inputs to a router in order, passes the router's outputs to a handler, and wakes the
+ * router at the times that the router requests. Confined to the event loop.
  */
 public final class RouterDriver {
   private final RequestRouter router;
   private final EventLoop loop;
   private final LongSupplier microClock;
-  private final Consumer<RouterOutput> actions;
-  private final Deque<RouterInput> waiting = new ArrayDeque<>();
-  private final TreeSet<Long> wakes = new TreeSet<>();
+  private final Consumer<RouterOutput> outputHandler;
+  private final Deque<RouterInput> pendingInputs = new ArrayDeque<>();
+  private final TreeSet<Long> wakeTimes = new TreeSet<>();
   private final WakeUpCounter wakeUps;
-  private long scheduledWake = Long.MAX_VALUE;
+  private long scheduledWakeMicros = Long.MAX_VALUE;
   private Future<?> timer;
   private boolean feeding;
 
   /**
-   * A driver on an event loop.
+   * Creates a driver that schedules the router's wake-ups on an event loop.
    *
-   * @param microClock steady clock, in microseconds
-   * @param actions carries out an output; inputs that arise meanwhile are taken after it
-   * @param wakeUps counts the turns in which the router was woken
+   * @param microClock monotonic clock, in microseconds
+   * @param outputHandler executes an output; inputs that arise during the call are handled after
+   *     all outputs of the current input
+   * @param wakeUps counts the turns of the event loop in which the router's timer fired
    */
   public RouterDriver(
       RequestRouter router,
       EventLoop loop,
       LongSupplier microClock,
-      Consumer<RouterOutput> actions,
+      Consumer<RouterOutput> outputHandler,
       WakeUpCounter wakeUps) {
     this.router = router;
     this.loop = loop;
     this.microClock = microClock;
-    this.actions = actions;
+    this.outputHandler = outputHandler;
     this.wakeUps = wakeUps;
   }
 
-  /** Lets the router take an input; one that arises while another is taken waits its turn. */
+  /**
+   * Passes an input to the router. An input that arises while another input is handled is queued
+   * and handled afterwards.
+   */
   public void feed(RouterInput input) {
-    waiting.add(input);
+    pendingInputs.add(input);
     if (feeding) {
       return;
     }
     feeding = true;
     try {
-      while (!waiting.isEmpty()) {
-        take(waiting.poll());
+      while (!pendingInputs.isEmpty()) {
+        handle(pendingInputs.poll());
       }
     } finally {
       feeding = false;
@@ -67,30 +71,33 @@
     scheduleWake();
   }
 
-  private void take(RouterInput input) {
+  private void handle(RouterInput input) {
     for (RouterOutput output : router.handle(microClock.getAsLong(), input)) {
       if (output instanceof RouterOutput.WakeAt wake) {
-        wakes.add(wake.atMicros());
+        wakeTimes.add(wake.atMicros());
       } else {
-        actions.accept(output);
+        outputHandler.accept(output);
       }
     }
   }
 
-  /** Wakes the router if it is due to be; saves the turn that its timer would take. */
+  /**
+   * Wakes the router if its next requested wake-up time has passed. A call from a periodic task
+   * saves the event loop turn that the router's own timer would cause.
+   */
   public void wakeIfDue() {
-    if (microClock.getAsLong() >= scheduledWake) {
+    if (microClock.getAsLong() >= scheduledWakeMicros) {
       wake();
     }
   }
 
   private void scheduleWake() {
-    if (wakes.isEmpty() || wakes.first() >= scheduledWake) {
+    if (wakeTimes.isEmpty() || wakeTimes.first() >= scheduledWakeMicros) {
       return;
     }
     cancelTimer();
-    scheduledWake = wakes.first();
-    long delay = Math.max(0, scheduledWake - microClock.getAsLong());
+    scheduledWakeMicros = wakeTimes.first();
+    long delay = Math.max(0, scheduledWakeMicros - microClock.getAsLong());
     timer = loop.schedule(this::timerFired, delay, TimeUnit.MICROSECONDS);
   }
 
@@ -100,15 +107,15 @@
   }
 
   private void wake() {
-    long due = scheduledWake;
+    long due = scheduledWakeMicros;
     cancelTimer();
-    wakes.headSet(Math.max(due, microClock.getAsLong()), true).clear();
+    wakeTimes.headSet(Math.max(due, microClock.getAsLong()), true).clear();
     feed(new RouterInput.Wake());
     scheduleWake();
   }
 
   private void cancelTimer() {
-    scheduledWake = Long.MAX_VALUE;
+    scheduledWakeMicros = Long.MAX_VALUE;
     if (timer != null) {
       timer.cancel(false);
       timer = null;
--- a/src/main/java/slateslip/dataplane/forwarding/package-info.java
+++ b/src/main/java/slateslip/dataplane/forwarding/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Carries out what the router decides: attempts, answers, streams that go on at another backend.
+ * Execution of the router's decisions: attempts at backends, responses to clients, and streams that
+ * continue at another backend.
  */
 package slateslip.dataplane.forwarding;
--- a/src/test/java/slateslip/dataplane/forwarding/AttemptHistoryTest.java
+++ b/src/test/java/slateslip/dataplane/forwarding/AttemptHistoryTest.java
@@ -10,13 +10,13 @@
 
 class AttemptHistoryTest {
   @Test
-  void tellsHowMuchOfARequestHadLeftWhereThatWasAPart() {
+  void toStringShowsSentBytesOnlyOfPartlySentRequests() {
     AttemptHistory history = new AttemptHistory();
-    history.began("i-1");
-    history.began("i-2");
-    history.began("i-3");
-    history.ended(0, new AttemptOutcome(Kind.BROKEN, 0), new SentBytes(70, 100));
-    history.ended(1, new AttemptOutcome(Kind.SUCCESS, 200), new SentBytes(100, 100));
+    history.attemptStarted("i-1");
+    history.attemptStarted("i-2");
+    history.attemptStarted("i-3");
+    history.attemptEnded(0, new AttemptOutcome(Kind.BROKEN, 0), new SentBytes(70, 100));
+    history.attemptEnded(1, new AttemptOutcome(Kind.SUCCESS, 200), new SentBytes(100, 100));
     assertThat(history.toString(), is("[i-1:BROKEN:70/100 i-2:SUCCESS i-3:UNDER_WAY]"));
   }
 }
--- a/src/test/java/slateslip/dataplane/forwarding/RouterDriverTest.java
+++ b/src/test/java/slateslip/dataplane/forwarding/RouterDriverTest.java
@@ -18,11 +18,14 @@
 import slateslip.routing.RouterInput;
 import slateslip.routing.RouterOutput;
 
-/** The order in which a router is fed, and when it is woken; time is the test's. */
+/**
+ * Tests the order in which a router receives inputs and the times at which the router is woken. The
+ * test controls the clock.
+ */
 class RouterDriverTest {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final List<RouterInput> inputs = new ArrayList<>();
-  private final List<RouterOutput> carriedOut = new ArrayList<>();
+  private final List<RouterOutput> executed = new ArrayList<>();
   private Function<RouterInput, List<RouterOutput>> decisions = input -> List.of();
   private long micros;
   private final RouterDriver driver =
@@ -41,7 +44,7 @@
           },
           channel.eventLoop(),
           () -> micros,
-          this::carryOut,
+          this::execute,
           new WakeUpCounter());
 
   RouterDriverTest() {
@@ -53,26 +56,26 @@
     channel.close();
   }
 
-  private void carryOut(RouterOutput output) {
-    carriedOut.add(output);
+  private void execute(RouterOutput output) {
+    executed.add(output);
     if (output instanceof RouterOutput.Probe) {
       driver.feed(new RouterInput.ClientGone(1));
     }
   }
 
-  private void pass(long by) {
+  private void advanceTime(long by) {
     micros += by;
     channel.advanceTimeBy(by, TimeUnit.MICROSECONDS);
     channel.runScheduledPendingTasks();
   }
 
-  /** The router asks for a wake-up at this time when it takes this input. */
-  private void askForWakeAt(long atMicros, RouterInput when) {
+  /** Feeds an input for which the router requests a wake-up at this time. */
+  private void requestWakeAt(long atMicros, RouterInput when) {
     decisions = input -> input == when ? List.of(new RouterOutput.WakeAt(atMicros)) : List.of();
     driver.feed(when);
   }
 
-  private long wakes() {
+  private long wakeCount() {
     return inputs.stream().filter(RouterInput.Wake.class::isInstance).count();
   }
 
@@ -83,7 +86,7 @@
     decisions =
         input -> input instanceof RouterInput.ShutdownStarted ? List.of(probe, end) : List.of();
     driver.feed(new RouterInput.ShutdownStarted());
-    assertThat(carriedOut, contains(probe, end));
+    assertThat(executed, contains(probe, end));
     assertThat(inputs, contains(new RouterInput.ShutdownStarted(), new RouterInput.ClientGone(1)));
   }
 
@@ -95,54 +98,54 @@
                 ? List.of(new RouterOutput.WakeAt(500), new RouterOutput.WakeAt(200))
                 : List.of();
     driver.feed(new RouterInput.ShutdownStarted());
-    pass(199);
-    assertThat(wakes(), is(0L));
-    pass(1);
-    assertThat(wakes(), is(1L));
-    pass(299);
-    assertThat(wakes(), is(1L));
-    pass(1);
-    assertThat(wakes(), is(2L));
-    pass(10_000);
-    assertThat(wakes(), is(2L));
+    advanceTime(199);
+    assertThat(wakeCount(), is(0L));
+    advanceTime(1);
+    assertThat(wakeCount(), is(1L));
+    advanceTime(299);
+    assertThat(wakeCount(), is(1L));
+    advanceTime(1);
+    assertThat(wakeCount(), is(2L));
+    advanceTime(10_000);
+    assertThat(wakeCount(), is(2L));
   }
 
   @Test
-  void anEarlierWishComesFirstAndTheLaterOneStillStands() {
-    askForWakeAt(500, new RouterInput.ShutdownStarted());
-    askForWakeAt(100, new RouterInput.ClientGone(1));
-    pass(100);
-    assertThat(wakes(), is(1L));
-    pass(400);
-    assertThat(wakes(), is(2L));
+  void earlierWakeUpTimeDoesNotReplaceLaterOne() {
+    requestWakeAt(500, new RouterInput.ShutdownStarted());
+    requestWakeAt(100, new RouterInput.ClientGone(1));
+    advanceTime(100);
+    assertThat(wakeCount(), is(1L));
+    advanceTime(400);
+    assertThat(wakeCount(), is(2L));
   }
 
   @Test
-  void aTimeThatIsPastWakesAtOnce() {
+  void wakeUpTimeInThePastWakesImmediately() {
     micros = 1_000;
-    askForWakeAt(10, new RouterInput.ShutdownStarted());
-    pass(1);
-    assertThat(wakes(), is(1L));
+    requestWakeAt(10, new RouterInput.ShutdownStarted());
+    advanceTime(1);
+    assertThat(wakeCount(), is(1L));
   }
 
   @Test
-  void aTimerThatIsNotNeededAnyMoreTakesNoTurn() {
-    askForWakeAt(500, new RouterInput.ShutdownStarted());
-    askForWakeAt(100, new RouterInput.ClientGone(1));
+  void replacedTimerIsCancelled() {
+    requestWakeAt(500, new RouterInput.ShutdownStarted());
+    requestWakeAt(100, new RouterInput.ClientGone(1));
     channel.advanceTimeBy(99, TimeUnit.MICROSECONDS);
-    assertThat(channel.runScheduledPendingTasks(), is(1_000L)); // the earlier one alone
+    assertThat(channel.runScheduledPendingTasks(), is(1_000L)); // only the earlier wake-up is set
   }
 
   @Test
-  void aPeriodicTurnTakesTheWakeUpAlong() {
-    askForWakeAt(500, new RouterInput.ShutdownStarted());
+  void periodicTurnPerformsDueWakeUpAndCancelsItsTimer() {
+    requestWakeAt(500, new RouterInput.ShutdownStarted());
     micros = 499;
     driver.wakeIfDue();
-    assertThat(wakes(), is(0L));
+    assertThat(wakeCount(), is(0L));
     micros = 500;
     driver.wakeIfDue();
-    assertThat(wakes(), is(1L));
-    pass(10_000);
-    assertThat(wakes(), is(1L));
+    assertThat(wakeCount(), is(1L));
+    advanceTime(10_000);
+    assertThat(wakeCount(), is(1L));
   }
 }
