--- a/src/main/java/slateslip/dataplane/backend/BackendPools.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPools.java
@@ -231,7 +231,7 @@
             .handler(connection)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
             .connect(pool.address);
-    if (InspectableSocketChannel.noSocket(connecting)) {
+    if (InspectableSocketChannel.failedToOpenSocket(connecting)) {
       return null;
     }
     metrics.dialled++;
--- a/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
+++ b/src/main/java/slateslip/dataplane/backend/ResponseHandler.java
@@ -112,7 +112,7 @@
     }
     attempt.responseStarted();
     long length = StrictHttpDecoders.framing(headers);
-    if (length == StrictHttpDecoders.UNCLEAR || length > MAX_BODY_BYTES) {
+    if (length == StrictHttpDecoders.AMBIGUOUS || length > MAX_BODY_BYTES) {
       connection.countMalformedResponse();
       return false;
     }
@@ -193,7 +193,7 @@
     return surplusCount == 0
         && StrictHttpDecoders.framing(head.headers()) != StrictHttpDecoders.NO_LENGTH
         && HttpUtil.isKeepAlive(head)
-        && !decoder.leftover();
+        && !decoder.hasLeftoverBytes();
   }
 
   private AttemptOutcome.Kind outcomeKind(BackendAttempt attempt) {
--- a/src/main/java/slateslip/dataplane/ingress/RequestHead.java
+++ b/src/main/java/slateslip/dataplane/ingress/RequestHead.java
@@ -51,7 +51,7 @@
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
       return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
     }
-    if (length == StrictHttpDecoders.UNCLEAR || head.method().equals(HttpMethod.CONNECT)) {
+    if (length == StrictHttpDecoders.AMBIGUOUS || head.method().equals(HttpMethod.CONNECT)) {
       return HttpResponseStatus.BAD_REQUEST;
     }
     if (length > maxBodyBytes) {
--- a/src/main/java/slateslip/loadbalancer/net/Agent.java
+++ b/src/main/java/slateslip/loadbalancer/net/Agent.java
@@ -25,29 +25,43 @@
 import slateslip.loadbalancer.SettingsReload;
 
 /**
- * Hosts the decision module on real sockets: the one place where events enter it, and where its
- * actions become bytes. One event loop thread owns the sockets, the timers and the module.
+ * Hosts a {@link LoadBalancer} on real sockets: passes network events to the load balancer and
+ * carries out its actions as HTTP traffic. One event loop thread owns the sockets, the timers and
+ * the load balancer.
  */
 public final class Agent implements LoadBalancer.Actions {
-  /** Of the client's time, what the response's way back and a late wake-up may take. */
-  private static final long MARGIN_MICROS = 10_000;
+  /**
+   * Time reserved out of the client's timeout for the response's way back to the client and for a
+   * late wake-up of the event loop. The load balancer's deadline for a request is earlier than the
+   * client's timeout by this margin.
+   */
+  private static final long RESPONSE_MARGIN_MICROS = 10_000;
 
-  /** Of that, what the module has before the guard takes its last moment for a fault. */
-  private static final long GUARD_MICROS = 5_000;
+  /**
+   * How long after the load balancer's deadline the agent itself fails a request that has no
+   * response yet. An open request at that time means that the load balancer is at fault.
+   */
+  private static final long GUARD_DELAY_MICROS = 5_000;
 
-  /** Descriptors kept back for the program's own files, discovery and the listener. */
+  /**
+   * File descriptors that are reserved for the program's own files, discovery and the listening
+   * socket.
+   */
   private static final int SOCKETS_RESERVED = 40;
 
-  /** When a client that is refused should come back, where the module does not say: in a moment. */
+  /** The Retry-After advice for refused requests for which the load balancer gives none. */
   static final long RETRY_AFTER_MICROS = 250_000;
 
-  private static final long QUIET_MS = 50;
+  private static final long GROUP_QUIET_MS = 50;
   private static final long GROUP_TIMEOUT_MS = 500;
 
-  /** How long the first list is waited for before the known one has to do. */
-  private static final long FIRST_LIST_MS = 1_000;
+  /**
+   * How long the agent waits for the first server list from discovery before it becomes ready with
+   * the list from the configuration.
+   */
+  private static final long FIRST_LIST_TIMEOUT_MS = 1_000;
 
-  private static final Pattern SERVER = Pattern.compile("^server (-?\\d+)");
+  private static final Pattern SERVER_ID_PREFIX = Pattern.compile("^server (-?\\d+)");
 
   private AgentConfig config;
   private final EventLoopGroup group;
@@ -58,65 +72,72 @@
   private final ClientServer clients;
   private final RequestStatistics statistics = new RequestStatistics();
   private final Map<Long, Pending> pendingById = new HashMap<>();
-  private final Map<ClientExchange, Pending> byExchange = new HashMap<>();
+  private final Map<ClientExchange, Pending> pendingByExchange = new HashMap<>();
 
-  /** The same by the ids that clients gave. */
-  private final Map<String, Pending> byName = new HashMap<>();
+  /** The same requests by their Request-Id header. */
+  private final Map<String, Pending> pendingByRequestId = new HashMap<>();
 
-  /** The lines of the servers listed. */
+  /** The entries of the current server list by server id. */
   private final Map<Long, Discovery.ListedEndpoint> servers = new HashMap<>();
 
   private final LiveSettings live = new LiveSettings();
   private final ConfigFileWatcher file;
 
   /**
-   * The list of the configuration: what is held until discovery answers; null once the module has
-   * it.
+   * The server list from the configuration, which is in use until discovery responds; null once the
+   * load balancer has received the list.
    */
-  private Discovery.Listing known;
+  private Discovery.Listing knownList;
 
-  /** The monotonic clock is anchored once to the time of day, in which the list tells starts. */
-  private final long anchorMicros = 1000 * System.currentTimeMillis() - System.nanoTime() / 1000;
+  /**
+   * Converts the monotonic clock to the time of day, in which the server list states start times.
+   * Computed once, so that the resulting clock never runs backwards.
+   */
+  private final long clockOffsetMicros =
+      1000 * System.currentTimeMillis() - System.nanoTime() / 1000;
 
   private final AgentShutdown shutdown;
   private long nextId = 1;
   private boolean watchRequested;
-  private boolean deciding;
+  private boolean inLoadBalancer;
 
   /**
-   * Whether a list has come, or has been waited for long enough; and whether the path has been run.
+   * Whether a server list has been received from discovery or {@link #FIRST_LIST_TIMEOUT_MS} has
+   * passed. The agent is ready once this field and {@link #warm} are true.
    */
-  private boolean listed;
+  private boolean hasList;
 
   private boolean warm;
-  private int warmedBy;
+  private int warmupResponses;
 
-  /** A request taken and not yet done with. */
+  /** A request without a final response, or with an attempt that is still in flight. */
   private static final class Pending {
     final long id;
 
-    /** As the settings in force had it when the module was told. */
+    /**
+     * The request, parsed with the settings that were in force when the load balancer received it.
+     */
     IncomingRequest request;
 
     final ClientExchange exchange;
-    final long cameAt;
+    final long arrivedAt;
     final List<BackendAttempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
     boolean completed;
     Future<?> guard;
 
-    Pending(long id, IncomingRequest request, ClientExchange exchange, long cameAt) {
+    Pending(long id, IncomingRequest request, ClientExchange exchange, long arrivedAt) {
       this.id = id;
-      this.cameAt = cameAt;
+      this.arrivedAt = arrivedAt;
       this.request = request;
       this.exchange = exchange;
     }
   }
 
-  private Agent(Path path, AgentConfig config, Function<Agent, LoadBalancer> module)
+  private Agent(Path path, AgentConfig config, Function<Agent, LoadBalancer> balancerFactory)
       throws IOException {
     this.config = config;
-    this.file = new ConfigFileWatcher(path, config.live() != null, this::configRead);
+    this.file = new ConfigFileWatcher(path, config.live() != null, this::onConfigRead);
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     backends = new BackendConnections(loop, config, maxConnections(config), statistics);
@@ -128,13 +149,13 @@
               @Override
               public void updateServers(
                   LoadBalancer.ListKind kind, List<Discovery.ListedEndpoint> endpoints) {
-                listed = true;
+                hasList = true;
                 Agent.this.updateServers(kind, endpoints);
               }
 
               @Override
-              public void failed(String why) {
-                log("discovery: " + why);
+              public void failed(String reason) {
+                log("discovery: " + reason);
                 if (Agent.this.config.settings().pollDiscovery()) {
                   event(
                       () ->
@@ -143,15 +164,15 @@
                 }
               }
             });
-    known = known(config);
+    knownList = decodeKnownList(config);
     if (config.settings().pollDiscovery()) {
-      discovery.holds(known);
+      discovery.setKnownList(knownList);
     }
-    // After discovery, which the module may ask at once; and on the loop, where a timer that it
-    // sets at
-    // once would find no module otherwise.
-    loop.submit(() -> balancer = module.apply(this)).syncUninterruptibly();
-    var listener =
+    // The load balancer is created after discovery, because its constructor may call discovery. The
+    // constructor runs on the event loop, because a timer that it sets could otherwise fire before
+    // the field is assigned.
+    loop.submit(() -> balancer = balancerFactory.apply(this)).syncUninterruptibly();
+    var handler =
         new ClientServer.Listener() {
           @Override
           public void request(IncomingRequest request, ClientExchange exchange) {
@@ -165,7 +186,7 @@
         };
     clients =
         new ClientServer(
-            loop, config, maxConnections(config), () -> listed && warm, listener, System::nanoTime);
+            loop, config, maxConnections(config), () -> hasList && warm, handler, System::nanoTime);
     shutdown =
         new AgentShutdown(
             loop,
@@ -176,19 +197,21 @@
             this::close);
   }
 
-  /** Connections on either side. */
+  /**
+   * Returns the maximum number of client connections, which is also the maximum number of backend
+   * connections.
+   */
   private static int maxConnections(AgentConfig config) {
     return (config.sockets() - SOCKETS_RESERVED) / 2;
   }
 
   /**
-   * Starts an agent; it listens when this returns.
+   * Starts an agent, which accepts connections when this method returns.
    *
-   * @param config its configuration file
+   * @param config the agent's configuration file
    * @return the running agent
-   * @throws IllegalArgumentException if the configuration is unusable; the message is one plain
-   *     line
-   * @throws IOException if the address cannot be listened on
+   * @throws IllegalArgumentException if the configuration is unusable; the message is one line
+   * @throws IOException if the agent cannot listen on its configured address
    */
   public static Agent start(Path config) throws IOException {
     return start(config, AgentConfig.read(config));
@@ -205,83 +228,91 @@
         agent -> new DefaultLoadBalancer(config.settings(), config.seed(), agent.now(), agent));
   }
 
-  /** With another module than the usual one. */
-  static Agent start(AgentConfig config, Function<Agent, LoadBalancer> module) throws IOException {
-    return start(null, config, module);
+  /** Starts an agent with another load balancer than {@link DefaultLoadBalancer}. */
+  static Agent start(AgentConfig config, Function<Agent, LoadBalancer> balancerFactory)
+      throws IOException {
+    return start(null, config, balancerFactory);
   }
 
-  private static Agent start(Path file, AgentConfig config, Function<Agent, LoadBalancer> module)
+  private static Agent start(
+      Path file, AgentConfig config, Function<Agent, LoadBalancer> balancerFactory)
       throws IOException {
-    Agent agent = new Agent(file, config, module);
-    agent.beginSoon();
+    Agent agent = new Agent(file, config, balancerFactory);
+    agent.startAsync();
     InetSocketAddress at = agent.address();
-    say("listening on " + at.getAddress().getHostAddress() + ":" + at.getPort());
+    logLine("listening on " + at.getAddress().getHostAddress() + ":" + at.getPort());
     return agent;
   }
 
-  /** One that has not begun: it listens, and has no list yet. */
-  static Agent made(AgentConfig config, Function<Agent, LoadBalancer> module) throws IOException {
-    return new Agent(null, config, module);
+  /**
+   * Creates an agent that listens but has not passed a server list to its load balancer and serves
+   * no requests yet.
+   */
+  static Agent createUnstarted(AgentConfig config, Function<Agent, LoadBalancer> balancerFactory)
+      throws IOException {
+    return new Agent(null, config, balancerFactory);
   }
 
-  void beginSoon() {
-    loop.execute(this::begin);
+  void startAsync() {
+    loop.execute(this::startOnLoop);
   }
 
-  private static Discovery.Listing known(AgentConfig config) {
+  private static Discovery.Listing decodeKnownList(AgentConfig config) {
     try {
       return Discovery.decode(config.known(), config);
     } catch (IllegalArgumentException e) {
-      say("known list: " + e.getMessage());
+      logLine("unusable known list in the configuration: " + e.getMessage());
       return new Discovery.Listing(0, true, List.of());
     }
   }
 
-  private void begin() {
-    apply(
-        config
-            .withoutKnown()); // before the module makes its own of it: both at once may be too much
-    List<Discovery.ListedEndpoint> cached = known.endpoints();
-    known = null;
+  private void startOnLoop() {
+    // Releases the parsed JSON before the load balancer builds its own copy of the list: the two
+    // together may exceed the heap.
+    apply(config.withoutKnown());
+    List<Discovery.ListedEndpoint> cached = knownList.endpoints();
+    knownList = null;
     updateServers(LoadBalancer.ListKind.CACHED, cached);
     watchRequested |= !config.settings().pollDiscovery();
     watchWhenStarted();
-    loop.schedule(() -> listed = true, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> hasList = true, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     CodeWarmup.run(
         loop,
         config,
         backends,
         clients,
         completed -> {
-          statistics.take(0, 0); // its own requests are nobody's
+          // The statistics must not include the warm-up requests.
+          statistics.takeLines(0, 0);
           loop.scheduleAtFixedRate(
-              this::tell,
+              this::logStatistics,
               RequestStatistics.PERIOD_SECONDS,
               RequestStatistics.PERIOD_SECONDS,
               TimeUnit.SECONDS);
           warm = true;
-          warmedBy = completed;
+          warmupResponses = completed;
           if (config.live() != null) {
-            say(LiveSettings.started(config));
-            statistics.settings(live.summary(config));
+            logLine(LiveSettings.startLine(config));
+            statistics.setSettingsSummary(live.summary(config));
             file.pollEvery(config.live().checkMs());
           }
         });
   }
 
-  private void tell() {
-    statistics.take(pendingById.size(), backends.connections()).forEach(Agent::say);
+  private void logStatistics() {
+    statistics.takeLines(pendingById.size(), backends.connections()).forEach(Agent::logLine);
   }
 
-  /** Where it listens. */
+  /** Returns the address on which the agent listens for clients. */
   InetSocketAddress address() {
     return (InetSocketAddress) clients.channel().localAddress();
   }
 
   /**
-   * Takes over from the file what may change under way: where discovery is, and where settings have
-   * versions also those. Requests go on undisturbed, and a file that cannot be used changes
-   * nothing. The file is read on the calling thread, or once more by the thread that reads it now.
+   * Applies the parts of the configuration file that may change while the agent runs: the address
+   * of discovery and, if the settings have a version, the settings. Requests in flight continue,
+   * and an unusable file changes nothing. The calling thread reads the file, unless another thread
+   * is already reading it; that thread then reads the file once more.
    *
    * @param from the configuration file
    */
@@ -289,20 +320,24 @@
     file.read(from);
   }
 
-  /** The file has been read, on the thread that did so. */
-  private void configRead(ConfigFileWatcher.ReadResult readResult) {
+  /**
+   * Receives the result of a read of the configuration file, on the thread that has read the file.
+   */
+  private void onConfigRead(ConfigFileWatcher.ReadResult readResult) {
     try {
       loop.execute(() -> reloadConfig(readResult));
     } catch (RejectedExecutionException e) {
       if (readResult.requested()) {
-        say("reload: not taken, the agent has ended"); // a signal may come at any time of the end
+        // A SIGHUP may arrive at any time during the shutdown.
+        logLine("reload: configuration not applied, the agent has ended");
       }
     }
   }
 
   /**
-   * Discovery moves whatever the settings beside it are worth: an agent that loses discovery loses
-   * its list, which is worse than late settings. These are taken whole or not at all.
+   * Moves discovery to its new address even if the settings in the same file are rejected: an agent
+   * that loses discovery loses its server list, which is worse than outdated settings. The settings
+   * are applied completely or not at all.
    */
   private void reloadConfig(ConfigFileWatcher.ReadResult readResult) {
     if (readResult.discovery() != null) {
@@ -310,7 +345,9 @@
     }
     if (config.live() == null) {
       if (readResult.unusable() != null) {
-        say("reload: the old settings stay: " + readResult.unusable());
+        logLine(
+            "reload: configuration file refused, the current settings stay: "
+                + readResult.unusable());
       }
       return;
     }
@@ -319,12 +356,13 @@
           if (live.shouldApply(config, readResult)) {
             applySettings(readResult);
           }
-          statistics.settings(live.summary(config));
+          statistics.setSettingsSummary(live.summary(config));
         });
   }
 
   /**
-   * Everything here and the module go by the new settings from the same moment, between two events.
+   * Puts new settings in force for this agent and the load balancer at the same moment, between two
+   * events. Restores the previous settings if the new ones are rejected.
    */
   private void applySettings(ConfigFileWatcher.ReadResult readResult) {
     long from = System.nanoTime();
@@ -333,7 +371,7 @@
     SettingsReload reload;
     try {
       if (shutdown.isStopping()) {
-        throw new IllegalArgumentException("the agent ends");
+        throw new IllegalArgumentException("the agent is shutting down");
       }
       reload =
           LiveSettings.reload(
@@ -359,10 +397,11 @@
                   reload.remapped(each.server()), each.name(), each.address()));
     }
     if (!next.settings().pollDiscovery()) {
-      discovery.watch(); // the module does not ask for it any more
+      // With these settings the load balancer no longer starts the calls to discovery.
+      discovery.watch();
     }
     file.pollEvery(next.live().checkMs());
-    live.applied(before, readResult, (System.nanoTime() - from) / 1000);
+    live.logApplied(before, readResult, (System.nanoTime() - from) / 1000);
   }
 
   private void apply(AgentConfig next) {
@@ -372,17 +411,23 @@
     discovery.apply(next);
   }
 
-  /** Ends in order, and returns when all is done; see {@link AgentShutdown}. */
+  /**
+   * Shuts the agent down gracefully and returns when all its threads have ended; see {@link
+   * AgentShutdown}.
+   */
   public void stop() {
     shutdown.stop();
   }
 
-  /** Waits until the agent has ended. */
+  /** Waits until all threads of the agent have ended. */
   public void awaitEnd() {
     shutdown.awaitEnd();
   }
 
-  /** After the longest deadline no client waits any more. */
+  /**
+   * Fails all open requests with 504. Runs after the longest deadline, when no client waits any
+   * longer.
+   */
   private void timeOutAll() {
     List.copyOf(pendingById.values())
         .forEach(each -> timeOut(each, HttpResponseStatus.GATEWAY_TIMEOUT));
@@ -392,8 +437,8 @@
     discovery.close();
     file.close();
     group
-        .shutdownGracefully(QUIET_MS, GROUP_TIMEOUT_MS, TimeUnit.MILLISECONDS)
-        .addListener(done -> shutdown.ended());
+        .shutdownGracefully(GROUP_QUIET_MS, GROUP_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+        .addListener(done -> shutdown.markEnded());
   }
 
   private long longestTimeoutMillis() {
@@ -404,59 +449,68 @@
         / 1000;
   }
 
-  /** How many servers something is kept for: what leaves the list must leave nothing behind. */
+  /**
+   * Returns the number of servers for which the agent holds an entry or a connection pool. Tests
+   * use it to detect state that remains after a server has left the list.
+   */
   int trackedServers() throws InterruptedException {
     return loop.submit(() -> Math.max(servers.size(), backends.size())).sync().getNow();
   }
 
-  /** How many connections it has to clients and servers. */
+  /** Returns the number of open connections to clients and backends. */
   int connections() throws InterruptedException {
     return loop.submit(() -> clients.size() + backends.connections()).sync().getNow();
   }
 
-  /** How many requests of its own it has answered before it said that it was ready. */
-  int warmedBy() throws InterruptedException {
-    return loop.submit(() -> warmedBy).sync().getNow();
+  /** Returns how many warm-up requests the agent had answered when it became ready. */
+  int warmupResponses() throws InterruptedException {
+    return loop.submit(() -> warmupResponses).sync().getNow();
   }
 
   private long now() {
-    return anchorMicros + System.nanoTime() / 1000;
+    return clockOffsetMicros + System.nanoTime() / 1000;
   }
 
   // ---- Events ----
 
-  /** Lets an event into the module. One that arises inside another waits its turn on the loop. */
+  /**
+   * Passes an event to the load balancer. An event that arises during another event is queued on
+   * the event loop.
+   */
   private void event(Runnable event) {
     event(null, event);
   }
 
-  /** The same for an event of one request, which is given up if the module fails over it. */
+  /**
+   * Passes an event of one request to the load balancer. If the load balancer throws an exception,
+   * the request fails with 500.
+   */
   private void event(Pending pending, Runnable event) {
-    if (deciding) {
+    if (inLoadBalancer) {
       loop.execute(() -> event(pending, event));
       return;
     }
-    deciding = true;
+    inLoadBalancer = true;
     try {
       event.run();
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      say("module: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+      logLine("load balancer failed: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
       if (pending != null) {
         loop.execute(() -> timeOut(pending, HttpResponseStatus.INTERNAL_SERVER_ERROR));
       }
     } finally {
-      deciding = false;
+      inLoadBalancer = false;
     }
   }
 
   /**
-   * Guards against a request that the module has lost by a fault of its own: it is still failed
-   * once.
+   * Fails a request that has no final response yet. Ensures exactly one final response for a
+   * request that the load balancer has lost because of a fault.
    */
   private void timeOut(Pending pending, HttpResponseStatus status) {
     if (!pending.completed) {
-      statistics.givenUp();
+      statistics.recordGivenUp();
       respond(pending, status, 0);
       event(() -> balancer.clientLeft(now(), pending.id));
       cancelAttempts(pending);
@@ -484,23 +538,23 @@
   }
 
   private void request(IncomingRequest incoming, ClientExchange exchange) {
-    // Guards against an effect twice, and against one request getting the other's answer: the
-    // second is
-    // not passed on, whoever sent it, and the first goes on unharmed.
-    if (byName.containsKey(incoming.id())) {
+    // Rejects a request whose id is already open, whoever sent it, and leaves the open request
+    // untouched. Otherwise the request could take effect twice, or one client could receive the
+    // response to another client's request.
+    if (pendingByRequestId.containsKey(incoming.id())) {
       exchange.respond(HttpResponseStatus.CONFLICT);
       return;
     }
     long id = nextId++;
     Pending pending = new Pending(id, incoming, exchange, now());
     pendingById.put(id, pending);
-    byExchange.put(exchange, pending);
-    byName.put(incoming.id(), pending);
-    long left = Math.max(0, 1000 * incoming.timeoutMs() - MARGIN_MICROS);
+    pendingByExchange.put(exchange, pending);
+    pendingByRequestId.put(incoming.id(), pending);
+    long left = Math.max(0, 1000 * incoming.timeoutMs() - RESPONSE_MARGIN_MICROS);
     pending.guard =
         loop.schedule(
             () -> timeOut(pending, HttpResponseStatus.GATEWAY_TIMEOUT),
-            left + GUARD_MICROS,
+            left + GUARD_DELAY_MICROS,
             TimeUnit.MICROSECONDS);
     long deadline = now() + left;
     event(
@@ -519,15 +573,15 @@
                   current.requestClass(),
                   current.tenant(),
                   current.key(),
-                  current.hint(),
+                  current.workHint(),
                   deadline,
-                  current.repeated(),
+                  current.clientRetry(),
                   false));
         });
   }
 
   private void clientLeft(ClientExchange exchange) {
-    Pending pending = byExchange.get(exchange);
+    Pending pending = pendingByExchange.get(exchange);
     if (pending != null && !pending.completed) {
       completed(pending, RequestStatistics.Disposition.LEFT);
       event(() -> balancer.clientLeft(now(), pending.id));
@@ -535,7 +589,7 @@
     }
   }
 
-  /** Ends the attempts that outlive their client, where the module has left them. */
+  /** Cancels the attempts that the load balancer has not cancelled although the client has left. */
   private void cancelAttempts(Pending pending) {
     pending.attempts.forEach(BackendAttempt::cancel);
   }
@@ -543,18 +597,21 @@
   private void outcome(
       Pending pending, int attempt, long server, long sentAt, AttemptResult result) {
     pending.attemptsInFlight--;
-    statistics.ended(result.outcome());
+    statistics.recordAttempt(result.outcome());
     boolean first = !pending.completed;
     if (result.served() != null && first) {
       pending.exchange.respond(HttpResponseStatus.OK, result.served(), 0);
       completed(pending, RequestStatistics.Disposition.SERVED);
     }
-    // Guards against asking every server what one has found to be no good, and against blaming it.
-    boolean bad = result.rejection() != null;
-    if (bad) {
+    // A 4xx response concerns the request itself. The attempt is reported as cancelled, so that the
+    // load balancer neither sends the request to every other backend nor counts the response
+    // against this one.
+    boolean invalidRequest = result.rejection() != null;
+    if (invalidRequest) {
       respond(pending, result.rejection(), 0);
     }
-    LoadBalancer.Outcome outcome = bad ? LoadBalancer.Outcome.CANCELLED : result.outcome();
+    LoadBalancer.Outcome outcome =
+        invalidRequest ? LoadBalancer.Outcome.CANCELLED : result.outcome();
     removeIfDone(pending);
     event(
         pending,
@@ -580,31 +637,31 @@
     }
   }
 
-  private void completed(Pending pending, RequestStatistics.Disposition how) {
+  private void completed(Pending pending, RequestStatistics.Disposition disposition) {
     pending.completed = true;
-    statistics.completed(how, pending.attempts.size());
-    if (how != RequestStatistics.Disposition.SERVED
-        && how != RequestStatistics.Disposition.LEFT
+    statistics.recordCompleted(disposition, pending.attempts.size());
+    if (disposition != RequestStatistics.Disposition.SERVED
+        && disposition != RequestStatistics.Disposition.LEFT
         && statistics.wantsUnserved()) {
-      statistics.unserved(
+      statistics.recordUnserved(
           pending.request.id(),
-          pending.request.type(),
-          RequestStatistics.word(how),
-          now() - pending.cameAt,
+          pending.request.className(),
+          RequestStatistics.lowerCaseName(disposition),
+          now() - pending.arrivedAt,
           pending.request.timeoutMs(),
           pending.attempts.stream()
               .map(each -> name(each.server()) + " " + each.describe())
               .toList());
     }
     pending.guard.cancel(false);
-    byExchange.remove(pending.exchange);
+    pendingByExchange.remove(pending.exchange);
     removeIfDone(pending);
   }
 
   private void removeIfDone(Pending pending) {
     if (pending.completed && pending.attemptsInFlight == 0) {
       pendingById.remove(pending.id);
-      byName.remove(pending.request.id(), pending);
+      pendingByRequestId.remove(pending.request.id(), pending);
     }
   }
 
@@ -620,7 +677,7 @@
     long sentAt = now();
     pending.attemptsInFlight++;
     if (attempt == 0) {
-      statistics.waited(sentAt - pending.cameAt);
+      statistics.recordWait(sentAt - pending.arrivedAt);
     }
     pending.attempts.add(
         backends.send(
@@ -670,7 +727,9 @@
   }
 
   @Override
-  public void sendToPeers(int agent, byte[] message) {} // the module sends no messages
+  public void sendToPeers(int agent, byte[] message) {
+    // The load balancer sends no messages to other agents.
+  }
 
   @Override
   public void timer(long token, long delay) {
@@ -692,11 +751,13 @@
   }
 
   /**
-   * Guards against the known list coming after discovery's, where the module asks as soon as it is
-   * made: it would take the newer one's place.
+   * Starts to follow discovery once the load balancer has received the list from the configuration
+   * and discovery is wanted. A load balancer may ask for discovery as soon as it is created;
+   * without the first condition the list from the configuration could arrive after the newer list
+   * from discovery and replace that list.
    */
   private void watchWhenStarted() {
-    if (known == null && watchRequested) {
+    if (knownList == null && watchRequested) {
       discovery.watch();
     }
   }
@@ -708,8 +769,8 @@
 
   @Override
   public void log(String line) {
-    say(
-        SERVER
+    logLine(
+        SERVER_ID_PREFIX
             .matcher(line)
             .replaceFirst(
                 match ->
@@ -717,12 +778,12 @@
   }
 
   private String name(long server) {
-    Discovery.ListedEndpoint listed = servers.get(server);
-    return listed == null ? null : listed.name();
+    Discovery.ListedEndpoint endpoint = servers.get(server);
+    return endpoint == null ? null : endpoint.name();
   }
 
-  /** One plain line to standard error, which is the agent's log. */
-  static void say(String line) {
+  /** Writes one line to standard error, which is the agent's log. */
+  static void logLine(String line) {
     System.err.println(line);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentConfig.java
@@ -25,23 +25,26 @@
 import slateslip.loadbalancer.SettingsParser;
 
 /**
- * The configuration of one real agent, as read from its JSON file.
+ * The configuration of one agent, as read from its JSON file.
  *
- * @param listen where the application connects
- * @param discovery where the server list comes from
- * @param seed for random choices; new with each start
+ * @param listen the address on which the agent listens for clients
+ * @param discovery the address of the discovery service
+ * @param seed the seed for random choices, different at each start
  * @param sockets how many file descriptors the process may hold
- * @param known the server list as this agent last had it, in discovery's form
- * @param settings what the module is told
- * @param classes names of the request classes, in the settings' order
- * @param tenants names of the tenants, in the settings' order
- * @param zones names of the zones, in the settings' order
- * @param kinds names of the kinds of machine, in the settings' order
- * @param loadFields names of the values of a load report, in the settings' order
- * @param loadByProbe whether only probes bring load reports
- * @param connectTimeoutMicros a connection not up by then has failed
- * @param idleCloseMicros a server closes a connection that has been idle for this long
- * @param live the version of the settings, or null where those of the start stay
+ * @param known the last server list of this agent, in the JSON format of discovery; null after
+ *     {@link #withoutKnown}
+ * @param settings the settings of the load balancer
+ * @param classes the names of the request classes, in the order of the settings
+ * @param tenants the names of the tenants, in the order of the settings
+ * @param zones the names of the zones, in the order of the settings
+ * @param kinds the names of the machine types, in the order of the settings
+ * @param loadFields the names of the values of a load report, in the order of the settings
+ * @param loadByProbe whether only responses to probes carry load reports
+ * @param connectTimeoutMicros the timeout for connecting to a backend, in microseconds
+ * @param idleCloseMicros how long a connection is idle before the backend closes it, in
+ *     microseconds
+ * @param live the version of the settings, or null if the settings cannot change while the agent
+ *     runs
  */
 public record AgentConfig(
     InetSocketAddress listen,
@@ -61,10 +64,11 @@
     Live live) {
 
   /**
-   * Settings that may be replaced while the agent runs.
+   * Identifies settings that can be replaced while the agent runs.
    *
-   * @param version grows with each change
-   * @param checkMs how often the file is looked at without a signal; 0 for never
+   * @param version the version of the settings, which grows with each change
+   * @param checkMs the interval, in milliseconds, at which the agent checks whether the file has
+   *     changed; 0 to read the file only after a signal
    */
   public record Live(long version, long checkMs) {}
 
@@ -72,8 +76,8 @@
   private static final String KNOWN = "known";
 
   /**
-   * The file is looked at no more often than this: a look costs a call of the system, a change a
-   * read.
+   * The shortest permitted interval between two checks of the file. Each check costs a system call,
+   * and each change costs a read of the file.
    */
   private static final long MIN_CHECK_MS = 10;
 
@@ -84,31 +88,36 @@
               StreamReadConstraints.builder().maxNestingDepth(NESTING_MAX).build())
           .build();
 
-  /** Reads the file; an unusable one is an exception whose message is one plain line. */
+  /**
+   * Reads the configuration file.
+   *
+   * @throws IllegalArgumentException if the file is unreadable or unusable; the message is one line
+   */
   public static AgentConfig read(Path file) {
     JsonNode root;
     try {
       root = json(new ByteArrayInputStream(Files.readAllBytes(file)));
     } catch (IOException e) {
-      throw unreadable(file, e);
+      throw unreadableFile(file, e);
     }
     return of(root);
   }
 
   /**
-   * Reads a configuration that has been parsed.
+   * Converts a parsed JSON document to a configuration.
    *
-   * @throws IllegalArgumentException if it is unusable; the message begins with the key
+   * @throws IllegalArgumentException if the configuration is unusable; the message begins with the
+   *     key
    */
   public static AgentConfig of(JsonNode root) {
-    JsonNode settings = need(root, "settings");
+    JsonNode settings = require(root, "settings");
     Map<String, String> pairs = new HashMap<>();
     flatten("", settings, pairs);
     return new AgentConfig(
-        address(text(root, "listen")),
-        address(text(root, "discovery")),
-        seed(text(root, "seed")),
-        (int) requireAtLeast(64, need(root, "limits"), "sockets"),
+        address(requireText(root, "listen")),
+        address(requireText(root, "discovery")),
+        seed(requireText(root, "seed")),
+        (int) requireAtLeast(64, require(root, "limits"), "sockets"),
         root.path(KNOWN),
         SettingsParser.parse(pairs),
         names(settings.path("classes")),
@@ -117,8 +126,8 @@
         names(settings.path("kinds")),
         names(settings.path("load-info").path("fields")),
         settings.path("load-info").path("via").asText().equals("probe"),
-        requireAtLeast(1000, need(settings, "caps"), "dial-timeout-us"),
-        requireAtLeast(1000, need(settings, "caps"), "idle-close-us"),
+        requireAtLeast(1000, require(settings, "caps"), "dial-timeout-us"),
+        requireAtLeast(1000, require(settings, "caps"), "idle-close-us"),
         live(root));
   }
 
@@ -127,14 +136,17 @@
     if (version < 0) {
       return null;
     }
-    long every = root.get(LIVE).has("check_ms") ? live(root, "check_ms") : 0;
-    if (every != 0 && every < MIN_CHECK_MS) {
-      throw badLive("check_ms", root.get(LIVE).get("check_ms"));
+    long checkMs = root.get(LIVE).has("check_ms") ? live(root, "check_ms") : 0;
+    if (checkMs != 0 && checkMs < MIN_CHECK_MS) {
+      throw invalidLiveSetting("check_ms", root.get(LIVE).get("check_ms"));
     }
-    return new Live(version, every);
+    return new Live(version, checkMs);
   }
 
-  /** The version of the settings in a file, or -1 where they have none. */
+  /**
+   * Returns the version of the settings in a configuration document, or -1 if the document has no
+   * live settings. Throws IllegalArgumentException if the version is not a non-negative integer.
+   */
   static long version(JsonNode root) {
     return root.path(LIVE).isMissingNode() ? -1 : live(root, "version");
   }
@@ -142,35 +154,39 @@
   private static long live(JsonNode root, String name) {
     JsonNode value = root.get(LIVE).path(name);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < 0) {
-      throw badLive(name, value);
+      throw invalidLiveSetting(name, value);
     }
     return value.asLong();
   }
 
-  private static IllegalArgumentException badLive(String name, JsonNode value) {
+  private static IllegalArgumentException invalidLiveSetting(String name, JsonNode value) {
     return new IllegalArgumentException(
         "config: " + LIVE + "." + name + " has an unusable value: " + value);
   }
 
-  /** Where discovery is, or null if a file does not tell. */
+  /**
+   * Returns the address of discovery from a configuration document, or null if the document has no
+   * usable address.
+   */
   static InetSocketAddress discovery(JsonNode root) {
     try {
-      return address(text(root, "discovery"));
+      return address(requireText(root, "discovery"));
     } catch (IllegalArgumentException e) {
       return null;
     }
   }
 
   /**
-   * Whether the two say the same but for what matters at the start alone, and where discovery is.
+   * Returns whether two configurations differ at most in the address of discovery and in the seed
+   * and the known list, which matter only at the start.
    */
   boolean sameSettings(AgentConfig other) {
-    return unchanging().equals(other.unchanging());
+    return withoutStartValues().equals(other.withoutStartValues());
   }
 
   /**
-   * The same without the known list, which is needed once. Guards against a tree of it that is kept
-   * for as long as the agent runs: for a large fleet it would take a great part of the heap.
+   * Returns a copy without the known list, which only the start needs. Keeping the JSON tree of a
+   * large fleet for as long as the agent runs would occupy a large part of the heap.
    */
   AgentConfig withoutKnown() {
     return new AgentConfig(
@@ -191,7 +207,7 @@
         live);
   }
 
-  private AgentConfig unchanging() {
+  private AgentConfig withoutStartValues() {
     return new AgentConfig(
         listen,
         null,
@@ -211,15 +227,16 @@
   }
 
   /**
-   * Reads the file of an agent that runs, but for the known list: it matters at the start alone,
-   * and may be by far the largest part. What is not complete is unusable, also where something
-   * follows its end: a shorter file may have been written over a longer one.
+   * Reads the configuration file while the agent runs, without the known list: only the start uses
+   * that list, and the list may be by far the largest part of the file. Throws
+   * IllegalArgumentException if the file is incomplete, or if content follows the JSON object,
+   * because a shorter file may have been written over a longer one.
    */
-  static JsonNode readAgain(Path file) {
+  static JsonNode readForReload(Path file) {
     try (InputStream from = Files.newInputStream(file);
         JsonParser parser = JSON.createParser(from)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new IllegalArgumentException("cannot read " + file + ": no JSON object");
+        throw new IllegalArgumentException("cannot read " + file + ": not a JSON object");
       }
       ObjectNode root = JsonNodeFactory.instance.objectNode();
       while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -232,23 +249,24 @@
         }
       }
       if (parser.nextToken() != null) {
-        throw new IllegalArgumentException("cannot read " + file + ": something follows its end");
+        throw new IllegalArgumentException(
+            "cannot read " + file + ": content after the end of the JSON object");
       }
       return root;
     } catch (IOException e) {
-      throw unreadable(file, e);
+      throw unreadableFile(file, e);
     }
   }
 
-  private static IllegalArgumentException unreadable(Path file, IOException e) {
+  private static IllegalArgumentException unreadableFile(Path file, IOException e) {
     String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     return new IllegalArgumentException("cannot read " + file + ": " + why, e);
   }
 
   /**
-   * Reads JSON. The library's mapper would do the same, but its making takes a quarter of a second
-   * on half a core (it sets up dates, locales and the reading of classes): nobody is served
-   * meanwhile.
+   * Parses JSON into a tree; an empty input gives a missing node. Does not use the ObjectMapper of
+   * Jackson, whose creation takes a quarter of a second on half a core (it sets up date formats,
+   * locales and class introspection), during which the agent serves no requests.
    */
   public static JsonNode json(InputStream from) throws IOException {
     try (JsonParser parser = JSON.createParser(from)) {
@@ -298,7 +316,8 @@
   }
 
   /**
-   * Nested JSON as the path=value pairs of the simulator's first message: one parser serves both.
+   * Converts nested JSON to the path=value pairs of the simulator's start frame, so that the same
+   * parser reads the settings of both.
    */
   private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
     if (node.isObject()) {
@@ -317,21 +336,21 @@
     } else if (node.isArray()) {
       pairs.put(path, String.join(",", names(node)));
       if (node.isEmpty()) {
-        pairs.put(path + ".count", "0"); // it may have been meant as a list of objects
+        pairs.put(path + ".count", "0"); // An empty array may stand for an empty list of objects.
       }
     } else if (!node.isNull()) {
       pairs.put(path, node.asText());
     }
   }
 
-  /** The words of a list of words, or the names of a list of objects. */
+  /** Returns the strings of an array of strings, or the values of "name" of an array of objects. */
   private static List<String> names(JsonNode list) {
     List<String> names = new ArrayList<>();
     list.forEach(each -> names.add(each.isObject() ? each.path("name").asText() : each.asText()));
     return List.copyOf(names);
   }
 
-  private static JsonNode need(JsonNode node, String name) {
+  private static JsonNode require(JsonNode node, String name) {
     JsonNode found = node.path(name);
     if (found.isMissingNode() || found.isNull()) {
       throw new IllegalArgumentException("config: " + name + " is missing");
@@ -339,12 +358,12 @@
     return found;
   }
 
-  private static String text(JsonNode node, String name) {
-    return need(node, name).asText();
+  private static String requireText(JsonNode node, String name) {
+    return require(node, name).asText();
   }
 
   private static long requireAtLeast(long minimum, JsonNode node, String name) {
-    JsonNode value = need(node, name);
+    JsonNode value = require(node, name);
     if (!value.isNumber() || value.asLong() < minimum) {
       throw new IllegalArgumentException("config: " + name + " has an unusable value: " + value);
     }
@@ -359,7 +378,11 @@
     }
   }
 
-  /** An address as the configuration and discovery write it: a literal one, for there is no DNS. */
+  /**
+   * Parses an address of the form ip:port, as the configuration and discovery write addresses. Host
+   * names are not supported because there is no DNS. Throws IllegalArgumentException if the address
+   * is unusable.
+   */
   public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     byte[] host =
--- a/src/main/java/slateslip/loadbalancer/net/AgentShutdown.java
+++ b/src/main/java/slateslip/loadbalancer/net/AgentShutdown.java
@@ -8,35 +8,39 @@
 import java.util.function.LongSupplier;
 
 /**
- * Graceful shutdown of an agent: serves on for as long as its time allows, then finishes what it
- * holds. Guards against nobody being there while agents are restarted in turn and one takes longer
- * than planned until it is ready: clients go on using the connections that they have. Harm: where
- * the end is forced sooner than the protocol has it, requests are open then; and a restart may take
- * 2 s longer. {@link #stop} is called from any thread; all else runs on the event loop.
+ * Shuts an agent down gracefully: the agent first keeps serving for as long as its time permits and
+ * then completes the requests in flight. During a rolling restart the next agent may take longer
+ * than planned to become ready; clients can meanwhile keep using their connections to this one.
+ * Drawbacks: if the process is killed sooner than the protocol permits, requests are still open at
+ * that moment, and a restart may take 2 s longer. {@link #stop} may be called from any thread;
+ * everything else runs on the event loop.
  */
 final class AgentShutdown {
-  /** How long new connections come at the most after the end was asked for. */
-  private static final long LINGER_MS = 500;
+  /**
+   * The longest time after the start of the shutdown during which clients still open new
+   * connections. After this time the agent stops as soon as no client is connected.
+   */
+  private static final long LAST_ARRIVAL_MS = 500;
 
-  /** By so much longer than the longest deadline an agent has until it is killed. */
+  /** The time between the longest deadline of a request and the kill of the process. */
   private static final long KILL_AFTER_MS = 700;
 
   /**
-   * However long the deadlines are, the kill comes as if the longest were this: the protocol has it
-   * so.
+   * Upper limit for the longest deadline in the calculation of the kill time, as the protocol
+   * defines it, however long the configured deadlines are.
    */
-  private static final long KILL_DEADLINE_MS = 3_000;
+  private static final long MAX_DEADLINE_MS = 3_000;
 
   /**
-   * So long before that the last answers are given, and so long before those connections begin to
-   * end.
+   * How long before the kill the agent sends the last responses. {@link #CLOSING_MS} is how long
+   * before these responses the agent starts to close connections.
    */
-  private static final long LAST_MS = 200;
+  private static final long LAST_RESPONSE_MARGIN_MS = 200;
 
   private static final long CLOSING_MS = 300;
 
-  /** However long the deadlines are, connections begin to end after this. */
-  private static final long MAX_SERVE_ON_MS = 2_000;
+  /** The time after which the agent starts to close connections, however long the deadlines are. */
+  private static final long MAX_SERVING_MS = 2_000;
 
   private static final long POLL_MS = 10;
 
@@ -51,12 +55,13 @@
   private boolean closing;
 
   /**
-   * Not asked for yet.
+   * Creates the shutdown procedure without starting it.
    *
-   * @param longestTimeoutMillis of all classes of requests in force
-   * @param openRequests how many are owed a response
-   * @param timeOutRequests answers all of these
-   * @param closeAll closes what is left once no client is connected, and calls {@link #ended}
+   * @param longestTimeoutMillis returns the longest timeout of the request classes in force
+   * @param openRequests returns the number of requests without a final response
+   * @param timeOutRequests sends a final response to all open requests
+   * @param closeAll closes the remaining resources after the last client connection, and causes a
+   *     call of {@link #markEnded}
    */
   AgentShutdown(
       EventLoop loop,
@@ -77,7 +82,10 @@
     return stopping.get();
   }
 
-  /** Shuts down and returns when all is done. */
+  /**
+   * Starts the shutdown unless it has already started, and returns when all threads of the agent
+   * have ended.
+   */
   void stop() {
     if (!stopping.getAndSet(true)) {
       loop.execute(this::start);
@@ -86,19 +94,23 @@
   }
 
   private void start() {
-    long last =
-        Math.min(longestTimeoutMillis.getAsLong(), KILL_DEADLINE_MS) + KILL_AFTER_MS - LAST_MS;
-    Agent.say(
+    long lastResponseMs =
+        Math.min(longestTimeoutMillis.getAsLong(), MAX_DEADLINE_MS)
+            + KILL_AFTER_MS
+            - LAST_RESPONSE_MARGIN_MS;
+    Agent.logLine(
         "ending: "
             + openRequests.getAsInt()
             + " requests open, the last answers come after "
-            + last
+            + lastResponseMs
             + " ms");
     clients.startShutdown();
-    loop.schedule(this::closeIfUnused, LINGER_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::closeIfUnused, LAST_ARRIVAL_MS, TimeUnit.MILLISECONDS);
     loop.schedule(
-        this::beginClosing, Math.min(MAX_SERVE_ON_MS, last - CLOSING_MS), TimeUnit.MILLISECONDS);
-    loop.schedule(timeOutRequests, last, TimeUnit.MILLISECONDS);
+        this::beginClosing,
+        Math.min(MAX_SERVING_MS, lastResponseMs - CLOSING_MS),
+        TimeUnit.MILLISECONDS);
+    loop.schedule(timeOutRequests, lastResponseMs, TimeUnit.MILLISECONDS);
   }
 
   private void closeIfUnused() {
@@ -119,7 +131,7 @@
   }
 
   private void awaitConnectionsClosed() {
-    // Answers still being written hold their connections open.
+    // A connection stays in this count until its last response is written.
     if (clients.isEmpty()) {
       clients.stopListening();
       closeAll.run();
@@ -128,8 +140,8 @@
     }
   }
 
-  /** All threads of the agent have ended. */
-  void ended() {
+  /** Marks that all threads of the agent have ended. */
+  void markEnded() {
     ended.countDown();
   }
 
--- a/src/main/java/slateslip/loadbalancer/net/AttemptResult.java
+++ b/src/main/java/slateslip/loadbalancer/net/AttemptResult.java
@@ -4,7 +4,9 @@
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
- * How an attempt or probe ended; what was served, or the status that blames the request, else null.
+ * The result of an attempt or a probe. {@code load} is empty if the response has no load report.
+ * {@code served} is null unless the status is 200. {@code rejection} is the client error status
+ * that is passed on to the client, or null.
  */
 record AttemptResult(
     Outcome outcome, double[] load, ServedResponse served, HttpResponseStatus rejection) {}
--- a/src/main/java/slateslip/loadbalancer/net/BackendAttempt.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendAttempt.java
@@ -16,14 +16,17 @@
 import java.util.function.Consumer;
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
-/** One request on its way to a server, or a probe. */
+/** One attempt to send a request to a backend, or one probe of a backend. */
 final class BackendAttempt {
-  /** A connection that breaks so soon after a write was dead before it. */
+  /**
+   * If a connection is reset within this time of the start of the attempt, the connection was
+   * already dead before the attempt.
+   */
   private static final long IMMEDIATE_RESET_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   /**
-   * After this part of the time that a connection may take it is late; another is dialled beside
-   * it.
+   * The fraction of the connect timeout after which a connection attempt counts as late, so that
+   * the agent opens a second connection in parallel.
    */
   private static final double LATE_CONNECT_FRACTION = 0.125;
 
@@ -32,24 +35,30 @@
   private final long startedAt = System.nanoTime();
   private final OutgoingRequest request;
   private final Consumer<AttemptResult> onResult;
-  private final long endAt;
+  private final long deadlineNanos;
   private final boolean hasTimeout;
   private final Future<?> timer;
   private BackendPool pool;
   private BackendConnection connection;
 
-  /** How many connections were dialled for it, and those of them that are not up yet. */
+  /**
+   * The number of connections that were opened for this attempt. {@link #dialling} holds those that
+   * are not connected yet.
+   */
   private int dials;
 
   private final Set<Channel> dialling = new HashSet<>();
   private boolean written;
 
-  /** How long its connection had idled before; negative for a new one. */
-  private long idledNanos = -1;
+  /** How long the connection had been idle before this attempt; negative for a new connection. */
+  private long idleNanos = -1;
 
   private boolean ended;
 
-  /** For the log: how it ended and when. */
+  /**
+   * How the attempt ended, or null while the attempt is in flight. Used only for the log, together
+   * with the time of the end.
+   */
   private Outcome outcome;
 
   private long endedAt;
@@ -65,7 +74,7 @@
     this.request = request;
     this.onResult = onResult;
     this.hasTimeout = timeoutMicros > 0;
-    this.endAt = System.nanoTime() + 1000 * timeoutMicros;
+    this.deadlineNanos = System.nanoTime() + 1000 * timeoutMicros;
     this.timer =
         hasTimeout
             ? owner
@@ -74,7 +83,7 @@
             : null;
   }
 
-  /** Whether its request has left this process. */
+  /** Returns whether the request has been written to the socket completely. */
   boolean isWritten() {
     return written;
   }
@@ -87,11 +96,11 @@
     return server;
   }
 
-  /** What became of it, in words for the log. */
+  /** Describes the state of this attempt for the "unserved:" log line. */
   String describe() {
     long nanos = (ended ? endedAt : System.nanoTime()) - startedAt;
     String dialled = dials == 0 ? "" : dials == 1 ? " dialled" : " dialled twice";
-    return (outcome == null ? "out" : RequestStatistics.word(outcome))
+    return (outcome == null ? "out" : RequestStatistics.lowerCaseName(outcome))
         + dialled
         + (written ? "" : " unwritten")
         + " after "
@@ -107,12 +116,12 @@
     }
     BackendConnection idle = owner.takeReusable(pool);
     if (idle != null) {
-      idledNanos = startedAt - idle.idleSince();
+      idleNanos = startedAt - idle.idleSince();
       write(idle);
     } else if (owner.makeRoomForConnection()) {
       connect();
     } else {
-      end(Outcome.NEVER_SENT); // Guards against running out of descriptors.
+      end(Outcome.NEVER_SENT); // The limit on file descriptors permits no more.
     }
   }
 
@@ -120,40 +129,44 @@
     pool.connecting.add(this);
     int timeoutMillis = owner.connectTimeoutMillis();
     dial(timeoutMillis);
-    int late = (int) (LATE_CONNECT_FRACTION * timeoutMillis);
-    if (!ended && late > 0) {
-      owner.loop().schedule(() -> dialSecond(timeoutMillis - late), late, TimeUnit.MILLISECONDS);
+    int lateMillis = (int) (LATE_CONNECT_FRACTION * timeoutMillis);
+    if (!ended && lateMillis > 0) {
+      owner
+          .loop()
+          .schedule(
+              () -> dialSecond(timeoutMillis - lateMillis), lateMillis, TimeUnit.MILLISECONDS);
     }
   }
 
   /**
-   * Guards against a network that brings some connections up late or never: each would cost its
-   * request most of its time. Both dials together take no longer than one may, for a repeat's
-   * window depends on that.
+   * Opens a second connection. On a network on which some connections come up late or never, a
+   * single connection attempt would use up most of the request's time. The two connection attempts
+   * together take no longer than the connect timeout, because the deduplication window of a retried
+   * request depends on that.
    */
   private void dialSecond(int timeoutMillis) {
     if (!ended && connection == null && owner.makeRoomForConnection()) {
-      owner.statistics().secondConnectionDialled();
+      owner.statistics().recordSecondConnect();
       dial(timeoutMillis);
     }
   }
 
   private void dial(int timeoutMillis) {
-    BackendConnection fresh = new BackendConnection(owner, pool);
+    BackendConnection newConnection = new BackendConnection(owner, pool);
     ChannelFuture connecting =
         owner
             .bootstrap()
             .clone()
-            .handler(fresh)
+            .handler(newConnection)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMillis)
             .connect(pool.address);
-    if (InspectableSocketChannel.noSocket(connecting)) {
-      endIfNoneComesUp(Outcome.NEVER_SENT);
+    if (InspectableSocketChannel.failedToOpenSocket(connecting)) {
+      endIfNoConnectPending(Outcome.NEVER_SENT);
       return;
     }
     owner.connectionOpened();
     dials++;
-    owner.statistics().connectionDialled();
+    owner.statistics().recordConnect();
     Channel dialled = connecting.channel();
     dialling.add(dialled);
     dialled.closeFuture().addListener(closed -> owner.connectionClosed());
@@ -161,32 +174,33 @@
         done -> {
           dialling.remove(dialled);
           if (!done.isSuccess()) {
-            endIfNoneComesUp(Outcome.CONNECT_FAILED);
+            endIfNoConnectPending(Outcome.CONNECT_FAILED);
           } else if (pool.retired) {
             dialled.close();
           } else if (ended || connection != null) {
-            keep(fresh); // it has its price paid, and serves the next
+            // The connection is established, so the next request can use it.
+            returnToPool(newConnection);
           } else {
             pool.connecting.remove(this);
-            write(fresh);
+            write(newConnection);
           }
         });
   }
 
-  private void endIfNoneComesUp(Outcome outcome) {
+  private void endIfNoConnectPending(Outcome outcome) {
     if (connection == null && dialling.isEmpty()) {
       end(outcome);
     }
   }
 
-  private void keep(BackendConnection unused) {
+  private void returnToPool(BackendConnection unused) {
     unused.markIdle();
     pool.idle.addFirst(unused);
   }
 
   private void write(BackendConnection to) {
     connection = to;
-    to.use(this);
+    to.assign(this);
     var message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -203,7 +217,8 @@
     }
     if (hasTimeout) {
       headers.set(
-          BackendConnections.REQUEST_TIMEOUT, Math.max(1, (endAt - System.nanoTime()) / 1_000_000));
+          BackendConnections.REQUEST_TIMEOUT,
+          Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000));
     }
     to.channel()
         .writeAndFlush(message)
@@ -211,15 +226,18 @@
             done -> {
               written |= done.isSuccess();
               if (!done.isSuccess()) {
-                end(Outcome.CONNECT_FAILED); // the last byte never left, so it cannot have begun
+                // The request was not sent completely, so the backend cannot have started to
+                // process it.
+                end(Outcome.CONNECT_FAILED);
               }
             });
   }
 
   /**
-   * The connection has ended under the attempt. Before its last byte was written it did not run.
+   * Ends the attempt because its connection was lost. If the request was not written completely,
+   * the backend has not processed it.
    */
-  void broken() {
+  void connectionLost() {
     end(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
   }
 
@@ -238,12 +256,12 @@
     ended = true;
     outcome = result.outcome();
     endedAt = System.nanoTime();
-    boolean atOnce = outcome == Outcome.RESET && endedAt - startedAt < IMMEDIATE_RESET_NANOS;
+    boolean immediate = outcome == Outcome.RESET && endedAt - startedAt < IMMEDIATE_RESET_NANOS;
     if (outcome == Outcome.RESET) {
-      owner.statistics().connectionReset(idledNanos >= 0, atOnce);
+      owner.statistics().recordReset(idleNanos >= 0, immediate);
     }
-    if (idledNanos >= 0) {
-      owner.idleTimeout().recordUse(idledNanos, atOnce, endedAt);
+    if (idleNanos >= 0) {
+      owner.idleTimeout().recordUse(idleNanos, immediate, endedAt);
     }
     if (timer != null) {
       timer.cancel(false);
@@ -252,14 +270,15 @@
       pool.connecting.remove(this);
     }
     if (connection != null) {
-      connection.use(null);
+      connection.assign(null);
       if (reusable && written && !pool.retired) {
-        keep(connection);
+        returnToPool(connection);
       } else {
-        connection.channel().close(); // what may still come on it belongs to nobody
+        // A late response on this connection must not reach another request.
+        connection.channel().close();
       }
     }
-    AgentConfig readUnder = owner.config();
-    owner.loop().execute(() -> onResult.accept(owner.reported(result, readUnder)));
+    AgentConfig parsedWith = owner.config();
+    owner.loop().execute(() -> onResult.accept(owner.withoutStaleLoad(result, parsedWith)));
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/BackendConnection.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnection.java
@@ -3,13 +3,13 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 
-/** One connection to a server. */
+/** One connection to a backend. */
 final class BackendConnection extends ChannelInitializer<InspectableSocketChannel> {
   private final BackendConnections owner;
   private final BackendPool pool;
   private InspectableSocketChannel channel;
 
-  /** The attempt that uses it, or null. */
+  /** The attempt that uses this connection, or null. */
   private BackendAttempt attempt;
 
   private long idleSince;
@@ -27,17 +27,17 @@
     return channel;
   }
 
-  /** The attempt that uses it, or null. */
+  /** Returns the attempt that uses this connection, or null. */
   BackendAttempt attempt() {
     return attempt;
   }
 
-  /** An attempt uses it from now on; null for none. */
-  void use(BackendAttempt next) {
+  /** Assigns this connection to an attempt, or to none if {@code next} is null. */
+  void assign(BackendAttempt next) {
     attempt = next;
   }
 
-  /** Since when it has been idle, in nanoseconds of steady time. */
+  /** Returns the time, by {@link System#nanoTime}, at which this connection became idle. */
   long idleSince() {
     return idleSince;
   }
--- a/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendConnections.java
@@ -16,9 +16,9 @@
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
- * The connections to the servers: a pool, one request a connection, attempts and probes with their
- * outcomes. All of it runs on the agent's event loop, and every result is queued there, not handed
- * over in a call.
+ * The connection pools of all backends, and the attempts and probes that use them. A connection
+ * carries one request at a time. Confined to the agent's event loop; every result is delivered by a
+ * task on that loop, never within the call that causes it.
  */
 final class BackendConnections {
   static final String REQUEST_TIMEOUT = "Request-Timeout-Ms";
@@ -26,15 +26,15 @@
 
   static final byte[] NO_BODY = new byte[0];
 
-  /** The part of the servers' idle time after which a connection is not used again. */
+  /** The fraction of the backends' idle timeout after which a pooled connection is not reused. */
   private static final double IDLE_TIME_FRACTION = 0.75;
 
   private static final long SWEEP_SECONDS = 1;
 
   /**
-   * A connection rests for this long after a response. Guards against a second copy or noise right
-   * behind the response, which would be taken for the response of the next request: it shows in
-   * that time.
+   * How long a connection remains unused after a response. A duplicate response or garbage right
+   * behind the response arrives within this time; without the delay these bytes would be taken for
+   * the response to the next request.
    */
   private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
@@ -47,7 +47,7 @@
   private final IdleConnectionTimeout idleTimeout;
   private int maxConnections;
 
-  /** How long a connection may take, ms. */
+  /** The timeout for connecting to a backend, in milliseconds. */
   private int connectTimeoutMillis;
 
   private final Map<Long, BackendPool> pools = new HashMap<>();
@@ -58,7 +58,7 @@
     this(loop, config, maxConnections, statistics, InspectableSocketChannel::new);
   }
 
-  /** With sockets that come from elsewhere than the usual ones. */
+  /** Creates the pools with sockets from the given factory, for tests. */
   BackendConnections(
       EventLoop loop,
       AgentConfig config,
@@ -84,38 +84,41 @@
     return (int) (config.connectTimeoutMicros() / 1000);
   }
 
-  /** Goes by another configuration from now on; what is out goes on as it began. */
+  /** Applies another configuration. Attempts in flight continue under the previous one. */
   void apply(AgentConfig next, int connections) {
     config = next;
     maxConnections = connections;
-    idleTimeout.limitTo(idleNanos(next));
+    idleTimeout.setMaxNanos(idleNanos(next));
     connectTimeoutMillis = connectMs(next);
   }
 
-  /** Applies a line of the server list. */
+  /**
+   * Creates, replaces or removes the pool of a backend according to its entry in the server list.
+   */
   void update(Discovery.ListedEndpoint endpoint) {
     long id = endpoint.server().id();
     BackendPool pool = pools.get(id);
     if (endpoint.server().phase() != LoadBalancer.Phase.READY) {
       remove(id);
     } else if (pool == null || !pool.address.equals(endpoint.address())) {
-      remove(id); // Guards against using what leads to the address that it had before.
+      remove(id); // Connections to the previous address must not be used any longer.
       pools.put(id, new BackendPool(endpoint.address(), REUSE_DELAY_NANOS));
     }
   }
 
   /**
-   * The agent itself as a server: nothing but its answers comes from it, so connections need no
-   * rest.
+   * Adds the agent itself as a backend, for the warm-up. Its connections have no reuse delay,
+   * because only the agent's own responses arrive on them.
    */
   void addSelf(long id, InetSocketAddress address) {
     pools.put(id, new BackendPool(address, 0));
   }
 
   /**
-   * Nothing new goes to this server, and nothing is kept for it but by the attempts that are out.
-   * Guards against a request that is written when its connection comes up only after the drain was
-   * told, and against memory and connections kept for servers that will never come back.
+   * Removes the pool of a backend. Attempts that still wait for a connection end with {@link
+   * Outcome#NEVER_SENT}; attempts in flight continue. Otherwise a request whose connection comes up
+   * after the backend started draining would still be sent, and memory and connections would be
+   * kept for backends that never return.
    */
   void remove(long server) {
     BackendPool pool = pools.remove(server);
@@ -133,12 +136,12 @@
     }
   }
 
-  /** How many connections to servers there are. */
+  /** Returns the number of connections to backends, including those that are not connected yet. */
   int connections() {
     return connections;
   }
 
-  /** How many servers something is kept for. */
+  /** Returns the number of backends that have a connection pool. */
   int size() {
     return pools.size();
   }
@@ -153,7 +156,9 @@
   }
 
   /**
-   * Makes room under the limit on sockets by closing the connection that has been idle for longest.
+   * Returns whether another connection may be opened. At the limit on sockets this method closes
+   * the connection that has been idle for longest; returns false if no connection is idle or the
+   * closed one still counts.
    */
   boolean makeRoomForConnection() {
     if (connections < maxConnections) {
@@ -174,8 +179,8 @@
   }
 
   /**
-   * Takes the most recently used connection that has rested and had nothing to read meanwhile, or
-   * none.
+   * Takes the most recently used idle connection whose reuse delay has passed and on which nothing
+   * has arrived meanwhile; returns null if there is none.
    */
   BackendConnection takeReusable(BackendPool pool) {
     for (BackendConnection each : List.copyOf(pool.idle)) {
@@ -190,7 +195,10 @@
     return null;
   }
 
-  /** Sends a request; a time-out of 0 is none. The result comes later, exactly once. */
+  /**
+   * Sends a request to a backend. The result is delivered later, exactly once. A timeout of 0
+   * microseconds means that there is none.
+   */
   BackendAttempt send(
       long server, OutgoingRequest request, long timeoutMicros, Consumer<AttemptResult> onResult) {
     BackendAttempt attempt = new BackendAttempt(this, server, request, timeoutMicros, onResult);
@@ -198,7 +206,7 @@
     return attempt;
   }
 
-  /** Asks a server for its health. */
+  /** Sends a health check to a backend and delivers the result later, exactly once. */
   void probe(long server, Consumer<AttemptResult> onResult) {
     OutgoingRequest request =
         new OutgoingRequest(
@@ -209,10 +217,14 @@
     new BackendAttempt(this, server, request, PROBE_TIMEOUT_MICROS, onResult).start();
   }
 
-  /** Without the report of load if that was read under another configuration's fields. */
-  @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
-  AttemptResult reported(AttemptResult result, AgentConfig readUnder) {
-    return readUnder == config
+  /**
+   * Removes the load report from a result if another configuration has come into force since the
+   * report was read, because the load fields may differ.
+   */
+  // Each configuration that comes into force is a distinct object.
+  @SuppressWarnings("ReferenceEquality")
+  AttemptResult withoutStaleLoad(AttemptResult result, AgentConfig parsedWith) {
+    return parsedWith == config
         ? result
         : new AttemptResult(result.outcome(), LoadReport.NONE, result.served(), result.rejection());
   }
@@ -241,7 +253,7 @@
     return connectTimeoutMillis;
   }
 
-  /** The pool of a server, or null if none is kept. */
+  /** Returns the connection pool of a backend, or null if there is none. */
   BackendPool pool(long server) {
     return pools.get(server);
   }
--- a/src/main/java/slateslip/loadbalancer/net/BackendPool.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendPool.java
@@ -7,13 +7,17 @@
 import java.util.Set;
 
 /**
- * What is kept for one server at one address, from its first line as ready until it drains or goes.
+ * The connections to one backend at one address. The pool exists from the first entry that lists
+ * the backend as ready until the backend drains, leaves or moves.
  */
 final class BackendPool {
   final InetSocketAddress address;
   final long reuseDelayNanos;
 
-  /** Most recently used first: what is not needed grows old and is closed. */
+  /**
+   * Idle connections, the most recently used first. Connections at the end become too old and are
+   * closed if they are not needed.
+   */
   final Deque<BackendConnection> idle = new ArrayDeque<>();
 
   final Set<BackendAttempt> connecting = new HashSet<>();
--- a/src/main/java/slateslip/loadbalancer/net/BackendResponseHandler.java
+++ b/src/main/java/slateslip/loadbalancer/net/BackendResponseHandler.java
@@ -17,11 +17,13 @@
 import java.util.Set;
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
-/** Turns what arrives on a connection into the outcome of its attempt. */
+/**
+ * Reads the responses on a connection to a backend and ends the attempt that uses the connection.
+ */
 final class BackendResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
   /**
-   * Of the answers that blame the request those that blame the moment: too slow, too early, too
-   * many.
+   * Client error statuses that concern the time of the request rather than its content (request
+   * timeout, too early, too many requests): another attempt may succeed.
    */
   private static final Set<Integer> MAY_SUCCEED_LATER = Set.of(408, 425, 429);
 
@@ -33,8 +35,8 @@
   private final StrictHttpDecoders.Responses decoder;
 
   /**
-   * The response that is coming in, or null; one with a status of 1xx goes ahead of the one
-   * awaited.
+   * The head of the response that is being received, or null. Informational responses (1xx) may
+   * precede the final response.
    */
   private HttpResponse head;
 
@@ -53,13 +55,14 @@
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     BackendAttempt attempt = connection.attempt();
     if (attempt == null) {
-      ctx.close(); // a response to nothing
+      ctx.close(); // No request awaits this response.
       return;
     }
-    String fault = faultOf(attempt, part);
+    String fault = processPart(attempt, part);
     if (fault != null) {
       owner.statistics().recordMalformed(fault);
-      attempt.broken(); // nothing of it is served, and it may have run
+      // The response is not served, but the backend may have processed the request.
+      attempt.connectionLost();
     } else if (part instanceof LastHttpContent) {
       HttpResponse complete = head;
       head = null;
@@ -69,32 +72,38 @@
     }
   }
 
-  /** Takes a part of a response; says what is wrong with it, or null. */
-  private String faultOf(BackendAttempt attempt, HttpObject part) {
+  /**
+   * Processes a part of a response. Returns a description of the fault, or null if the part is
+   * valid.
+   */
+  private String processPart(BackendAttempt attempt, HttpObject part) {
     if (part.decoderResult().isFailure()) {
       return "unreadable: " + part.decoderResult().cause().getMessage();
     }
     if (!attempt.isWritten()) {
-      return "early"; // before the request has left whole it cannot be a response to it
+      // A response to this request cannot arrive before the request has been sent.
+      return "response before the request was sent";
     }
     if (part instanceof HttpResponse first && !beginResponse(first)) {
       return "status "
           + first.status().code()
-          + " with "
+          + " with body length "
           + StrictHttpDecoders.framing(first.headers());
     }
-    return part instanceof HttpContent content && !addBody(content) ? "too long" : null;
+    return part instanceof HttpContent content && !addBody(content) ? "body too long" : null;
   }
 
-  /** Takes the head of a response; false if it cannot end well. */
+  /**
+   * Processes the head of a response. Returns false if the response cannot be received completely.
+   */
   private boolean beginResponse(HttpResponse first) {
     head = first;
     int status = first.status().code();
     long length = StrictHttpDecoders.framing(first.headers());
     if (status < FIRST_FINAL_STATUS) {
-      return status != SWITCHING_PROTOCOLS; // nobody asked for another protocol
+      return status != SWITCHING_PROTOCOLS; // The agent never requests a protocol upgrade.
     }
-    // One that is too long is not waited for.
+    // A body that is announced as too long is rejected at once.
     return length == StrictHttpDecoders.CHUNKED
         || length == StrictHttpDecoders.NO_LENGTH
         || (length >= 0 && length <= BackendConnections.BODY_MAX);
@@ -113,8 +122,8 @@
     body.clear().capacity(0);
     HttpHeaders headers = complete.headers();
     int status = complete.status().code();
-    boolean rejected = (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
-    Outcome outcome = status == 200 ? Outcome.OK : rejected ? Outcome.FULL : Outcome.ERROR;
+    boolean notStarted = (status == 503 || status == 504) && "1".equals(headers.get("Not-Started"));
+    Outcome outcome = status == 200 ? Outcome.OK : notStarted ? Outcome.FULL : Outcome.ERROR;
     ServedResponse served =
         status != 200
             ? null
@@ -127,31 +136,30 @@
                 && !MAY_SUCCEED_LATER.contains(status)
             ? complete.status()
             : null;
-    boolean ends = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
+    boolean hasExplicitEnd = StrictHttpDecoders.framing(headers) != StrictHttpDecoders.NO_LENGTH;
     attempt.end(
         new AttemptResult(
             outcome,
             LoadReport.of(owner.config(), attempt.request().uri(), headers, bytes),
             served,
             rejection),
-        ends && HttpUtil.isKeepAlive(complete) && !decoder.leftover());
+        hasExplicitEnd && HttpUtil.isKeepAlive(complete) && !decoder.hasLeftoverBytes());
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     connection.pool().idle.remove(connection);
     if (connection.attempt() != null) {
-      connection.attempt().broken();
+      connection.attempt().connectionLost();
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    // Guards against a body cut short that passes for a complete one: with no length given the end
-    // of
-    // its connection ends it, and a reset is no such end.
+    // A response without a length ends when the backend closes the connection. A reset is no such
+    // end, so a truncated body must not be served as a complete one.
     if (connection.attempt() != null) {
-      connection.attempt().broken();
+      connection.attempt().connectionLost();
     }
     ctx.close();
   }
--- a/src/main/java/slateslip/loadbalancer/net/Backoff.java
+++ b/src/main/java/slateslip/loadbalancer/net/Backoff.java
@@ -3,39 +3,43 @@
 import java.util.SplittableRandom;
 
 /**
- * Waits before a call that failed is made again: each twice the one before, up to a limit, and the
- * latter half of each by chance. Guards against agents that were cut off in one moment and call
- * again in step: at the size of a fleet that is all calls of a second in some milliseconds.
+ * Computes the delays before a failed call is retried: exponential backoff up to a limit, with
+ * jitter over the second half of each delay. Without the jitter, agents that lose a service at the
+ * same moment would retry in step; at fleet size all calls of a second would then arrive within a
+ * few milliseconds.
  */
 public final class Backoff {
   private final long minMillis;
   private final long maxMillis;
   private final SplittableRandom random;
-  private long wait;
+  private long limitMillis;
 
   /**
-   * The first wait comes next.
+   * Starts with the shortest delay.
    *
-   * @param minMillis the first wait at the most, ms, 2 at the least
-   * @param maxMillis any wait at the most, ms
-   * @param seed for the chance; no two agents are to have the same
+   * @param minMillis the upper limit of the first delay, in milliseconds; at least 2
+   * @param maxMillis the upper limit of any delay, in milliseconds
+   * @param seed the seed of the jitter, which must differ between agents
    */
   public Backoff(long minMillis, long maxMillis, long seed) {
     this.minMillis = minMillis;
     this.maxMillis = maxMillis;
     this.random = new SplittableRandom(seed);
-    this.wait = minMillis;
+    this.limitMillis = minMillis;
   }
 
-  /** The next wait, ms: between a half of and all of its length. */
+  /**
+   * Returns the next delay in milliseconds, between half of the current limit and the limit, and
+   * doubles the limit.
+   */
   public long next() {
-    long now = wait - random.nextLong(wait / 2 + 1);
-    wait = Math.min(2 * wait, maxMillis);
-    return now;
+    long delay = limitMillis - random.nextLong(limitMillis / 2 + 1);
+    limitMillis = Math.min(2 * limitMillis, maxMillis);
+    return delay;
   }
 
-  /** A call was answered: the next wait is the first one again. */
+  /** Resets the delay to its initial value after a successful call. */
   public void reset() {
-    wait = minMillis;
+    limitMillis = minMillis;
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/ClientConnection.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientConnection.java
@@ -21,16 +21,17 @@
 import java.util.Set;
 
 /**
- * One connection of a client: reads requests, queues what is sent in advance, and has each answered
- * in its turn. Confined to the event loop of the agent.
+ * One client connection: reads requests, queues pipelined requests and sends the responses in the
+ * order of the requests. Confined to the agent's event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
   private record ParsedRequest(
       IncomingRequest request, HttpResponseStatus error, boolean keepAlive) {}
 
   /**
-   * Reads of one connection in a row that are passed over behind what was no request, while an
-   * answer is owed for what came before. Guards against a flood that is read for nothing.
+   * How many consecutive reads are discarded after a malformed request while an earlier request
+   * still awaits its response. Afterwards the agent stops reading, so that a flood of bytes does
+   * not consume its time.
    */
   private static final int MAX_SKIPPED_READS = 16;
 
@@ -43,30 +44,39 @@
   private final StrictHttpDecoders.Requests decoder;
   private final Deque<ParsedRequest> pipelined = new ArrayDeque<>();
 
-  /** The exchange that is owed a response, or null. */
+  /** The exchange that awaits its response, or null. */
   private ClientExchange current;
 
-  /** The set that tells what it is at, while it is owed no response, and since when. */
+  /**
+   * The set of connections in the current phase, or null while a response is pending. {@link
+   * #phaseSinceNanos} is the time at which the connection entered this phase.
+   */
   private Set<ClientConnection> phaseSet;
 
   private long phaseSinceNanos;
 
-  /** The request whose body is coming in, null for one about health; what has come of the body. */
+  /**
+   * The request whose body is being received, or null for a health check. {@link #body} holds the
+   * part of the body that has been received.
+   */
   private IncomingRequest incoming;
 
   private boolean keepAlive;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
 
-  /** What its requests' bodies take. */
-  private int heldBodyBytes;
+  /** The bytes that the bodies of this connection's requests have reserved. */
+  private int reservedBodyBytes;
 
-  /** Nothing more is taken from it: what came was wrong, or it ends. */
+  /**
+   * Whether further input is discarded, because a request was malformed or the connection is
+   * closing.
+   */
   private boolean readingStopped;
 
   private int skippedReads;
 
-  /** It is about to be looked at whether something is to be taken. */
-  private boolean nextScheduled;
+  /** Whether a task that handles the next queued request is already scheduled. */
+  private boolean handlingScheduled;
 
   ClientConnection(
       ClientServer server,
@@ -83,22 +93,22 @@
     return channel;
   }
 
-  /** Whether this exchange is the one that is owed a response. */
-  boolean owes(ClientExchange exchange) {
+  /** Returns whether the given exchange is the one that awaits its response. */
+  boolean awaitsResponse(ClientExchange exchange) {
     return current == exchange;
   }
 
-  /** Whether it is in that phase. */
+  /** Returns whether this connection is in the given phase. */
   boolean isIn(Set<ClientConnection> phase) {
     return phaseSet == phase;
   }
 
-  /** When it entered its phase, by the clock of {@link ClientConnections}. */
+  /** Returns when this connection entered its phase, by the clock of {@link ClientConnections}. */
   long phaseSinceNanos() {
     return phaseSinceNanos;
   }
 
-  private void move(Set<ClientConnection> to) {
+  private void enterPhase(Set<ClientConnection> to) {
     if (phaseSet != null) {
       phaseSet.remove(this);
     }
@@ -112,30 +122,30 @@
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     connections.opened(this);
-    move(connections.awaitingFirstRequest);
+    enterPhase(connections.awaitingFirstRequest);
     connections.enforceLimit();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     connections.closed(this);
-    move(null);
+    enterPhase(null);
     readingStopped = true;
     clearPipelined();
     body = Unpooled.EMPTY_BUFFER;
-    connections.releaseBodyBytes(heldBodyBytes);
-    heldBodyBytes = 0;
-    ClientExchange left = current;
+    connections.releaseBodyBytes(reservedBodyBytes);
+    reservedBodyBytes = 0;
+    ClientExchange unanswered = current;
     current = null;
-    if (left != null) {
-      server.listener().clientLeft(left);
+    if (unanswered != null) {
+      server.listener().clientLeft(unanswered);
     }
     connections.enforceLimit();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    ctx.close(); // its connection broke; what it was owed is told by channelInactive
+    ctx.close(); // channelInactive reports an exchange that awaits its response.
   }
 
   @Override
@@ -155,7 +165,7 @@
     }
     if (part instanceof LastHttpContent && !readingStopped) {
       IncomingRequest complete =
-          incoming == null ? null : incoming.with(ByteBufUtil.getBytes(body));
+          incoming == null ? null : incoming.withBody(ByteBufUtil.getBytes(body));
       body = Unpooled.EMPTY_BUFFER;
       enqueue(new ParsedRequest(complete, null, keepAlive));
     }
@@ -168,18 +178,18 @@
     }
     if ((phaseSet == connections.awaitingFirstRequest || phaseSet == connections.idle)
         && decoder.hasStarted()) {
-      // Guards against waiting twice for an unknown peer that says nothing and then half a
-      // request.
+      // The time without input counts towards the timeout of the first request. Otherwise a peer
+      // could stay silent and then send half a request, and use the timeout twice.
       long from =
           phaseSet == connections.awaitingFirstRequest ? phaseSinceNanos : connections.nanoTime();
-      move(connections.readingRequest);
+      enterPhase(connections.readingRequest);
       phaseSinceNanos = from;
     }
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    next();
+    handleNext();
   }
 
   private void beginRequest(HttpRequest head) {
@@ -217,49 +227,52 @@
     } else if (!connections.hasRoomForBody(count)) {
       reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
     } else if (count > 0) {
-      heldBodyBytes += count;
+      reservedBodyBytes += count;
       connections.reserveBodyBytes(count);
       body.writeBytes(bytes);
     }
   }
 
   /**
-   * What came is no request. Guards against answering it out of turn, where the client would take
-   * the error for the response to what it asked before, and against reading on what nobody will
-   * use.
+   * Queues an error response for a malformed request and stops reading. The error is sent after the
+   * responses to earlier requests; otherwise the client would take it for the response to an
+   * earlier request. Reading stops because nothing after a malformed request is used.
    */
   void reject(HttpResponseStatus error) {
     readingStopped = true;
     body = Unpooled.EMPTY_BUFFER;
     channel
         .config()
-        .setAutoRead(current != null || !pipelined.isEmpty()); // to see a close behind it
+        // While responses are pending, reading continues only to detect a close by the client.
+        .setAutoRead(current != null || !pipelined.isEmpty());
     enqueue(new ParsedRequest(null, error, false));
   }
 
   private void enqueue(ParsedRequest parsed) {
     pipelined.add(parsed);
-    connections.pipelined(1);
+    connections.addPipelined(1);
     if (current == null) {
-      move(null); // Guards against the end, or want of room, closing it before that is taken.
+      // The connection leaves the idle phase, so that neither shutdown nor the connection limit
+      // closes the connection before the request is handled.
+      enterPhase(null);
     }
     limitReading();
     scheduleNext();
   }
 
   /**
-   * Looks for what is to be taken once all is read that has come. Guards against working for a
-   * client whose close came with its request.
+   * Schedules the handling of the next request after all input that has arrived is read, so that a
+   * request whose client has already closed the connection is not processed.
    */
   private void scheduleNext() {
-    if (!nextScheduled) {
-      nextScheduled = true;
+    if (!handlingScheduled) {
+      handlingScheduled = true;
       channel
           .eventLoop()
           .execute(
               () -> {
-                nextScheduled = false;
-                next();
+                handlingScheduled = false;
+                handleNext();
               });
     }
   }
@@ -270,27 +283,30 @@
     }
   }
 
-  /** Whether requests that were read whole wait for their turn. */
+  /** Returns whether completely received requests are queued. */
   boolean hasPipelined() {
     return !pipelined.isEmpty();
   }
 
   private void clearPipelined() {
-    connections.pipelined(-pipelined.size());
+    connections.addPipelined(-pipelined.size());
     pipelined.clear();
   }
 
-  /** What was asked is taken in its turn, and not while answers are still to be read. */
-  private void next() {
+  /**
+   * Handles the next queued request unless an earlier one awaits its response or the client does
+   * not read its responses.
+   */
+  private void handleNext() {
     if (current == null && !pipelined.isEmpty() && channel.isWritable()) {
-      connections.pipelined(-1);
+      connections.addPipelined(-1);
       handle(pipelined.poll());
     }
     limitReading();
   }
 
   private void handle(ParsedRequest parsed) {
-    move(null);
+    enterPhase(null);
     IncomingRequest request = parsed.request;
     ClientExchange exchange =
         new ClientExchange(
@@ -307,30 +323,34 @@
         server.listener().request(request, exchange);
       }
     } catch (RuntimeException e) {
-      // Guards against a fault here that would leave the client without its response.
-      Agent.say("request failed: " + e);
+      // An exception in this agent must not leave the client without a response.
+      Agent.logLine("cannot handle a request: " + e);
       exchange.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     }
   }
 
   /**
-   * After a response: the connection ends or is in no use, or what was asked in advance is next.
+   * Continues after a response has been sent: the connection closes, becomes idle or handles the
+   * next queued request.
    */
-  void responded(ClientExchange exchange, ChannelFuture written, boolean last) {
+  void onResponded(ClientExchange exchange, ChannelFuture written, boolean last) {
     current = null;
-    heldBodyBytes -= exchange.bodyBytes();
+    reservedBodyBytes -= exchange.bodyBytes();
     connections.releaseBodyBytes(exchange.bodyBytes());
     if (last) {
       boolean unread = readingStopped && decoder.hasStarted();
       readingStopped = true;
       clearPipelined();
-      move(connections.writingLastResponse);
-      // Guards against a reset for what was not read, which would overtake the response.
+      enterPhase(connections.writingLastResponse);
+      // Closing the socket with unread input would cause a reset, which could discard the response
+      // before the client reads it.
       written.addListener(unread ? done -> linger() : ChannelFutureListener.CLOSE);
     } else {
-      // Guards against the end, or want of room, closing it between this and what is taken next.
+      // With a queued request the connection must not enter the idle phase, in which shutdown or
+      // the connection limit could close it.
       boolean hasNext = !pipelined.isEmpty() && channel.isWritable();
-      move(hasNext ? null : decoder.hasStarted() ? connections.readingRequest : connections.idle);
+      enterPhase(
+          hasNext ? null : decoder.hasStarted() ? connections.readingRequest : connections.idle);
       if (hasNext) {
         scheduleNext();
       }
@@ -341,15 +361,15 @@
     if (connections.lingering.size() >= ClientConnections.MAX_LINGERING) {
       channel.close();
     } else if (channel.isActive()) {
-      move(connections.lingering);
+      enterPhase(connections.lingering);
       channel.shutdownOutput();
     }
   }
 
-  /** Closes it once what it was sent is written. */
+  /** Closes this connection once all responses are written. */
   void close() {
     readingStopped = true;
-    move(connections.writingLastResponse);
+    enterPhase(connections.writingLastResponse);
     channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/ClientConnections.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientConnections.java
@@ -9,39 +9,54 @@
 import java.util.function.LongSupplier;
 
 /**
- * The client connections of an agent by phase, each phase in the order of entry, with the limits
- * that they share: sockets, buffered bodies and pipelined requests. Confined to the event loop.
+ * The client connections of an agent, grouped by phase in the order in which they entered the
+ * phase, and the limits that the connections share: sockets, buffered request bodies and pipelined
+ * requests. Confined to the event loop.
  */
 final class ClientConnections {
   /**
-   * Requests that a connection may pipeline in any case. Guards against working for a client that
-   * asked much at once and went, for its close lies behind what it asked; and against heads by the
-   * thousand that take the memory.
+   * The number of requests that a connection may pipeline in any case. Reading ahead lets the agent
+   * detect that a client has closed the connection, since the close is behind the requests in the
+   * input; without it the agent would work for clients that have left. The limits keep thousands of
+   * request heads from filling the memory.
    */
   private static final int MIN_PIPELINED = 4;
 
-  /** Requests that all connections together may pipeline before each is held to the minimum. */
+  /**
+   * The number of pipelined requests on all connections from which each connection is limited to
+   * {@link #MIN_PIPELINED}.
+   */
   private static final int MAX_PIPELINED_TOTAL = 512;
 
-  /** Requests that a connection may pipeline while all together are below the total. */
+  /**
+   * The number of requests that a connection may pipeline while the total is below {@link
+   * #MAX_PIPELINED_TOTAL}.
+   */
   private static final int MAX_PIPELINED = 64;
 
   /**
-   * How long a connection may take until its first request is complete, or over sending a later
-   * one.
+   * The time within which the first request on a connection must be complete, and the time that a
+   * later request may take from its first byte to its last.
    */
   private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** How long a connection may be idle after a response; under pressure the minimum below. */
+  /**
+   * How long a connection may be idle after a response. Under pressure {@link
+   * #MIN_IDLE_TIMEOUT_NANOS} applies.
+   */
   private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   private static final long MIN_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** How long a new connection may say nothing at the least: its first request is on the way. */
+  /**
+   * The minimum time that a new connection has to send its first request, which may already be on
+   * its way.
+   */
   static final long MIN_FIRST_REQUEST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /**
-   * How long one that ends may take until its last response is written, and then over reading it.
+   * How long the last response of a connection may take to be written. {@link #LINGER_NANOS} is how
+   * long the client then has to read that response.
    */
   private static final long RESPONSE_WRITE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
@@ -49,12 +64,12 @@
   static final int MAX_LINGERING = 16;
 
   /**
-   * From this fraction of the limit on, idle connections are closed sooner, and each response is
-   * its connection's last.
+   * The fraction of the connection limit from which the agent closes idle connections sooner and
+   * closes each connection after its next response.
    */
   private static final double PRESSURE_FRACTION = 0.6;
 
-  /** Bodies of requests may take one part in so many of the heap. */
+  /** The heap size divided by this number is the limit on all buffered request bodies. */
   private static final int BODY_HEAP_DIVISOR = 6;
 
   private final LongSupplier nanoClock;
@@ -62,31 +77,34 @@
   private int maxConnections;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Phase: no byte has come yet. Each phase has the longest there first. */
+  /**
+   * Connections that have not received a byte yet. As in the other phases, the connection that has
+   * been in the phase for longest comes first.
+   */
   final Set<ClientConnection> awaitingFirstRequest = new LinkedHashSet<>();
 
-  /** Phase: a part of a request has come. */
+  /** Connections that have received a part of a request. */
   final Set<ClientConnection> readingRequest = new LinkedHashSet<>();
 
-  /** Phase: idle after a response. */
+  /** Connections that are idle after a response. */
   final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Phase: its last response is being written. */
+  /** Connections whose last response is being written. */
   final Set<ClientConnection> writingLastResponse = new LinkedHashSet<>();
 
-  /** Phase: its last response is being read by the client. */
+  /** Connections whose last response is written and whose client has yet to read it. */
   final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   private long bufferedBodyBytes;
 
-  /** Requests read ahead on all connections. */
+  /** The number of requests that are queued on all connections. */
   private int pipelinedRequests;
 
   /**
-   * No connections yet.
+   * Creates an empty set of connections.
    *
-   * @param nanoClock steady time in nanoseconds
-   * @param accepting called with whether new connections may be accepted
+   * @param nanoClock a monotonic clock, in nanoseconds
+   * @param accepting receives whether new connections may be accepted
    */
   ClientConnections(int maxConnections, LongSupplier nanoClock, Consumer<Boolean> accepting) {
     this.maxConnections = maxConnections;
@@ -114,13 +132,16 @@
     return connections.size();
   }
 
-  /** Another limit on sockets holds from now on. */
-  void limitTo(int max) {
+  /** Sets another limit on the number of connections. */
+  void setMaxConnections(int max) {
     maxConnections = max;
     enforceLimit();
   }
 
-  /** Guards against running out of memory. */
+  /**
+   * Returns whether a body may grow by the given number of bytes without exceeding the limit on
+   * memory.
+   */
   boolean hasRoomForBody(int bytes) {
     return bufferedBodyBytes + bytes <= Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR;
   }
@@ -133,33 +154,37 @@
     bufferedBodyBytes -= bytes;
   }
 
-  /** So many more requests are read ahead; negative for fewer. */
-  void pipelined(int change) {
+  /** Adds to the number of queued requests; a negative value subtracts. */
+  void addPipelined(int change) {
     pipelinedRequests += change;
   }
 
-  /** How many requests one connection may have sent in advance. */
+  /** Returns how many requests one connection may currently have queued. */
   int maxPipelined() {
     return pipelinedRequests < MAX_PIPELINED_TOTAL ? MAX_PIPELINED : MIN_PIPELINED;
   }
 
-  /** Closes connections in no use; a new one once its first request must have come. */
+  /**
+   * Closes idle connections, and connections that have not sent a request within {@link
+   * #MIN_FIRST_REQUEST_NANOS}.
+   */
   void closeUnused() {
     olderThan(awaitingFirstRequest, MIN_FIRST_REQUEST_NANOS).forEach(ClientConnection::close);
     List.copyOf(idle).forEach(ClientConnection::close);
   }
 
-  /** Closes connections of which no complete request has come. */
+  /** Closes connections on which a request is incomplete or has not begun. */
   void closeIncomplete() {
     List.copyOf(awaitingFirstRequest).forEach(ClientConnection::close);
     List.copyOf(readingRequest).forEach(ClientConnection::close);
   }
 
   /**
-   * Keeps the connections under the limit on sockets. Guards against running out of descriptors,
-   * which would end the agent, and against idle or forgotten connections shutting the others out:
-   * they make room, the longest idle first. While none can go none is accepted: one in use must not
-   * be closed unannounced, for its next request may be on the way.
+   * Keeps the number of connections below the limit. Running out of file descriptors would end the
+   * agent, and idle or abandoned connections would exclude other clients; therefore the connections
+   * that have been idle for longest are closed first. While none can be closed, no connection is
+   * accepted: a connection that has been in use recently must not be closed without notice, because
+   * its next request may be on its way.
    */
   void enforceLimit() {
     long now = nanoClock.getAsLong();
@@ -174,13 +199,19 @@
     accepting.accept(connections.size() < maxConnections);
   }
 
-  /** The first of them if it has been there since then. */
+  /**
+   * Returns the first connection of a phase if the connection entered that phase no later than the
+   * given time, else null.
+   */
   private static ClientConnection oldestSince(Set<ClientConnection> some, long phaseSinceNanos) {
     ClientConnection first = some.isEmpty() ? null : some.iterator().next();
     return first != null && first.phaseSinceNanos() - phaseSinceNanos <= 0 ? first : null;
   }
 
-  /** Ends what takes too long. Guards against descriptors and memory held for nobody. */
+  /**
+   * Closes connections that exceed their timeouts, so that abandoned connections do not hold file
+   * descriptors and memory.
+   */
   void sweep() {
     olderThan(awaitingFirstRequest, REQUEST_TIMEOUT_NANOS).forEach(ClientConnection::close);
     olderThan(idle, underPressure() ? MIN_IDLE_TIMEOUT_NANOS : IDLE_TIMEOUT_NANOS)
@@ -188,7 +219,8 @@
     for (ClientConnection each : olderThan(readingRequest, REQUEST_TIMEOUT_NANOS)) {
       each.reject(HttpResponseStatus.REQUEST_TIMEOUT);
       if (each.isIn(readingRequest)) {
-        each.channel().close(); // it does not read either
+        // The client does not read, so the error response cannot be sent.
+        each.channel().close();
       }
     }
     olderThan(writingLastResponse, RESPONSE_WRITE_TIMEOUT_NANOS)
@@ -198,8 +230,8 @@
   }
 
   /**
-   * Whether capacity gets scarce: clients that keep their connections without need then have to
-   * dial again.
+   * Returns whether the number of connections is close to the limit. The agent then closes
+   * connections after each response, so that clients that do not need a connection free it.
    */
   boolean underPressure() {
     return connections.size() >= PRESSURE_FRACTION * maxConnections;
--- a/src/main/java/slateslip/loadbalancer/net/ClientExchange.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientExchange.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** One request and the response it is owed. */
+/** One client request and its response. */
 final class ClientExchange {
   private static final String SETTINGS_VERSION = "Settings-Version";
   private static final double MICROS_PER_SECOND = 1e6;
@@ -29,17 +29,23 @@
     this.bodyBytes = bodyBytes;
   }
 
-  /** How many bytes its request's body has reserved. */
+  /** Returns how many bytes the request's body has reserved. */
   int bodyBytes() {
     return bodyBytes;
   }
 
-  /** Gives the final answer; a second one, or one to a client that has left, is dropped. */
+  /**
+   * Sends the final response. Does nothing if the response has already been sent or the client has
+   * left.
+   */
   void respond(HttpResponseStatus status, ServedResponse served, long retryAfterMicros) {
     respond(status, served, retryAfterMicros, null);
   }
 
-  /** Answers whether the agent is ready, and where settings have versions which is in force. */
+  /**
+   * Responds to a health check and states the version of the settings in force, if the settings
+   * have versions.
+   */
   void respondWithHealth(HttpResponseStatus status) {
     if (server.config().live() == null) {
       respond(status);
@@ -52,7 +58,7 @@
 
   private void respond(
       HttpResponseStatus status, ServedResponse served, long retryAfterMicros, String version) {
-    if (responded || !connection.owes(this)) {
+    if (responded || !connection.awaitsResponse(this)) {
       return;
     }
     responded = true;
@@ -73,12 +79,12 @@
     if (version != null) {
       headers.set(SETTINGS_VERSION, version);
     }
-    // what was read whole behind it is answered, too
-    boolean last = !keepAlive || (server.endsConnections() && !connection.hasPipelined());
+    // Requests that were completely received behind this one still get their responses.
+    boolean last = !keepAlive || (server.closesConnections() && !connection.hasPipelined());
     if (last) {
       headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    connection.responded(this, connection.channel().writeAndFlush(response), last);
+    connection.onResponded(this, connection.channel().writeAndFlush(response), last);
   }
 
   void respond(HttpResponseStatus status) {
--- a/src/main/java/slateslip/loadbalancer/net/ClientServer.java
+++ b/src/main/java/slateslip/loadbalancer/net/ClientServer.java
@@ -19,22 +19,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * The application's side: requests in, final answers out. Each exchange is answered once; what is
- * asked in advance on a connection waits for the response before it. What is no request as the
- * protocol has it is answered with an error in its turn, and its connection ends. All of it runs on
- * the agent's event loop.
+ * The server for clients: accepts connections, reads requests and sends each exchange exactly one
+ * final response. A pipelined request waits for the responses to the requests before it. A
+ * malformed request receives an error response in its turn, after which its connection closes.
+ * Confined to the agent's event loop.
  */
 final class ClientServer {
-  /** What the agent hears. */
+  /** Receives requests and departures of clients, on the event loop. */
   interface Listener {
-    /** A well-formed request has come; it is owed one answer through its exchange. */
+    /**
+     * Called for each well-formed request. The receiver must send exactly one response through the
+     * exchange.
+     */
     void request(IncomingRequest request, ClientExchange exchange);
 
-    /** The client has closed its connection with this exchange unanswered. */
+    /** Called when the client has closed its connection before the response to this exchange. */
     void clientLeft(ClientExchange exchange);
   }
 
-  /** Reads of one connection in a row. */
+  /** The maximum number of consecutive reads from one connection. */
   private static final int MAX_READS = 16;
 
   private static final long SWEEP_MS = 100;
@@ -47,7 +50,10 @@
   private boolean shuttingDown;
   private boolean draining;
 
-  /** Listens; fails with an exception if it cannot. Called from outside the loop. */
+  /**
+   * Binds the listening socket. Must be called from outside the event loop. Throws IOException if
+   * the address cannot be bound.
+   */
   ClientServer(
       EventLoop loop,
       AgentConfig config,
@@ -67,7 +73,8 @@
             .option(ChannelOption.SO_BACKLOG, 1024)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            // Reads until nothing is left: a close that has come is seen with what came before it.
+            // Reads until no input is left, so that a close is detected together with the requests
+            // before it.
             .childOption(
                 ChannelOption.RECVBUF_ALLOCATOR,
                 new AdaptiveRecvByteBufAllocator()
@@ -99,40 +106,41 @@
     return server;
   }
 
-  /** Goes by another configuration from now on. */
+  /** Applies another configuration and another limit on the number of connections. */
   void apply(AgentConfig next, int max) {
     config = next;
-    connections.limitTo(max);
+    connections.setMaxConnections(max);
   }
 
   /**
-   * A request as the configuration in force takes it. Guards against the class or tenant of one
-   * configuration being taken for what has its place in another, where that came between the
-   * request's head and its turn.
+   * Parses a request again if the configuration has changed since its head was read. The indexes of
+   * a request's class and tenant are valid only for the configuration that it was parsed with.
    *
-   * @return null if it is no request any more, as with a class that has been removed
+   * @return the request for the configuration in force, or null if the request is no longer valid,
+   *     for example because its class has been removed
    */
-  @SuppressWarnings("ReferenceEquality") // each configuration taken over is an object of its own
+  // Each configuration that comes into force is a distinct object.
+  @SuppressWarnings("ReferenceEquality")
   IncomingRequest reparse(IncomingRequest request) {
     if (request.config() == config) {
       return request;
     }
     OutgoingRequest forward = request.forward();
-    IncomingRequest again =
+    IncomingRequest reparsed =
         parse(
             new DefaultHttpRequest(
                 HttpVersion.HTTP_1_1, forward.method(), forward.uri(), forward.headers()));
-    return again == null ? null : again.with(forward.body());
+    return reparsed == null ? null : reparsed.withBody(forward.body());
   }
 
-  /** From now on it says that it is not ready; all else goes on. */
+  /** Makes health checks report that the agent is not ready. Requests are still served. */
   void startShutdown() {
     shuttingDown = true;
   }
 
   /**
-   * From now on each answer is the last of its connection, and connections in no use are closed; a
-   * new one once its first request must have come.
+   * Makes each response the last one of its connection, and closes unused connections. A new
+   * connection is closed only after its first request should have arrived.
    */
   void drain() {
     draining = true;
@@ -140,7 +148,8 @@
   }
 
   /**
-   * Takes no further connections, and from those there are soon nothing that has not come whole.
+   * Closes the listening socket, and shortly afterwards closes connections whose request is
+   * incomplete.
    */
   void stopListening() {
     server.close();
@@ -153,17 +162,17 @@
             TimeUnit.NANOSECONDS);
   }
 
-  /** Whether no connection is left. */
+  /** Returns whether no client is connected. */
   boolean isEmpty() {
     return connections.isEmpty();
   }
 
-  /** How many connections there are. */
+  /** Returns the number of client connections. */
   int size() {
     return connections.size();
   }
 
-  /** A request by the configuration in force, or null if it is none. */
+  /** Parses a request with the configuration in force; returns null if the request is not valid. */
   IncomingRequest parse(HttpRequest request) {
     return RequestParser.parse(config, request);
   }
@@ -176,13 +185,13 @@
     return listener;
   }
 
-  /** Whether the agent takes requests and is not about to end. */
+  /** Returns whether the agent serves requests and no shutdown has started. */
   boolean isReady() {
     return ready.getAsBoolean() && !shuttingDown;
   }
 
-  /** Whether each answer is the last of its connection. */
-  boolean endsConnections() {
+  /** Returns whether each response is the last one of its connection. */
+  boolean closesConnections() {
     return draining || connections.underPressure();
   }
 
--- a/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
+++ b/src/main/java/slateslip/loadbalancer/net/CodeWarmup.java
@@ -15,66 +15,75 @@
 import slateslip.loadbalancer.LoadBalancer;
 
 /**
- * Runs what a request runs through before the agent says that it is ready: a module of its own
- * decides, and what it sends goes over sockets to the agent's own health check. Guards against
- * serving the first seconds with code neither loaded nor compiled, which on a part of a core takes
- * longer than clients wait.
+ * Exercises the code path of a request before the agent reports that it is ready: a separate load
+ * balancer instance makes decisions, and the requests that it sends go over sockets to the agent's
+ * own health check. Without the warm-up the code of the first requests is neither loaded nor
+ * compiled, which on a fraction of a core takes longer than clients wait.
  */
 final class CodeWarmup implements LoadBalancer.Actions {
   /**
-   * Enough for the compiler to take up what each request passes: the run's line has it do so after
-   * a fifth of the usual calls. Danger: with fewer the agent is ready sooner and loses its first
-   * seconds to the compiler: with 150 it took all of the agent's share of a core for three seconds
-   * of service.
+   * The number of warm-up requests. They suffice for the compiler to compile the path of a request,
+   * because the command line of the process lowers the compile thresholds to a fifth. With fewer
+   * requests the agent is ready sooner but loses its first seconds to the compiler: with 150 the
+   * compiler used the agent's whole share of a core during three seconds of service.
    */
   private static final int REQUESTS = 400;
 
   private static final int CONCURRENCY = 4;
 
-  /** Every so many a request ends its connection: what dials and accepts is to be compiled, too. */
+  /**
+   * One in this many requests closes its connection, so that the code that connects and accepts is
+   * compiled as well.
+   */
   private static final int CLOSE_EVERY = 4;
 
-  /** Servers and keys that the module chooses by, so that the choice is compiled as it is used. */
+  /**
+   * The number of simulated servers. The load balancer chooses among them, and among {@link #KEYS}
+   * affinity keys, so that the selection is compiled under realistic input.
+   */
   private static final int SERVERS = 12;
 
   private static final int KEYS = 40;
 
-  /** However slow the machine is, it begins to serve after this. */
+  /** The maximum duration of the warm-up, however slow the machine is. */
   private static final long MAX_DURATION_MS = 3_000;
 
-  /** No listed server has this id. */
+  /**
+   * The server id of the agent itself. {@link Discovery#stableId} never returns 0, so no listed
+   * server has this id.
+   */
   private static final long SELF = 0;
 
   private final EventLoop loop;
   private final AgentConfig config;
   private final BackendConnections backends;
   private final ClientServer clients;
-  private final IntConsumer then;
-  private final LoadBalancer module;
+  private final IntConsumer onDone;
+  private final LoadBalancer balancer;
   private final OutgoingRequest keepAliveRequest;
   private final OutgoingRequest closingRequest;
   private int started;
   private int inFlight;
   private int responses;
-  private boolean over;
+  private boolean finished;
 
   private CodeWarmup(
       EventLoop loop,
       AgentConfig config,
       BackendConnections backends,
       ClientServer clients,
-      IntConsumer then) {
+      IntConsumer onDone) {
     this.loop = loop;
     this.config = config;
     this.backends = backends;
     this.clients = clients;
-    this.then = then;
-    this.module = new DefaultLoadBalancer(config.settings(), config.seed(), micros(), this);
+    this.onDone = onDone;
+    this.balancer = new DefaultLoadBalancer(config.settings(), config.seed(), micros(), this);
     this.keepAliveRequest =
         new OutgoingRequest(
             HttpMethod.GET,
             "/healthz",
-            example().headers().remove("Request-Id"),
+            exampleRequest().headers().remove("Request-Id"),
             BackendConnections.NO_BODY);
     this.closingRequest =
         new OutgoingRequest(
@@ -84,38 +93,40 @@
             BackendConnections.NO_BODY);
   }
 
-  /** Warms up on the loop and tells there, when that is over, how many requests were answered. */
+  /**
+   * Runs the warm-up on the event loop. Calls {@code onDone} on the loop with the number of
+   * answered requests.
+   */
   static void run(
       EventLoop loop,
       AgentConfig config,
       BackendConnections backends,
       ClientServer clients,
-      IntConsumer then) {
-    new CodeWarmup(loop, config, backends, clients, then).start();
+      IntConsumer onDone) {
+    new CodeWarmup(loop, config, backends, clients, onDone).start();
   }
 
   private void start() {
-    loop.schedule(this::end, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(this::finish, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
     List<LoadBalancer.Server> servers = new ArrayList<>();
-    for (int i = 1;
-        i <= SERVERS;
-        i++) { // to the module they are many; all lead to the agent itself
+    // The load balancer sees several servers, all of which are the agent itself.
+    for (int i = 1; i <= SERVERS; i++) {
       int zone = i % config.settings().zones();
       servers.add(new LoadBalancer.Server(i, zone, 0, 0, LoadBalancer.Phase.READY, 1, 0));
     }
-    InetSocketAddress own = (InetSocketAddress) clients.channel().localAddress();
-    backends.addSelf(SELF, own);
-    module.servers(micros(), LoadBalancer.ListKind.FULL, servers);
-    next();
+    InetSocketAddress ownAddress = (InetSocketAddress) clients.channel().localAddress();
+    backends.addSelf(SELF, ownAddress);
+    balancer.servers(micros(), LoadBalancer.ListKind.FULL, servers);
+    sendNext();
   }
 
-  private void next() {
-    while (!over && inFlight < CONCURRENCY && started < REQUESTS) {
+  private void sendNext() {
+    while (!finished && inFlight < CONCURRENCY && started < REQUESTS) {
       started++;
       inFlight++;
-      clients.parse(example());
+      clients.parse(exampleRequest());
       long now = micros();
-      module.request(
+      balancer.request(
           now,
           new LoadBalancer.Request(
               started,
@@ -128,25 +139,25 @@
               false));
     }
     if (inFlight == 0) {
-      end();
+      finish();
     }
   }
 
-  private void end() {
-    if (!over) {
-      over = true;
+  private void finish() {
+    if (!finished) {
+      finished = true;
       backends.remove(SELF);
-      then.accept(responses);
+      onDone.accept(responses);
     }
   }
 
-  private void done() {
+  private void requestDone() {
     inFlight--;
-    loop.execute(this::next); // not from within the module
+    loop.execute(this::sendNext); // The load balancer does not permit nested calls.
   }
 
-  /** A request of the first class, as clients send it. */
-  private HttpRequest example() {
+  /** Creates a request of the first class, as clients send requests. */
+  private HttpRequest exampleRequest() {
     boolean safe = config.settings().classes().get(0).semantics() == LoadBalancer.Semantics.SAFE;
     HttpRequest request =
         new DefaultHttpRequest(
@@ -178,33 +189,31 @@
         request % CLOSE_EVERY == 0 ? closingRequest : keepAliveRequest,
         timeout,
         result -> {
-          responses +=
-              result.outcome() == LoadBalancer.Outcome.ERROR
-                  ? 1
-                  : 0; // it says that it is not ready
+          // The health check answers 503, because the agent is not ready yet.
+          responses += result.outcome() == LoadBalancer.Outcome.ERROR ? 1 : 0;
           long now = micros();
-          module.outcome(
+          balancer.outcome(
               now, request, 0, server, LoadBalancer.Outcome.OK, now - sentAt, true, result.load());
-          done();
+          requestDone();
         });
   }
 
   @Override
   public void refuse(long request, long retryAfter) {
-    done();
+    requestDone();
   }
 
   @Override
   public void fail(long request) {
-    done();
+    requestDone();
   }
 
   @Override
   public void timer(long token, long delay) {
     loop.schedule(
         () -> {
-          if (!over) {
-            module.timer(micros(), token);
+          if (!finished) {
+            balancer.timer(micros(), token);
           }
         },
         delay,
--- a/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
+++ b/src/main/java/slateslip/loadbalancer/net/ConfigFileWatcher.java
@@ -10,23 +10,23 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the configuration file again while the agent runs: when a signal asks for it, on the
- * signal's own thread, and where settings are live also when the file has changed, on a thread that
- * is there only once it has to look. Guards against an event loop that reads files, against two
- * reads whose results would overtake each other (one at a time; what is asked for meanwhile is one
- * more read after it), and against an agent that is left behind by a lost signal or by a file seen
- * half-written.
+ * Reads the configuration file again while the agent runs. After a signal the file is read on the
+ * signal's thread. With live settings the file is also read when it has changed, on a polling
+ * thread that starts only when it is needed. The event loop never reads files. Reads run one at a
+ * time, so that their results cannot arrive out of order; requests during a read cause one further
+ * read. Polling keeps an agent from missing a change because of a lost signal or because the file
+ * was read while it was being written.
  */
 public final class ConfigFileWatcher {
   /**
-   * What one read has found.
+   * The result of one read.
    *
-   * @param discovery where discovery is, or null if the file does not tell
+   * @param discovery the address of discovery, or null if the file has no usable one
    * @param config the configuration, or null if it is unusable
-   * @param version of its settings; negative if the file does not tell
-   * @param unusable why it is unusable, or null
-   * @param requested whether somebody asked for this read; else the file had changed
-   * @param micros how long the reading took
+   * @param version the version of the settings; negative if the file has no usable version
+   * @param unusable why the configuration is unusable, or null
+   * @param requested whether the read was requested; false if the file had changed
+   * @param micros the duration of the read in microseconds
    */
   public record ReadResult(
       InetSocketAddress discovery,
@@ -36,66 +36,74 @@
       boolean requested,
       long micros) {}
 
-  /** What tells whether a file has changed. One written a moment before may have changed unseen. */
-  private record Stamp(Path file, FileTime modified, long size, Object key) {
-    static Stamp of(Path file) {
+  /**
+   * The attributes of a file that show whether the file has changed. If the file was written very
+   * recently, a further write may leave the same attributes.
+   */
+  private record FileStamp(Path file, FileTime modified, long size, Object key) {
+    static FileStamp of(Path file) {
       try {
         var now = Files.readAttributes(file, BasicFileAttributes.class);
-        return new Stamp(file, now.lastModifiedTime(), now.size(), now.fileKey());
+        return new FileStamp(file, now.lastModifiedTime(), now.size(), now.fileKey());
       } catch (IOException e) {
         return null;
       }
     }
 
     boolean isOldEnough() {
-      boolean fine = modified.toMillis() % 1000 != 0;
+      boolean hasFraction = modified.toMillis() % 1000 != 0;
       long age = System.currentTimeMillis() - modified.toMillis();
-      return Math.abs(age) > (fine ? FINE_TIMESTAMP_MS : COARSE_TIMESTAMP_MS);
+      return Math.abs(age) > (hasFraction ? FINE_TIMESTAMP_MS : COARSE_TIMESTAMP_MS);
     }
   }
 
   /**
-   * Times of files may be as coarse as this, and where they show parts of a second, as the system's
-   * clock.
+   * The assumed resolution of modification times. Modification times that contain fractions of a
+   * second have the resolution of the system clock, for which {@link #FINE_TIMESTAMP_MS} applies.
    */
   private static final long COARSE_TIMESTAMP_MS = 2_000;
 
   private static final long FINE_TIMESTAMP_MS = 100;
 
-  /** How soon an unusable file is looked at again where nobody says how often to look. */
-  private static final long UNUSABLE_MS = 1_000;
+  /** The polling interval for an unusable file if the configuration does not set an interval. */
+  private static final long UNUSABLE_POLL_MS = 1_000;
 
   private final boolean live;
-  private final Consumer<ReadResult> then;
+  private final Consumer<ReadResult> onRead;
   private Path file;
   private boolean reading;
-  private boolean wanted;
+  private boolean readPending;
   private boolean requested;
 
   /**
-   * The file as last read, or null if that says nothing for now; and whether it could not be used.
+   * The attributes of the file at the last read, or null if they are too recent to detect a further
+   * change.
    */
-  private Stamp seen;
+  private FileStamp lastStamp;
 
   private boolean unusable;
-  private long everyMs;
+  private long pollMs;
   private Thread watcher;
   private boolean closed;
 
   /**
-   * Reads nothing yet.
+   * Creates a watcher that reads nothing yet.
    *
-   * @param file which, or null until it is named
-   * @param live whether settings have versions; otherwise only a whole usable file tells anything
-   * @param then hears of each read, one at a time, on the thread that has read
+   * @param file the file, or null until {@link #read(Path)} names it
+   * @param live whether the settings have versions; without versions an unusable file yields no
+   *     address of discovery either
+   * @param onRead receives each result, one at a time, on the thread that has read the file
    */
-  public ConfigFileWatcher(Path file, boolean live, Consumer<ReadResult> then) {
+  public ConfigFileWatcher(Path file, boolean live, Consumer<ReadResult> onRead) {
     this.file = file;
     this.live = live;
-    this.then = then;
+    this.onRead = onRead;
   }
 
-  /** Reads the file, or has it read once more by the thread that reads now. */
+  /**
+   * Reads the file on the calling thread, or lets the thread that is already reading read it once
+   * more.
+   */
   public void read(Path from) {
     synchronized (this) {
       file = from;
@@ -106,19 +114,19 @@
 
   private void read() {
     synchronized (this) {
-      wanted = true;
+      readPending = true;
       if (reading) {
         return;
       }
       reading = true;
     }
-    boolean more = true;
-    while (more) {
-      more = false;
+    boolean again = true;
+    while (again) {
+      again = false;
       try {
-        more = readOnce();
+        again = readOnce();
       } finally {
-        if (!more) {
+        if (!again) {
           synchronized (this) {
             reading = false;
           }
@@ -127,29 +135,33 @@
     }
   }
 
-  /** Reads if that is wanted; false if not, and then nobody reads any more. */
+  /**
+   * Reads the file if a read is pending and returns true; otherwise returns false, after which no
+   * thread is reading.
+   */
   private boolean readOnce() {
     Path from;
     boolean byRequest;
     synchronized (this) {
-      if (!wanted || closed) {
+      if (!readPending || closed) {
         reading = false;
         return false;
       }
-      wanted = false;
+      readPending = false;
       from = file;
       byRequest = requested;
       requested = false;
     }
-    Stamp stamp = Stamp.of(from); // before the read: what changes during it is seen afterwards
+    // The attributes are taken before the read, so that a change during the read is detected.
+    FileStamp stamp = FileStamp.of(from);
     boolean oldEnough = stamp != null && stamp.isOldEnough();
     ReadResult result = readFile(from, byRequest);
     synchronized (this) {
-      seen = oldEnough ? stamp : null;
+      lastStamp = oldEnough ? stamp : null;
       unusable = result.unusable != null;
       startPollingIfNeeded();
     }
-    then.accept(result);
+    onRead.accept(result);
     return true;
   }
 
@@ -158,10 +170,10 @@
     InetSocketAddress discovery = null;
     AgentConfig config = null;
     long version = -1;
-    String why = null;
+    String reason = null;
     try {
       if (live) {
-        JsonNode root = AgentConfig.readAgain(from);
+        JsonNode root = AgentConfig.readForReload(from);
         discovery = AgentConfig.discovery(root);
         version = AgentConfig.version(root);
         config = AgentConfig.of(root);
@@ -170,26 +182,29 @@
         discovery = config.discovery();
       }
     } catch (IllegalArgumentException e) {
-      why = e.getMessage();
+      reason = e.getMessage();
     }
     return new ReadResult(
-        discovery, config, version, why, byRequest, (System.nanoTime() - start) / 1000);
+        discovery, config, version, reason, byRequest, (System.nanoTime() - start) / 1000);
   }
 
-  /** From now on looks whether the file has changed; 0 for no more. */
+  /**
+   * Sets the interval, in milliseconds, at which the file is checked for changes; 0 stops the
+   * checks.
+   */
   public synchronized void pollEvery(long ms) {
-    everyMs = ms;
+    pollMs = ms;
     startPollingIfNeeded();
   }
 
-  /** Reads no more; a read that is under way ends as it may. */
+  /** Stops reading. A read in progress is not interrupted. */
   public synchronized void close() {
     closed = true;
     notifyAll();
   }
 
   private long waitMs() {
-    return everyMs > 0 ? everyMs : live && unusable ? UNUSABLE_MS : 0;
+    return pollMs > 0 ? pollMs : live && unusable ? UNUSABLE_POLL_MS : 0;
   }
 
   private void startPollingIfNeeded() {
@@ -205,11 +220,11 @@
   private void poll() {
     try {
       while (awaitNextPoll()) {
-        Stamp last;
+        FileStamp last;
         synchronized (this) {
-          last = seen;
+          last = lastStamp;
         }
-        if (last == null || !last.equals(Stamp.of(last.file))) {
+        if (last == null || !last.equals(FileStamp.of(last.file))) {
           read();
         }
       }
@@ -218,7 +233,9 @@
     }
   }
 
-  /** Waits until it is time for a look; false at the end. */
+  /**
+   * Waits until the next check is due and returns true; returns false once the watcher is closed.
+   */
   private synchronized boolean awaitNextPoll() throws InterruptedException {
     long since = System.nanoTime();
     while (!closed) {
--- a/src/main/java/slateslip/loadbalancer/net/Discovery.java
+++ b/src/main/java/slateslip/loadbalancer/net/Discovery.java
@@ -34,47 +34,51 @@
 import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
- * Follows the server list: the whole list once, unless one is known already, then one watch after
- * the other on one connection. All of it runs on the agent's event loop.
+ * Follows the server list of the discovery service: fetches the whole list, unless a list is
+ * already known, and then sends one watch request after another on one connection. Confined to the
+ * agent's event loop.
  */
 public final class Discovery {
-  /** What the agent hears. */
+  /** Receives server lists and failures, on the event loop. */
   public interface Listener {
-    /** A list has come. */
+    /** Called with each server list or change of the list. */
     void updateServers(ListKind kind, List<ListedEndpoint> endpoints);
 
-    /** A call has failed; the next is made after the back-off, or when asked for. */
-    void failed(String why);
+    /**
+     * Called after a failed call, with a one-line description. The next call is made after a
+     * backoff, or when {@link #watch} is called if the load balancer schedules the calls.
+     */
+    void failed(String reason);
   }
 
   /**
-   * A server as discovery lists it: its line for the module, its name, and where this agent reaches
-   * it.
+   * An entry of the server list: the server in the load balancer's terms, its name and its address.
    */
   public record ListedEndpoint(Server server, String name, InetSocketAddress address) {}
 
-  /** A decoded answer. */
+  /** A decoded response of the discovery service. */
   public record Listing(long index, boolean snapshot, List<ListedEndpoint> endpoints) {}
 
   /**
-   * How long a watch waits for news. A change that an unresponsive one misses counts as told 6 s
-   * after it: this, with the time to find out and the module's wait if the next call is refused,
-   * has to fit into that.
+   * How long the discovery service may hold a watch request until there is a change. The protocol
+   * regards an agent as informed of a change 6 s after the change, even if a watch was
+   * unresponsive. The sum of this timeout, {@link #INACTIVITY_TIMEOUT_MS} and the load balancer's
+   * delay after a rejected call must not exceed those 6 s.
    */
   static final long WATCH_TIMEOUT_MS = 3_000;
 
-  /** How long a call for the whole list may take. */
+  /** The timeout of a call for the whole list. */
   private static final long RESPONSE_TIMEOUT_MS = 2_000;
 
-  /** How much longer than its wait a watch may take before it has timed out. */
+  /** How long after {@link #WATCH_TIMEOUT_MS} a watch counts as timed out. */
   static final long INACTIVITY_TIMEOUT_MS = 500;
 
   private static final long MIN_BACKOFF_MS = 50;
   private static final long MAX_BACKOFF_MS = 1_000;
 
   /**
-   * Before the next watch when one brought nothing: discovery may answer at once, and would be
-   * flooded.
+   * The delay after a watch response without changes. Without it a discovery service that responds
+   * immediately would be flooded with requests.
    */
   private static final long EMPTY_RESPONSE_DELAY_MS = 20;
 
@@ -87,27 +91,29 @@
   private InetSocketAddress address;
   private Channel channel;
 
-  /** The version last had; negative while the whole list is needed. */
+  /** The version of the current list; negative while the whole list is needed. */
   private long index = -1;
 
   private boolean watching;
   private boolean closed;
 
-  /** It has moved, and no list has come from there yet. */
-  private boolean moved;
+  /**
+   * Whether the address of discovery has changed and no list has arrived from the new address yet.
+   */
+  private boolean awaitingListAfterMove;
 
-  /** Numbers the calls: what belongs to an earlier one is disregarded. */
-  private int call;
+  /** The number of the current call. Events that belong to an earlier call are ignored. */
+  private int currentCall;
 
   private Future<?> timeout;
   private final Backoff backoff;
 
-  /** A client of discovery that asks nothing yet. */
+  /** Creates a client that sends no requests until {@link #watch} or {@link #fetch} is called. */
   public Discovery(EventLoop loop, AgentConfig config, Listener listener) {
     this(loop, config, listener, NioSocketChannel::new);
   }
 
-  /** With sockets that come from elsewhere than the usual ones. */
+  /** Creates a client with sockets from the given factory, for tests. */
   Discovery(
       EventLoop loop,
       AgentConfig config,
@@ -139,58 +145,62 @@
   }
 
   /**
-   * Tells which list is held, so that the first call is a watch for what is newer. Guards against
-   * two calls of each agent where one will do: those of agents that start together fill discovery's
-   * queue, and most are rejected.
+   * Sets the list that the agent already has, so that the first call is a watch for changes since
+   * that list. Otherwise each agent would make two calls; the calls of agents that start together
+   * would fill the queue of the discovery service, which rejects most of them.
    */
-  public void holds(Listing known) {
+  public void setKnownList(Listing known) {
     index = known.endpoints().isEmpty() ? -1 : known.index();
   }
 
   /**
-   * Reads lists by another configuration from now on; {@link #moveTo} says where they come from.
+   * Decodes further lists with another configuration; {@link #moveTo} changes the address of
+   * discovery.
    */
   public void apply(AgentConfig next) {
     config = next;
   }
 
-  /** Begins to follow the list, or goes on after a failure where that is asked for. */
+  /**
+   * Starts to follow the list, or continues after a failure if the load balancer schedules the
+   * calls. Does nothing while a call is scheduled or in flight.
+   */
   public void watch() {
     if (!watching) {
       watching = true;
-      next(0);
+      scheduleCall(0);
     }
   }
 
-  /** Gets the whole list with the next call, which is made now. */
+  /** Fetches the whole list now, in place of the current call. */
   public void fetch() {
     index = -1;
     watching = true;
-    drop();
-    next(0);
+    abandonCall();
+    scheduleCall(0);
   }
 
   /**
-   * Follows the list at another address from now on. Its versions mean nothing there, so the whole
-   * list comes first; until it has come the old one stays.
+   * Follows the list at another address. The versions of the old address are not valid there, so
+   * the whole list is fetched first; the old list stays in use until the new one arrives.
    */
   public void moveTo(InetSocketAddress to) {
     if (!closed && !to.equals(address)) {
       address = to;
       backoff.reset();
-      moved = true;
+      awaitingListAfterMove = true;
       fetch();
     }
   }
 
-  /** Ends the call that is out, and makes no other. */
+  /** Abandons the current call and makes no further calls. */
   public void close() {
     closed = true;
-    drop();
+    abandonCall();
   }
 
-  private void drop() {
-    call++;
+  private void abandonCall() {
+    currentCall++;
     if (timeout != null) {
       timeout.cancel(false);
     }
@@ -200,49 +210,49 @@
     }
   }
 
-  private void next(long delayMs) {
-    int mine = ++call;
+  private void scheduleCall(long delayMs) {
+    int callNumber = ++currentCall;
     loop.schedule(
         () -> {
-          if (mine == call && !closed) {
-            ask(mine);
+          if (callNumber == currentCall && !closed) {
+            startCall(callNumber);
           }
         },
         delayMs,
         TimeUnit.MILLISECONDS);
   }
 
-  private void ask(int mine) {
+  private void startCall(int callNumber) {
     timeout =
         index < 0
             ? loop.schedule(
-                () -> failed(mine, "no answer"), RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                () -> failed(callNumber, "no response"), RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)
             : loop.schedule(
-                () -> inactive(mine),
+                () -> watchTimedOut(callNumber),
                 WATCH_TIMEOUT_MS + INACTIVITY_TIMEOUT_MS,
                 TimeUnit.MILLISECONDS);
     if (channel != null && channel.isActive()) {
-      write(mine);
+      sendRequest(callNumber);
       return;
     }
     ChannelFuture connecting = bootstrap.connect(address);
-    if (InspectableSocketChannel.noSocket(connecting)) {
+    if (InspectableSocketChannel.failedToOpenSocket(connecting)) {
       channel = null;
-      failed(mine, "no socket");
+      failed(callNumber, "no socket");
       return;
     }
     channel = connecting.channel();
     connecting.addListener(
         done -> {
-          if (mine == call && done.isSuccess()) {
-            write(mine);
-          } else if (mine == call) {
-            failed(mine, "no connection");
+          if (callNumber == currentCall && done.isSuccess()) {
+            sendRequest(callNumber);
+          } else if (callNumber == currentCall) {
+            failed(callNumber, "cannot connect");
           }
         });
   }
 
-  private void write(int mine) {
+  private void sendRequest(int callNumber) {
     String uri =
         index < 0
             ? "/v1/servers"
@@ -254,110 +264,114 @@
         .addListener(
             done -> {
               if (!done.isSuccess()) {
-                failed(mine, "connection broken");
+                failed(callNumber, "connection broken");
               }
             });
   }
 
   /**
-   * A watch has timed out: it is opened anew on another connection, at once and without asking
-   * when. Guards against the wait after a failed call, which would leave the agent with an old list
-   * for too long.
+   * Restarts a watch that has timed out, on another connection and without delay. With the delay
+   * that follows a failed call, the agent would use an outdated list for too long.
    */
-  private void inactive(int mine) {
-    if (mine == call && !closed) {
-      Agent.say("discovery: a watch fell silent and is opened anew");
-      drop();
-      next(0);
+  private void watchTimedOut(int callNumber) {
+    if (callNumber == currentCall && !closed) {
+      Agent.logLine("discovery: a watch fell silent and is opened anew");
+      abandonCall();
+      scheduleCall(0);
     }
   }
 
-  private void failed(int mine, String why) {
-    if (mine != call || closed) {
+  private void failed(int callNumber, String reason) {
+    if (callNumber != currentCall || closed) {
       return;
     }
-    drop();
-    // Guards against an old list for too long: after a move what is new counts as told 4 s later,
-    // and two
-    // calls that fail there would cost more than that with the module's waits.
-    if (config.settings().pollDiscovery() && !moved) {
-      watching = false; // the module decides when to ask again
+    abandonCall();
+    // After a move the protocol regards the agent as informed 4 s later. With the load balancer's
+    // delays, two failed calls to the new address would take longer than that, so the shorter
+    // backoff of this class applies.
+    if (config.settings().pollDiscovery() && !awaitingListAfterMove) {
+      watching = false; // The load balancer decides when to call again.
     } else {
-      next(backoff.next());
+      scheduleCall(backoff.next());
     }
-    if (moved) {
-      Agent.say("discovery: after the move: " + why);
+    if (awaitingListAfterMove) {
+      Agent.logLine("discovery: after the move: " + reason);
     } else {
-      listener.failed(why);
+      listener.failed(reason);
     }
   }
 
-  private void responded(FullHttpResponse response) {
+  private void handleResponse(FullHttpResponse response) {
     timeout.cancel(false);
     if (response.decoderResult().isFailure() || response.status().code() != 200) {
-      failed(call, "answer " + response.status().code());
+      failed(currentCall, "response status " + response.status().code());
       return;
     }
     Listing listing;
     try (InputStream body = new ByteBufInputStream(response.content())) {
       listing = decode(AgentConfig.json(body), config);
     } catch (IOException | IllegalArgumentException e) {
-      // Guards against a list that cannot be read: the old one stays, and the whole is asked for,
-      // since
-      // what the lost one changed is unknown.
+      // The old list stays in use, and the whole list is fetched because the changes in the
+      // unusable response are unknown.
       index = -1;
       failed(
-          call, "unusable list: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+          currentCall,
+          "unusable list: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
       return;
     }
     if (!listing.snapshot() && listing.index() < index) {
-      // Guards against changes that are missed for ever: the versions count anew, and what has
-      // changed
-      // since this one says nothing of the list that is held.
-      Agent.say(
-          "discovery: versions begin anew at " + listing.index() + ", the whole list is fetched");
+      // The service has restarted its version numbers. Changes relative to its new versions do not
+      // apply to the current list, so changes would be missed permanently.
+      Agent.logLine(
+          "discovery: versions restart at " + listing.index() + ", fetching the whole list");
       fetch();
       return;
     }
     index = listing.index();
-    moved = false;
+    awaitingListAfterMove = false;
     backoff.reset();
-    if (!HttpUtil.isKeepAlive(response) || !channel.isActive()) { // its end may have ended the list
-      drop();
+    // A response without a length ends with its connection.
+    if (!HttpUtil.isKeepAlive(response) || !channel.isActive()) {
+      abandonCall();
     }
     boolean update = listing.snapshot() || !listing.endpoints().isEmpty();
-    next(update ? 0 : EMPTY_RESPONSE_DELAY_MS);
+    scheduleCall(update ? 0 : EMPTY_RESPONSE_DELAY_MS);
     if (update) {
       listener.updateServers(
           listing.snapshot() ? ListKind.FULL : ListKind.DELTA, listing.endpoints());
     }
   }
 
-  /** Decodes a list; an entry that makes no sense makes the whole unusable. */
+  /**
+   * Decodes a server list. Throws IllegalArgumentException if the list or any of its entries is
+   * invalid.
+   */
   public static Listing decode(JsonNode root, AgentConfig config) {
     if (root == null
         || !root.path("endpoints").isArray()
         || !root.path("index").canConvertToLong()) {
-      throw new IllegalArgumentException("no list of servers");
+      throw new IllegalArgumentException("endpoints or index is missing");
     }
     List<ListedEndpoint> endpoints = new ArrayList<>();
     for (JsonNode entry : root.get("endpoints")) {
       String name = entry.path("name").asText();
       int zone = config.zones().indexOf(entry.path("zone").asText());
       if (name.isEmpty() || zone < 0) {
-        throw new IllegalArgumentException("name or zone of a server: " + entry);
+        throw new IllegalArgumentException(
+            "server without a name or with an unknown zone: " + entry);
       }
       Phase phase =
           switch (entry.path("status").asText()) {
             case "Ready" -> Phase.READY;
             case "Terminating" -> Phase.DRAINING;
             case "Gone" -> Phase.GONE;
-            default -> throw new IllegalArgumentException("status of a server: " + entry);
+            default ->
+                throw new IllegalArgumentException("server with an unknown status: " + entry);
           };
       endpoints.add(
           new ListedEndpoint(
               new Server(
-                  id(name),
+                  stableId(name),
                   zone,
                   entry.path("group").asInt(),
                   config.kinds().indexOf(entry.path("type").asText()),
@@ -371,36 +385,39 @@
   }
 
   /**
-   * A number for a name or key: the same at every agent, as the module's hashing needs, and never
-   * 0.
+   * Returns a number for a name or key that is the same on every agent, as the hashing of the load
+   * balancer requires, and never 0.
    */
-  public static long id(String name) {
+  public static long stableId(String name) {
     long id =
         UUID.nameUUIDFromBytes(name.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
     return id == 0 ? 1 : id;
   }
 
-  /** Hands on what arrives on the connection in use. */
+  /** Passes on the events of the current connection and ignores those of earlier connections. */
   private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
       if (ctx.channel() == channel) {
-        responded(response);
+        handleResponse(response);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       if (ctx.channel() == channel) {
-        failed(call, "connection closed");
+        failed(currentCall, "connection closed");
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (ctx.channel() == channel) {
-        // Else a list that is too long, or too much for the heap, passes for a closed connection.
-        failed(call, "broken: " + String.valueOf(cause).lines().findFirst().orElse(""));
+        // Without this call a response that is too long, or too large for the heap, would be
+        // reported as a closed connection.
+        failed(
+            currentCall,
+            "connection error: " + String.valueOf(cause).lines().findFirst().orElse(""));
       }
       ctx.close();
     }
--- a/src/main/java/slateslip/loadbalancer/net/IdleConnectionTimeout.java
+++ b/src/main/java/slateslip/loadbalancer/net/IdleConnectionTimeout.java
@@ -3,26 +3,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Learns how long a connection to a server may idle before it is dead. Guards against a network
- * that drops idle connections in silence, long before the servers would close them: nothing shows
- * until a request is written, and then it may have run. What has been learnt fades, for the network
- * may change.
+ * Learns how long a connection to a backend may be idle before it is dead. A network may silently
+ * drop idle connections long before the backends close them; the failure shows only when a request
+ * is written, and the backend may then have processed that request. Old observations decay, because
+ * the network may change.
  */
 public final class IdleConnectionTimeout {
-  /** The youngest class of ages ends here, each further one at twice the age of the one before. */
+  /**
+   * The upper bound of the first idle time bucket. The bound of each further bucket is twice that
+   * of the one before.
+   */
   private static final long FIRST_BUCKET_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   private static final int AGE_BUCKETS = 12;
 
   /**
-   * Uses of a class before it is judged, and the share of breaks from which it is not used again.
+   * The number of uses from which a bucket is evaluated. {@link #MAX_RESET_FRACTION} is the
+   * fraction of resets from which connections of the bucket are not reused.
    */
   private static final double MIN_USES = 4;
 
   private static final double MAX_RESET_FRACTION = 0.25;
 
   /**
-   * Half of what was seen counts after this time: a class given up is tried again after some of it.
+   * The time after which an observation counts half. It lets the agent try the connections of a
+   * rejected bucket again after a while.
    */
   private static final double HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(5);
 
@@ -32,20 +37,28 @@
   private long decayedAt;
   private long limitNanos;
 
-  /** With the age that is never exceeded. */
+  /**
+   * Starts without observations.
+   *
+   * @param maxNanos the idle time limit that is never exceeded, in nanoseconds
+   * @param now the current time in nanoseconds
+   */
   public IdleConnectionTimeout(long maxNanos, long now) {
     this.maxNanos = maxNanos;
     this.limitNanos = maxNanos;
     this.decayedAt = now;
   }
 
-  /** With another age that is never exceeded; what was learnt stays. */
-  public void limitTo(long maxNanos) {
+  /** Sets another upper limit, in nanoseconds, and keeps the observations. */
+  public void setMaxNanos(long maxNanos) {
     this.maxNanos = maxNanos;
     updateLimit();
   }
 
-  /** A connection that had idled for so long was used, and broke at once or did not. */
+  /**
+   * Records that a connection was used after the given idle time, and whether it was reset
+   * immediately.
+   */
   public void recordUse(long idleNanos, boolean reset, long now) {
     decay(now);
     int bucket = 0;
@@ -57,7 +70,7 @@
     updateLimit();
   }
 
-  /** Forgets with time. */
+  /** Reduces the weight of the observations according to the time that has passed. */
   public void decay(long now) {
     double factor = Math.pow(0.5, (now - decayedAt) / HALF_LIFE_NANOS);
     decayedAt = now;
@@ -68,12 +81,15 @@
     updateLimit();
   }
 
-  /** From this age on a connection is not used again. */
+  /** Returns the idle time, in nanoseconds, from which a connection must not be reused. */
   public long limitNanos() {
     return limitNanos;
   }
 
-  /** The youngest age from which too many broke; the youngest class of all is always used. */
+  /**
+   * Sets the limit to the start of the first bucket with too many resets. Connections of the very
+   * first bucket are always reused.
+   */
   private void updateLimit() {
     limitNanos = maxNanos;
     for (int i = AGE_BUCKETS - 1; i > 0; i--) {
--- a/src/main/java/slateslip/loadbalancer/net/IncomingRequest.java
+++ b/src/main/java/slateslip/loadbalancer/net/IncomingRequest.java
@@ -1,8 +1,8 @@
 package slateslip.loadbalancer.net;
 
 /**
- * A client's request, its names resolved to the indexes of a configuration's settings. Key and hint
- * are 0 if not given.
+ * A client's request, with the names of its class and tenant resolved to indexes of the settings of
+ * {@code config}. {@code key} is 0 without an affinity key, {@code hint} is 0 without a work hint.
  */
 record IncomingRequest(
     AgentConfig config,
@@ -10,25 +10,25 @@
     int requestClass,
     int tenant,
     long key,
-    long hint,
+    long workHint,
     long timeoutMs,
-    boolean repeated,
+    boolean clientRetry,
     OutgoingRequest forward) {
-  IncomingRequest with(byte[] body) {
+  IncomingRequest withBody(byte[] body) {
     return new IncomingRequest(
         config,
         id,
         requestClass,
         tenant,
         key,
-        hint,
+        workHint,
         timeoutMs,
-        repeated,
+        clientRetry,
         new OutgoingRequest(forward.method(), forward.uri(), forward.headers(), body));
   }
 
-  /** The name of its class. */
-  String type() {
+  /** Returns the name of the request's class. */
+  String className() {
     return config.classes().get(requestClass);
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
+++ b/src/main/java/slateslip/loadbalancer/net/InspectableSocketChannel.java
@@ -5,14 +5,15 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A socket that can be asked whether its peer has been unresponsive. */
+/** A socket channel that can check for unread input without waiting for the event loop. */
 public class InspectableSocketChannel extends NioSocketChannel {
-  /** One that is not connected yet. */
+  /** Creates a channel that is not connected. */
   public InspectableSocketChannel() {}
 
   /**
-   * Whether it is open with nothing unread. Guards against what has arrived since the loop last
-   * looked: a close, or bytes that would be taken for the next answer.
+   * Returns whether the channel is open and has no unread input. Detects a close by the peer, or
+   * bytes that would be taken for the next response, that have arrived since the event loop last
+   * read the socket.
    */
   public boolean isIdle() {
     try {
@@ -23,11 +24,11 @@
   }
 
   /**
-   * Whether no socket could be opened to connect with, for the process has no descriptor left.
-   * Guards against waiting for ever: there is no channel to close then, and listeners are called
-   * elsewhere.
+   * Returns whether a connection attempt failed because no socket could be opened, since the
+   * process has no file descriptor left. The caller must check this itself: such a channel is not
+   * registered with the event loop, so its listeners run on another thread and it never closes.
    */
-  public static boolean noSocket(ChannelFuture connecting) {
+  public static boolean failedToOpenSocket(ChannelFuture connecting) {
     return connecting.isDone() && !connecting.isSuccess() && !connecting.channel().isRegistered();
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
+++ b/src/main/java/slateslip/loadbalancer/net/LiveSettings.java
@@ -8,62 +8,71 @@
 import slateslip.loadbalancer.SettingsReload;
 
 /**
- * Which settings may follow those in force while the agent runs, and what is told of them. A
- * greater version is taken whole or not at all; the same one is there already; a lower one is
- * refused: to go back, the old content gets a new version. All of it runs on the agent's event
- * loop.
+ * Decides which settings may replace those in force while the agent runs, and logs the decisions. A
+ * higher version is applied completely or not at all. The same version is already in force. A lower
+ * version is refused: to roll back, operators give the old content a new version. Confined to the
+ * agent's event loop.
  */
 public final class LiveSettings {
   private int appliedCount;
   private int rejectedCount;
 
-  /** The line of the last file, if that was refused: one that does not change is told of once. */
-  private String last;
+  /**
+   * The log line of the last file if that file was refused, so that an unchanged file is logged
+   * only once; otherwise null.
+   */
+  private String lastRefusal;
 
-  /** Whether what was read is to be taken over; if it is refused, that is told. */
-  boolean shouldApply(AgentConfig inForce, ConfigFileWatcher.ReadResult found) {
+  /**
+   * Returns whether the configuration that was read is to be applied. Logs the reason if the
+   * configuration is refused.
+   */
+  boolean shouldApply(AgentConfig inForce, ConfigFileWatcher.ReadResult result) {
     long version = inForce.live().version();
-    AgentConfig next = found.config();
+    AgentConfig next = result.config();
     if (next == null) {
-      refuse(inForce, found, found.unusable().replaceFirst("^(config|settings): ", ""));
+      refuse(inForce, result, result.unusable().replaceFirst("^(config|settings): ", ""));
     } else if (next.live() == null) {
-      refuse(inForce, found, "live_settings is missing");
-    } else if (found.version() < version) {
+      refuse(inForce, result, "live_settings is missing");
+    } else if (result.version() < version) {
       refuse(
           inForce,
-          found,
+          result,
           "live_settings.version is lower; to go back, give the old content a new one");
-    } else if (found.version() == version && !next.sameSettings(inForce)) {
-      refuse(inForce, found, "live_settings.version is the same, but the content is another");
+    } else if (result.version() == version && !next.sameSettings(inForce)) {
+      refuse(inForce, result, "live_settings.version is the same, but the content is another");
     } else {
-      last = null;
-      return found.version() > version;
+      lastRefusal = null;
+      return result.version() > version;
     }
     return false;
   }
 
-  /** Tells that what was read is not taken over, and why: the key at fault first. */
-  void refuse(AgentConfig inForce, ConfigFileWatcher.ReadResult found, String why) {
-    String version = found.version() < 0 ? "" : "version " + found.version() + " ";
+  /**
+   * Logs that the configuration that was read is refused, and why; the reason begins with the key
+   * at fault.
+   */
+  void refuse(AgentConfig inForce, ConfigFileWatcher.ReadResult result, String reason) {
+    String version = result.version() < 0 ? "" : "version " + result.version() + " ";
     String line =
-        "settings: " + version + "refused: " + why + "; " + inForce.live().version() + " stays";
-    if (found.requested() || !line.equals(last)) {
+        "settings: " + version + "refused: " + reason + "; " + inForce.live().version() + " stays";
+    if (result.requested() || !line.equals(lastRefusal)) {
       rejectedCount++;
-      Agent.say(line);
+      Agent.logLine(line);
     }
-    last = line;
+    lastRefusal = line;
   }
 
-  /** Tells that what was read is in force. */
-  void applied(AgentConfig before, ConfigFileWatcher.ReadResult found, long micros) {
+  /** Logs that the configuration that was read is in force. */
+  void logApplied(AgentConfig before, ConfigFileWatcher.ReadResult result, long micros) {
     appliedCount++;
-    AgentConfig now = found.config();
-    String read = found.micros() / 1000 + "." + found.micros() / 100 % 10;
-    Agent.say(
-        inForce(now)
+    AgentConfig now = result.config();
+    String read = result.micros() / 1000 + "." + result.micros() / 100 % 10;
+    Agent.logLine(
+        versionLine(now)
             + ", was "
             + before.live().version()
-            + sizes(now)
+            + sizeSummary(now)
             + "; read "
             + read
             + " ms, taken over in "
@@ -71,16 +80,16 @@
             + " us");
   }
 
-  /** The line of the start. */
-  static String started(AgentConfig config) {
-    return inForce(config) + " from the start" + sizes(config);
+  /** Returns the log line for the settings at the start. */
+  static String startLine(AgentConfig config) {
+    return versionLine(config) + " from the start" + sizeSummary(config);
   }
 
-  private static String inForce(AgentConfig config) {
+  private static String versionLine(AgentConfig config) {
     return "settings: version " + config.live().version() + " in force";
   }
 
-  private static String sizes(AgentConfig config) {
+  private static String sizeSummary(AgentConfig config) {
     return " (classes "
         + config.classes().size()
         + ", tenants "
@@ -92,7 +101,7 @@
         + ")";
   }
 
-  /** What the tally tells of the settings. */
+  /** Returns the part of the "tally:" line that describes the settings. */
   String summary(AgentConfig config) {
     return "settings "
         + config.live().version()
@@ -104,23 +113,23 @@
   }
 
   /**
-   * How the settings in force become the next ones.
+   * Validates the next settings and determines how indexes of the settings in force map to them.
    *
-   * @param before in force
-   * @param next to be in force
-   * @param inUse whether a server of the zone of this name is listed
-   * @return what the module is told
-   * @throws IllegalArgumentException if they are unusable, or cannot follow under way; the message
-   *     is one plain line that begins with the key
+   * @param before the configuration in force
+   * @param next the configuration to apply
+   * @param inUse whether the server list has a server in the zone of the given name
+   * @return the change for the load balancer
+   * @throws IllegalArgumentException if the settings are unusable, or change a key that cannot
+   *     change while the agent runs; the message is one line that begins with the key
    */
   public static SettingsReload reload(
       AgentConfig before, AgentConfig next, Predicate<String> inUse) {
-    named("classes", next.classes(), next.settings().classes().size());
-    named("realms", next.tenants(), next.settings().tenants().size());
-    named("zones", next.zones(), next.settings().zones());
-    named("kinds", next.kinds(), next.kinds().size());
+    checkNames("classes", next.classes(), next.settings().classes().size());
+    checkNames("realms", next.tenants(), next.settings().tenants().size());
+    checkNames("zones", next.zones(), next.settings().zones());
+    checkNames("kinds", next.kinds(), next.kinds().size());
     check(!next.classes().isEmpty(), "classes is empty");
-    inRange(next.settings());
+    checkRanges(next.settings());
     String fixed = " cannot change while the agent runs";
     check(next.listen().equals(before.listen()), "listen" + fixed);
     check(next.settings().agent() == before.settings().agent(), "me" + fixed);
@@ -142,34 +151,35 @@
   }
 
   /**
-   * Guards against two things under one name, of which requests or servers would mean the first.
+   * Checks that a list has one distinct, non-empty name per entry. With a duplicate name, requests
+   * or servers would be matched to the first entry of that name.
    */
-  private static void named(String key, List<String> names, int size) {
-    check(names.size() == size, key + " is not a list of " + size);
-    Set<String> met = new HashSet<>();
+  private static void checkNames(String key, List<String> names, int size) {
+    check(names.size() == size, key + " is not a list of length " + size);
+    Set<String> seen = new HashSet<>();
     for (String name : names) {
-      check(!name.isBlank(), key + " has one without a name");
-      check(met.add(name), key + " has " + name + " twice");
+      check(!name.isBlank(), key + " has an entry without a name");
+      check(seen.add(name), key + " has " + name + " twice");
     }
   }
 
   /**
-   * What the reading leaves open: at the start it would be noticed at once, under way only by its
-   * harm.
+   * Checks ranges that the parser does not check. At the start a wrong value would be noticed at
+   * once; in a running agent it would be noticed only by its damage.
    */
-  private static void inRange(LoadBalancer.Settings settings) {
+  private static void checkRanges(LoadBalancer.Settings settings) {
     check(settings.agent() < settings.agents(), "me is not less than group-size");
     for (int i = 0; i < settings.classes().size(); i++) {
       LoadBalancer.RequestClass type = settings.classes().get(i);
-      String at = "classes." + i + ".";
-      requireNonNegative(at + "worth", type.value());
-      requireNonNegative(at + "aim-stretch", type.latencyTargetPerCost());
-      share(at + "late-share", type.lateValueFraction());
+      String prefix = "classes." + i + ".";
+      requireNonNegative(prefix + "worth", type.value());
+      requireNonNegative(prefix + "aim-stretch", type.latencyTargetPerCost());
+      requireFraction(prefix + "late-share", type.lateValueFraction());
     }
     for (int i = 0; i < settings.tenants().size(); i++) {
       requireNonNegative(
           "realms." + i + ".quota-per-s", settings.tenants().get(i).quotaPerSecond());
-      share("realms." + i + ".fraction", settings.tenants().get(i).fraction());
+      requireFraction("realms." + i + ".fraction", settings.tenants().get(i).fraction());
     }
     requireNonNegative("caps.max-retry-after-us", (double) settings.permits().maxRetryAfter());
     requireNonNegative(
@@ -179,7 +189,7 @@
     requireNonNegative(
         "obligations.ask-within-us", (double) settings.obligations().discoveryWithin());
     requireNonNegative("obligations.fall-multiple", settings.obligations().overloadMultiple());
-    share("obligations.cold-from", settings.obligations().warmupStartFraction());
+    requireFraction("obligations.cold-from", settings.obligations().warmupStartFraction());
     requireNonNegative("deductions.cross-zone", settings.prices().crossZone());
     requireNonNegative("deductions.probe", settings.prices().probe());
     requireNonNegative("deductions.waste", settings.prices().waste());
@@ -196,13 +206,13 @@
     check(value >= 0, key + " has an unusable value: " + value);
   }
 
-  private static void share(String key, double value) {
+  private static void requireFraction(String key, double value) {
     check(value >= 0 && value <= 1, key + " has an unusable value: " + value);
   }
 
-  private static void check(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new IllegalArgumentException(otherwise);
+  private static void check(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException(message);
     }
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/LoadReport.java
+++ b/src/main/java/slateslip/loadbalancer/net/LoadReport.java
@@ -7,13 +7,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the report of its load that a server sends with a response. Stateless. */
+/** Parses the load report that a backend sends with a response. Stateless. */
 final class LoadReport {
-  /** No report, or none that can be read. */
+  /** Stands for a missing or unreadable report. */
   static final double[] NONE = new double[0];
 
   /**
-   * The names of the values as the answers' headers have them, where the settings say otherwise.
+   * The names of the values in the response header, by their names in the settings, for those that
+   * differ.
    */
   private static final Map<String, String> HEADER_NAMES =
       Map.of(
@@ -33,7 +34,8 @@
   private LoadReport() {}
 
   /**
-   * The load report of a response, in the order of the settings' fields; empty if there is none.
+   * Returns the values of a response's load report in the order of the load fields of the settings;
+   * empty if the response has no complete and valid report.
    */
   static double[] of(AgentConfig config, String uri, HttpHeaders headers, byte[] body) {
     String text = headers.get("Server-Load");
@@ -49,7 +51,7 @@
       try {
         double value = Double.parseDouble(pair.substring(equals + 1).trim());
         if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
-          return NONE; // Guards against a figure that is none poisoning every mean it enters.
+          return NONE; // A value such as NaN would corrupt every average.
         }
         values.put(pair.substring(0, Math.max(0, equals)).trim(), value);
       } catch (NumberFormatException e) {
--- a/src/main/java/slateslip/loadbalancer/net/OutgoingRequest.java
+++ b/src/main/java/slateslip/loadbalancer/net/OutgoingRequest.java
@@ -3,5 +3,5 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 
-/** What is sent: method, target and body go on as they came. */
+/** A request for a backend. Method, target and body are those of the client's request. */
 record OutgoingRequest(HttpMethod method, String uri, HttpHeaders headers, byte[] body) {}
--- a/src/main/java/slateslip/loadbalancer/net/RequestParser.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestParser.java
@@ -13,11 +13,11 @@
 import slateslip.loadbalancer.LoadBalancer;
 
 /**
- * Reads a client's request as the protocol has it. Stateless; what is no request gives null or the
- * status that says why.
+ * Parses client requests according to the protocol. Stateless. An invalid request yields null or
+ * the status of the error response.
  */
 final class RequestParser {
-  /** What goes from hop to hop only, or is set anew. */
+  /** Headers that are valid only between two hops, or that the agent sets itself. */
   private static final List<CharSequence> NOT_FORWARDED =
       List.of(
           HttpHeaderNames.CONNECTION,
@@ -30,7 +30,10 @@
           HttpHeaderNames.EXPECT,
           HttpHeaderNames.CONTENT_LENGTH);
 
-  /** What a request says once at the most; of two, a server might believe the other. */
+  /**
+   * Headers that may occur only once. With two values, the agent and the backend might each use a
+   * different one.
+   */
   private static final List<String> SINGLE_VALUED =
       List.of(
           "Host",
@@ -44,28 +47,34 @@
           "Request-Info",
           "Idempotency-Key");
 
-  /** Names from the settings or the application; any letters, in UTF-8. */
-  private static final List<String> NAMES = List.of("Tenant", "Affinity-Key");
+  /**
+   * Headers whose values may contain any UTF-8 text: names from the settings, and keys that the
+   * application chooses.
+   */
+  private static final List<String> UTF8_HEADERS = List.of("Tenant", "Affinity-Key");
 
   private static final long MAX_TIMEOUT_MS = 3_600_000;
   private static final int MAX_TOKEN_LENGTH = 128;
-  private static final int ASCII_END = 128;
+  private static final int ASCII_LIMIT = 128;
 
   private RequestParser() {}
 
-  /** Whether it asks for the health of the agent itself. */
+  /** Returns whether a request is a health check of the agent itself. */
   static boolean isHealthCheck(HttpRequest head) {
     return head.uri().equals("/healthz")
         && head.method().equals(HttpMethod.GET)
         && !head.headers().contains("Request-Id");
   }
 
-  /** Why the bytes that follow cannot be told apart or will not be read, or null. */
+  /**
+   * Returns the error status if the end of the request's body cannot be determined or the body will
+   * not be read, else null.
+   */
   static HttpResponseStatus framingError(HttpRequest head, long length) {
     if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
       return HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED;
     }
-    if (length == StrictHttpDecoders.UNCLEAR) {
+    if (length == StrictHttpDecoders.AMBIGUOUS) {
       return HttpResponseStatus.BAD_REQUEST;
     }
     if (length > BackendConnections.BODY_MAX) {
@@ -83,9 +92,8 @@
   }
 
   /**
-   * The request as the agent takes it, or null if it is not as the protocol has it. Guards against
-   * passing on what a server would reject, or would close a connection for on which more is
-   * waiting.
+   * Parses a request; returns null if it violates the protocol. A backend might reject such a
+   * request or close the connection on it.
    */
   static IncomingRequest parse(AgentConfig config, HttpRequest request) {
     HttpHeaders headers = request.headers();
@@ -95,8 +103,8 @@
       return null;
     }
     for (Map.Entry<String, String> each : headers) {
-      boolean anyLetters = NAMES.stream().anyMatch(each.getKey()::equalsIgnoreCase);
-      if (!isVisible(each.getValue(), ' ', anyLetters)) {
+      boolean allowNonAscii = UTF8_HEADERS.stream().anyMatch(each.getKey()::equalsIgnoreCase);
+      if (!isVisible(each.getValue(), ' ', allowNonAscii)) {
         return null;
       }
     }
@@ -105,7 +113,7 @@
     long timeout = StrictHttpDecoders.digits(headers.get(BackendConnections.REQUEST_TIMEOUT), 0);
     long workHint = StrictHttpDecoders.digits(headers.get("Work-Hint", "0"), -1);
     String id = headers.get("Request-Id", "");
-    int tenant = config.tenants().indexOf(utf8(headers.get("Tenant", "")));
+    int tenant = config.tenants().indexOf(decodeUtf8(headers.get("Tenant", "")));
     if (requestClass < 0
         || !className.equals(request.uri().split("[/?]", 3)[1])
         || timeout < 1
@@ -119,7 +127,8 @@
     LoadBalancer.Semantics semantics = config.settings().classes().get(requestClass).semantics();
     HttpMethod method = semantics == LoadBalancer.Semantics.SAFE ? HttpMethod.GET : HttpMethod.POST;
     String idempotencyKey = headers.get("Idempotency-Key");
-    // Guards against an effect twice: without its key no server would drop a repeat.
+    // Without its idempotency key a request could take effect twice, because no backend would
+    // recognize a retry.
     boolean keyed = semantics == LoadBalancer.Semantics.KEYED;
     if (!request.method().equals(method)
         || (keyed ? idempotencyKey == null || !isToken(idempotencyKey) : idempotencyKey != null)) {
@@ -140,7 +149,7 @@
         id,
         requestClass,
         Math.max(0, tenant),
-        key.isEmpty() ? 0 : Discovery.id(key),
+        key.isEmpty() ? 0 : Discovery.stableId(key),
         workHint,
         timeout,
         "1".equals(headers.get("Client-Retry")),
@@ -148,16 +157,19 @@
             request.method(), request.uri(), forwarded, BackendConnections.NO_BODY));
   }
 
-  /** The text of a value that was read one character a byte. */
-  private static String utf8(String value) {
+  /** Decodes a header value as UTF-8; the HTTP library decodes each byte to one character. */
+  private static String decodeUtf8(String value) {
     return new String(value.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
   }
 
-  /** Whether a text is of visible characters from this one on, or of letters beyond ASCII. */
-  private static boolean isVisible(String text, char min, boolean anyLetters) {
+  /**
+   * Returns whether a text consists of tabs and of visible ASCII characters from {@code min} on,
+   * and of characters beyond ASCII if {@code allowNonAscii} is true.
+   */
+  private static boolean isVisible(String text, char min, boolean allowNonAscii) {
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
-      boolean visible = (c >= min && c <= '~') || (anyLetters && c >= ASCII_END);
+      boolean visible = (c >= min && c <= '~') || (allowNonAscii && c >= ASCII_LIMIT);
       if (!visible && c != '\t') {
         return false;
       }
@@ -165,14 +177,17 @@
     return true;
   }
 
-  /** Whether it has the form of an id: letters, digits and a few marks, and not too many. */
+  /**
+   * Returns whether a text is a valid id: 1 to 128 ASCII letters, digits, hyphens, underscores,
+   * periods or colons.
+   */
   private static boolean isToken(String text) {
     return !text.isEmpty()
         && text.length() <= MAX_TOKEN_LENGTH
         && text.chars()
             .allMatch(
                 c ->
-                    c < ASCII_END
+                    c < ASCII_LIMIT
                         && (Character.isLetterOrDigit(c)
                             || c == '-'
                             || c == '_'
--- a/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
+++ b/src/main/java/slateslip/loadbalancer/net/RequestStatistics.java
@@ -8,16 +8,16 @@
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
- * Counts what the agent does and tells it on a line each few seconds, with one unserved request
- * told in full. Guards against a bad day of which the log says nothing: who gave the final answers,
- * and after how many attempts. Bounded: two lines a period however many requests come, and none
- * while nothing happens.
+ * Counts requests, attempts and connections, and reports the counts in a "tally:" log line every
+ * few seconds, together with the details of one unserved request. After an incident the log thereby
+ * shows how requests ended and after how many attempts. The volume is bounded: at most two lines
+ * per period, however many requests arrive, and none while nothing happens.
  */
 final class RequestStatistics {
-  /** How often it is told. */
+  /** The interval between two reports, in seconds. */
   static final long PERIOD_SECONDS = 5;
 
-  /** Reasons for which answers were spoilt that are told by themselves. */
+  /** How many different reasons for malformed responses a report lists by name. */
   private static final int MAX_REASONS = 4;
 
   /** How a request ended for its client. */
@@ -33,45 +33,51 @@
   private int unsent;
   private int givenUp;
   private int connectionsDialled;
-  private int connectionsDialledAgain;
+  private int secondConnections;
   private int immediateResets;
   private int reusedConnectionResets;
   private int malformed;
 
-  /** How often for each reason; a few reasons, for they come from outside. */
+  /**
+   * The number of malformed responses by reason. The number of reasons is bounded because the texts
+   * depend on input from backends.
+   */
   private final Map<String, Integer> malformedReasons = new TreeMap<>();
 
   private long waitedMicros;
   private long maxWaitedMicros;
 
-  /** The first request of the period that was refused or failed, with all that was tried. */
+  /**
+   * The description of the first refused or failed request of the period with its attempts, or
+   * null.
+   */
   private String unserved;
 
-  /** Where settings have versions, the one in force and what became of others. */
+  /** The summary of the settings in force, if the settings have versions; otherwise empty. */
   private String settings = "";
 
-  /** The settings in force are to be told with each line. */
-  void settings(String description) {
-    settings = "; " + description;
+  /** Sets the summary of the settings that each report ends with. */
+  void setSettingsSummary(String summary) {
+    settings = "; " + summary;
   }
 
-  /** A request has its final answer, after so many attempts. */
-  void completed(Disposition disposition, int attempts) {
+  /** Counts a request that has its final response, and whether any attempt was made. */
+  void recordCompleted(Disposition disposition, int attempts) {
     dispositions.merge(disposition, 1, Integer::sum);
     unsent += attempts == 0 && disposition != Disposition.LEFT ? 1 : 0;
   }
 
-  /** The module has left a request without a response until its last moment. */
-  void givenUp() {
+  /** Counts a request that the load balancer left without a response until its deadline. */
+  void recordGivenUp() {
     givenUp++;
   }
 
-  /** Whether a refused or failed request is still wanted for this period. */
+  /** Returns whether no refused or failed request has been recorded in this period yet. */
   boolean wantsUnserved() {
     return unserved == null;
   }
 
-  void unserved(
+  void recordUnserved(
       String id,
       String requestClass,
       String disposition,
@@ -93,51 +99,57 @@
             + (attempts.isEmpty() ? "none" : String.join("; ", attempts));
   }
 
-  /** An attempt has ended. */
-  void ended(Outcome outcome) {
+  /** Counts an attempt that has ended. */
+  void recordAttempt(Outcome outcome) {
     outcomes.merge(outcome, 1, Integer::sum);
   }
 
-  /** The first attempt of a request begins so long after it came. */
-  void waited(long micros) {
+  /** Records the time, in microseconds, between the arrival of a request and its first attempt. */
+  void recordWait(long micros) {
     waitedMicros += micros;
     maxWaitedMicros = Math.max(maxWaitedMicros, micros);
   }
 
   /**
-   * A connection has broken under an attempt, at once or later: one kept from before, or a new one.
+   * Counts a connection that was reset during an attempt: whether it was a reused connection, and
+   * whether the reset came immediately.
    */
-  void connectionReset(boolean reused, boolean immediate) {
+  void recordReset(boolean reused, boolean immediate) {
     reusedConnectionResets += reused ? 1 : 0;
     immediateResets += immediate ? 1 : 0;
   }
 
-  /** A response was not one as the protocol has it; its attempt counts among the resets. */
-  void recordMalformed(String why) {
+  /** Counts a malformed response. Its attempt also counts as a reset. */
+  void recordMalformed(String reason) {
     malformed++;
     malformedReasons.merge(
-        malformedReasons.containsKey(why) || malformedReasons.size() < MAX_REASONS ? why : "other",
+        malformedReasons.containsKey(reason) || malformedReasons.size() < MAX_REASONS
+            ? reason
+            : "other",
         1,
         Integer::sum);
   }
 
-  /** A connection to a server is dialled. */
-  void connectionDialled() {
+  /** Counts a connection to a backend that the agent starts to open. */
+  void recordConnect() {
     connectionsDialled++;
   }
 
-  /** One that is late has another dialled beside it. */
-  void secondConnectionDialled() {
-    connectionsDialledAgain++;
+  /** Counts a second connection that the agent opens because the first one is late. */
+  void recordSecondConnect() {
+    secondConnections++;
   }
 
-  /** The lines of the period that ends now; the next begins. */
-  List<String> take(int open, int toServers) {
+  /**
+   * Returns the log lines for the period that ends now, or none if nothing happened, and starts a
+   * new period.
+   */
+  List<String> takeLines(int open, int backendConnections) {
     int total = 0;
     StringBuilder line = new StringBuilder("tally:");
     for (Disposition disposition : Disposition.values()) {
       int count = dispositions.getOrDefault(disposition, 0);
-      line.append(' ').append(word(disposition)).append(' ').append(count);
+      line.append(' ').append(lowerCaseName(disposition)).append(' ').append(count);
       total += count;
     }
     line.append(" (unsent ").append(unsent).append("), open ").append(open).append("; attempts:");
@@ -146,7 +158,7 @@
       int count = outcomes.getOrDefault(outcome, 0);
       attempts += count;
       if (count > 0) {
-        line.append(' ').append(word(outcome)).append(' ').append(count);
+        line.append(' ').append(lowerCaseName(outcome)).append(' ').append(count);
       }
     }
     if (outcomes.getOrDefault(Outcome.RESET, 0) > 0) {
@@ -165,10 +177,10 @@
         .append(maxWaitedMicros / 1000)
         .append("; dialled ")
         .append(connectionsDialled);
-    if (connectionsDialledAgain > 0) {
-      line.append(" (late ").append(connectionsDialledAgain).append(')');
+    if (secondConnections > 0) {
+      line.append(" (late ").append(secondConnections).append(')');
     }
-    line.append(", connections ").append(toServers);
+    line.append(", connections ").append(backendConnections);
     if (givenUp > 0) {
       line.append("; given up by the guard ").append(givenUp);
     }
@@ -182,7 +194,7 @@
     unsent = 0;
     givenUp = 0;
     connectionsDialled = 0;
-    connectionsDialledAgain = 0;
+    secondConnections = 0;
     reusedConnectionResets = 0;
     immediateResets = 0;
     malformed = 0;
@@ -193,7 +205,7 @@
     return lines;
   }
 
-  static String word(Enum<?> each) {
+  static String lowerCaseName(Enum<?> each) {
     return each.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/ServedResponse.java
+++ b/src/main/java/slateslip/loadbalancer/net/ServedResponse.java
@@ -1,4 +1,7 @@
 package slateslip.loadbalancer.net;
 
-/** A served answer: the body and what tells how to read it. */
+/**
+ * The body of a successful response with its content type and content encoding, each null if
+ * absent.
+ */
 record ServedResponse(byte[] body, String contentType, String contentEncoding) {}
--- a/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
+++ b/src/main/java/slateslip/loadbalancer/net/StrictHttpDecoders.java
@@ -14,22 +14,22 @@
 import java.util.List;
 
 /**
- * HTTP/1.1 as the agent reads it from either side: what the library would mend or overlook is an
- * unreadable message here, since two readers that mend differently see different messages in the
- * same bytes.
+ * HTTP/1.1 decoders for both sides of the agent. They reject as unreadable what Netty would correct
+ * or ignore, because two readers that correct the same bytes differently see different messages
+ * (request smuggling).
  */
 public final class StrictHttpDecoders {
   private static final int LINE_MAX = 4096;
   private static final int HEAD_MAX = 8192;
 
-  /** How a body ends, where no length tells it. */
+  /** Body framing of a message that states no length. */
   public static final long NO_LENGTH = -1;
 
-  /** The body comes in chunks. */
+  /** Body framing of a message with a chunked body. */
   public static final long CHUNKED = -2;
 
-  /** The headers contradict each other, or say nothing that can be read. */
-  public static final long UNCLEAR = -3;
+  /** Body framing of a message whose headers contradict each other or are unreadable. */
+  public static final long AMBIGUOUS = -3;
 
   private StrictHttpDecoders() {}
 
@@ -42,39 +42,42 @@
   }
 
   /**
-   * How a message's body ends: its length, {@link #CHUNKED}, {@link #NO_LENGTH} or {@link
-   * #UNCLEAR}.
+   * Returns how the end of a message's body is determined: its length in bytes, {@link #CHUNKED},
+   * {@link #NO_LENGTH} or {@link #AMBIGUOUS}.
    */
   public static long framing(HttpHeaders headers) {
     List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
     List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
     if (codings.size() + lengths.size() > 1) {
-      return UNCLEAR;
+      return AMBIGUOUS;
     }
     if (!codings.isEmpty()) {
-      return codings.get(0).equalsIgnoreCase("chunked") ? CHUNKED : UNCLEAR;
+      return codings.get(0).equalsIgnoreCase("chunked") ? CHUNKED : AMBIGUOUS;
     }
-    return lengths.isEmpty() ? NO_LENGTH : digits(lengths.get(0), UNCLEAR);
+    return lengths.isEmpty() ? NO_LENGTH : digits(lengths.get(0), AMBIGUOUS);
   }
 
-  /** A whole number written in digits alone, or the other value. */
-  public static long digits(String text, long otherwise) {
+  /**
+   * Parses an integer that consists only of 1 to 18 digits; returns {@code defaultValue} for any
+   * other text and for null.
+   */
+  public static long digits(String text, long defaultValue) {
     if (text == null || text.isEmpty() || text.length() > 18) {
-      return otherwise;
+      return defaultValue;
     }
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) < '0' || text.charAt(i) > '9') {
-        return otherwise;
+        return defaultValue;
       }
     }
     return Long.parseLong(text);
   }
 
   /**
-   * Guards against a length beside a coding: the library would drop one, and the next reader the
-   * other.
+   * Rejects a message with both headers: Netty would ignore one of them, and the next reader might
+   * ignore the other.
    */
-  private static void refuseBoth() {
+  private static void rejectLengthWithCoding() {
     throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
   }
 
@@ -82,7 +85,7 @@
     return !out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent;
   }
 
-  /** What the application sends. */
+  /** Decodes the requests of clients. */
   public static final class Requests extends HttpRequestDecoder {
     private boolean atStart = true;
 
@@ -90,12 +93,14 @@
       this(LINE_MAX, HEAD_MAX);
     }
 
-    /** With limits on the bytes of the request line and of the headers. */
+    /**
+     * Creates a decoder with limits on the number of bytes of the request line and of the headers.
+     */
     public Requests(int maxLineBytes, int maxHeadBytes) {
       super(strict(maxLineBytes, maxHeadBytes));
     }
 
-    /** Whether a request has begun to come. */
+    /** Returns whether a part of a request has arrived. */
     public boolean hasStarted() {
       return !atStart;
     }
@@ -105,14 +110,14 @@
         throws Exception {
       if (atStart && in.isReadable()) {
         byte first = in.getByte(in.readerIndex());
-        // Guards against noise before a request: the library passes over control characters for
-        // ever.
+        // Netty would skip control characters before a request without limit.
         if (first != '\r' && first != '\n' && (first < 'A' || first > 'Z')) {
           in.skipBytes(in.readableBytes());
-          HttpMessage noise = createInvalidMessage();
-          noise.setDecoderResult(
-              DecoderResult.failure(new IllegalArgumentException("no request line")));
-          out.add(noise);
+          HttpMessage invalid = createInvalidMessage();
+          invalid.setDecoderResult(
+              DecoderResult.failure(
+                  new IllegalArgumentException("request line does not start with a method")));
+          out.add(invalid);
           return;
         }
         atStart = false;
@@ -123,17 +128,15 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-      refuseBoth();
+      rejectLengthWithCoding();
     }
   }
 
-  /** What servers and discovery send. */
+  /** Decodes the responses of backends and of the discovery service. */
   public static final class Responses extends HttpResponseDecoder {
     private boolean atStart = true;
 
-    /**
-     * Whether the status line has been read, and the rest is to be read as strictly as in requests.
-     */
+    /** Whether the status line has been read, so that the rest is read as strictly as a request. */
     private boolean strict;
 
     private boolean noBody;
@@ -142,13 +145,15 @@
       this(LINE_MAX, HEAD_MAX);
     }
 
-    /** With limits on the bytes of the status line and of the headers. */
+    /**
+     * Creates a decoder with limits on the number of bytes of the status line and of the headers.
+     */
     public Responses(int maxLineBytes, int maxHeadBytes) {
       super(strict(maxLineBytes, maxHeadBytes));
     }
 
-    /** Whether bytes have come that belong to no message yet. */
-    public boolean leftover() {
+    /** Returns whether bytes have arrived that belong to no message yet. */
+    public boolean hasLeftoverBytes() {
       return actualReadableBytes() > 0;
     }
 
@@ -156,7 +161,8 @@
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out)
         throws Exception {
       if (atStart && in.isReadable()) {
-        if (in.getByte(in.readerIndex()) != 'H') { // Guards against noise before a response.
+        // The input is not a response.
+        if (in.getByte(in.readerIndex()) != 'H') {
           in.skipBytes(in.readableBytes());
           ctx.close();
           return;
@@ -173,7 +179,8 @@
       if ((!line[0].equals("HTTP/1.1") && !line[0].equals("HTTP/1.0"))
           || line[1].length() != 3
           || digits(line[1], 0) < 100) {
-        throw new IllegalArgumentException("status line"); // the library would take "+200" for 200
+        // Netty would accept "+200" as status 200.
+        throw new IllegalArgumentException("malformed status line");
       }
       strict = true;
       return super.createMessage(line);
@@ -181,25 +188,30 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-      refuseBoth();
+      rejectLengthWithCoding();
     }
 
     /**
-     * Reads headers as strictly as those of requests: else a line without a colon counts as one.
-     * Not so the status line, which has a space at its end where no reason is given.
+     * Returns whether Netty reads the input as strictly as a request. Headers are read strictly,
+     * because a line without a colon would otherwise count as a header. The status line is not,
+     * because it ends with a space if it has no reason phrase.
      */
     @Override
     protected boolean isDecodingRequest() {
       return strict;
     }
 
-    /** Whether the next answer has no body whatever its headers say, as one to HEAD. */
+    /**
+     * Sets whether the next response has no body whatever its headers state, as the response to
+     * HEAD.
+     */
     public void expectNoBody(boolean none) {
       noBody = none;
     }
 
     /**
-     * Asked at the end of the headers. Without a length the body of a 200 ends with its connection.
+     * Called by Netty at the end of the headers. A 200 response without a length ends when its
+     * connection closes.
      */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
@@ -210,7 +222,8 @@
 
     @Override
     protected boolean isSwitchingToNonHttp1Protocol(HttpResponse response) {
-      return false; // nobody asked for another protocol; what takes a 101 refuses it
+      // The agent never requests a protocol upgrade, and the handlers reject status 101.
+      return false;
     }
   }
 }
--- a/src/main/java/slateslip/loadbalancer/net/package-info.java
+++ b/src/main/java/slateslip/loadbalancer/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The agent around the load balancer: sockets, HTTP/1.1, discovery, configuration. It decides
- * nothing about requests. Everything runs on the agent's one event loop, except reading of the
- * configuration file.
+ * The agent that hosts the load balancer: sockets, HTTP/1.1, discovery and configuration. The load
+ * balancer makes all decisions about requests. Everything runs on the agent's single event loop,
+ * except that other threads read the configuration file.
  */
 package slateslip.loadbalancer.net;
--- a/src/scale/java/slateslip/loadbalancer/scale/FleetServers.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/FleetServers.java
@@ -74,7 +74,7 @@
   private static Server server(ServerEntry entry) {
     Phase phase = entry.status() == ServerEntry.Status.READY ? Phase.READY : Phase.DRAINING;
     return new Server(
-        Discovery.id(entry.name()),
+        Discovery.stableId(entry.name()),
         0,
         entry.group(),
         0,
--- a/src/scale/java/slateslip/loadbalancer/scale/HollowCommand.java
+++ b/src/scale/java/slateslip/loadbalancer/scale/HollowCommand.java
@@ -134,11 +134,12 @@
     long at = notified.path("at_ns").asLong() / NANOS_PER_MICRO;
     notified
         .path("draining")
-        .forEach(each -> fleet.truth().drainStartedAt(Discovery.id(each.asText()), at, false));
+        .forEach(
+            each -> fleet.truth().drainStartedAt(Discovery.stableId(each.asText()), at, false));
     notified
         .path("gone")
-        .forEach(each -> fleet.truth().drainStartedAt(Discovery.id(each.asText()), at, true));
-    notified.path("back").forEach(each -> fleet.truth().returns(Discovery.id(each.asText())));
+        .forEach(each -> fleet.truth().drainStartedAt(Discovery.stableId(each.asText()), at, true));
+    notified.path("back").forEach(each -> fleet.truth().returns(Discovery.stableId(each.asText())));
   }
 
   private void report(ObjectNode response) {
