--- a/src/test/java/slateslip/loadbalancer/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -163,7 +163,8 @@
   void warmupRunsBeforeReadyAndLeavesNothing() throws Exception {
     fixture.start();
     // Failed before: 150 were too few, and the first seconds of service went to the compiler.
-    assertTrue(fixture.agent.warmedBy() > 200, "warmed by " + fixture.agent.warmedBy());
+    assertTrue(
+        fixture.agent.warmupResponses() > 200, "warmed by " + fixture.agent.warmupResponses());
     assertEquals(0, fixture.agent.trackedServers());
     assertEquals(503, fixture.call("lookup").status(), "it is no server of its own");
   }
@@ -594,7 +595,7 @@
     assertEquals(1_700_000_000_123_000L, list.get(0).server().startedAt());
     assertEquals(0, list.get(1).server().startedAt());
     assertEquals(LoadBalancer.Phase.GONE, list.get(1).server().phase());
-    assertEquals(Discovery.id("s-1"), list.get(0).server().id());
+    assertEquals(Discovery.stableId("s-1"), list.get(0).server().id());
   }
 
   /** Guards against a request that is answered for another's fault, or never. */
--- a/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
@@ -174,7 +174,7 @@
               }
             });
     fixture.agent =
-        Agent.made(
+        Agent.createUnstarted(
             AgentConfig.of(fixture.config),
             agent -> {
               agent.watchServers();
@@ -185,7 +185,7 @@
     }
     assertEquals(List.of(), requested(fixture.discovery));
     fixture.update.add(drain());
-    fixture.agent.beginSoon();
+    fixture.agent.startAsync();
     assertDrainKnown(fixture.discovery);
     assertEquals(List.of(LoadBalancer.ListKind.CACHED, LoadBalancer.ListKind.DELTA), lists);
   }
@@ -213,7 +213,7 @@
             .lines()
             .anyMatch(
                 each ->
-                    each.startsWith("discovery: broken: ")
+                    each.startsWith("discovery: connection error: ")
                         && each.contains("TooLongHttpContentException")),
         log.toString(UTF_8));
     assertEquals(2, waits.size(), "before the first call and after the one that failed");
--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsReadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsReadTest.java
@@ -62,7 +62,7 @@
     LoopbackCluster.await(
         () ->
             reader.getState() == Thread.State.RUNNABLE
-                && LoopbackCluster.inside(reader, "readAgain"));
+                && LoopbackCluster.inside(reader, "readForReload"));
     for (int version = 43; version <= 45; version++) {
       write(version, config -> addFirst(config, "extra"));
       fixture.agent.reload(file);
@@ -117,13 +117,13 @@
     fixture.start();
     Path pipe = pipe();
     Thread reader = ScriptedPeer.daemon(() -> fixture.agent.reload(pipe));
-    LoopbackCluster.await(() -> LoopbackCluster.inside(reader, "readAgain"));
+    LoopbackCluster.await(() -> LoopbackCluster.inside(reader, "readForReload"));
     fixture.hangUp();
     fixture.agent.stop();
     ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", 42);
     Files.writeString(pipe, copy.toString());
     reader.join();
-    assertTrue(logged().contains("reload: not taken, the agent has ended"));
+    assertTrue(logged().contains("reload: configuration not applied, the agent has ended"));
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsTest.java
@@ -211,10 +211,10 @@
   @Test
   void theTallyNamesTheVersionAndThePageShowsTheLines() throws Exception {
     RequestStatistics statistics = new RequestStatistics();
-    statistics.settings(new LiveSettings().summary(AgentConfig.of(fixture.config)));
-    statistics.completed(RequestStatistics.Disposition.SERVED, 1);
+    statistics.setSettingsSummary(new LiveSettings().summary(AgentConfig.of(fixture.config)));
+    statistics.recordCompleted(RequestStatistics.Disposition.SERVED, 1);
     String notified = "settings 41 (taken 0, refused 0)";
-    assertTrue(statistics.take(0, 0).get(0).endsWith("; " + notified));
+    assertTrue(statistics.takeLines(0, 0).get(0).endsWith("; " + notified));
     fixture.start();
     take(42, config -> {});
     write(40, config -> {});
--- a/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
@@ -14,43 +14,43 @@
 
   @Test
   void aPeriodIsToldOnceWithOneUnservedRequest() {
-    statistics.connectionDialled();
-    statistics.waited(4_000);
-    statistics.ended(Outcome.RESET);
-    statistics.connectionReset(true, false);
-    statistics.ended(Outcome.OK);
-    statistics.completed(RequestStatistics.Disposition.SERVED, 2);
-    statistics.completed(RequestStatistics.Disposition.REFUSED, 0);
+    statistics.recordConnect();
+    statistics.recordWait(4_000);
+    statistics.recordAttempt(Outcome.RESET);
+    statistics.recordReset(true, false);
+    statistics.recordAttempt(Outcome.OK);
+    statistics.recordCompleted(RequestStatistics.Disposition.SERVED, 2);
+    statistics.recordCompleted(RequestStatistics.Disposition.REFUSED, 0);
     assertTrue(statistics.wantsUnserved());
-    statistics.unserved("a1", "lookup", "refused", 51_000, 424, List.of());
+    statistics.recordUnserved("a1", "lookup", "refused", 51_000, 424, List.of());
     assertFalse(statistics.wantsUnserved(), "one a period");
     assertEquals(
         List.of(
             "tally: served 1 refused 1 failed 0 left 0 (unsent 1), open 3; attempts: ok 1 reset 1 "
                 + "(of the resets on kept connections 1, at once 0); waited 2 ms, most 4; dialled 1, connections 2",
             "unserved: a1 lookup refused after 51 of 424 ms, attempts: none"),
-        statistics.take(3, 2));
-    assertEquals(List.of(), statistics.take(0, 0), "nothing has happened since");
+        statistics.takeLines(3, 2));
+    assertEquals(List.of(), statistics.takeLines(0, 0), "nothing has happened since");
   }
 
   @Test
   void theAttemptsOfAnUnservedRequestAreTold() {
-    statistics.completed(RequestStatistics.Disposition.FAILED, 2);
-    statistics.unserved(
+    statistics.recordCompleted(RequestStatistics.Disposition.FAILED, 2);
+    statistics.recordUnserved(
         "b2", "pay", "failed", 9_000, 100, List.of("s-1 reset after 1 ms", "s-2 out after 2 ms"));
     assertEquals(
         "unserved: b2 pay failed after 9 of 100 ms, attempts: s-1 reset after 1 ms; s-2 out after 2 ms",
-        statistics.take(0, 0).get(1));
+        statistics.takeLines(0, 0).get(1));
   }
 
   /** Failed before: each request that the guard answered had a line of its own. */
   @Test
   void whatTheGuardAnsweredIsCountedOnTheSameLine() {
     for (int i = 0; i < 30; i++) {
-      statistics.completed(RequestStatistics.Disposition.FAILED, 0);
-      statistics.givenUp();
+      statistics.recordCompleted(RequestStatistics.Disposition.FAILED, 0);
+      statistics.recordGivenUp();
     }
-    List<String> lines = statistics.take(0, 0);
+    List<String> lines = statistics.takeLines(0, 0);
     assertEquals(1, lines.size());
     assertTrue(lines.get(0).endsWith("; given up by the guard 30"), lines.get(0));
   }
@@ -62,16 +62,16 @@
   @Test
   void spoiltAnswersAreToldByReasonAndOnlySoMany() {
     for (int i = 0; i < 10; i++) {
-      statistics.ended(Outcome.RESET);
+      statistics.recordAttempt(Outcome.RESET);
       statistics.recordMalformed("reason " + i / 2);
     }
-    String line = statistics.take(0, 0).get(0);
+    String line = statistics.takeLines(0, 0).get(0);
     assertTrue(
         line.contains(
             "reset 10 (of the resets on kept connections 0, at once 0, for spoilt answers 10 "
                 + "{other=2, reason 0=2, reason 1=2, reason 2=2, reason 3=2})"),
         line);
-    statistics.ended(Outcome.RESET);
-    assertFalse(statistics.take(0, 0).get(0).contains("spoilt"));
+    statistics.recordAttempt(Outcome.RESET);
+    assertFalse(statistics.takeLines(0, 0).get(0).contains("spoilt"));
   }
 }
