--- a/src/test/java/slateslip/loadbalancer/net/AgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/AgentTest.java
@@ -30,13 +30,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateslip.loadbalancer.LoadBalancer;
 
-/** The agent over loopback sockets, against scripted peers. */
+/** Tests the agent over loopback sockets against scripted peers. */
 class AgentTest {
   private static final ScriptedPeer.Script SERVES =
       (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
   private static final ScriptedPeer.Script SILENT = (message, socket) -> {};
   private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
-  private static final ScriptedPeer.Script CUTS_OFF =
+  private static final ScriptedPeer.Script TRUNCATES =
       (message, socket) -> {
         ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
         socket.close();
@@ -45,20 +45,20 @@
   private LoopbackCluster fixture;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     fixture.close();
   }
 
   /**
-   * A server that does the one thing with its first request and serves the others; two of them
-   * alike.
+   * Starts two servers. The first request that reaches either of them runs the script; all others
+   * are served.
    */
-  private void twoServersThatFirst(ScriptedPeer.Script script) throws IOException {
+  private void startTwoServersWithFirst(ScriptedPeer.Script script) throws IOException {
     AtomicBoolean first = new AtomicBoolean(true);
     for (int i = 0; i < 2; i++) {
       fixture.server(
@@ -67,7 +67,7 @@
     fixture.start();
   }
 
-  // ---- Passing on ----
+  // ---- Forwarding ----
 
   @Test
   void requestAndResponsePassUnchanged() throws IOException {
@@ -86,8 +86,10 @@
     assertEquals(body, sent.text());
     assertEquals("id1", sent.header("Request-Id"));
     assertEquals("k1", sent.header("Idempotency-Key"));
-    int notified = Integer.parseInt(sent.header("Request-Timeout-Ms"));
-    assertTrue(notified > 0 && notified <= 3000, "it waits no longer than the aim: " + notified);
+    int forwardedTimeout = Integer.parseInt(sent.header("Request-Timeout-Ms"));
+    assertTrue(
+        forwardedTimeout > 0 && forwardedTimeout <= 3000,
+        "at most the latency target: " + forwardedTimeout);
   }
 
   @Test
@@ -136,14 +138,15 @@
     for (int i = 0; i < 5; i++) {
       assertEquals(
           200, LoopbackCluster.exchange(client, fixture.request("lookup", 8000, "")).status());
-      Thread.sleep(100); // a connection rests a moment before it is used again
+      Thread.sleep(100); // A connection is reused only after its reuse delay.
     }
     assertEquals(5, server.requests.size());
-    assertTrue(server.sockets.size() <= 2, "one for requests, and perhaps one for probes");
+    assertTrue(
+        server.sockets.size() <= 2, "one connection for requests and at most one for probes");
   }
 
   @Test
-  void requestsSentInAdvanceAreAnsweredInTheirOrder() throws IOException {
+  void pipelinedRequestsAreAnsweredInOrder() throws IOException {
     fixture.server(
         (message, socket) -> ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
     fixture.start();
@@ -158,71 +161,75 @@
     }
   }
 
-  /** Guards against the first requests meeting code that is not even loaded. */
+  /** Guards against first requests that run code that is not loaded yet. */
   @Test
   void warmupRunsBeforeReadyAndLeavesNothing() throws Exception {
     fixture.start();
-    // Failed before: 150 were too few, and the first seconds of service went to the compiler.
+    // With 150 warm-up requests the first seconds of service were lost to the compiler.
     assertTrue(
-        fixture.agent.warmupResponses() > 200, "warmed by " + fixture.agent.warmupResponses());
+        fixture.agent.warmupResponses() > 200,
+        "warm-up requests: " + fixture.agent.warmupResponses());
     assertEquals(0, fixture.agent.trackedServers());
-    assertEquals(503, fixture.call("lookup").status(), "it is no server of its own");
+    assertEquals(503, fixture.call("lookup").status(), "the agent is not listed as a server");
   }
 
   // ---- Outcomes ----
 
   @ParameterizedTest
   @ValueSource(strings = {"lookup", "pay", "order"})
-  void whatWasTurnedAwayUnseenIsSentAgain(String type) throws IOException {
-    twoServersThatFirst(
+  void notStartedResponseIsRetried(String type) throws IOException {
+    startTwoServersWithFirst(
         (message, socket) -> ScriptedPeer.respond(socket, 503, "Not-Started: 1\r\n", ""));
     assertEquals(200, fixture.call(type).status());
-    assertEquals(2, fixture.arrived());
+    assertEquals(2, fixture.arrivedRequests());
   }
 
-  /** Guards against an effect twice: only Not-Started proves that a 503 has not run. */
+  /**
+   * Guards against a request that takes effect twice: only the header Not-Started proves that a
+   * request with a 503 response has not run.
+   */
   @Test
-  void aBare503MayHaveRun() throws IOException {
-    twoServersThatFirst((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
+  void plain503MayHaveRun() throws IOException {
+    startTwoServersWithFirst((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
     assertEquals(502, fixture.call("order").status());
-    assertEquals(1, fixture.arrived());
+    assertEquals(1, fixture.arrivedRequests());
   }
 
   /**
-   * Guards against an effect twice: a request written whole may have run, however its connection
-   * ends.
+   * Guards against a request that takes effect twice: a completely written request may have run,
+   * however its connection ends.
    */
   @Test
-  void anUnsafeRequestIsNotSentAgainAfterAReset() throws IOException {
-    twoServersThatFirst(RESETS);
+  void unsafeRequestIsNotRetriedAfterReset() throws IOException {
+    startTwoServersWithFirst(RESETS);
     assertEquals(502, fixture.call("order").status());
-    assertEquals(1, fixture.arrived());
+    assertEquals(1, fixture.arrivedRequests());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"lookup", "pay"})
-  void aSafeOrKeyedRequestIsSentAgainAfterAReset(String type) throws IOException {
-    twoServersThatFirst(RESETS);
+  void safeOrKeyedRequestIsRetriedAfterReset(String type) throws IOException {
+    startTwoServersWithFirst(RESETS);
     assertEquals(200, fixture.call(type).status());
-    assertEquals(2, fixture.arrived());
+    assertEquals(2, fixture.arrivedRequests());
   }
 
   /**
-   * Guards against an effect twice: a repeat whose connection may come up after the window is not
-   * sent.
+   * Guards against a request that takes effect twice: a retry is not sent if its connection might
+   * come up only after the deduplication window.
    */
   @Test
   void keyedRequestIsNotRetriedNearWindowEnd() throws IOException {
     fixture.settings("caps", caps -> caps.put("dial-timeout-us", 400_000));
     ((ObjectNode) fixture.config.get("settings").get("classes").get(1)).put("window-us", 400_000);
-    twoServersThatFirst(RESETS);
+    startTwoServersWithFirst(RESETS);
     assertEquals(503, fixture.call("pay").status());
-    assertEquals(1, fixture.arrived());
+    assertEquals(1, fixture.arrivedRequests());
   }
 
   /**
-   * Failed before: the guard fired in the moment of the module's own timer, and the client got a
-   * failure.
+   * Guards against a failure in place of a refusal: the agent's own timeout fired at the same
+   * moment as the load balancer's timer.
    */
   @Test
   void expiredRequestIsRejectedNotFailed() throws IOException {
@@ -233,13 +240,13 @@
           LoopbackCluster.exchange(fixture.dial(), fixture.request("order", 10, "body"));
       assertEquals(503, response.status());
     }
-    assertEquals(0, fixture.arrived());
+    assertEquals(0, fixture.arrivedRequests());
   }
 
-  /** Guards against half a response being served as a complete one. */
+  /** Guards against a truncated response that is served as a complete one. */
   @Test
   void truncatedResponseIsNotServed() throws IOException {
-    twoServersThatFirst(CUTS_OFF);
+    startTwoServersWithFirst(TRUNCATES);
     ScriptedPeer.Message response = fixture.call("lookup");
     assertEquals(200, response.status());
     assertEquals("served", response.text());
@@ -247,15 +254,15 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"ff\r\nhalf", "4\r\nhalf\r\nno size\r\n"})
-  void anAnswerCutOffOrSpoiltInsideItsChunksIsNotServed(String chunks) throws IOException {
-    twoServersThatFirst(
+  void truncatedOrMalformedChunksAreNotServed(String chunks) throws IOException {
+    startTwoServersWithFirst(
         (message, socket) -> {
           ScriptedPeer.write(
               socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
           socket.close();
         });
     assertEquals(502, fixture.call("order").status());
-    assertEquals(1, fixture.arrived());
+    assertEquals(1, fixture.arrivedRequests());
   }
 
   @Test
@@ -265,7 +272,7 @@
       fixture.server(
           (message, socket) -> {
             switch (turn.getAndIncrement()) {
-              case 0 -> ScriptedPeer.write(socket, "I am not HTTP\r\n\r\n");
+              case 0 -> ScriptedPeer.write(socket, "not HTTP\r\n\r\n");
               case 1 -> ScriptedPeer.respond(socket, 200, "", "x".repeat(100_000));
               default -> ScriptedPeer.respond(socket, 200, "", "served");
             }
@@ -284,11 +291,11 @@
     for (int i = 0; i < 6; i++) {
       assertEquals(200, fixture.call("order").status());
     }
-    assertEquals(6, fixture.arrived());
+    assertEquals(6, fixture.arrivedRequests());
   }
 
   @Test
-  void aRequestWithNowhereToGoIsRefusedWithAdvice() throws IOException {
+  void requestWithoutServersIsRefusedWithRetryAfter() throws IOException {
     fixture.start();
     ScriptedPeer.Message response = fixture.call("order");
     assertEquals(503, response.status());
@@ -307,17 +314,17 @@
     assertEquals(1, server.requests.size());
   }
 
-  /** Guards against work and sockets spent on a client that has gone. */
+  /** Guards against work and sockets that are spent on a client that has left. */
   @Test
-  void theAttemptOfAClientThatLeavesIsGivenUp() throws Exception {
+  void departedClientCancelsAttempt() throws Exception {
     fixture.settings("caps", caps -> caps.put("probes", false).put("cancel", false));
     ScriptedPeer server = fixture.server(SILENT);
     CompletableFuture<Object> outcome = new CompletableFuture<>();
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals("outcome")) {
-                outcome.complete(details[4]);
+                outcome.complete(arguments[4]);
               }
             }));
     Socket client = fixture.dial();
@@ -325,13 +332,18 @@
     LoopbackCluster.await(() -> server.requests.size() == 1);
     client.close();
     assertEquals(
-        LoadBalancer.Outcome.CANCELLED, outcome.get(20, TimeUnit.SECONDS), "and not its time-out");
+        LoadBalancer.Outcome.CANCELLED,
+        outcome.get(20, TimeUnit.SECONDS),
+        "cancelled rather than timed out");
     LoopbackCluster.await(() -> server.ended.size() == 1);
   }
 
-  /** Guards against writing to a connection that the server is about to close as idle. */
+  /**
+   * Guards against a request on a connection that the server is about to close because of its idle
+   * timeout.
+   */
   @Test
-  void connectionsAreClosedBeforeTheServerWouldCloseThem() throws IOException {
+  void idleConnectionIsClosedBeforeServerTimeout() throws IOException {
     fixture.settings("caps", caps -> caps.put("idle-close-us", 400_000).put("probes", false));
     ScriptedPeer server = fixture.server(SERVES);
     fixture.start();
@@ -341,22 +353,22 @@
   }
 
   /**
-   * Guards against a request written to a connection whose end has come but has not been read: it
-   * might have run. The server closes while the loop is at something else, just before the
-   * connection is taken for a request.
+   * Guards against a request on a connection whose close has arrived but has not been read, since
+   * the request might have run. The server closes the connection while the event loop is busy,
+   * immediately before the connection is chosen for a request.
    */
   @Test
-  void aConnectionThatEndedUnseenIsNotUsed() throws Exception {
+  void connectionWithUnreadCloseIsNotReused() throws Exception {
     fixture.settings("caps", caps -> caps.put("probes", false));
     ScriptedPeer server = fixture.server(SERVES);
     AtomicBoolean second = new AtomicBoolean();
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals("request") && second.get()) {
                 second.set(false);
                 try {
-                  Thread.sleep(50); // it has rested for long enough to be used
+                  Thread.sleep(50); // The reuse delay passes.
                   server.sockets.get(0).close();
                 } catch (InterruptedException | IOException e) {
                   throw new AssertionError(e);
@@ -371,16 +383,16 @@
         server.requests.stream().map(each -> each.header("Request-Id")).toList());
   }
 
-  // ---- Discovery and drains ----
+  // ---- Discovery and draining ----
 
   @Test
-  void changesAreAppliedAndADrainedServerGetsNothingNew() throws Exception {
+  void drainingServerReceivesNoNewRequests() throws Exception {
     ScriptedPeer first = fixture.server(SERVES);
     ScriptedPeer second = new ScriptedPeer(SERVES);
     fixture.servers.add(second);
     fixture.start();
     assertEquals(200, fixture.call("lookup").status());
-    fixture.update.add(
+    fixture.watchResponses.add(
         LoopbackCluster.delta(
             1,
             LoopbackCluster.endpoint(2, second.address(), "Ready"),
@@ -398,37 +410,39 @@
   }
 
   /**
-   * Guards against a request written, after a drain was told, to a connection that was still being
-   * made.
+   * Guards against a request that is written to a connection that comes up only after the server
+   * started draining.
    */
   @Test
-  void aDrainToldWhileConnectingStopsTheRequest() throws Exception {
+  void drainWhileConnectingStopsRequest() throws Exception {
     fixture.settings("caps", caps -> caps.put("dial-timeout-us", 6_000_000).put("probes", false));
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String address = "127.0.0.1:" + full.getLocalPort();
       ((ObjectNode) fixture.config.get("known"))
           .putArray("endpoints")
           .add(LoopbackCluster.endpoint(1, address, "Ready"));
-      CountDownLatch came = new CountDownLatch(1);
+      CountDownLatch requestReceived = new CountDownLatch(1);
       fixture.start(
-          fixture.overheard(
-              (event, details) -> {
+          fixture.intercepted(
+              (event, arguments) -> {
                 if (event.equals("request")) {
-                  came.countDown();
+                  requestReceived.countDown();
                 }
               }));
-      List<Socket> filling = LoopbackCluster.fill(full);
+      List<Socket> filling = LoopbackCluster.fillBacklog(full);
       Socket client = fixture.dial();
       ScriptedPeer.write(client, fixture.request("order", 8000, "body"));
-      assertTrue(came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
-      assertEquals(200, health()); // what it answers after the request: the dial has begun
-      fixture.update.add(
+      assertTrue(requestReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+      // The response shows that the event loop has handled the request, so the connection attempt
+      // has begun.
+      assertEquals(200, health());
+      fixture.watchResponses.add(
           LoopbackCluster.delta(1, LoopbackCluster.endpoint(1, address, "Terminating")));
       LoopbackCluster.await(
           () ->
               fixture.discovery.requests.stream()
                   .anyMatch(each -> each.target().contains("since=1&")));
-      AtomicInteger written = LoopbackCluster.accept(full);
+      AtomicInteger written = LoopbackCluster.acceptAndCount(full);
       assertEquals(503, ScriptedPeer.read(client.getInputStream()).status());
       assertEquals(0, written.get());
       for (Socket socket : filling) {
@@ -437,7 +451,7 @@
     }
   }
 
-  /** Guards against a list that cannot be read taking the servers away, or ending the agent. */
+  /** Guards against an unreadable server list that removes the servers or ends the agent. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -446,11 +460,11 @@
         "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"s\"}]}",
         "{\"index\":9,\"snapshot\":true,\"endpoints\":[7]}"
       })
-  void anUnusableListLeavesTheOldOneAndTheWholeIsAskedForAgain(String body) throws Exception {
+  void unusableListKeepsOldListAndFetchesWholeList(String body) throws Exception {
     fixture.server(SERVES);
     fixture.start();
     int before = fixture.discovery.requests.size();
-    fixture.update.add((message, socket) -> ScriptedPeer.respond(socket, 200, "", body));
+    fixture.watchResponses.add((message, socket) -> ScriptedPeer.respond(socket, 200, "", body));
     LoopbackCluster.await(
         () ->
             fixture.discovery.requests.stream()
@@ -460,21 +474,21 @@
   }
 
   @Test
-  void afterAFailedOrBrokenCallTheListIsFollowedOn() throws Exception {
+  void failedCallsAreFollowedByFurtherCalls() throws Exception {
     ScriptedPeer server = new ScriptedPeer(SERVES);
     fixture.servers.add(server);
     fixture.start();
-    fixture.update.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
-    fixture.update.add(RESETS);
-    fixture.update.add((message, socket) -> socket.close());
-    fixture.update.add(
+    fixture.watchResponses.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
+    fixture.watchResponses.add(RESETS);
+    fixture.watchResponses.add((message, socket) -> socket.close());
+    fixture.watchResponses.add(
         (message, socket) ->
             ScriptedPeer.respond(
                 socket,
                 200,
                 "Connection: close\r\n",
                 "{\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
-    fixture.update.add(
+    fixture.watchResponses.add(
         LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
     assertEquals(200, fixture.call("lookup").status());
   }
@@ -485,8 +499,8 @@
     ScriptedPeer server = new ScriptedPeer(SERVES);
     fixture.servers.add(server);
     fixture.start();
-    fixture.update.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
-    fixture.update.add(
+    fixture.watchResponses.add((message, socket) -> ScriptedPeer.respond(socket, 503, "", ""));
+    fixture.watchResponses.add(
         LoopbackCluster.delta(4, LoopbackCluster.endpoint(1, server.address(), "Ready")));
     LoopbackCluster.await(
         () ->
@@ -496,31 +510,32 @@
   }
 
   /**
-   * Guards against requests to a server whose drain an unresponsive watch missed: it counts as told
-   * 2 s after the watch's wait, so the next watch must not wait as after a failed call.
+   * Guards against requests to a server whose draining an unresponsive watch missed. The protocol
+   * regards the agent as informed 2 s after the timeout of the watch, so the next watch must not
+   * wait for the delay that follows a failed call.
    */
   @Test
-  void aWatchThatFellSilentIsOpenedAnewAtOnce() throws Exception {
+  void timedOutWatchRestartsAtOnce() throws Exception {
     ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
     ScriptedPeer drained = fixture.server(SERVES);
     ScriptedPeer other =
         fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "other"));
     AtomicInteger failures = new AtomicInteger();
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
-              if (event.equals("servers") && details[1] == LoadBalancer.ListKind.FAILED) {
+        fixture.intercepted(
+            (event, arguments) -> {
+              if (event.equals("servers") && arguments[1] == LoadBalancer.ListKind.FAILED) {
                 failures.incrementAndGet();
               }
             }));
-    fixture.update.add(SILENT);
-    fixture.update.add(
+    fixture.watchResponses.add(SILENT);
+    fixture.watchResponses.add(
         LoopbackCluster.delta(5, LoopbackCluster.endpoint(1, drained.address(), "Terminating")));
     LoopbackCluster.await(
         () ->
             fixture.discovery.requests.stream()
                 .anyMatch(each -> each.target().contains("since=5&")));
-    assertEquals(0, failures.get(), "and not after the wait that follows a failed call");
+    assertEquals(0, failures.get(), "no delay of a failed call");
     for (int i = 0; i < 5; i++) {
       assertEquals("other", fixture.call("lookup").text());
     }
@@ -528,7 +543,7 @@
   }
 
   @Test
-  void whileDiscoveryIsDownTheKnownListHasToDo() throws Exception {
+  void knownListIsUsedWhileDiscoveryIsDown() throws Exception {
     fixture.server(SERVES);
     fixture.discovery.close();
     fixture.start();
@@ -536,12 +551,13 @@
   }
 
   /**
-   * Discovery and the servers take connections and answer nothing until the agent has said that it
-   * is ready: were it to wait for any of them, it would wait for ever.
+   * Guards against an agent whose readiness depends on discovery or on servers: both accept
+   * connections but respond only after the agent is ready, so such an agent would never become
+   * ready.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void readinessWaitsForNeitherDiscoveryNorServers(boolean asks) throws Exception {
+  void readinessWaitsForNeitherDiscoveryNorServers(boolean pollDiscovery) throws Exception {
     CountDownLatch ready = new CountDownLatch(1);
     fixture.config.put(
         "discovery",
@@ -553,7 +569,7 @@
                 })
             .address());
     ((ObjectNode) fixture.config.get("settings"))
-        .put("discovery", asks ? "subscribe" : "automatic");
+        .put("discovery", pollDiscovery ? "subscribe" : "automatic");
     for (int i = 0; i < 3; i++) {
       unresponsiveUntil(ready);
     }
@@ -562,7 +578,7 @@
     assertEquals("served", fixture.call("order").text());
   }
 
-  /** A listed server that does not even answer for its health before that. */
+  /** Adds a listed server that does not even respond to health checks until the agent is ready. */
   private void unresponsiveUntil(CountDownLatch ready) throws IOException {
     ScriptedPeer behind = fixture.server(SERVES);
     ServerSocket unresponsive = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -583,7 +599,7 @@
   }
 
   @Test
-  void theListGivesTimesAndNamesAsTheModuleNeedsThem() throws Exception {
+  void decodedListHasMicrosecondsAndStableIds() throws Exception {
     ObjectNode entry = LoopbackCluster.endpoint(1, "127.0.0.1:9", "Ready");
     ((ObjectNode) fixture.config.get("known"))
         .putArray("endpoints")
@@ -598,28 +614,31 @@
     assertEquals(Discovery.stableId("s-1"), list.get(0).server().id());
   }
 
-  /** Guards against a request that is answered for another's fault, or never. */
+  /**
+   * Guards against a request that fails because of an exception during another request's event, and
+   * against a request without a response.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"request", "outcome"})
-  void aFaultOfTheModuleStillGivesOneFinalAnswer(String where) throws IOException {
+  void loadBalancerExceptionStillYieldsOneResponse(String where) throws IOException {
     fixture.server(SERVES);
     AtomicBoolean faulty = new AtomicBoolean(true);
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals(where) && faulty.getAndSet(false)) {
-                throw new IllegalStateException("a test's fault");
+                throw new IllegalStateException("exception of the test");
               }
             }));
     assertEquals(where.equals("request") ? 500 : 200, fixture.call("lookup").status());
     assertEquals(200, fixture.call("lookup").status());
   }
 
-  // ---- Limits and the end ----
+  // ---- Limits and shutdown ----
 
-  /** Guards against running out of descriptors, on either side. */
+  /** Guards against running out of file descriptors for clients or for backends. */
   @Test
-  void atTheLimitOnSocketsNothingIsLost() throws Exception {
+  void socketLimitLosesNoRequest() throws Exception {
     ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
     CountDownLatch open = new CountDownLatch(1);
     fixture.server(
@@ -637,7 +656,7 @@
       ScriptedPeer.daemon(
           () -> response.complete(LoopbackCluster.exchange(client, request).status()));
     }
-    LoopbackCluster.await(() -> fixture.arrived() > 0);
+    LoopbackCluster.await(() -> fixture.arrivedRequests() > 0);
     open.countDown();
     for (CompletableFuture<Integer> response : responses) {
       assertTrue(List.of(200, 503).contains(response.get(20, TimeUnit.SECONDS)));
@@ -647,11 +666,11 @@
 
   @Test
   void shutdownServesOnAndFinishes() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     fixture.server(
         (message, socket) -> {
           if (message.target().startsWith("/order")) {
-            go.await();
+            release.await();
           }
           ScriptedPeer.respond(socket, 200, "", "served");
         });
@@ -660,9 +679,10 @@
     Socket idle = fixture.dial();
     assertEquals(200, LoopbackCluster.exchange(idle, fixture.request("lookup", 8000, "")).status());
     ScriptedPeer.write(queued, fixture.request("order", 8000, "body"));
-    LoopbackCluster.await(() -> fixture.arrived() == 2);
-    Thread connectionEnd = ScriptedPeer.daemon(fixture.agent::stop);
-    // It says so, and serves on, on connections old and new, without ending them.
+    LoopbackCluster.await(() -> fixture.arrivedRequests() == 2);
+    Thread stopThread = ScriptedPeer.daemon(fixture.agent::stop);
+    // The agent reports that it is not ready, and serves requests on existing and new connections
+    // without closing them.
     LoopbackCluster.await(() -> health() == 503);
     for (Socket each : List.of(idle, fixture.dial())) {
       ScriptedPeer.Message response =
@@ -672,48 +692,51 @@
     }
     assertThrows(EOFException.class, () -> ScriptedPeer.read(idle.getInputStream()));
     LoopbackCluster.await(
-        () -> { // it no longer listens, but still owes a response
+        () -> {
+          // The agent stops listening while a response is still pending.
           try {
             return !fixture.dial().isBound();
           } catch (IOException e) {
             return true;
           }
         });
-    assertTrue(connectionEnd.isAlive());
-    go.countDown();
+    assertTrue(stopThread.isAlive());
+    release.countDown();
     ScriptedPeer.Message response = ScriptedPeer.read(queued.getInputStream());
     assertEquals(200, response.status());
     assertEquals("close", response.header("Connection"));
-    connectionEnd.join(LoopbackCluster.GENEROUS_MS);
-    assertFalse(connectionEnd.isAlive());
+    stopThread.join(LoopbackCluster.TIMEOUT_MS);
+    assertFalse(stopThread.isAlive());
   }
 
   @Test
-  void anAgentToldToEndThatNobodyUsesEndsBeforeOneInUse() throws Exception {
+  void unusedAgentStopsBeforeUsedAgent() throws Exception {
     try (LoopbackCluster used = new LoopbackCluster()) {
       used.start();
       fixture.start();
-      fixture.hangUp();
+      fixture.closeClients();
       used.dial();
       Thread unusedEnds = ScriptedPeer.daemon(fixture.agent::stop);
       Thread usedEnds = ScriptedPeer.daemon(used.agent::stop);
-      unusedEnds.join(LoopbackCluster.GENEROUS_MS);
+      unusedEnds.join(LoopbackCluster.TIMEOUT_MS);
       assertFalse(unusedEnds.isAlive());
       assertTrue(usedEnds.isAlive());
     }
   }
 
   /**
-   * Guards against what is still open when the agent is killed, 0.7 s after the longest deadline.
+   * Guards against requests that are still open when the agent is killed, 0.7 s after the longest
+   * deadline.
    */
   @Test
   void shutdownAnswersBeforeKill() throws Exception {
     for (JsonNode each : fixture.config.get("settings").get("classes")) {
       ((ObjectNode) each).put("aim-us", 300_000).put("give-up-us", 300_000);
     }
-    fixture.start(AgentTest::neverResponds); // and a client that waits for longer than the test
+    fixture.start(AgentTest::neverResponds);
+    // The client's timeout is longer than the test.
     Socket client = fixture.dial();
-    ScriptedPeer.write(client, fixture.request("order", 2 * LoopbackCluster.GENEROUS_MS, "body"));
+    ScriptedPeer.write(client, fixture.request("order", 2 * LoopbackCluster.TIMEOUT_MS, "body"));
     Thread.sleep(100);
     ScriptedPeer.daemon(fixture.agent::stop);
     assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
@@ -721,29 +744,29 @@
   }
 
   /**
-   * Guards against what is lost at the kill where clients wait for long: it comes 3.7 s after the
-   * signal at the latest, whatever the deadlines are.
+   * Guards against lost requests of clients with long timeouts: the kill comes at most 3.7 s after
+   * the signal, whatever the deadlines are.
    */
   @Test
   void shutdownAnswersBeforeKillWithLongDeadlines() throws Exception {
     for (JsonNode each : fixture.config.get("settings").get("classes")) {
-      ((ObjectNode) each).put("give-up-us", 3_000 * LoopbackCluster.GENEROUS_MS);
+      ((ObjectNode) each).put("give-up-us", 3_000 * LoopbackCluster.TIMEOUT_MS);
     }
     fixture.start(AgentTest::neverResponds);
     Socket client = fixture.dial();
-    ScriptedPeer.write(client, fixture.request("order", 3 * LoopbackCluster.GENEROUS_MS, "body"));
+    ScriptedPeer.write(client, fixture.request("order", 3 * LoopbackCluster.TIMEOUT_MS, "body"));
     ScriptedPeer.daemon(fixture.agent::stop);
     assertEquals(504, ScriptedPeer.read(client.getInputStream()).status());
     assertThrows(EOFException.class, () -> ScriptedPeer.read(client.getInputStream()));
   }
 
-  /** A module that leaves its requests open. */
+  /** Creates a load balancer that leaves its requests without responses. */
   private static LoadBalancer neverResponds(Agent unusedAgent) {
     return (LoadBalancer)
         Proxy.newProxyInstance(
             LoadBalancer.class.getClassLoader(),
             new Class<?>[] {LoadBalancer.class},
-            (proxy, method, details) -> null);
+            (proxy, method, arguments) -> null);
   }
 
   private int health() {
@@ -755,17 +778,17 @@
   }
 
   @Test
-  void reportsAreReadInTheSettingsOrder() throws Exception {
+  void loadReportIsReadInSettingsOrder() throws Exception {
     fixture.server(
         (message, socket) ->
             ScriptedPeer.respond(
                 socket, 200, "Server-Load: inflight=7,queue=2,util=0.61\r\n", "served"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals("outcome")) {
-                load.complete((double[]) details[7]);
+                load.complete((double[]) arguments[7]);
               }
             }));
     fixture.call("lookup");
@@ -773,7 +796,7 @@
   }
 
   @Test
-  void anUnusableConfigurationIsSaidInOneLine() {
+  void unusableConfigurationIsReportedInOneLine() {
     fixture.config.put("seed", "not hex");
     assertEquals(
         "config: seed has an unusable value: not hex",
--- a/src/test/java/slateslip/loadbalancer/net/BackoffTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BackoffTest.java
@@ -6,28 +6,31 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The waits of calls that are made again: they grow, are bounded, and differ between agents. */
+/** Tests that the delays before retries grow, are bounded and differ between agents. */
 class BackoffTest {
   private static final long MIN = 50;
   private static final long MAX = 1000;
 
   @Test
-  void waitsGrowToTheLimitAndBeginAnewAfterAnAnswer() {
+  void delaysGrowToLimitAndRestartAfterReset() {
     Backoff backoff = new Backoff(MIN, MAX, 1);
     for (int round = 0; round < 2; round++) {
       long length = MIN;
       for (int i = 0; i < 50; i++) {
-        long wait = backoff.next();
-        assertTrue(wait >= length / 2 && wait <= length, wait + " of " + length);
+        long delay = backoff.next();
+        assertTrue(delay >= length / 2 && delay <= length, delay + " of " + length);
         length = Math.min(2 * length, MAX);
       }
       backoff.reset();
     }
   }
 
-  /** Failed before: agents cut off in one moment all called again in the same one, each second. */
+  /**
+   * Guards against synchronized retries: agents that lost a service at the same moment all called
+   * again at the same moment, every second.
+   */
   @Test
-  void agentsCutOffTogetherDoNotCallAgainInStep() {
+  void agentsDisconnectedTogetherDoNotRetryInStep() {
     List<Long> times = new ArrayList<>();
     for (long seed = 0; seed < 1000; seed++) {
       Backoff backoff = new Backoff(MIN, MAX, seed);
--- a/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadClientsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What clients may not send: it ends in an error or a close, reaches no server and harms no other
- * client.
+ * Tests invalid input from clients: the client receives an error or a close, no server receives the
+ * request, and other clients are not affected.
  */
 class BadClientsTest {
   private static final String GET = "GET /lookup HTTP/1.1\r\nHost: a\r\nRequest-Class: lookup\r\n";
@@ -29,23 +29,23 @@
   private LoopbackCluster fixture;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     fixture.close();
   }
 
-  private void assertTurnedAway(int status, String bytes) throws IOException {
+  private void assertRejected(int status, String bytes) throws IOException {
     Socket client = fixture.dial();
     ScriptedPeer.Message response = LoopbackCluster.exchange(client, bytes);
     assertEquals(status, response.status());
     assertEquals("close", response.header("Connection"));
     assertEquals(-1, client.getInputStream().read());
-    assertEquals(200, fixture.call("lookup").status(), "the agent lives on");
-    assertEquals(1, fixture.arrived(), "and the server has only that one");
+    assertEquals(200, fixture.call("lookup").status(), "the agent still serves requests");
+    assertEquals(1, fixture.arrivedRequests(), "the server receives only the valid request");
   }
 
   @ParameterizedTest
@@ -81,11 +81,12 @@
   void malformedRequestGets400(String head) throws IOException {
     fixture.server(SERVES);
     fixture.start();
-    assertTurnedAway(400, head + "\r\n");
+    assertRejected(400, head + "\r\n");
   }
 
   /**
-   * Guards against a request hidden in what another reader takes for the body of the one before.
+   * Guards against request smuggling: a request that is hidden in bytes that another reader takes
+   * for the body of the request before.
    */
   @ParameterizedTest
   @ValueSource(
@@ -102,10 +103,10 @@
         "Content-Length: ten",
         "Content-Length: 4\nX: y"
       })
-  void aBodyWhoseEndIsUnclearIsAnswered400(String framing) throws IOException {
+  void ambiguousBodyLengthGets400(String framing) throws IOException {
     fixture.server(SERVES);
     fixture.start();
-    assertTurnedAway(
+    assertRejected(
         400,
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
             + "Request-Timeout-Ms: 8000\r\n"
@@ -115,11 +116,11 @@
   }
 
   @Test
-  void aBodyThatIsTooLongIsNotReadOn() throws Exception {
+  void oversizedBodyIsNotReadToEnd() throws Exception {
     fixture.server(SERVES);
     fixture.start();
-    assertTurnedAway(413, fixture.request("order", 500, "x".repeat(65_537)));
-    Socket client = fixture.dial(); // one that goes on sending for ever, in chunks
+    assertRejected(413, fixture.request("order", 500, "x".repeat(65_537)));
+    Socket client = fixture.dial(); // This client sends chunks without end.
     ScriptedPeer.write(
         client,
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\nRequest-Id: 1\r\n"
@@ -143,15 +144,15 @@
   }
 
   /**
-   * Guards against an error being taken for the response to what was asked before on the
-   * connection.
+   * Guards against an error response that the client takes for the response to an earlier request
+   * on the connection.
    */
   @Test
-  void anErrorWaitsItsTurn() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+  void errorResponseWaitsForEarlierResponses() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     fixture.server(
         (message, socket) -> {
-          go.await();
+          release.await();
           ScriptedPeer.respond(socket, 200, "", "served");
         });
     fixture.start();
@@ -162,37 +163,43 @@
             + fixture
                 .request("order", 8000, "x")
                 .replace("Content-Length: 1", "Content-Length: 60000000"));
-    LoopbackCluster.await(() -> fixture.arrived() == 1);
+    LoopbackCluster.await(() -> fixture.arrivedRequests() == 1);
     Thread.sleep(100);
-    go.countDown();
+    release.countDown();
     assertEquals(200, ScriptedPeer.read(client.getInputStream()).status());
     assertEquals(413, ScriptedPeer.read(client.getInputStream()).status());
     assertEquals(-1, client.getInputStream().read());
   }
 
-  /** Guards against an effect twice, and against one client getting another's answer. */
+  /**
+   * Guards against a request that takes effect twice, and against a client that receives another
+   * client's response.
+   */
   @Test
   void duplicateOpenIdIsRejected() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     fixture.server(
         (message, socket) -> {
-          go.await();
+          release.await();
           ScriptedPeer.respond(socket, 200, "", "served");
         });
     fixture.start();
     Socket first = fixture.dial();
     String request = fixture.request("pay", 8000, "body");
     ScriptedPeer.write(first, request);
-    LoopbackCluster.await(() -> fixture.arrived() == 1);
+    LoopbackCluster.await(() -> fixture.arrivedRequests() == 1);
     assertEquals(409, LoopbackCluster.exchange(fixture.dial(), request).status());
-    go.countDown();
+    release.countDown();
     assertEquals(200, ScriptedPeer.read(first.getInputStream()).status());
-    assertEquals(1, fixture.arrived());
+    assertEquals(1, fixture.arrivedRequests());
     assertEquals(
         200, LoopbackCluster.exchange(first, fixture.request("pay", 8000, "body")).status());
   }
 
-  /** Guards against descriptors held for those who say nothing, or never come to the end. */
+  /**
+   * Guards against file descriptors that are held by clients that send nothing or an incomplete
+   * request.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -201,7 +208,7 @@
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\n"
             + "Request-Id: 1\r\nRequest-Timeout-Ms: 8000\r\nContent-Length: 100\r\n\r\nhalf"
       })
-  void halfARequestIsNotWaitedForForEver(String half) throws IOException {
+  void incompleteRequestTimesOut(String half) throws IOException {
     fixture.start();
     Socket client = fixture.dial();
     ScriptedPeer.write(client, half);
@@ -212,12 +219,9 @@
     }
   }
 
-  /**
-   * Guards against unresponsive connections by the hundred shutting out those who have something to
-   * ask.
-   */
+  /** Guards against hundreds of unresponsive connections that exclude clients with requests. */
   @Test
-  void idleConnectionsMakeRoom() throws Exception {
+  void idleConnectionsAreClosedForNewOnes() throws Exception {
     ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * 12);
     fixture.server(SERVES);
     fixture.start();
@@ -229,24 +233,28 @@
     assertEquals(200, fixture.call("lookup").status());
     assertTrue(
         System.nanoTime() - started < TimeUnit.SECONDS.toNanos(8),
-        "60 of them by twelve, each for 2 s");
+        "60 connections, 12 at a time, each for at most 2 s");
     for (Socket each : unresponsive) {
       assertEquals(-1, each.getInputStream().read());
     }
   }
 
-  /** Guards against the end being delayed by those who say nothing or stop half-way. */
+  /**
+   * Guards against a shutdown that is delayed by clients that send nothing or an incomplete
+   * request.
+   */
   @Test
-  void theEndDoesNotWaitForSilentOrHalfSentRequests() throws Exception {
+  void shutdownDoesNotWaitForIncompleteRequests() throws Exception {
     fixture.start();
     Socket half = fixture.dial();
     ScriptedPeer.write(half, "POST /order HTTP/1.1\r\nHost: a\r\n");
     Socket unresponsive = fixture.dial();
     Thread.sleep(100);
     CompletableFuture<Void> ended = CompletableFuture.runAsync(fixture.agent::stop);
-    ended.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    ended.get(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     assertEquals(-1, unresponsive.getInputStream().read());
-    half.getInputStream().readAllBytes(); // an error perhaps, and the end
+    // The client may receive an error response before the close.
+    half.getInputStream().readAllBytes();
   }
 
   @Test
--- a/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/BadServersTest.java
@@ -16,32 +16,33 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What servers may answer: nothing but the whole answer to a request is served, and what is spoilt
- * has run.
+ * Tests invalid responses from servers: only a complete response is served, and a request with a
+ * malformed response counts as possibly processed.
  */
 class BadServersTest {
   private LoopbackCluster fixture;
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger requestCount = new AtomicInteger();
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
     fixture.settings("caps", caps -> caps.put("probes", false));
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     fixture.close();
   }
 
   /**
-   * Two servers; the first request gets this, with its connection left open, the others are served.
+   * Starts two servers. The first request receives the given bytes and its connection stays open;
+   * all others are served.
    */
-  private void firstResponse(String bytes) throws IOException {
+  private void startWithFirstResponse(String bytes) throws IOException {
     for (int i = 0; i < 2; i++) {
       fixture.server(
           (message, socket) -> {
-            if (turn.getAndIncrement() == 0) {
+            if (requestCount.getAndIncrement() == 0) {
               ScriptedPeer.write(socket, bytes);
             } else {
               ScriptedPeer.respond(socket, 200, "", "served");
@@ -69,39 +70,39 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad",
         "HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"
       })
-  void aSpoiltAnswerIsNotServedAndMayHaveRun(String bytes) throws IOException {
-    firstResponse(bytes);
+  void malformedResponseIsNotServedAndMayHaveRun(String bytes) throws IOException {
+    startWithFirstResponse(bytes);
     assertEquals(502, fixture.call("order").status());
-    assertEquals(1, turn.get(), "it may have run");
+    assertEquals(1, requestCount.get(), "it may have run");
     assertEquals("served", fixture.call("order").text());
   }
 
   @Test
-  void aSafeRequestIsSentAgainAfterASpoiltAnswer() throws IOException {
-    firstResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad");
+  void safeRequestIsRetriedAfterMalformedResponse() throws IOException {
+    startWithFirstResponse("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbad");
     assertEquals("served", fixture.call("lookup").text());
-    assertEquals(2, turn.get());
+    assertEquals(2, requestCount.get());
   }
 
   /**
-   * Failed before: the space that ends a status line with no reason was unreadable, and the
-   * response a reset.
+   * Guards against a valid response that is counted as a reset: a status line that ends with a
+   * space because it has no reason phrase was unreadable.
    */
   @ParameterizedTest
   @ValueSource(strings = {"HTTP/1.1 200 ", "HTTP/1.1 200", "HTTP/1.1 200 all is well "})
-  void aStatusLineNeedsNoReason(String line) throws IOException {
-    firstResponse(line + "\r\nContent-Length: 4\r\n\r\ngood");
+  void statusLineWithoutReasonIsAccepted(String line) throws IOException {
+    startWithFirstResponse(line + "\r\nContent-Length: 4\r\n\r\ngood");
     assertEquals("good", fixture.call("order").text());
-    assertEquals(1, turn.get());
+    assertEquals(1, requestCount.get());
   }
 
   /**
-   * Failed before: such answers were all taken for spoilt, though the end of their connection ends
-   * them.
+   * Guards against valid responses that are counted as malformed, although the end of the
+   * connection ends their body.
    */
   @ParameterizedTest
   @ValueSource(strings = {"ended by close", ""})
-  void anAnswerWithNoLengthEndsWithItsConnection(String body) throws IOException {
+  void responseWithoutLengthEndsWithConnection(String body) throws IOException {
     ScriptedPeer server =
         fixture.server(
             (message, socket) -> {
@@ -116,43 +117,44 @@
   }
 
   /**
-   * Guards against half a response being served: neither a reset nor the agent's own close is its
-   * end.
+   * Guards against a truncated response that is served: neither a reset nor the agent's own close
+   * ends the body.
    */
   @Test
   void resetUnboundedResponseIsNotServed() throws IOException {
-    responsesStarted("x".repeat(100), ScriptedPeer::reset);
+    startWithFirstResponsesBegun("x".repeat(100), ScriptedPeer::reset);
     assertEquals(502, fixture.call("order").status());
     assertEquals("served", fixture.call("lookup").text());
-    assertEquals(3, turn.get());
+    assertEquals(3, requestCount.get());
   }
 
   @Test
-  void anAnswerWithNoLengthThatNeverEndsIsGivenUpInTime() throws IOException {
-    responsesStarted("x".repeat(100), socket -> {});
+  void unboundedResponseTimesOut() throws IOException {
+    startWithFirstResponsesBegun("x".repeat(100), socket -> {});
     assertEquals(
         502,
         LoopbackCluster.exchange(fixture.dial(), fixture.request("order", 400, "body")).status());
-    assertEquals(1, turn.get(), "it may have run");
+    assertEquals(1, requestCount.get(), "it may have run");
   }
 
   @Test
-  void anAnswerWithNoLengthIsNotReadForEver() throws IOException {
-    responsesStarted("x".repeat(BackendConnections.BODY_MAX + 1), socket -> {});
+  void oversizedUnboundedResponseFails() throws IOException {
+    startWithFirstResponsesBegun("x".repeat(BackendConnections.BODY_MAX + 1), socket -> {});
     assertEquals(502, fixture.call("order").status());
   }
 
   /**
-   * Two servers; the first two requests get a response with no length, of which the body has begun,
-   * and this.
+   * Starts two servers. The first two requests receive the start of a response without a length,
+   * after which {@code connectionEnd} acts on the connection; all others are served.
    */
-  private void responsesStarted(String body, ConnectionEnd connectionEnd) throws IOException {
+  private void startWithFirstResponsesBegun(String body, ConnectionEnd connectionEnd)
+      throws IOException {
     for (int i = 0; i < 2; i++) {
       fixture.server(
           (message, socket) -> {
-            if (turn.getAndIncrement() < 2) {
+            if (requestCount.getAndIncrement() < 2) {
               ScriptedPeer.write(socket, "HTTP/1.1 200 OK\r\n\r\n" + body);
-              connectionEnd.of(socket);
+              connectionEnd.end(socket);
             } else {
               ScriptedPeer.respond(socket, 200, "", "served");
             }
@@ -162,12 +164,12 @@
   }
 
   private interface ConnectionEnd {
-    void of(Socket socket) throws IOException;
+    void end(Socket socket) throws IOException;
   }
 
   @Test
-  void anAnswerInChunksThatNeverEndIsGivenUp() throws IOException {
-    firstResponse(
+  void oversizedChunkedResponseFails() throws IOException {
+    startWithFirstResponse(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8000\r\n"
             + "x".repeat(0x8000)
             + "\r\n8001\r\n"
@@ -182,15 +184,15 @@
         "HTTP/1.1 102 Processing\r\n\r\n",
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n"
       })
-  void whatGoesAheadOfAnAnswerIsPassedOver(String ahead) throws IOException {
-    firstResponse(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
+  void informationalResponsesAreSkipped(String ahead) throws IOException {
+    startWithFirstResponse(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
     assertEquals("good", fixture.call("order").text());
-    assertEquals(1, turn.get());
+    assertEquals(1, requestCount.get());
   }
 
-  /** Guards against what comes right behind a response being served as the next answer. */
+  /** Guards against bytes behind a response that are served as the next response. */
   @Test
-  void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
+  void bytesBehindResponseAreNotServed() throws Exception {
     fixture.server(
         (message, socket) -> {
           String id = message.header("Request-Id");
@@ -206,15 +208,18 @@
     }
   }
 
-  /** Guards against a request that every server is asked because one has found it no good. */
+  /**
+   * Guards against a request that is sent to every server after one server has rejected it as
+   * invalid.
+   */
   @Test
-  void aRequestThatAServerFindsBadIsNotSentAgain() throws IOException {
-    firstResponse("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+  void clientErrorIsNotRetried() throws IOException {
+    startWithFirstResponse("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
     assertEquals(404, fixture.call("lookup").status());
-    assertEquals(1, turn.get());
+    assertEquals(1, requestCount.get());
   }
 
-  /** Guards against one figure that is none getting into the module's means. */
+  /** Guards against an invalid number that enters the averages of the load balancer. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -228,16 +233,16 @@
         "\"",
         "queue=1"
       })
-  void aReportThatMakesNoSenseIsPassedOverAndItsAnswerServed(String report) throws Exception {
+  void invalidLoadReportIsIgnoredAndResponseServed(String report) throws Exception {
     fixture.server(
         (message, socket) ->
             ScriptedPeer.respond(socket, 200, "Server-Load: " + report + "\r\n", "good"));
     CompletableFuture<double[]> load = new CompletableFuture<>();
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals("outcome")) {
-                load.complete((double[]) details[7]);
+                load.complete((double[]) arguments[7]);
               }
             }));
     assertEquals("good", fixture.call("order").text());
@@ -245,17 +250,17 @@
   }
 
   /**
-   * Guards against memory and connections kept for servers that are gone, as new ones come for
-   * ever.
+   * Guards against memory and connections that are kept for servers that have left the list, in a
+   * fleet with a constant turnover of servers.
    */
   @Test
-  void nothingIsKeptForServersThatAreGone() throws Exception {
+  void removedServersLeaveNoState() throws Exception {
     ScriptedPeer first =
         fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
     fixture.start();
     assertEquals(200, fixture.call("order").status());
-    for (int i = 2; i <= 40; i++) { // each at the same address, under a new id
-      fixture.update.add(
+    for (int i = 2; i <= 40; i++) { // Each server has the same address and a new name.
+      fixture.watchResponses.add(
           LoopbackCluster.delta(
               i,
               LoopbackCluster.endpoint(i - 1, first.address(), "Gone"),
@@ -267,16 +272,16 @@
             fixture.discovery.requests.stream()
                 .anyMatch(each -> each.target().contains("since=40&")));
     assertEquals(200, fixture.call("order").status());
-    assertEquals(1, fixture.agent.trackedServers(), "of the last one alone");
+    assertEquals(1, fixture.agent.trackedServers(), "only the last server has state");
     LoopbackCluster.await(() -> first.ended.size() >= 1);
   }
 
   /**
-   * Guards against connections that break now and then passing for restarts, each of which costs
-   * room.
+   * Guards against occasional resets that are taken for a restart of the server, which would reduce
+   * the server's capacity.
    */
   @Test
-  void connectionsThatBreakNowAndThenCostNoRoom() throws Exception {
+  void occasionalResetsDoNotReduceCapacity() throws Exception {
     AtomicInteger resets = new AtomicInteger();
     fixture.server(
         (message, socket) -> {
@@ -294,8 +299,8 @@
       assertEquals(502, fixture.call("order").status());
       assertEquals(200, fixture.call("order").status());
       if (System.nanoTime() - started < TimeUnit.MILLISECONDS.toNanos(300)) {
-        break; // else this machine was held up for so long that it may have been a restart: once
-        // more
+        // On a slower run the resets may have looked like a restart, and the test tries again.
+        break;
       }
       Thread.sleep(6_000);
     }
--- a/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ClientServerTest.java
@@ -25,19 +25,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The application's side alone, over loopback sockets and on the test's own clock. */
+/**
+ * Tests the server for clients alone, over loopback sockets and with a clock that the test
+ * controls.
+ */
 class ClientServerTest {
   private final AtomicLong nanos = new AtomicLong();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** What is done, on the loop, with each request. */
+  /** Receives each request, on the event loop. */
   private ClientServer.Listener listener;
 
   private ClientServer clients;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     clients = listen(100);
   }
 
@@ -65,14 +68,14 @@
   }
 
   @AfterEach
-  void strike() {
+  void tearDown() {
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
   private Socket dial() throws IOException {
     int port = ((InetSocketAddress) clients.channel().localAddress()).getPort();
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    socket.setSoTimeout((int) LoopbackCluster.GENEROUS_MS);
+    socket.setSoTimeout((int) LoopbackCluster.TIMEOUT_MS);
     return socket;
   }
 
@@ -84,8 +87,9 @@
   }
 
   /**
-   * Guards against a peer that is unresponsive for almost as long as it may be, and as long again
-   * over half a request: it is owed an error or a close within 3 s of its connecting.
+   * Guards against a peer that sends nothing for almost the whole timeout and then half a request,
+   * for which the timeout starts again. The peer must receive an error or a close within 3 s of its
+   * connection.
    */
   @Test
   void idleThenPartialRequestTimesOutOnce() throws Exception {
@@ -98,15 +102,16 @@
           "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Id: a\r\nRequest-Class: order\r\n"
               + "Request-Timeout-Ms: 9000\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n");
       assertEquals(
-          100, ScriptedPeer.read(peer.getInputStream()).status(), "this much has been read");
+          100, ScriptedPeer.read(peer.getInputStream()).status(), "the request head has been read");
       nanos.set(TimeUnit.MILLISECONDS.toNanos(2_100));
       assertEquals(408, ScriptedPeer.read(peer.getInputStream()).status());
     }
   }
 
   /**
-   * Guards against a new connection that is closed with no response where the end comes between its
-   * being accepted and its first request; one on which nothing comes is not waited for.
+   * Guards against a new connection that is closed without a response because the shutdown begins
+   * after the connection has been accepted and before its first request. A connection without a
+   * request must not delay the shutdown.
    */
   @Test
   void shutdownBeforeFirstRequestLosesNothing() throws Exception {
@@ -133,8 +138,8 @@
   }
 
   /**
-   * Guards against a request that was read, behind another, being lost where the end comes just
-   * between them.
+   * Guards against a pipelined request that is lost because the shutdown begins between two
+   * requests.
    */
   @Test
   void shutdownWithPipelinedRequestLosesNothing() throws Exception {
@@ -149,7 +154,8 @@
               return;
             }
             first = false;
-            // Not before the second has been read, too: the loop reads on before it comes to this.
+            // This task runs only after the second request has been read, because the event loop
+            // completes its reads first.
             group
                 .next()
                 .execute(
@@ -171,7 +177,7 @@
     }
   }
 
-  /** Guards against dropping what was read behind a response only because the end has come. */
+  /** Guards against pipelined requests that are dropped because of a shutdown. */
   @Test
   void shutdownAnswersEveryPipelinedRequest() throws Exception {
     listener =
@@ -198,19 +204,20 @@
   }
 
   /**
-   * Guards against a request lost on an idle connection that is closed for room while it is on its
-   * way; one that has to go is told so with its response.
+   * Guards against a request that is lost because its idle connection is closed at the connection
+   * limit while the request is on its way. A connection that has to close announces this in its
+   * response.
    */
   @Test
   void connectionLimitKeepsUsedConnections() throws Exception {
     clients = listen(12);
     Queue<ClientExchange> held = new ConcurrentLinkedQueue<>();
-    AtomicBoolean hold = new AtomicBoolean();
+    AtomicBoolean holdResponses = new AtomicBoolean();
     listener =
         new ClientServer.Listener() {
           @Override
           public void request(IncomingRequest request, ClientExchange exchange) {
-            if (hold.get() && request.id().startsWith("more")) {
+            if (holdResponses.get() && request.id().startsWith("more")) {
               held.add(exchange);
             } else {
               exchange.respond(HttpResponseStatus.OK);
@@ -224,23 +231,24 @@
     for (int i = 0; i < 7; i++) {
       retained.add(dial());
       ScriptedPeer.Message response = LoopbackCluster.exchange(retained.get(i), request("first"));
-      assertNull(response.header("Connection"), "there is room");
+      assertNull(response.header("Connection"), "the connection limit is not near");
     }
-    hold.set(true);
+    holdResponses.set(true);
     List<Socket> more = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       more.add(dial());
       ScriptedPeer.write(more.get(i), request("more" + i));
     }
-    LoopbackCluster.await(() -> !held.isEmpty()); // so that eight of twelve are taken
-    int notified = 0;
+    // With one more connection, eight of the twelve permitted ones are in use.
+    LoopbackCluster.await(() -> !held.isEmpty());
+    int announcedCloses = 0;
     for (Socket client : retained) {
       ScriptedPeer.Message response = LoopbackCluster.exchange(client, request("second"));
       assertEquals(200, response.status());
-      notified += "close".equals(response.header("Connection")) ? 1 : 0;
+      announcedCloses += "close".equals(response.header("Connection")) ? 1 : 0;
     }
-    assertTrue(notified > 0, "some made room");
-    hold.set(false);
+    assertTrue(announcedCloses > 0, "some connections are closed");
+    holdResponses.set(false);
     group
         .next()
         .submit(() -> held.forEach(exchange -> exchange.respond(HttpResponseStatus.OK)))
--- a/src/test/java/slateslip/loadbalancer/net/GracefulShutdownTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DepartedClientTest.java
@@ -22,47 +22,48 @@
 import slateslip.loadbalancer.LoadBalancer;
 
 /**
- * A client that leaves while its request waits: nobody is to work for it, whatever it waits for.
+ * Tests clients that leave while their request is pending: no server processes the request,
+ * whatever the request is waiting for.
  */
-class GracefulShutdownTest {
-  private final CountDownLatch came = new CountDownLatch(1);
-  private final CountDownLatch left = new CountDownLatch(1);
+class DepartedClientTest {
+  private final CountDownLatch requestReceived = new CountDownLatch(1);
+  private final CountDownLatch departureReceived = new CountDownLatch(1);
 
-  /** Requests that the module has been told of. */
-  private final AtomicInteger taken = new AtomicInteger();
+  /** The number of requests that the load balancer has received. */
+  private final AtomicInteger receivedRequests = new AtomicInteger();
 
   private final CompletableFuture<Object> outcome = new CompletableFuture<>();
   private LoopbackCluster fixture;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
     fixture.settings("caps", caps -> caps.put("probes", false));
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     fixture.close();
   }
 
   private void start() throws IOException {
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               switch (event) {
                 case "request" -> {
-                  taken.incrementAndGet();
-                  came.countDown();
+                  receivedRequests.incrementAndGet();
+                  requestReceived.countDown();
                 }
-                case "clientLeft" -> left.countDown();
-                case "outcome" -> outcome.complete(details[4]);
+                case "clientLeft" -> departureReceived.countDown();
+                case "outcome" -> outcome.complete(arguments[4]);
                 default -> {}
               }
             }));
   }
 
-  /** What the loop was at is done: it has answered this. */
-  private void passTheLoop() throws IOException {
+  /** Waits until the event loop has completed its current tasks, by means of a health check. */
+  private void awaitEventLoop() throws IOException {
     try (Socket socket = fixture.dial()) {
       assertEquals(
           200,
@@ -70,23 +71,23 @@
     }
   }
 
-  private void leave(Socket client) throws Exception {
+  private void disconnect(Socket client) throws Exception {
     client.close();
-    left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
-    assertEquals(0, left.getCount());
-    passTheLoop();
+    departureReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    assertEquals(0, departureReceived.getCount());
+    awaitEventLoop();
   }
 
   /**
-   * The first server goes and one is listed that has capacity: what waits would go to it, as the
-   * next request does.
+   * Removes the first server and lists one with capacity. A request that is still queued would be
+   * sent to the new server, as the next request is.
    */
-  private void assertOnlyTheNextIsSent(String firstAddress) throws Exception {
+  private void assertOnlyNextRequestIsSent(String firstAddress) throws Exception {
     ScriptedPeer fresh =
         fixture.peer(
             (message, socket) ->
                 ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
-    fixture.update.add(
+    fixture.watchResponses.add(
         LoopbackCluster.delta(
             1,
             LoopbackCluster.endpoint(9, fresh.address(), "Ready"),
@@ -106,9 +107,9 @@
     start();
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
-    came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
-    leave(client);
-    assertOnlyTheNextIsSent("127.0.0.1:9");
+    requestReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    disconnect(client);
+    assertOnlyNextRequestIsSent("127.0.0.1:9");
   }
 
   @Test
@@ -120,34 +121,34 @@
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     assertEquals(
-        LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
-    passTheLoop();
-    leave(client);
-    assertOnlyTheNextIsSent(full.address());
+        LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    awaitEventLoop();
+    disconnect(client);
+    assertOnlyNextRequestIsSent(full.address());
     assertEquals(1, full.requests.size());
   }
 
   @Test
   void departedClientCancelsPendingConnect() throws Exception {
     fixture.settings(
-        "caps", caps -> caps.put("dial-timeout-us", 1000 * LoopbackCluster.GENEROUS_MS));
+        "caps", caps -> caps.put("dial-timeout-us", 1000 * LoopbackCluster.TIMEOUT_MS));
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String address = "127.0.0.1:" + full.getLocalPort();
       ((ObjectNode) fixture.config.get("known"))
           .putArray("endpoints")
           .add(LoopbackCluster.endpoint(1, address, "Ready"));
-      List<Socket> filling = LoopbackCluster.fill(full);
+      List<Socket> filling = LoopbackCluster.fillBacklog(full);
       start();
       Socket client = fixture.dial();
       ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
-      came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
-      passTheLoop();
-      leave(client);
+      requestReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      awaitEventLoop();
+      disconnect(client);
       assertEquals(
           LoadBalancer.Outcome.CANCELLED,
-          outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
-      AtomicInteger written = LoopbackCluster.accept(full);
-      assertOnlyTheNextIsSent(address);
+          outcome.get(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+      AtomicInteger written = LoopbackCluster.acceptAndCount(full);
+      assertOnlyNextRequestIsSent(address);
       assertEquals(0, written.get());
       for (Socket socket : filling) {
         socket.close();
@@ -155,61 +156,67 @@
     }
   }
 
-  /** However it ends its side: a client that still waits keeps its connection whole. */
+  /**
+   * A client that still waits for its response does not end its side of the connection, so any end
+   * means that the client has left.
+   */
   @ParameterizedTest
-  @ValueSource(strings = {"close", "reset", "end of its sending"})
-  void aClientHasGoneHoweverItEndsItsConnection(String how) throws Exception {
+  @ValueSource(strings = {"close", "reset", "half-close"})
+  void anyConnectionEndCountsAsDeparture(String how) throws Exception {
     start();
     Socket client = fixture.dial();
     ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
-    came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    requestReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     switch (how) {
       case "close" -> client.close();
       case "reset" -> ScriptedPeer.reset(client);
       default -> client.shutdownOutput();
     }
-    assertTrue(left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
-    assertOnlyTheNextIsSent("127.0.0.1:9");
+    assertTrue(departureReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertOnlyNextRequestIsSent("127.0.0.1:9");
   }
 
-  /** Holds the loop in the event of the first request until this is counted down. */
-  private CountDownLatch holdTheLoop() throws IOException {
-    CountDownLatch go = new CountDownLatch(1);
+  /**
+   * Blocks the event loop in the event of the first request until the returned latch is counted
+   * down.
+   */
+  private CountDownLatch blockEventLoop() throws IOException {
+    CountDownLatch release = new CountDownLatch(1);
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals("request")) {
-                came.countDown();
-                hold(go);
+                requestReceived.countDown();
+                awaitRelease(release);
               }
             }));
-    return go;
+    return release;
   }
 
-  private static void hold(CountDownLatch until) {
+  private static void awaitRelease(CountDownLatch until) {
     try {
-      until.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
+      until.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       throw new AssertionError(e);
     }
   }
 
-  private List<String> arrived() {
+  private List<String> arrivedRequests() {
     return fixture.servers.get(0).requests.stream().map(each -> each.header("Request-Id")).toList();
   }
 
   /**
-   * Failed before: a request and the close behind it, read in one go, were taken in turn, and the
-   * request was sent on; it may have waited long for the loop, or for its connection to be
-   * accepted.
+   * Guards against a request that is sent although its client has left: the request and the close
+   * behind it were read at once but handled one after the other. The request may have waited for
+   * the event loop, or for its connection to be accepted.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aRequestIsNotSentWhoseClientLeftBeforeItWasRead(boolean onANewConnection) throws Exception {
+  void requestOfDepartedClientIsNotSent(boolean newConnection) throws Exception {
     fixture.server(
         (message, socket) -> ScriptedPeer.respond(socket, 200, "", message.header("Request-Id")));
-    CountDownLatch go = holdTheLoop();
-    Socket client = onANewConnection ? null : fixture.dial();
+    CountDownLatch release = blockEventLoop();
+    Socket client = newConnection ? null : fixture.dial();
     if (client != null) {
       assertEquals(
           200,
@@ -217,53 +224,59 @@
     }
     Socket first = fixture.dial();
     ScriptedPeer.write(first, fixture.request("lookup", 8000, ""));
-    assertTrue(came.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    assertTrue(requestReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     client = client == null ? fixture.dial() : client;
     ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     client.close();
-    go.countDown();
+    release.countDown();
     assertEquals("id1", ScriptedPeer.read(first.getInputStream()).text());
-    passTheLoop();
-    passTheLoop();
+    awaitEventLoop();
+    awaitEventLoop();
     assertEquals(
         "id3",
         LoopbackCluster.exchange(fixture.dial(), fixture.request("lookup", 8000, "")).text());
-    assertEquals(List.of("id1", "id3"), arrived());
+    assertEquals(List.of("id1", "id3"), arrivedRequests());
   }
 
-  /** Failed before: with four requests read ahead nothing more was read, and a close not seen. */
+  /**
+   * Guards against a close that is not detected because the agent stops reading after four
+   * pipelined requests.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 5, 20, 60})
-  void ofManyRequestsAskedAtOnceNoneIsSentOnceTheirClientLeft(int ahead) throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+  void pipelinedRequestsOfDepartedClientAreNotSent(int pipelined) throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     ScriptedPeer server =
         fixture.server(
             (message, socket) -> {
               if (message.header("Request-Id").equals("id1")) {
-                hold(go);
+                awaitRelease(release);
               }
               ScriptedPeer.respond(socket, 200, "", message.header("Request-Id"));
             });
     start();
     Socket client = fixture.dial();
     StringBuilder all = new StringBuilder(fixture.request("lookup", 8000, ""));
-    for (int i = 0; i < ahead; i++) {
+    for (int i = 0; i < pipelined; i++) {
       all.append(fixture.request("lookup", 8000, ""));
     }
     ScriptedPeer.write(client, all.toString());
     LoopbackCluster.await(() -> server.requests.size() == 1);
     client.close();
     assertTrue(
-        left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS),
-        "the close is seen behind what was asked");
-    go.countDown();
-    String next = "id" + (ahead + 2);
+        departureReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS),
+        "the close behind the requests is detected");
+    release.countDown();
+    String next = "id" + (pipelined + 2);
     assertEquals(
         next, LoopbackCluster.exchange(fixture.dial(), fixture.request("lookup", 8000, "")).text());
-    assertEquals(List.of("id1", next), arrived());
+    assertEquals(List.of("id1", next), arrivedRequests());
   }
 
-  /** Failed before: behind what was no request nothing more was read, and the close not seen. */
+  /**
+   * Guards against a close that is not detected because the agent stops reading after a malformed
+   * request.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -271,26 +284,31 @@
         "POST /order HTTP/1.1\r\nHost: a\r\nRequest-Class: order\r\n"
             + "Request-Id: x\r\nRequest-Timeout-Ms: 500\r\nContent-Length: 60000000\r\n\r\nand a part of it"
       })
-  void aCloseBehindWhatIsNoRequestIsSeen(String noise) throws Exception {
+  void closeBehindMalformedRequestIsDetected(String malformed) throws Exception {
     ScriptedPeer full =
         fixture.server(
             (message, socket) -> ScriptedPeer.respond(socket, 503, "Not-Started: 1\r\n", ""));
     start();
     Socket client = fixture.dial();
-    ScriptedPeer.write(client, fixture.request("lookup", 8000, "") + noise);
+    ScriptedPeer.write(client, fixture.request("lookup", 8000, "") + malformed);
     assertEquals(
-        LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
-    passTheLoop();
+        LoadBalancer.Outcome.FULL, outcome.get(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    awaitEventLoop();
     client.close();
-    assertTrue(left.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS), "the close is seen");
-    assertOnlyTheNextIsSent(full.address());
+    assertTrue(
+        departureReceived.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS),
+        "the close is detected");
+    assertOnlyNextRequestIsSent(full.address());
     assertEquals(1, full.requests.size());
   }
 
-  /** A client that asks much and reads nothing, until no response can be written, and then goes. */
+  /**
+   * A client sends many requests and reads no responses, until the agent can write no further
+   * response, and then leaves.
+   */
   @ParameterizedTest
   @ValueSource(ints = {3, 60})
-  void noneIsSentForAClientThatReadsNoAnswersOnceItLeft(int ahead) throws Exception {
+  void departedClientThatReadNothingCausesNoRequests(int pipelined) throws Exception {
     String large = "x".repeat(60_000);
     ScriptedPeer server =
         fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", large));
@@ -299,16 +317,21 @@
     client.setReceiveBufferSize(2048);
     client.connect(
         new InetSocketAddress(InetAddress.getLoopbackAddress(), fixture.agent.address().getPort()));
-    for (int i = 0; i <= ahead; i++) {
+    for (int i = 0; i <= pipelined; i++) {
       ScriptedPeer.write(client, fixture.request("lookup", 8000, ""));
     }
     LoopbackCluster.await(() -> server.requests.size() >= 2);
     ScriptedPeer.reset(client);
-    passTheLoop();
-    int before = taken.get();
+    awaitEventLoop();
+    int before = receivedRequests.get();
     assertEquals(large, fixture.call("lookup").text());
     assertEquals(large, fixture.call("lookup").text());
-    assertEquals(before + 2, taken.get(), "none of those that are left is taken");
-    assertTrue(ahead < 60 || before < ahead, before + " were taken before it left: none was left");
+    assertEquals(
+        before + 2,
+        receivedRequests.get(),
+        "the load balancer receives none of the remaining requests");
+    assertTrue(
+        pipelined < 60 || before < pipelined,
+        before + " requests were received before the client left, so none remained");
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DescriptorsTest.java
@@ -30,37 +30,41 @@
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
 /**
- * What holds while descriptors are scarce: discovery and servers are reached, and clients served.
+ * Tests that discovery and servers are reached and clients are served while file descriptors are
+ * scarce.
  */
 class DescriptorsTest {
   private static final ScriptedPeer.Script SERVES =
       (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
-  private static final int EACH = 12;
+  private static final int MAX_CONNECTIONS = 12;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private LoopbackCluster fixture;
-  private volatile boolean over;
+  private volatile boolean stopped;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
-    ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * EACH);
+    ((ObjectNode) fixture.config.get("limits")).put("sockets", 40 + 2 * MAX_CONNECTIONS);
   }
 
   @AfterEach
-  void strike() throws IOException {
-    over = true;
+  void tearDown() throws IOException {
+    stopped = true;
     fixture.close();
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
-  /** Failed before: the attempt never ended, and the connection it never had counted for ever. */
+  /**
+   * Guards against an attempt that never ends, and against a connection that is counted although no
+   * socket was opened.
+   */
   @Test
-  void anAttemptForWhichNoSocketCanBeOpenedWasNeverSent() throws Exception {
+  void attemptWithoutSocketIsNeverSent() throws Exception {
     ScriptedPeer server = fixture.peer(SERVES);
-    AtomicInteger left = new AtomicInteger(-2 * EACH);
+    AtomicInteger socketCount = new AtomicInteger(-2 * MAX_CONNECTIONS);
     BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     BackendConnections backends =
         loop.submit(
@@ -68,17 +72,17 @@
                     new BackendConnections(
                         loop,
                         AgentConfig.of(fixture.config),
-                        EACH,
+                        MAX_CONNECTIONS,
                         new RequestStatistics(),
                         () -> {
-                          if (left.getAndIncrement() < 0) {
+                          if (socketCount.getAndIncrement() < 0) {
                             throw new ChannelException("too many open files");
                           }
                           return new InspectableSocketChannel();
                         }))
             .sync()
             .getNow();
-    for (int i = 0; i <= 2 * EACH; i++) {
+    for (int i = 0; i <= 2 * MAX_CONNECTIONS; i++) {
       loop.submit(
               () -> {
                 backends.addSelf(
@@ -97,17 +101,17 @@
               })
           .sync();
       assertEquals(
-          i < 2 * EACH ? Outcome.NEVER_SENT : Outcome.OK,
-          outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+          i < 2 * MAX_CONNECTIONS ? Outcome.NEVER_SENT : Outcome.OK,
+          outcomes.poll(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
     assertTrue(loop.submit(backends::connections).sync().getNow() <= 1);
   }
 
-  /** Failed before: the call was forgotten, and discovery not asked again. */
+  /** Guards against a discovery call that is lost and never repeated. */
   @Test
-  void aCallForWhichNoSocketCanBeOpenedIsMadeAgain() throws Exception {
+  void discoveryCallWithoutSocketIsRetried() throws Exception {
     fixture.server(SERVES);
-    AtomicInteger left = new AtomicInteger(-2);
+    AtomicInteger socketCount = new AtomicInteger(-2);
     List<String> failures = new ArrayList<>();
     CountDownLatch listed = new CountDownLatch(1);
     Discovery discovery =
@@ -127,22 +131,22 @@
               }
             },
             () -> {
-              if (left.getAndIncrement() < 0) {
+              if (socketCount.getAndIncrement() < 0) {
                 throw new ChannelException("too many open files");
               }
               return new NioSocketChannel();
             });
     loop.submit(discovery::watch).sync();
-    assertTrue(listed.await(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+    assertTrue(listed.await(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     assertEquals(
         List.of("no socket", "no socket"),
         loop.submit(() -> List.copyOf(failures)).sync().getNow());
   }
 
   /**
-   * Idle clients take all the room there is, and more wait for it, from the start on and while
-   * discovery is down. The agent gets ready, who asks is served, and what discovery tells at its
-   * return is had and used.
+   * Idle clients use up all connections and more clients try to connect, from the start of the
+   * agent and while discovery is down. The agent must become ready, serve requests and use the list
+   * that discovery has after its return.
    */
   @Test
   void idleClientsLeaveDescriptorsForOthers() throws Exception {
@@ -153,13 +157,14 @@
     fixture.discovery.close();
     fixture.agent = Agent.start(AgentConfig.of(fixture.config));
     AtomicInteger idle = new AtomicInteger();
-    for (int i = 0; i < 4 * EACH; i++) {
-      boolean asks = i % 2 == 0;
-      ScriptedPeer.daemon(() -> idle(asks, idle));
+    for (int i = 0; i < 4 * MAX_CONNECTIONS; i++) {
+      boolean sendsRequest = i % 2 == 0;
+      ScriptedPeer.daemon(() -> runIdleClient(sendsRequest, idle));
     }
     fixture.awaitReady();
     LoopbackCluster.await(
-        () -> idle.get() > 4 * EACH); // some have been closed for room, and come again
+        // Some clients have been closed because of the limit and have connected again.
+        () -> idle.get() > 4 * MAX_CONNECTIONS);
     assertEquals("old", fixture.call("order").text());
     String list =
         "{\"index\":7,\"snapshot\":true,\"endpoints\":["
@@ -169,8 +174,8 @@
         new ScriptedPeer(
             port,
             (message, socket) -> {
-              // Whatever the agent held: the one before may have been asked in the moment in which
-              // it closed.
+              // The list is sent whatever version the agent has, because the agent may have
+              // received another list from the first discovery peer just before that peer closed.
               if (!message.target().contains("since=7")) {
                 ScriptedPeer.respond(socket, 200, "", list);
               }
@@ -182,26 +187,26 @@
     for (int i = 0; i < 10; i++) {
       assertEquals("new", fixture.call("order").text());
       assertTrue(
-          fixture.agent.connections() <= 2 * EACH + 16,
-          "as many as are accepted at once above the limit");
+          fixture.agent.connections() <= 2 * MAX_CONNECTIONS + 16,
+          "the limit plus the connections that may be accepted at once");
     }
   }
 
   /**
-   * A client that stays and says nothing, some of them after a first call; closed, it comes again
-   * at once.
+   * Runs a client that stays connected without a request, or with a single health check, and that
+   * connects again as soon as it is closed.
    */
-  private void idle(boolean asks, AtomicInteger dialled) {
-    while (!over) {
+  private void runIdleClient(boolean sendsRequest, AtomicInteger dialled) {
+    while (!stopped) {
       try (Socket client =
           new Socket(InetAddress.getLoopbackAddress(), fixture.agent.address().getPort())) {
         dialled.incrementAndGet();
-        if (asks) {
+        if (sendsRequest) {
           ScriptedPeer.write(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         client.getInputStream().readAllBytes();
       } catch (IOException e) {
-        // closed with what it wrote unread
+        // The agent closed the connection before it read the request.
       }
     }
   }
--- a/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/DiscoveryWatchTest.java
@@ -20,29 +20,33 @@
 import slateslip.loadbalancer.LoadBalancer;
 
 /**
- * A discovery that has to be asked, and what fails of its calls, over loopback sockets. The
- * module's waits are noted and left out: the order of events alone decides.
+ * Tests a discovery service that the agent polls, and failures of its calls, over loopback sockets.
+ * The delays of the load balancer are recorded and skipped, so that only the order of events
+ * matters.
  */
 class DiscoveryWatchTest {
-  /** The module's token for the time of the next call. */
-  private static final long TIMER_ASK = -3;
+  /** The load balancer's timer token for the next discovery call. */
+  private static final long TIMER_POLL = -3;
 
-  /** So long after discovery had it and could be reached, a change counts as told. */
-  private static final long NOTIFIED_MICROS = 6_000_000;
+  /**
+   * The time after a change, or after the return of discovery, from which the protocol regards an
+   * agent as informed of the change.
+   */
+  private static final long INFORMED_MICROS = 6_000_000;
 
   private static final ScriptedPeer.Script REFUSES =
       (message, socket) -> ScriptedPeer.respond(socket, 503, "", "");
   private static final ScriptedPeer.Script RESETS = (message, socket) -> ScriptedPeer.reset(socket);
 
-  /** The module's waits before each call, microseconds. */
-  private final List<Long> waits = new CopyOnWriteArrayList<>();
+  /** The delays, in microseconds, that the load balancer requested before its discovery calls. */
+  private final List<Long> delays = new CopyOnWriteArrayList<>();
 
   private LoopbackCluster fixture;
   private ScriptedPeer drained;
   private ScriptedPeer other;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
     ((ObjectNode) fixture.config.get("settings")).put("discovery", "subscribe");
     drained = fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "drained"));
@@ -50,24 +54,27 @@
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     fixture.close();
   }
 
-  /** The usual module, whose waits before it asks discovery are noted and over at once. */
-  private LoadBalancer hurried(Agent agent) {
+  /**
+   * Creates the usual load balancer, except that its delays before discovery calls are recorded and
+   * expire at once.
+   */
+  private LoadBalancer withoutDelays(Agent agent) {
     var actions =
         (LoadBalancer.Actions)
             Proxy.newProxyInstance(
                 LoadBalancer.class.getClassLoader(),
                 new Class<?>[] {LoadBalancer.Actions.class},
-                (proxy, method, details) -> {
-                  if (method.getName().equals("timer") && details[0].equals(TIMER_ASK)) {
-                    waits.add((Long) details[1]);
-                    agent.timer(TIMER_ASK, 0);
+                (proxy, method, arguments) -> {
+                  if (method.getName().equals("timer") && arguments[0].equals(TIMER_POLL)) {
+                    delays.add((Long) arguments[1]);
+                    agent.timer(TIMER_POLL, 0);
                     return null;
                   }
-                  return method.invoke(agent, details);
+                  return method.invoke(agent, arguments);
                 });
     return new DefaultLoadBalancer(AgentConfig.of(fixture.config).settings(), 1, 0, actions);
   }
@@ -80,7 +87,7 @@
     return LoopbackCluster.delta(5, LoopbackCluster.endpoint(1, drained.address(), "Terminating"));
   }
 
-  private void assertDrainKnown(ScriptedPeer discovery) throws IOException {
+  private void assertDrainApplied(ScriptedPeer discovery) throws IOException {
     LoopbackCluster.await(
         () -> requested(discovery).stream().anyMatch(each -> each.contains("since=5&")));
     int before = drained.requests.size();
@@ -90,24 +97,27 @@
     assertEquals(before, drained.requests.size());
   }
 
-  /** Any two waits in a row leave a second for the call's answer. */
-  private void assertWaitsInTime() {
-    for (int i = 1; i + 1 < waits.size(); i++) { // the first is before the first call of all
-      long both = waits.get(i) + waits.get(i + 1);
-      assertTrue(both <= NOTIFIED_MICROS - TimeUnit.SECONDS.toMicros(1), waits.toString());
+  /**
+   * Asserts that the sum of any two consecutive delays leaves a second for the response to the
+   * call.
+   */
+  private void assertDelaysWithinLimit() {
+    for (int i = 1; i + 1 < delays.size(); i++) { // The first delay precedes the first call.
+      long both = delays.get(i) + delays.get(i + 1);
+      assertTrue(both <= INFORMED_MICROS - TimeUnit.SECONDS.toMicros(1), delays.toString());
     }
   }
 
   /**
-   * Failed before: a list and then a watch, two calls of each agent at a discovery that all call at
-   * once.
+   * Guards against two calls of each agent, for the list and then for changes, at a discovery
+   * service that all agents call at the same time.
    */
   @Test
   void firstCallWatchesFromKnownVersion() throws Exception {
     ((ObjectNode) fixture.config.get("known")).put("index", 3);
-    fixture.start(this::hurried);
-    fixture.update.add(drain());
-    assertDrainKnown(fixture.discovery);
+    fixture.start(this::withoutDelays);
+    fixture.watchResponses.add(drain());
+    assertDrainApplied(fixture.discovery);
     assertTrue(
         requested(fixture.discovery).get(0).contains("since=3&"),
         requested(fixture.discovery).toString());
@@ -115,20 +125,23 @@
   }
 
   @Test
-  void anAgentThatKnowsNoServersFetchesTheWholeListFirst() throws Exception {
+  void emptyKnownListCausesFullFetch() throws Exception {
     ((ObjectNode) fixture.config.get("known")).putArray("endpoints");
-    fixture.start(this::hurried);
+    fixture.start(this::withoutDelays);
     LoopbackCluster.await(
         () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
     assertEquals("/v1/servers", requested(fixture.discovery).get(0));
   }
 
-  /** Guards against changes missed for ever where discovery's versions have begun anew. */
+  /**
+   * Guards against changes that are missed permanently after the discovery service has restarted
+   * its version numbers.
+   */
   @Test
-  void aVersionBeforeTheOneHeldMakesItFetchTheWholeList() throws Exception {
+  void lowerVersionCausesFullFetch() throws Exception {
     ((ObjectNode) fixture.config.get("known")).put("index", 7);
-    fixture.update.add(LoopbackCluster.delta(4));
-    fixture.start(this::hurried);
+    fixture.watchResponses.add(LoopbackCluster.delta(4));
+    fixture.start(this::withoutDelays);
     LoopbackCluster.await(() -> requested(fixture.discovery).size() >= 3);
     assertTrue(requested(fixture.discovery).get(0).contains("since=7&"));
     assertEquals("/v1/servers", requested(fixture.discovery).get(1));
@@ -136,41 +149,45 @@
 
   @Test
   void changeIsRecognizedAfterRejectedAttempts() throws Exception {
-    fixture.update.addAll(List.of(REFUSES, REFUSES, RESETS, REFUSES, drain()));
-    fixture.start(this::hurried);
-    assertDrainKnown(fixture.discovery);
-    assertEquals(1 + 4, waits.size(), "one before the first call and one after each that failed");
-    assertWaitsInTime();
+    fixture.watchResponses.addAll(List.of(REFUSES, REFUSES, RESETS, REFUSES, drain()));
+    fixture.start(this::withoutDelays);
+    assertDrainApplied(fixture.discovery);
+    assertEquals(
+        1 + 4, delays.size(), "one delay before the first call and one after each failed call");
+    assertDelaysWithinLimit();
   }
 
   /**
-   * The first wait after a call that hung, if the next one is refused, ends before the change
-   * counts as told.
+   * If a call is unresponsive and the next call is rejected, the following delay must end before
+   * the protocol regards the agent as informed of the change.
    */
   @Test
-  void aChangeIsKnownAfterACallThatHungAndARefusedOne() throws Exception {
-    fixture.update.addAll(List.of((message, socket) -> {}, REFUSES, drain()));
-    fixture.start(this::hurried);
-    assertDrainKnown(fixture.discovery);
-    assertEquals(2, waits.size(), "the call that hung is made again with no wait of the module's");
-    long found =
+  void changeIsAppliedAfterUnresponsiveAndRejectedCalls() throws Exception {
+    fixture.watchResponses.addAll(List.of((message, socket) -> {}, REFUSES, drain()));
+    fixture.start(this::withoutDelays);
+    assertDrainApplied(fixture.discovery);
+    assertEquals(
+        2, delays.size(), "the timed-out call is repeated without a delay of the load balancer");
+    long timedOutMicros =
         TimeUnit.MILLISECONDS.toMicros(
             Discovery.WATCH_TIMEOUT_MS + Discovery.INACTIVITY_TIMEOUT_MS);
-    assertTrue(found + waits.get(1) <= NOTIFIED_MICROS, found + " and " + waits);
+    assertTrue(
+        timedOutMicros + delays.get(1) <= INFORMED_MICROS, timedOutMicros + " and " + delays);
   }
 
   /**
-   * Failed before: asked for as soon as the module was made, the newer list could come first and be
-   * undone.
+   * Guards against an older list that replaces a newer one: the load balancer asks for discovery as
+   * soon as it is created, so the list from discovery could arrive before the list from the
+   * configuration.
    */
   @Test
   void knownListPrecedesDiscovery() throws Exception {
     List<Object> lists = new CopyOnWriteArrayList<>();
-    Function<Agent, LoadBalancer> overheard =
-        fixture.overheard(
-            (event, details) -> {
+    Function<Agent, LoadBalancer> intercepted =
+        fixture.intercepted(
+            (event, arguments) -> {
               if (event.equals("servers")) {
-                lists.add(details[1]);
+                lists.add(arguments[1]);
               }
             });
     fixture.agent =
@@ -178,22 +195,26 @@
             AgentConfig.of(fixture.config),
             agent -> {
               agent.watchServers();
-              return overheard.apply(agent);
+              return intercepted.apply(agent);
             });
     for (int i = 0; i < 100; i++) {
-      fixture.agent.trackedServers(); // a turn of the loop each: time enough for a call
+      // Each call takes a turn of the event loop, which leaves time for a discovery call.
+      fixture.agent.trackedServers();
     }
     assertEquals(List.of(), requested(fixture.discovery));
-    fixture.update.add(drain());
+    fixture.watchResponses.add(drain());
     fixture.agent.startAsync();
-    assertDrainKnown(fixture.discovery);
+    assertDrainApplied(fixture.discovery);
     assertEquals(List.of(LoadBalancer.ListKind.CACHED, LoadBalancer.ListKind.DELTA), lists);
   }
 
-  /** Failed before: it was told as a closed connection, each time it was asked for again. */
+  /**
+   * Guards against a response that cannot be received and is reported as a closed connection at
+   * every retry.
+   */
   @Test
-  void aListThatCannotBeTakenIsToldWithItsCause() throws Exception {
-    fixture.update.addAll(
+  void oversizedListIsLoggedWithCause() throws Exception {
+    fixture.watchResponses.addAll(
         List.of(
             (message, socket) ->
                 ScriptedPeer.write(
@@ -203,8 +224,8 @@
     var log = new ByteArrayOutputStream();
     System.setErr(new PrintStream(log, true));
     try {
-      fixture.start(this::hurried);
-      assertDrainKnown(fixture.discovery);
+      fixture.start(this::withoutDelays);
+      assertDrainApplied(fixture.discovery);
     } finally {
       System.setErr(usual);
     }
@@ -216,13 +237,16 @@
                     each.startsWith("discovery: connection error: ")
                         && each.contains("TooLongHttpContentException")),
         log.toString(UTF_8));
-    assertEquals(2, waits.size(), "before the first call and after the one that failed");
+    assertEquals(2, delays.size(), "one delay before the first call and one after the failed call");
   }
 
-  /** Failed before: the end of the connection that ended the list counted as a call that failed. */
+  /**
+   * Guards against a response without a length whose end, the close of the connection, counts as a
+   * failed call.
+   */
   @Test
   void listWithoutLengthEndsWithConnection() throws Exception {
-    fixture.update.add(
+    fixture.watchResponses.add(
         (message, socket) -> {
           ScriptedPeer.write(
               socket,
@@ -231,17 +255,17 @@
                   + "]}");
           socket.close();
         });
-    fixture.start(this::hurried);
-    assertDrainKnown(fixture.discovery);
-    assertEquals(1, waits.size(), "before the first call alone");
+    fixture.start(this::withoutDelays);
+    assertDrainApplied(fixture.discovery);
+    assertEquals(1, delays.size(), "only the delay before the first call");
   }
 
   @Test
-  void aChangeIsKnownOnceDiscoveryIsBack() throws Exception {
+  void changeIsAppliedOnceDiscoveryReturns() throws Exception {
     int port = fixture.discovery.listener.getLocalPort();
     fixture.discovery.close();
-    fixture.start(this::hurried);
-    LoopbackCluster.await(() -> waits.size() >= 8);
+    fixture.start(this::withoutDelays);
+    LoopbackCluster.await(() -> delays.size() >= 8);
     ScriptedPeer back =
         new ScriptedPeer(
             port,
@@ -251,8 +275,8 @@
               }
             });
     fixture.peers.add(back);
-    assertDrainKnown(back);
+    assertDrainApplied(back);
     assertTrue(other.requests.size() >= 5);
-    assertWaitsInTime();
+    assertDelaysWithinLimit();
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/IdleConnectionTimeoutTest.java
@@ -6,51 +6,55 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long connections to servers are kept, as learnt from those that broke; on a clock turned by
- * hand.
+ * Tests how long connections to servers are kept, according to the observed resets, with a clock
+ * that the test controls.
  */
 class IdleConnectionTimeoutTest {
   private static final long MS = 1_000_000;
   private static final long MAX = 3_750 * MS;
-  private final IdleConnectionTimeout age = new IdleConnectionTimeout(MAX, 0);
+  private final IdleConnectionTimeout timeout = new IdleConnectionTimeout(MAX, 0);
 
-  private void use(int times, long idleMs, int everyBreaks, long atMs) {
+  private void recordUses(int times, long idleMs, int resetEvery, long atMs) {
     for (int i = 1; i <= times; i++) {
-      age.recordUse(idleMs * MS, everyBreaks > 0 && i % everyBreaks == 0, atMs * MS);
+      timeout.recordUse(idleMs * MS, resetEvery > 0 && i % resetEvery == 0, atMs * MS);
     }
   }
 
-  /** Failed before: a request in seven was written to a connection that the network had dropped. */
+  /**
+   * Guards against requests on dead connections: one request in seven was written to a connection
+   * that the network had dropped.
+   */
   @Test
   void agesWithImmediateResetsAreAvoided() {
-    use(50, 40, 12, 1000);
-    use(50, 70, 12, 1000);
-    use(8, 150, 2, 1000);
+    recordUses(50, 40, 12, 1000);
+    recordUses(50, 70, 12, 1000);
+    recordUses(8, 150, 2, 1000);
     assertTrue(
-        age.limitNanos() >= 100 * MS && age.limitNanos() <= 150 * MS, age.limitNanos() + " ns");
+        timeout.limitNanos() >= 100 * MS && timeout.limitNanos() <= 150 * MS,
+        timeout.limitNanos() + " ns");
   }
 
   @Test
-  void breaksNowAndThenAtAnyAgeCostNoConnection() {
+  void occasionalResetsDoNotLowerLimit() {
     for (long idle : new long[] {30, 70, 150, 300, 700, 1500}) {
-      use(40, idle, 8, 1000);
+      recordUses(40, idle, 8, 1000);
     }
-    assertEquals(MAX, age.limitNanos());
+    assertEquals(MAX, timeout.limitNanos());
   }
 
   @Test
-  void aFewUsesProveNothing() {
-    use(3, 150, 1, 1000);
-    assertEquals(MAX, age.limitNanos());
+  void fewUsesDoNotLowerLimit() {
+    recordUses(3, 150, 1, 1000);
+    assertEquals(MAX, timeout.limitNanos());
   }
 
   @Test
   void youngestAreAlwaysReusedAndLimitRecovers() {
-    use(40, 30, 1, 1000);
-    assertEquals(MAX, age.limitNanos());
-    use(8, 150, 1, 1000);
-    assertTrue(age.limitNanos() <= 150 * MS);
-    age.decay(9_000 * MS);
-    assertEquals(MAX, age.limitNanos());
+    recordUses(40, 30, 1, 1000);
+    assertEquals(MAX, timeout.limitNanos());
+    recordUses(8, 150, 1, 1000);
+    assertTrue(timeout.limitNanos() <= 150 * MS);
+    timeout.decay(9_000 * MS);
+    assertEquals(MAX, timeout.limitNanos());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LateConnectionsTest.java
@@ -27,11 +27,11 @@
 import org.junit.jupiter.api.Test;
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
-/** Connections to servers that come up late or never, as the test lets them. */
+/** Tests connections to servers that come up late or never, under control of the test. */
 class LateConnectionsTest {
   private static final long DIAL_MICROS = 400_000;
 
-  /** A socket that connects only when the test says so. */
+  /** A socket that connects only when the test calls {@link #completeConnect}. */
   private static final class DelayedChannel extends InspectableSocketChannel {
     private SocketAddress to;
 
@@ -41,7 +41,7 @@
       return false;
     }
 
-    void comeUp() throws IOException {
+    void completeConnect() throws IOException {
       javaChannel().connect(to);
       unsafe().finishConnect();
     }
@@ -51,21 +51,21 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-  private final List<DelayedChannel> queued = new ArrayList<>();
+  private final List<DelayedChannel> delayed = new ArrayList<>();
   private int dials;
 
-  /** So many of the first connections are held. */
-  private int late;
+  /** The number of first connections that are delayed. */
+  private int delayedCount;
 
   private ScriptedPeer server;
   private BackendConnections backends;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     server = new ScriptedPeer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "served"));
   }
 
-  /** Connections may take so long to come up. */
+  /** Creates the connection pools with the given connect timeout. */
   private void start(long dialMicros) throws Exception {
     ObjectNode config =
         (ObjectNode)
@@ -81,11 +81,11 @@
                         10,
                         new RequestStatistics(),
                         () -> {
-                          if (dials++ >= late) {
+                          if (dials++ >= delayedCount) {
                             return new InspectableSocketChannel();
                           }
-                          queued.add(new DelayedChannel());
-                          return queued.get(queued.size() - 1);
+                          delayed.add(new DelayedChannel());
+                          return delayed.get(delayed.size() - 1);
                         }))
             .sync()
             .getNow();
@@ -95,7 +95,7 @@
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     server.close();
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
   }
@@ -105,51 +105,56 @@
         HttpMethod.GET, "/lookup", new DefaultHttpHeaders(), BackendConnections.NO_BODY);
   }
 
-  /** How an attempt ends that may take so long; 0 is for ever. */
+  /** Sends a request with the given timeout, 0 for none, and returns the outcome of the attempt. */
   private Outcome send(long micros) throws Exception {
     loop.submit(
             () -> backends.send(1, outgoing(), micros, result -> outcomes.add(result.outcome())))
         .sync();
-    return outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS);
+    return outcomes.poll(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Failed before: the attempt ended as one that could not connect. */
+  /** Guards against an attempt that fails because its only connection does not come up. */
   @Test
   void hangingConnectGetsSecondConnect() throws Exception {
     start(DIAL_MICROS);
-    late = 1;
+    delayedCount = 1;
     assertEquals(Outcome.OK, send(0));
     assertEquals(2, dials);
     assertEquals(1, server.requests.size());
   }
 
-  /** Both dials together take no longer than one may: a repeat's window depends on that. */
+  /**
+   * The two connection attempts together take no longer than the connect timeout, because the
+   * deduplication window of a retry depends on that.
+   */
   @Test
   void twoHangingConnectsEndOnce() throws Exception {
     start(DIAL_MICROS);
-    late = 2;
+    delayedCount = 2;
     assertEquals(Outcome.CONNECT_FAILED, send(0));
-    for (DelayedChannel each : queued) {
+    for (DelayedChannel each : delayed) {
       assertTrue(each.config().getConnectTimeoutMillis() <= DIAL_MICROS / 1000);
     }
     int both =
-        queued.get(0).config().getConnectTimeoutMillis()
-            - queued.get(1).config().getConnectTimeoutMillis();
-    assertEquals(DIAL_MICROS / 1000 / 8, both, "the second is given as much less as it is later");
+        delayed.get(0).config().getConnectTimeoutMillis()
+            - delayed.get(1).config().getConnectTimeoutMillis();
+    assertEquals(DIAL_MICROS / 1000 / 8, both, "the second timeout is shorter by the delay");
     assertEquals(2, dials);
     assertEquals(0, loop.submit(backends::connections).sync().getNow());
     assertNull(outcomes.poll());
   }
 
-  /** Failed before: it was closed, and the next request had to dial again. */
+  /**
+   * Guards against a late connection that is closed, so that the next request has to connect again.
+   */
   @Test
   void lateConnectionServesNextRequest() throws Exception {
     start(60_000_000);
-    late = 1;
+    delayedCount = 1;
     assertEquals(Outcome.TIMEOUT, send(1_000));
     loop.submit(
             () -> {
-              queued.get(0).comeUp();
+              delayed.get(0).completeConnect();
               return null;
             })
         .sync();
@@ -160,15 +165,15 @@
   @Test
   void connectionToRemovedServerIsClosed() throws Exception {
     start(60_000_000);
-    late = 1;
+    delayedCount = 1;
     loop.submit(() -> backends.send(1, outgoing(), 0, result -> outcomes.add(result.outcome())))
         .sync();
     loop.submit(() -> backends.remove(1)).sync();
     assertEquals(
-        Outcome.NEVER_SENT, outcomes.poll(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+        Outcome.NEVER_SENT, outcomes.poll(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     loop.submit(
             () -> {
-              queued.get(0).comeUp();
+              delayed.get(0).completeConnect();
               return null;
             })
         .sync();
--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsFixture.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsFixture.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An agent whose settings have a version, its configuration file and its log. */
+/** An agent whose settings have a version, with its configuration file and its log. */
 abstract class LiveSettingsFixture {
   static final ScriptedPeer.Script SERVES =
       (message, socket) -> ScriptedPeer.respond(socket, 200, "", "served");
@@ -35,15 +35,19 @@
 
   @AfterEach
   void close() throws IOException {
-    fixture.hangUp();
+    fixture.closeClients();
     if (fixture.agent != null) {
-      fixture.agent.stop(); // it would tell the next test's log that its file has gone
+      // A running agent would log into the next test's log that its file is missing.
+      fixture.agent.stop();
     }
     fixture.close();
     System.setErr(usualLog);
   }
 
-  /** The configuration under another version and otherwise changed; replaced in one step. */
+  /**
+   * Atomically replaces the file with the configuration under another version and with the given
+   * change.
+   */
   void write(long version, Consumer<ObjectNode> change) throws IOException {
     ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", version);
@@ -52,10 +56,10 @@
     Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  void take(long version, Consumer<ObjectNode> change) throws IOException {
+  void applyVersion(long version, Consumer<ObjectNode> change) throws IOException {
     write(version, change);
     fixture.agent.reload(file);
-    LoopbackCluster.await(() -> version == inForce());
+    LoopbackCluster.await(() -> version == versionInForce());
   }
 
   static ObjectNode settings(ObjectNode config) {
@@ -66,8 +70,10 @@
     return (ArrayNode) config.get("settings").get("classes");
   }
 
-  /** A class with another name becomes the first of all: each index changes. */
-  static void addFirst(ObjectNode config, String name) {
+  /**
+   * Inserts a class with another name before all others, so that the index of each class changes.
+   */
+  static void insertFirst(ObjectNode config, String name) {
     classes(config).insert(0, ((ObjectNode) classes(config).get(0).deepCopy()).put("name", name));
   }
 
@@ -76,7 +82,7 @@
         fixture.dial(), "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   }
 
-  long inForce() {
+  long versionInForce() {
     try {
       return Long.parseLong(health().header("Settings-Version"));
     } catch (IOException e) {
--- a/src/test/java/slateslip/loadbalancer/net/LiveSettingsReadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/LiveSettingsReadTest.java
@@ -15,33 +15,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the file of live settings is read: on a change, on a signal, one read at a time. */
+/**
+ * Tests when the file of live settings is read: after a change, after a signal, and one read at a
+ * time.
+ */
 class LiveSettingsReadTest extends LiveSettingsFixture {
-  /** A lost signal must not leave an agent behind, nor a file that was seen half-written. */
+  /**
+   * Guards against an agent that misses a change because a signal was lost or because the file was
+   * read while it was being written.
+   */
   @ParameterizedTest
   @ValueSource(ints = {10, 0})
-  void aFileThatChangesIsTakenWithoutASignal(int checkMs) throws Exception {
+  void changedFileIsReadWithoutSignal(int checkMs) throws Exception {
     fixture.server(SERVES);
     ((ObjectNode) fixture.config.get("live_settings")).put("check_ms", checkMs);
     write(41, config -> {});
     fixture.agent = Agent.start(file);
     LoopbackCluster.await(() -> logged().contains("settings: version 41 in force from the start"));
     if (checkMs > 0) {
-      write(42, config -> addFirst(config, "extra"));
-      LoopbackCluster.await(() -> inForce() == 42);
+      write(42, config -> insertFirst(config, "extra"));
+      LoopbackCluster.await(() -> versionInForce() == 42);
     }
     write(43, config -> {});
     String complete = Files.readString(file);
     Files.writeString(file, complete.substring(0, complete.length() - 9));
     if (checkMs == 0) {
-      fixture.agent.reload(file); // nobody looks otherwise, but then until it is whole
+      fixture.agent.reload(file); // Polling continues until the file is complete.
     }
     awaitLogged("settings: refused: cannot read");
     Files.writeString(file, complete);
-    LoopbackCluster.await(() -> inForce() == 43);
+    LoopbackCluster.await(() -> versionInForce() == 43);
     assertEquals(400, status("extra"));
     long refused = logged().lines().filter(each -> each.contains("refused")).count();
-    assertTrue(refused <= 2, "an unusable file is told of once: " + logged());
+    assertTrue(refused <= 2, "an unusable file is logged once: " + logged());
   }
 
   private Path pipe() throws Exception {
@@ -50,9 +56,7 @@
     return pipe;
   }
 
-  /**
-   * A read that is under way takes in what is asked for meanwhile: one more read, of the last file.
-   */
+  /** Requests during a read cause one further read, of the file that was requested last. */
   @Test
   void requestsDuringReadCauseOneMoreRead() throws Exception {
     fixture.server(SERVES);
@@ -62,18 +66,18 @@
     LoopbackCluster.await(
         () ->
             reader.getState() == Thread.State.RUNNABLE
-                && LoopbackCluster.inside(reader, "readForReload"));
+                && LoopbackCluster.isInMethod(reader, "readForReload"));
     for (int version = 43; version <= 45; version++) {
-      write(version, config -> addFirst(config, "extra"));
+      write(version, config -> insertFirst(config, "extra"));
       fixture.agent.reload(file);
     }
-    assertEquals(41, inForce(), "requests are served while a read waits");
+    assertEquals(41, versionInForce(), "requests are served while a read is blocked");
     assertEquals(200, fixture.call("lookup").status());
     ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", 42);
     Files.writeString(pipe, copy.toString());
     reader.join();
-    LoopbackCluster.await(() -> inForce() == 45);
+    LoopbackCluster.await(() -> versionInForce() == 45);
     assertEquals(List.of("42 in force, was 41", "45 in force, was 42"), changes());
     assertEquals(200, status("extra"));
   }
@@ -87,20 +91,20 @@
   }
 
   @Test
-  void aBurstOfVersionsEndsAtTheLastEachWholeOrSkipped() throws Exception {
+  void lastOfManyVersionsIsApplied() throws Exception {
     fixture.server(SERVES);
     fixture.start();
     List<Thread> readers = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       String name = "extra" + i;
-      write(42 + i, config -> addFirst(config, name));
+      write(42 + i, config -> insertFirst(config, name));
       readers.add(ScriptedPeer.daemon(() -> fixture.agent.reload(file)));
     }
     fixture.agent.reload(file);
     for (Thread reader : readers) {
-      reader.join(); // one that is late would read after the test, when the file has gone
+      reader.join(); // A later read would run when the file no longer exists.
     }
-    LoopbackCluster.await(() -> inForce() == 141);
+    LoopbackCluster.await(() -> versionInForce() == 141);
     assertEquals(200, status("extra99"));
     assertEquals(400, status("extra98"));
     long last = 41;
@@ -113,12 +117,12 @@
   }
 
   @Test
-  void theEndDoesNotWaitForAReadThatIsUnderWay() throws Exception {
+  void shutdownDoesNotWaitForRead() throws Exception {
     fixture.start();
     Path pipe = pipe();
     Thread reader = ScriptedPeer.daemon(() -> fixture.agent.reload(pipe));
-    LoopbackCluster.await(() -> LoopbackCluster.inside(reader, "readForReload"));
-    fixture.hangUp();
+    LoopbackCluster.await(() -> LoopbackCluster.isInMethod(reader, "readForReload"));
+    fixture.closeClients();
     fixture.agent.stop();
     ObjectNode copy = fixture.config.deepCopy();
     ((ObjectNode) copy.get("live_settings")).put("version", 42);
--- a/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
+++ b/src/test/java/slateslip/loadbalancer/net/LoopbackCluster.java
@@ -25,21 +25,21 @@
 import slateslip.loadbalancer.DefaultLoadBalancer;
 import slateslip.loadbalancer.LoadBalancer;
 
-/** An agent on a loopback port with a scripted discovery and scripted servers. */
+/** An agent on a loopback port with a scripted discovery service and scripted servers. */
 final class LoopbackCluster implements Closeable {
-  static final long GENEROUS_MS = 20_000;
+  static final long TIMEOUT_MS = 20_000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   final ObjectNode config;
   final List<ScriptedPeer> servers = new ArrayList<>();
 
-  /** Others that close with the stage. */
+  /** Other peers that are closed together with the cluster. */
   final List<ScriptedPeer> peers = new ArrayList<>();
 
   /**
-   * What discovery answers to the calls after the first, one each; it waits while there is none.
+   * The responses of discovery to the watches, one each. A watch waits while the queue is empty.
    */
-  final BlockingQueue<ScriptedPeer.Script> update = new LinkedBlockingQueue<>();
+  final BlockingQueue<ScriptedPeer.Script> watchResponses = new LinkedBlockingQueue<>();
 
   final ScriptedPeer discovery;
   Agent agent;
@@ -53,7 +53,7 @@
         new ScriptedPeer(
             (message, socket) -> {
               if (message.target().contains("since")) {
-                update.take().handle(message, socket);
+                watchResponses.take().handle(message, socket);
               } else {
                 ScriptedPeer.respond(socket, 200, "", config.get("known").toString());
               }
@@ -61,7 +61,9 @@
     config.put("discovery", discovery.address());
   }
 
-  /** Adds a server to the known list, which is also discovery's first answer. */
+  /**
+   * Starts a server and adds it to the known list, which is also the first response of discovery.
+   */
   ScriptedPeer server(ScriptedPeer.Script script) throws IOException {
     ScriptedPeer peer = new ScriptedPeer(script);
     servers.add(peer);
@@ -70,7 +72,7 @@
     return peer;
   }
 
-  /** A server that is not listed. */
+  /** Starts a server that is not listed. */
   ScriptedPeer peer(ScriptedPeer.Script script) throws IOException {
     ScriptedPeer peer = new ScriptedPeer(script);
     peers.add(peer);
@@ -89,7 +91,7 @@
         .put("since_ms", 0);
   }
 
-  /** Discovery's answer with changes. */
+  /** Returns a script that responds with a change of the server list. */
   static ScriptedPeer.Script delta(int index, ObjectNode... entries) {
     ObjectNode list = JSON.createObjectNode().put("index", index).put("snapshot", false);
     list.putArray("endpoints").addAll(List.of(entries));
@@ -113,17 +115,21 @@
     return this;
   }
 
-  /** The usual module behind one that is told of each event before it, and may fail. */
-  Function<Agent, LoadBalancer> overheard(BiConsumer<String, Object[]> before) {
+  /**
+   * Creates the usual load balancer behind an interceptor that receives each event first and may
+   * throw an exception.
+   */
+  Function<Agent, LoadBalancer> intercepted(BiConsumer<String, Object[]> before) {
     return agent -> {
-      LoadBalancer rules = new DefaultLoadBalancer(AgentConfig.of(config).settings(), 1, 0, agent);
+      LoadBalancer balancer =
+          new DefaultLoadBalancer(AgentConfig.of(config).settings(), 1, 0, agent);
       return (LoadBalancer)
           Proxy.newProxyInstance(
               LoadBalancer.class.getClassLoader(),
               new Class<?>[] {LoadBalancer.class},
-              (proxy, method, details) -> {
-                before.accept(method.getName(), details);
-                return method.invoke(rules, details);
+              (proxy, method, arguments) -> {
+                before.accept(method.getName(), arguments);
+                return method.invoke(balancer, arguments);
               });
     };
   }
@@ -140,15 +146,18 @@
         });
   }
 
-  /** A connection of the application's. */
+  /** Opens a client connection. */
   Socket dial() throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), agent.address().getPort());
-    socket.setSoTimeout((int) GENEROUS_MS);
+    socket.setSoTimeout((int) TIMEOUT_MS);
     clients.add(socket);
     return socket;
   }
 
-  /** A request as a client sends it; the classes are safe, keyed and unsafe: lookup, pay, order. */
+  /**
+   * Returns a request as a client sends it. The class "lookup" is safe, "pay" is keyed and "order"
+   * is unsafe.
+   */
   String request(String type, long timeoutMs, String body) {
     String method = type.equals("lookup") ? "GET" : "POST";
     return method
@@ -177,16 +186,16 @@
     return ScriptedPeer.read(socket.getInputStream());
   }
 
-  /** How many requests have reached the servers. */
-  int arrived() {
+  /** Returns the number of requests that have reached the servers. */
+  int arrivedRequests() {
     return servers.stream().mapToInt(each -> each.requests.size()).sum();
   }
 
   /**
-   * Connects to a listener with capacity for one that nobody accepts from: the next who dials has
-   * to wait.
+   * Fills the backlog of a listener that has a backlog of one and whose connections nobody accepts,
+   * so that the next connection attempt waits.
    */
-  static List<Socket> fill(ServerSocket full) {
+  static List<Socket> fillBacklog(ServerSocket full) {
     List<Socket> filling = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       Socket socket = new Socket();
@@ -196,12 +205,12 @@
     await(
         () ->
             filling.stream().filter(Socket::isConnected).count()
-                >= 2); // one more than it has capacity for
+                >= 2); // The kernel accepts one connection more than the backlog.
     return filling;
   }
 
-  /** Counts what comes on the connections to such a listener, once they are accepted. */
-  static AtomicInteger accept(ServerSocket full) {
+  /** Accepts the connections to such a listener, and counts those on which a byte arrives. */
+  static AtomicInteger acceptAndCount(ServerSocket full) {
     AtomicInteger written = new AtomicInteger();
     ScriptedPeer.daemon(
         () -> {
@@ -214,17 +223,17 @@
     return written;
   }
 
-  /** Whether a thread is within a method of this name. */
-  static boolean inside(Thread thread, String method) {
+  /** Returns whether a thread is executing a method of the given name. */
+  static boolean isInMethod(Thread thread, String method) {
     return Arrays.stream(thread.getStackTrace())
         .anyMatch(each -> each.getMethodName().equals(method));
   }
 
   static void await(BooleanSupplier condition) {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GENEROUS_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("did not come about");
+        throw new AssertionError("the condition did not become true in time");
       }
       try {
         Thread.sleep(5);
@@ -234,8 +243,8 @@
     }
   }
 
-  /** Closes the application's connections. */
-  void hangUp() throws IOException {
+  /** Closes the client connections. */
+  void closeClients() throws IOException {
     for (Socket socket : clients) {
       socket.close();
     }
@@ -243,9 +252,10 @@
 
   @Override
   public void close() throws IOException {
-    hangUp();
+    closeClients();
     if (agent != null) {
-      ScriptedPeer.daemon(agent::stop); // it lingers; the next test need not wait for that
+      // The shutdown takes a while, for which the next test need not wait.
+      ScriptedPeer.daemon(agent::stop);
     }
     discovery.close();
     for (ScriptedPeer server : servers) {
--- a/src/test/java/slateslip/loadbalancer/net/RejectedLiveSettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RejectedLiveSettingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Settings that are not taken over: what is in force stays. */
+/** Tests that refused settings leave the settings in force unchanged. */
 class RejectedLiveSettingsTest extends LiveSettingsFixture {
   @ParameterizedTest
   @CsvSource(
@@ -39,7 +39,7 @@
         "lower|settings: version 40 refused: live_settings.version is lower",
         "same|settings: version 41 refused: live_settings.version is the same, but the content is another"
       })
-  void whatIsUnusableChangesNothingButDiscoveryAndTheNextGoodOneIsTaken(String what, String line)
+  void unusableSettingsOnlyMoveDiscoveryAndNextVersionIsApplied(String fault, String line)
       throws Exception {
     fixture.server(SERVES);
     ScriptedPeer elsewhere =
@@ -51,12 +51,13 @@
             });
     fixture.start();
     write(
-        what.equals("lower") ? 40 : what.equals("same") ? 41 : 42,
+        fault.equals("lower") ? 40 : fault.equals("same") ? 41 : 42,
         config -> {
-          addFirst(config, "extra"); // nothing of it may be in force
+          // The class "extra" shows whether any part of the refused settings is in force.
+          insertFirst(config, "extra");
           config.put("discovery", elsewhere.address());
           ObjectNode settings = settings(config);
-          switch (what) {
+          switch (fault) {
             case "no caps" -> settings.putObject("caps");
             case "aim" -> ((ObjectNode) classes(config).get(0)).put("aim-us", 0);
             case "worth" -> ((ObjectNode) classes(config).get(1)).put("worth", -1);
@@ -72,29 +73,31 @@
           }
         });
     String text = Files.readString(file);
-    switch (what) {
+    switch (fault) {
       case "half" -> Files.writeString(file, text.substring(0, text.length() / 2));
       case "twice" -> Files.writeString(file, text + text);
-      case "", "{", "{}" -> Files.writeString(file, what);
+      case "", "{", "{}" -> Files.writeString(file, fault);
       default -> {}
     }
     fixture.agent.reload(file);
-    if (what.equals("zones")) { // the own zone has gone with it: its name is another
+    // The agent's own zone is missing as well, so its name differs, which is checked first.
+    if (fault.equals("zones")) {
       awaitLogged("settings: version 42 refused: locality cannot change while the agent runs");
     } else {
       awaitLogged(line);
     }
-    assertEquals(41, inForce());
+    assertEquals(41, versionInForce());
     assertEquals(400, status("extra"));
     for (String type : List.of("lookup", "pay", "order")) {
       assertEquals(200, fixture.call(type).status(), type);
     }
-    if (text.equals(Files.readString(file))) { // else discovery's address is not there to read
+    // A truncated or malformed file contains no readable address of discovery.
+    if (text.equals(Files.readString(file))) {
       LoopbackCluster.await(() -> !elsewhere.requests.isEmpty());
     } else {
       assertEquals(0, elsewhere.requests.size());
     }
-    take(44, config -> addFirst(config, "extra"));
+    applyVersion(44, config -> insertFirst(config, "extra"));
     assertEquals(200, status("extra"));
     assertEquals(1, logged().lines().filter(each -> each.contains(" in force, was ")).count());
   }
@@ -122,7 +125,7 @@
     write(
         42,
         config -> {
-          addFirst(config, "extra");
+          insertFirst(config, "extra");
           config.put("discovery", elsewhere.address());
         });
     fixture.agent.reload(file);
@@ -148,10 +151,10 @@
         "null",
         "7"
       })
-  void unusableLiveSettingsEndTheStart(String live) throws Exception {
+  void unusableLiveSettingsPreventStart(String live) throws Exception {
     Files.writeString(file, fixture.config.toString().replace("{\"version\":41}", live));
-    String why =
+    String message =
         assertThrows(IllegalArgumentException.class, () -> AgentConfig.read(file)).getMessage();
-    assertTrue(why.matches("config: live_settings\\.\\S+ has an unusable value: .*"), why);
+    assertTrue(message.matches("config: live_settings\\.\\S+ has an unusable value: .*"), message);
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ReloadTest.java
@@ -22,31 +22,33 @@
 import org.junit.jupiter.api.io.TempDir;
 import slateslip.loadbalancer.LoadBalancer;
 
-/** A new configuration under way, over loopback sockets. */
+/** Tests a configuration file that changes while the agent runs, over loopback sockets. */
 class ReloadTest {
   @TempDir private Path dir;
   private LoopbackCluster fixture;
   private Path file;
 
   @BeforeEach
-  void set() throws IOException {
+  void setUp() throws IOException {
     fixture = new LoopbackCluster();
     file = dir.resolve("config.json");
   }
 
   @AfterEach
-  void strike() throws IOException {
+  void tearDown() throws IOException {
     fixture.close();
   }
 
-  /** The file as it is, but with discovery elsewhere. */
+  /** Writes the configuration with another address of discovery. */
   private void write(String discovery) throws IOException {
     ObjectNode copy = fixture.config.deepCopy();
     Files.writeString(file, copy.put("discovery", discovery).toString());
   }
 
-  /** Another discovery that lists this one server and then has no news; it notes the calls. */
-  private ScriptedPeer discoveryOf(ScriptedPeer server) throws IOException {
+  /**
+   * Starts another discovery service that lists only the given server and has no further changes.
+   */
+  private ScriptedPeer startDiscovery(ScriptedPeer server) throws IOException {
     return fixture.peer(
         (message, socket) -> {
           if (!message.target().contains("since")) {
@@ -67,22 +69,22 @@
 
   @Test
   void movedDiscoveryFetchesFullListUndisturbed() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
     ScriptedPeer old =
         fixture.server(
             (message, socket) -> {
-              go.await();
+              release.await();
               ScriptedPeer.respond(socket, 200, "", "old");
             });
     ScriptedPeer fresh =
         fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
-    ScriptedPeer other = discoveryOf(fresh);
+    ScriptedPeer other = startDiscovery(fresh);
     fixture.start();
     Socket queued = fixture.dial();
     ScriptedPeer.write(queued, fixture.request("order", 8000, "body"));
     LoopbackCluster.await(() -> old.requests.size() == 1);
     write(other.address());
-    for (int i = 0; i < 5; i++) { // several in a row do no more than one
+    for (int i = 0; i < 5; i++) { // Several reloads in a row have the effect of one.
       fixture.agent.reload(file);
     }
     LoopbackCluster.await(
@@ -90,19 +92,21 @@
     assertEquals("/v1/servers", requested(other).get(0));
     assertEquals(1, requested(other).stream().filter(each -> each.equals("/v1/servers")).count());
     for (int i = 0; i < 5; i++) {
-      assertEquals("new", fixture.call("order").text(), "the new list is the whole list");
+      assertEquals("new", fixture.call("order").text(), "only the new list is in use");
     }
-    go.countDown();
+    release.countDown();
     assertEquals("old", ScriptedPeer.read(queued.getInputStream()).text());
   }
 
-  /** Guards against an agent without servers while the new discovery is not up yet. */
+  /**
+   * Guards against an agent without servers while the new discovery service is not available yet.
+   */
   @Test
-  void theOldListStaysUntilTheNewOneComes() throws Exception {
+  void oldListIsUsedUntilNewListArrives() throws Exception {
     fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     ScriptedPeer fresh =
         fixture.peer((message, socket) -> ScriptedPeer.respond(socket, 200, "", "new"));
-    ScriptedPeer up = discoveryOf(fresh);
+    ScriptedPeer up = startDiscovery(fresh);
     ScriptedPeer down = fixture.peer((message, socket) -> ScriptedPeer.reset(socket));
     fixture.start();
     write(down.address());
@@ -116,8 +120,9 @@
   }
 
   /**
-   * Guards against the module's wait after a failed call, which doubles: after a move the new list
-   * is owed within 4 s, and a discovery that all agents call at once may turn some away.
+   * Guards against the load balancer's delay after a failed call, which doubles. After a move the
+   * new list is due within 4 s, and a discovery service that all agents call at once may reject
+   * some calls.
    */
   @Test
   void failedCallsAfterMoveRetryWithoutDelay() throws Exception {
@@ -143,24 +148,24 @@
                         + "]}");
               }
             });
-    AtomicInteger waits = new AtomicInteger();
+    AtomicInteger failures = new AtomicInteger();
     fixture.start(
-        fixture.overheard(
-            (event, details) -> {
-              if (event.equals("servers") && details[1] == LoadBalancer.ListKind.FAILED) {
-                waits.incrementAndGet();
+        fixture.intercepted(
+            (event, arguments) -> {
+              if (event.equals("servers") && arguments[1] == LoadBalancer.ListKind.FAILED) {
+                failures.incrementAndGet();
               }
             }));
     write(busy.address());
     fixture.agent.reload(file);
     LoopbackCluster.await(
         () -> requested(busy).stream().anyMatch(each -> each.contains("since=1&")));
-    assertEquals(0, waits.get());
+    assertEquals(0, failures.get());
     assertEquals("new", fixture.call("lookup").text());
   }
 
   @Test
-  void anUnusableFileChangesNothing() throws Exception {
+  void unusableFileChangesNothing() throws Exception {
     fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
     fixture.start();
     for (String text : List.of("", "{", "{}", "{\"discovery\":\"nowhere\"}")) {
@@ -169,21 +174,21 @@
     }
     fixture.agent.reload(dir.resolve("missing"));
     int before = fixture.discovery.requests.size();
-    fixture.update.add(
+    fixture.watchResponses.add(
         LoopbackCluster.delta(1, LoopbackCluster.endpoint(2, "127.0.0.1:9", "Terminating")));
     LoopbackCluster.await(() -> fixture.discovery.requests.size() > before);
     assertEquals("old", fixture.call("lookup").text());
   }
 
   /**
-   * Guards against the signal's usual effect, which is the end of the JVM, also while it ends in
-   * order.
+   * Guards against the default effect of SIGHUP, which ends the JVM, also during the graceful
+   * shutdown.
    */
   @Test
-  void theProgramLivesThroughSighupsAndEndsOnSigterm() throws Exception {
+  void processSurvivesSighupAndEndsOnSigterm() throws Exception {
     ScriptedPeer old =
         fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", "old"));
-    ScriptedPeer other = discoveryOf(old);
+    ScriptedPeer other = startDiscovery(old);
     write(fixture.discovery.address());
     Process process = program("-Xmx48m");
     try {
@@ -198,7 +203,7 @@
       for (int i = 0; i < 3; i++) {
         signal(process, "HUP");
       }
-      assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(process.waitFor(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
       assertEquals(0, process.exitValue());
       assertFalse(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
     } finally {
@@ -207,11 +212,11 @@
   }
 
   /**
-   * Guards against an agent that follows an old discovery, and nothing tells why: the JVM cannot
-   * hear it.
+   * Guards against an agent that keeps using an old discovery service without any message, because
+   * the JVM cannot receive the signal.
    */
   @Test
-  void aStartThatIgnoresSighupSaysSo() throws Exception {
+  void ignoredSighupIsLogged() throws Exception {
     write(fixture.discovery.address());
     ProcessBuilder program = builder("-Xmx48m");
     program.command().addAll(0, List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
@@ -220,7 +225,7 @@
       LoopbackCluster.await(
           () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
       signal(process, "TERM");
-      assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(process.waitFor(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
       assertTrue(Files.readString(dir.resolve("log")).contains("SIGHUP is ignored"));
     } finally {
       process.destroyForcibly();
@@ -228,12 +233,12 @@
   }
 
   /**
-   * Guards against a start that takes its time over what serves no request: making the library's
-   * mapper or code for concatenations is a quarter of it on a part of a core, and nobody is served
-   * meanwhile.
+   * Guards against a slow start: creating Jackson's ObjectMapper or generating code for string
+   * concatenation takes a quarter of the start on a fraction of a core, during which the agent
+   * serves no requests.
    */
   @Test
-  void theStartLoadsNothingThatTakesLongToSetUp() throws Exception {
+  void startDoesNotLoadSlowClasses() throws Exception {
     fixture.server((message, socket) -> ScriptedPeer.respond(socket, 200, "", ""));
     write(fixture.discovery.address());
     Process process = program("-Xlog:class+load");
@@ -241,14 +246,15 @@
       LoopbackCluster.await(
           () -> requested(fixture.discovery).stream().anyMatch(each -> each.contains("since")));
       signal(process, "TERM");
-      assertTrue(process.waitFor(LoopbackCluster.GENEROUS_MS, TimeUnit.MILLISECONDS));
+      assertTrue(process.waitFor(LoopbackCluster.TIMEOUT_MS, TimeUnit.MILLISECONDS));
       String loaded = Files.readString(dir.resolve("log"));
       assertTrue(loaded.contains(" slateslip.loadbalancer.net.Discovery$ResponseHandler "));
       assertFalse(loaded.contains(" com.fasterxml.jackson.databind.ObjectMapper "));
       try (InputStream code = AgentConfig.class.getResourceAsStream("AgentConfig.class")) {
         String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
         assertFalse(
-            text.contains("makeConcatWithConstants"), "concatenations are made by the compiler");
+            text.contains("makeConcatWithConstants"),
+            "the compiler must inline string concatenation");
       }
     } finally {
       process.destroyForcibly();
--- a/src/test/java/slateslip/loadbalancer/net/RequestParserTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RequestParserTest.java
@@ -34,37 +34,37 @@
     }
   }
 
-  /** As the library reads a request, one character a byte. */
+  /** Returns a request whose header values have one character per byte, as Netty decodes them. */
   private static HttpRequest request(String tenant) {
     HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/lookup/1");
     request.headers().set("Host", "origin.svc").set("Request-Id", "a1");
     request.headers().set("Request-Class", "lookup").set("Request-Timeout-Ms", "480");
     request
         .headers()
-        .set("Tenant", bytesOf(tenant))
-        .set("Affinity-Key", bytesOf("k\u013e\u00fa\u010d"));
+        .set("Tenant", asLatin1(tenant))
+        .set("Affinity-Key", asLatin1("k\u013e\u00fa\u010d"));
     return request;
   }
 
-  private static String bytesOf(String text) {
+  private static String asLatin1(String text) {
     return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
   }
 
-  /** Tenants whose names have letters beyond ASCII got 400. */
+  /** Guards against a 400 response for tenants whose names have characters beyond ASCII. */
   @Test
-  void tenantsAreKnownByNamesOfAnyLetters() throws IOException {
+  void nonAsciiTenantNamesAreAccepted() throws IOException {
     AgentConfig config = config();
     for (int i = 0; i < TENANTS.size(); i++) {
       IncomingRequest parsed = RequestParser.parse(config, request(TENANTS.get(i)));
       assertThat(TENANTS.get(i), parsed, is(notNullValue()));
       assertThat(parsed.tenant(), is(i));
-      assertThat(parsed.forward().headers().get("Tenant"), is(bytesOf(TENANTS.get(i))));
+      assertThat(parsed.forward().headers().get("Tenant"), is(asLatin1(TENANTS.get(i))));
     }
     assertThat(RequestParser.parse(config, request("Z\u00f3na \u017d")), is(nullValue()));
   }
 
   @Test
-  void otherHeadersAreVisibleAscii() throws IOException {
+  void nonAsciiOtherHeadersAreRejected() throws IOException {
     HttpRequest request = request("acme");
     request.headers().set("X-Other", "\u00e9");
     assertThat(RequestParser.parse(config(), request), is(nullValue()));
--- a/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/RequestStatisticsTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 import slateslip.loadbalancer.LoadBalancer.Outcome;
 
-/** What the agent counts for those on call. */
+/** Tests the statistics that the agent logs for operators. */
 class RequestStatisticsTest {
   private final RequestStatistics statistics = new RequestStatistics();
 
   @Test
-  void aPeriodIsToldOnceWithOneUnservedRequest() {
+  void periodIsReportedOnceWithOneUnservedRequest() {
     statistics.recordConnect();
     statistics.recordWait(4_000);
     statistics.recordAttempt(Outcome.RESET);
@@ -23,18 +23,19 @@
     statistics.recordCompleted(RequestStatistics.Disposition.REFUSED, 0);
     assertTrue(statistics.wantsUnserved());
     statistics.recordUnserved("a1", "lookup", "refused", 51_000, 424, List.of());
-    assertFalse(statistics.wantsUnserved(), "one a period");
+    assertFalse(statistics.wantsUnserved(), "at most one per period");
     assertEquals(
         List.of(
             "tally: served 1 refused 1 failed 0 left 0 (unsent 1), open 3; attempts: ok 1 reset 1 "
                 + "(of the resets on kept connections 1, at once 0); waited 2 ms, most 4; dialled 1, connections 2",
             "unserved: a1 lookup refused after 51 of 424 ms, attempts: none"),
         statistics.takeLines(3, 2));
-    assertEquals(List.of(), statistics.takeLines(0, 0), "nothing has happened since");
+    assertEquals(
+        List.of(), statistics.takeLines(0, 0), "nothing has happened since the last report");
   }
 
   @Test
-  void theAttemptsOfAnUnservedRequestAreTold() {
+  void unservedRequestIsReportedWithAttempts() {
     statistics.recordCompleted(RequestStatistics.Disposition.FAILED, 2);
     statistics.recordUnserved(
         "b2", "pay", "failed", 9_000, 100, List.of("s-1 reset after 1 ms", "s-2 out after 2 ms"));
@@ -43,9 +44,12 @@
         statistics.takeLines(0, 0).get(1));
   }
 
-  /** Failed before: each request that the guard answered had a line of its own. */
+  /**
+   * Guards against one log line per request that the agent failed because the load balancer did not
+   * respond.
+   */
   @Test
-  void whatTheGuardAnsweredIsCountedOnTheSameLine() {
+  void givenUpRequestsAreCountedInTally() {
     for (int i = 0; i < 30; i++) {
       statistics.recordCompleted(RequestStatistics.Disposition.FAILED, 0);
       statistics.recordGivenUp();
@@ -56,11 +60,11 @@
   }
 
   /**
-   * Failed before: spoilt answers passed for resets of the network, and nothing told what was
-   * wrong.
+   * Guards against malformed responses that are indistinguishable from network resets and have no
+   * logged reason.
    */
   @Test
-  void spoiltAnswersAreToldByReasonAndOnlySoMany() {
+  void malformedResponsesAreReportedByBoundedReasons() {
     for (int i = 0; i < 10; i++) {
       statistics.recordAttempt(Outcome.RESET);
       statistics.recordMalformed("reason " + i / 2);
--- a/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
+++ b/src/test/java/slateslip/loadbalancer/net/ScriptedPeer.java
@@ -14,14 +14,14 @@
 import java.util.TreeMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A small peer on a loopback port that does with each message what the test's script says. */
+/** A server on a loopback port that handles each message with a script of the test. */
 public final class ScriptedPeer implements Closeable {
-  /** What to do with a message; returning without a response leaves the peer unresponsive. */
+  /** Handles a message. A script that returns without a response leaves the peer unresponsive. */
   public interface Script {
     void handle(Message message, Socket socket) throws Exception;
   }
 
-  /** One HTTP message as it stood on the wire. */
+  /** An HTTP message: the start line, the headers and the body. */
   public record Message(String first, Map<String, String> headers, byte[] body) {
     public String header(String name) {
       return headers.get(name);
@@ -42,12 +42,12 @@
 
   public final ServerSocket listener;
 
-  /** All requests but health checks, in the order of their arrival. */
+  /** All requests except health checks, in the order of their arrival. */
   public final List<Message> requests = new CopyOnWriteArrayList<>();
 
   public final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-  /** Connections that the other side has ended. */
+  /** Connections that have ended. */
   public final List<Socket> ended = new CopyOnWriteArrayList<>();
 
   private final Script script;
@@ -57,7 +57,7 @@
     this(0, script);
   }
 
-  /** One at this port, where another has been before. */
+  /** Starts a peer at the given port, which another peer may have used before. */
   public ScriptedPeer(int port, Script script) throws IOException {
     this.script = script;
     this.listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
@@ -76,7 +76,9 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Does what it does with each connection to it. */
+  /**
+   * Answers health checks and runs the script for all other messages, until the connection ends.
+   */
   void serve(Socket socket) throws Exception {
     try (socket) {
       while (true) {
@@ -94,8 +96,8 @@
   }
 
   /**
-   * Ends the peer. A thread that is inside {@code accept} keeps the port open, and may still accept
-   * one connection, until it notices that the listener is closed; so it is waited for.
+   * Closes the peer and waits for its acceptor thread. A thread inside {@code accept} keeps the
+   * port open, and may accept one more connection, until it notices that the listener is closed.
    */
   @Override
   public void close() throws IOException {
@@ -106,7 +108,7 @@
     }
   }
 
-  /** Something that runs on a thread of its own and may fail when its sockets close. */
+  /** A task that runs on its own thread and may fail when its sockets are closed. */
   public interface Task {
     void run() throws Exception;
   }
@@ -118,7 +120,7 @@
               try {
                 task.run();
               } catch (Exception e) {
-                // the sockets have been closed
+                // The sockets have been closed.
               }
             });
     thread.setDaemon(true);
@@ -139,7 +141,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** A response with a body. */
+  /** Sends a response with a body. */
   public static void respond(Socket socket, int status, String headers, String body)
       throws IOException {
     write(
@@ -154,13 +156,13 @@
             + body);
   }
 
-  /** Ends a connection with a reset. */
+  /** Closes a connection with a reset. */
   public static void reset(Socket socket) throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
   }
 
-  /** Reads one message; EOFException where the connection ends first. */
+  /** Reads one message. Throws EOFException if the connection ends first. */
   public static Message read(InputStream in) throws IOException {
     String first = line(in);
     Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
--- a/src/test/java/slateslip/loadbalancer/net/ScriptedPeerTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/ScriptedPeerTest.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What other tests rely on in the scripted peer. */
+/** Tests the properties of the scripted peer on which other tests rely. */
 class ScriptedPeerTest {
   private static final int PEERS = 2_000;
 
-  /** A test takes the port of a closed peer for one where nobody listens. */
+  /** Tests use the port of a closed peer as a port on which nobody listens. */
   @Test
-  void acceptsNoConnectionOnceItIsClosed() throws IOException {
+  void closedPeerAcceptsNoConnection() throws IOException {
     List<Socket> accepted = new ArrayList<>();
     for (int i = 0; i < PEERS; i++) {
       ScriptedPeer peer = new ScriptedPeer((message, socket) -> {});
@@ -31,7 +31,7 @@
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.getOutputStream().write(0);
     } catch (IOException refused) {
-      // as expected
+      // The connection is expected to fail.
     }
   }
 }
--- a/src/test/java/slateslip/loadbalancer/net/StrictHttpDecodersTest.java
+++ b/src/test/java/slateslip/loadbalancer/net/StrictHttpDecodersTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the decoders read and refuse, message behind message. */
+/** Tests which messages the decoders accept and reject, for several messages on one connection. */
 class StrictHttpDecodersTest {
-  /** Whether each part that comes out can be read. */
+  /** Returns, for each decoded part, whether the part is readable. */
   private static List<Boolean> readable(EmbeddedChannel channel, String bytes) {
     channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.ISO_8859_1));
     List<Boolean> readable = new ArrayList<>();
@@ -23,8 +23,8 @@
   }
 
   /**
-   * The status line may end in a space, each time; a header without a colon is none, also behind a
-   * good answer.
+   * Each status line may end with a space. A header line without a colon is rejected, also after a
+   * valid response.
    */
   @Test
   void strictHeadersAfterEmptyReason() {
