--- a/src/main/java/slateslip/configuration/ChangeDigest.java
+++ b/src/main/java/slateslip/configuration/ChangeDigest.java
@@ -7,9 +7,12 @@
 import java.util.Arrays;
 import java.util.HexFormat;
 
-/** Identity of a change that the operator has sent: the same call has the same digest. */
+/**
+ * Digest that identifies a configuration change sent by the operator. Two requests with the same
+ * method, base version and body have the same digest.
+ */
 public final class ChangeDigest {
-  /** Length in bytes. */
+  /** Length of a digest in bytes. */
   public static final int LENGTH = 16;
 
   private static final String ALGORITHM = "SHA-256";
@@ -21,11 +24,11 @@
   }
 
   /**
-   * Digest of a call.
+   * Computes the digest of a request.
    *
-   * @param method HTTP method
-   * @param baseVersion version that the change builds on
-   * @param body as it was sent
+   * @param method HTTP method of the request
+   * @param baseVersion configuration version that the change is based on
+   * @param body request body, byte for byte as received
    */
   public static ChangeDigest of(String method, long baseVersion, byte[] body) {
     MessageDigest digest = sha256();
@@ -39,15 +42,20 @@
     return new ChangeDigest(Arrays.copyOf(digest.digest(body), LENGTH));
   }
 
-  /** A digest that was stored or received; its length has to be {@link #LENGTH}. */
+  /**
+   * Wraps the bytes of a stored or received digest.
+   *
+   * @throws IllegalArgumentException if the length is not {@link #LENGTH}
+   */
   public static ChangeDigest ofBytes(byte[] bytes) {
     if (bytes.length != LENGTH) {
-      throw new IllegalArgumentException("a digest has " + LENGTH + " bytes: " + bytes.length);
+      throw new IllegalArgumentException(
+          "expected a digest of " + LENGTH + " bytes: got " + bytes.length);
     }
     return new ChangeDigest(bytes.clone());
   }
 
-  /** The digest's bytes. */
+  /** Returns a copy of the bytes of the digest. */
   public byte[] toBytes() {
     return bytes.clone();
   }
@@ -71,7 +79,8 @@
     try {
       return MessageDigest.getInstance(ALGORITHM);
     } catch (NoSuchAlgorithmException impossible) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, impossible);
+      throw new IllegalStateException(
+          "the Java platform does not provide " + ALGORITHM, impossible);
     }
   }
 }
--- a/src/main/java/slateslip/configuration/ConfigurationDocument.java
+++ b/src/main/java/slateslip/configuration/ConfigurationDocument.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * One version of the operator's configuration: each part as it was sent, with the fields that this
- * program does not know, beside what was read from it. Immutable.
+ * One version of the operator's configuration. Holds each part of the JSON document as it was sent,
+ * including fields that are unknown to this program version, and the configuration parsed from the
+ * document. Immutable.
  */
 public final class ConfigurationDocument {
   private final DocumentParts parts;
@@ -18,58 +19,67 @@
     this.configuration = configuration;
   }
 
-  /** Reads a complete configuration of any version above 0. */
+  /** Parses and validates a complete configuration with any version above 0. */
   public static ConfigurationOutcome parse(byte[] document) {
     return parse(document, 0);
   }
 
   /**
-   * Reads a complete configuration.
+   * Parses and validates a complete configuration.
    *
-   * @param currentVersion the new version has to be above this; 0 if there is none yet
+   * @param currentVersion version of the configuration in force, which the new version must exceed;
+   *     0 if no configuration exists yet
    */
   public static ConfigurationOutcome parse(byte[] document, long currentVersion) {
     return DocumentReader.document(document, currentVersion);
   }
 
   /**
-   * This configuration with a change applied: items of {@code remove} are taken out, those of
-   * {@code upsert} are added or replaced by name, any other part is replaced as a whole.
+   * Returns this configuration with a patch applied and the result validated. Items named in {@code
+   * remove} are removed, items in {@code upsert} are added or replaced by name, and any other part
+   * of the patch replaces that part of the document as a whole.
    */
   public ConfigurationOutcome patched(byte[] patch) {
     return DocumentReader.patch(parts, patch);
   }
 
   /**
-   * Reads a complete configuration that is in force, without asking again whether it is valid:
-   * agents of different versions must not differ in what is committed. Items that this version
-   * cannot use are kept as they were sent, and are missing from {@link #configuration}.
+   * Parses a complete configuration that is already committed, without validating it again: agents
+   * that run different program versions must agree on the committed state even where their
+   * validation rules differ. Items that this program version cannot use are kept as they were sent,
+   * and are missing from {@link #configuration}.
    */
   public static ConfigurationOutcome committed(byte[] document) {
     return DocumentReader.committedDocument(document);
   }
 
-  /** This configuration with a change applied that is in force, as for {@link #committed}. */
+  /**
+   * Returns this configuration with an already committed patch applied, without validating the
+   * result, as {@link #committed} does.
+   */
   public ConfigurationOutcome committedPatch(byte[] patch) {
     return DocumentReader.committedPatch(parts, patch);
   }
 
-  /** Version of the configuration. */
+  /** Returns the version of the configuration, which is above 0. */
   public long version() {
     return configuration.version();
   }
 
-  /** What was read. */
+  /** Returns the configuration parsed from the document. */
   public FleetConfiguration configuration() {
     return configuration;
   }
 
-  /** Whether routes that are not public need a key. */
+  /**
+   * Returns whether the configuration has tenants. If so, requests to routes that are not public
+   * need an API key.
+   */
   public boolean hasTenants() {
     return !configuration.tenants().isEmpty();
   }
 
-  /** The complete document as JSON in UTF-8; not to be modified. */
+  /** Returns the complete document as JSON in UTF-8. Callers must not modify the array. */
   public synchronized byte[] toJson() {
     if (json == null) {
       json = write();
--- a/src/main/java/slateslip/configuration/ConfigurationOutcome.java
+++ b/src/main/java/slateslip/configuration/ConfigurationOutcome.java
@@ -1,14 +1,14 @@
 package slateslip.configuration;
 
-/** Result of reading a configuration or a change to one. */
+/** Result of parsing a complete configuration or a patch. */
 public sealed interface ConfigurationOutcome {
-  /** It is valid. */
+  /** The document was accepted. */
   record Parsed(ConfigurationDocument document) implements ConfigurationOutcome {}
 
   /**
-   * It is not valid; nothing has changed.
+   * The document was rejected; the configuration is unchanged.
    *
-   * @param message names the item and field, and says what is wrong
+   * @param message the first error found, with the item and the field that it concerns
    */
   record Invalid(String message) implements ConfigurationOutcome {}
 }
--- a/src/main/java/slateslip/configuration/DocumentChecks.java
+++ b/src/main/java/slateslip/configuration/DocumentChecks.java
@@ -6,14 +6,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks across the parts of a document. */
+/** Validation rules that span several parts of a configuration document. */
 final class DocumentChecks {
   private DocumentChecks() {}
 
   private record RouteAddress(String hostname, String pathPrefix) {}
 
-  /** The first problem, with the item and field that it is about; null if there is none. */
-  static String problem(DocumentParts parts, long currentVersion) {
+  /**
+   * Returns the first violated rule, with the item and the field that it concerns, or null if the
+   * document is valid.
+   */
+  static String findProblem(DocumentParts parts, long currentVersion) {
     if (parts.version() <= currentVersion) {
       return "version " + parts.version() + " is not above the current one, " + currentVersion;
     }
@@ -24,36 +27,36 @@
       return "services is missing";
     }
     List<Route> routes = parts.routes().values();
-    String problem = unknownService(routes, parts.services().values());
+    String problem = findUnknownService(routes, parts.services().values());
     if (problem == null) {
-      problem = sharedAddress(routes);
+      problem = findDuplicateAddress(routes);
     }
     if (problem == null && parts.tenants() != null) {
-      problem = sharedKey(parts.tenants().values());
+      problem = findSharedKey(parts.tenants().values());
     }
     return problem;
   }
 
-  private static String unknownService(List<Route> routes, List<Service> services) {
+  private static String findUnknownService(List<Route> routes, List<Service> services) {
     Set<String> names = new HashSet<>();
     services.forEach(service -> names.add(service.name()));
     for (Route route : routes) {
       for (Route.WeightedService target : route.targets()) {
         if (!names.contains(target.service())) {
-          return about(route) + "service \"" + target.service() + "\" is unknown";
+          return prefix(route) + "service \"" + target.service() + "\" is unknown";
         }
       }
     }
     return null;
   }
 
-  private static String sharedAddress(List<Route> routes) {
+  private static String findDuplicateAddress(List<Route> routes) {
     Map<RouteAddress, Route> byAddress = new HashMap<>();
     for (Route route : routes) {
       RouteAddress address = new RouteAddress(route.hostname(), route.pathPrefix());
       Route other = byAddress.put(address, route);
       if (other != null) {
-        return about(route)
+        return prefix(route)
             + "hostname and path_prefix are those of route \""
             + other.name()
             + "\"";
@@ -62,7 +65,7 @@
     return null;
   }
 
-  private static String sharedKey(List<Tenant> tenants) {
+  private static String findSharedKey(List<Tenant> tenants) {
     Map<String, Tenant> byKey = new HashMap<>();
     for (Tenant tenant : tenants) {
       for (String key : tenant.keys()) {
@@ -79,7 +82,7 @@
     return null;
   }
 
-  private static String about(Route route) {
+  private static String prefix(Route route) {
     return "routes \"" + route.name() + "\": ";
   }
 }
--- a/src/main/java/slateslip/configuration/DocumentParts.java
+++ b/src/main/java/slateslip/configuration/DocumentParts.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * The parts of a document, changed one by one.
+ * The parts of a configuration document. Immutable; each change of one part returns a new instance.
  *
- * @param version 0 if it was not given
- * @param routes null if they were not given
- * @param services null if they were not given
- * @param tenants null if they were not given
- * @param limits defaults if they were not given
- * @param limitsJson as sent; null if they were not given
- * @param others JSON as sent of each part that this program does not know
+ * @param version configuration version; 0 if the document has none
+ * @param routes null if the document has none
+ * @param services null if the document has none
+ * @param tenants null if the document has none
+ * @param limits limits of client connections; the defaults if the document has none
+ * @param limitsJson JSON of the limits as it was sent; null if the document has none
+ * @param others JSON, as it was sent, of each part that is unknown to this program version, by
+ *     field name
  */
 record DocumentParts(
     long version,
@@ -33,70 +34,74 @@
   private static final RouteFormat ROUTE = new RouteFormat();
   private static final ServiceFormat SERVICE = new ServiceFormat();
   private static final TenantFormat TENANT = new TenantFormat();
-  private static final UnreadItemFormat UNREAD = new UnreadItemFormat();
+  private static final NameOnlyItemFormat NAME_ONLY = new NameOnlyItemFormat();
 
-  static final DocumentParts NONE =
+  static final DocumentParts EMPTY =
       new DocumentParts(0, null, null, null, IngressLimits.DEFAULT, null, Map.of());
 
-  /** With one part replaced as a whole. */
+  /** Returns a copy with one part replaced as a whole. */
   DocumentParts replaced(String field, JsonSlice value, ValidationErrors problems) {
     return switch (field) {
       case VERSION -> withVersion(VersionNumber.read(value, problems));
-      case ROUTES -> withRoutes(NamedItems.none(ROUTES, ROUTE).with(value, problems));
-      case SERVICES -> withServices(NamedItems.none(SERVICES, SERVICE).with(value, problems));
-      case TENANTS -> withTenants(NamedItems.none(TENANTS, TENANT).with(value, problems));
+      case ROUTES -> withRoutes(NamedItems.empty(ROUTES, ROUTE).with(value, problems));
+      case SERVICES -> withServices(NamedItems.empty(SERVICES, SERVICE).with(value, problems));
+      case TENANTS -> withTenants(NamedItems.empty(TENANTS, TENANT).with(value, problems));
       case LIMITS -> withLimits(value, problems);
       default -> withOther(field, value.toBytes());
     };
   }
 
-  /** With items added to a list, or put in the place of those of their name. */
+  /**
+   * Returns a copy with items added to a list. An added item replaces an existing item of the same
+   * name.
+   */
   DocumentParts upserted(String field, JsonSlice items, ValidationErrors problems) {
     return switch (field) {
       case ROUTES -> withRoutes(routes.with(items, problems));
       case SERVICES -> withServices(services.with(items, problems));
-      case TENANTS -> withTenants(tenantsOrNone().with(items, problems));
+      case TENANTS -> withTenants(tenantsOrEmpty().with(items, problems));
       case LIMITS -> withLimits(items, problems);
-      default -> withOther(field, unread(field, problems).with(items, problems).toJson());
+      default -> withOther(field, unknownList(field, problems).with(items, problems).toJson());
     };
   }
 
-  /** Without the items of these names. */
+  /** Returns a copy without the items of the given names. Names that do not occur are ignored. */
   DocumentParts removed(String field, List<String> names, ValidationErrors problems) {
     return switch (field) {
       case ROUTES -> withRoutes(routes.without(names));
       case SERVICES -> withServices(services.without(names));
-      case TENANTS -> withTenants(tenantsOrNone().without(names));
-      default -> removedUnread(field, names, problems);
+      case TENANTS -> withTenants(tenantsOrEmpty().without(names));
+      default -> removedFromUnknownList(field, names, problems);
     };
   }
 
-  /** With another version. */
+  /** Returns a copy with another version. */
   DocumentParts withVersion(long changed) {
     return new DocumentParts(changed, routes, services, tenants, limits, limitsJson, others);
   }
 
-  /** With empty lists of routes and services where they were not given. */
+  /** Returns a copy in which missing lists of routes and services are empty lists. */
   DocumentParts withMissingLists() {
-    DocumentParts withRoutes = routes == null ? withRoutes(NamedItems.none(ROUTES, ROUTE)) : this;
+    DocumentParts withRoutes = routes == null ? withRoutes(NamedItems.empty(ROUTES, ROUTE)) : this;
     return services == null
-        ? withRoutes.withServices(NamedItems.none(SERVICES, SERVICE))
+        ? withRoutes.withServices(NamedItems.empty(SERVICES, SERVICE))
         : withRoutes;
   }
 
-  private NamedItems<Tenant> tenantsOrNone() {
-    return tenants == null ? NamedItems.none(TENANTS, TENANT) : tenants;
+  private NamedItems<Tenant> tenantsOrEmpty() {
+    return tenants == null ? NamedItems.empty(TENANTS, TENANT) : tenants;
   }
 
-  private DocumentParts removedUnread(String field, List<String> names, ValidationErrors problems) {
+  private DocumentParts removedFromUnknownList(
+      String field, List<String> names, ValidationErrors problems) {
     if (!others.containsKey(field)) {
       return this;
     }
-    return withOther(field, unread(field, problems).without(names).toJson());
+    return withOther(field, unknownList(field, problems).without(names).toJson());
   }
 
-  private NamedItems<String> unread(String field, ValidationErrors problems) {
-    NamedItems<String> none = NamedItems.none(field, UNREAD);
+  private NamedItems<String> unknownList(String field, ValidationErrors problems) {
+    NamedItems<String> none = NamedItems.empty(field, NAME_ONLY);
     byte[] json = others.get(field);
     return json == null ? none : none.with(JsonSlice.ofDocument(json), problems);
   }
@@ -107,9 +112,9 @@
       return this;
     }
     byte[] json = value.toBytes();
-    ValidationErrors ofLimits = new ValidationErrors();
-    IngressLimits read = readLimits(json, ofLimits);
-    problems.reportAll(LIMITS + ":", ofLimits);
+    ValidationErrors limitsProblems = new ValidationErrors();
+    IngressLimits read = readLimits(json, limitsProblems);
+    problems.reportAll(LIMITS + ":", limitsProblems);
     return new DocumentParts(version, routes, services, tenants, read, json, others);
   }
 
--- a/src/main/java/slateslip/configuration/DocumentReader.java
+++ b/src/main/java/slateslip/configuration/DocumentReader.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads complete documents and patches, and has the result checked. */
+/** Parses complete configuration documents and patches, and validates the result. */
 final class DocumentReader {
   private static final String UPSERT = "upsert";
   private static final String REMOVE = "remove";
 
   private DocumentReader() {}
 
-  /** Reads a complete document and has it checked. */
+  /** Parses and validates a complete document. */
   static ConfigurationOutcome document(byte[] document, long currentVersion) {
     return read(document, DocumentReader::readDocument, checkedAgainst(currentVersion));
   }
 
-  /** Reads a change and has its result checked. */
+  /** Applies a patch to the current document and validates the result. */
   static ConfigurationOutcome patch(DocumentParts current, byte[] patch) {
     return read(
         patch,
@@ -26,13 +26,17 @@
   }
 
   /**
-   * Reads a complete document that has been found valid before, maybe by another program version.
+   * Parses a complete document without validating it, because it was validated before it was
+   * committed, possibly by another program version.
    */
   static ConfigurationOutcome committedDocument(byte[] document) {
     return read(document, DocumentReader::readDocument, UNCHECKED);
   }
 
-  /** Reads a change that has been found valid before, maybe by another program version. */
+  /**
+   * Applies a patch without validating the result, because the patch was validated before it was
+   * committed, possibly by another program version.
+   */
   static ConfigurationOutcome committedPatch(DocumentParts current, byte[] patch) {
     return read(patch, (fields, problems) -> readPatch(current, fields, problems), UNCHECKED);
   }
@@ -40,23 +44,23 @@
   private static Check checkedAgainst(long currentVersion) {
     return (parts, problems) -> {
       String problem = problems.first();
-      return problem == null ? DocumentChecks.problem(parts, currentVersion) : problem;
+      return problem == null ? DocumentChecks.findProblem(parts, currentVersion) : problem;
     };
   }
 
-  private interface Reading {
+  private interface PartsReader {
     DocumentParts read(Map<String, JsonSlice> fields, ValidationErrors problems);
   }
 
-  /** Tells what is wrong with a document that was read; null if nothing is. */
+  /** Validates a parsed document: returns the first error, or null if the document is valid. */
   private interface Check {
     String problem(DocumentParts parts, ValidationErrors problems);
   }
 
   private static final Check UNCHECKED = (parts, problems) -> null;
 
-  private static ConfigurationOutcome read(byte[] json, Reading reading, Check check) {
-    String malformed = JsonSyntax.problem(json);
+  private static ConfigurationOutcome read(byte[] json, PartsReader reader, Check check) {
+    String malformed = JsonSyntax.findProblem(json);
     if (malformed != null) {
       return unreadable(malformed);
     }
@@ -66,7 +70,7 @@
     }
     try {
       ValidationErrors problems = new ValidationErrors();
-      DocumentParts parts = reading.read(presentFields(document), problems);
+      DocumentParts parts = reader.read(presentFields(document), problems);
       String problem = check.problem(parts, problems);
       return problem == null
           ? parsed(parts.withMissingLists())
@@ -94,7 +98,7 @@
 
   private static DocumentParts readDocument(
       Map<String, JsonSlice> fields, ValidationErrors problems) {
-    DocumentParts parts = DocumentParts.NONE;
+    DocumentParts parts = DocumentParts.EMPTY;
     for (Map.Entry<String, JsonSlice> field : fields.entrySet()) {
       parts = parts.replaced(field.getKey(), field.getValue(), problems);
     }
@@ -131,7 +135,10 @@
     return presentFields(value);
   }
 
-  /** The fields of an object that are not null; of two of the same name the last counts. */
+  /**
+   * Returns the fields of an object that are not null. If a name occurs more than once, the last
+   * value is used.
+   */
   private static Map<String, JsonSlice> presentFields(JsonSlice object) {
     Map<String, JsonSlice> fields = new LinkedHashMap<>();
     object.forEachField(
@@ -144,14 +151,14 @@
   }
 
   private static List<String> names(String field, JsonSlice list, ValidationErrors problems) {
-    ValidationErrors ofList = new ValidationErrors();
+    ValidationErrors listProblems = new ValidationErrors();
     List<String> names = List.of();
     if (list.isList()) {
-      try (FieldReader reader = new FieldReader(list.toBytes(), ofList)) {
+      try (FieldReader reader = new FieldReader(list.toBytes(), listProblems)) {
         names = reader.texts();
       }
     }
-    if (!list.isList() || ofList.first() != null) {
+    if (!list.isList() || listProblems.first() != null) {
       problems.report(REMOVE + "." + field, "is not a list of names");
     }
     return names;
--- a/src/main/java/slateslip/configuration/FieldReader.java
+++ b/src/main/java/slateslip/configuration/FieldReader.java
@@ -7,11 +7,15 @@
 import java.util.List;
 
 /**
- * Reads the fields of JSON objects by name. A value of another type is skipped and remembered as
- * the problem of its field; {@code null} reads as a missing field. The text has to be well formed.
+ * Reads the fields of JSON objects by name. A value of an unexpected type is skipped and reported
+ * as an error of its field; {@code null} is treated as a missing field. The JSON text must be well
+ * formed.
  */
 public final class FieldReader implements AutoCloseable {
-  /** Two readers that are open at once in a thread would share a buffer: only one is opened. */
+  /**
+   * Recycles buffers per thread. Two readers that are open at the same time in one thread would
+   * share a buffer, so each thread opens only one reader at a time.
+   */
   private static final JsonStream STREAMS =
       JsonStream.builder().bufferRecycling(BufferRecycleStrategy.THREAD_LOCAL).build();
 
@@ -20,31 +24,34 @@
   private String field = "";
 
   /**
-   * Opens a reader; no other may be open in this thread.
+   * Opens a reader. No other reader may be open in the same thread.
    *
-   * @param json one value
-   * @param problems where fields of a wrong type are reported
+   * @param json text of one JSON value
+   * @param problems receives an error for each field of an unexpected type
    */
   public FieldReader(byte[] json, ValidationErrors problems) {
     reader = STREAMS.reader(json);
     this.problems = problems;
   }
 
-  /** Reports a problem of a field. */
+  /** Reports an error of a field. */
   void report(String fieldName, String reason) {
     problems.report(fieldName, reason);
   }
 
-  /** Opens an object; false if the value is of another type, which is skipped. */
+  /** Opens an object. If the value has another type, skips the value and returns false. */
   public boolean beginObject() {
-    if (!is(JsonReader.Token.BEGIN_OBJECT, "is not an object")) {
+    if (!expect(JsonReader.Token.BEGIN_OBJECT, "is not an object")) {
       return false;
     }
     reader.beginObject();
     return true;
   }
 
-  /** Goes on to the next field of the open object; closes it if there is none. */
+  /**
+   * Moves to the next field of the open object. If there are no more fields, closes the object and
+   * returns false.
+   */
   public boolean nextField() {
     if (reader.hasNextField()) {
       field = reader.nextField();
@@ -54,21 +61,24 @@
     return false;
   }
 
-  /** Name of the field that is read next. */
+  /** Returns the name of the field whose value is read next. */
   public String field() {
     return field;
   }
 
-  /** Opens an array; false if the value is of another type, which is skipped. */
+  /** Opens an array. If the value has another type, skips the value and returns false. */
   boolean beginArray() {
-    if (!is(JsonReader.Token.BEGIN_ARRAY, "is not a list")) {
+    if (!expect(JsonReader.Token.BEGIN_ARRAY, "is not a list")) {
       return false;
     }
     reader.beginArray();
     return true;
   }
 
-  /** Goes on to the next element of the open array; closes it if there is none. */
+  /**
+   * Moves to the next element of the open array. If there are no more elements, closes the array
+   * and returns false.
+   */
   boolean nextElement() {
     if (reader.hasNextElement()) {
       return true;
@@ -77,19 +87,22 @@
     return false;
   }
 
-  /** A string; null if it is missing or of another type. */
+  /** Reads a string. Returns null if the value is {@code null} or of another type. */
   public String text() {
-    return is(JsonReader.Token.STRING, "is not a string") ? reader.readString() : null;
+    return expect(JsonReader.Token.STRING, "is not a string") ? reader.readString() : null;
   }
 
-  /** A number; the fallback if it is missing or of another type. */
+  /** Reads a number. Returns the fallback if the value is {@code null} or of another type. */
   double number(double fallback) {
-    return is(JsonReader.Token.NUMBER, "is not a number")
+    return expect(JsonReader.Token.NUMBER, "is not a number")
         ? Double.parseDouble(reader.readRaw())
         : fallback;
   }
 
-  /** A number of at least 0, rounded up; the fallback if it is missing or of another type. */
+  /**
+   * Reads a number of at least 0 and rounds it up. Returns the fallback if the value is {@code
+   * null}, negative or of another type.
+   */
   public long count(long fallback) {
     double number = number((double) fallback);
     if (number < 0) {
@@ -99,19 +112,22 @@
     return (long) Math.ceil(number);
   }
 
-  /** As {@link #count}, cut off at the largest {@code int}. */
-  public int smallCount(int fallback) {
+  /** Reads a number as {@link #count} does, limited to {@link Integer#MAX_VALUE}. */
+  public int intCount(int fallback) {
     return (int) Math.min(Integer.MAX_VALUE, count(fallback));
   }
 
-  /** A boolean; the fallback if it is missing or of another type. */
+  /** Reads a boolean. Returns the fallback if the value is {@code null} or of another type. */
   boolean flag(boolean fallback) {
-    return is(JsonReader.Token.BOOLEAN, "is neither true nor false")
+    return expect(JsonReader.Token.BOOLEAN, "is neither true nor false")
         ? reader.readBoolean()
         : fallback;
   }
 
-  /** A list of strings; empty if it is missing or of another type. */
+  /**
+   * Reads a list of strings. Returns an empty list if the value is {@code null} or of another type;
+   * elements of another type are left out.
+   */
   List<String> texts() {
     List<String> texts = new ArrayList<>();
     if (!beginArray()) {
@@ -126,7 +142,7 @@
     return texts;
   }
 
-  /** Skips a value. */
+  /** Skips the next value without reporting an error. */
   public void skip() {
     reader.skipValue();
   }
@@ -136,7 +152,7 @@
     reader.close();
   }
 
-  private boolean is(JsonReader.Token expected, String otherwise) {
+  private boolean expect(JsonReader.Token expected, String mismatchReason) {
     JsonReader.Token found = reader.currentToken();
     if (found == expected) {
       return true;
@@ -145,7 +161,7 @@
       reader.isNullValue();
       return false;
     }
-    report(field, otherwise);
+    report(field, mismatchReason);
     reader.skipValue();
     return false;
   }
--- a/src/main/java/slateslip/configuration/FleetConfiguration.java
+++ b/src/main/java/slateslip/configuration/FleetConfiguration.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A valid configuration of the operator's, complete.
+ * A complete configuration, as parsed from the operator's document.
  *
- * @param version its number; versions rise
- * @param routes in the order given
- * @param services in the order given
- * @param limits of client connections
- * @param tenants in the order given; empty if keys are not in use
+ * @param version configuration version; each committed version is higher than the previous one
+ * @param routes routes in the order of the document
+ * @param services services in the order of the document
+ * @param limits limits of client connections
+ * @param tenants tenants in the order of the document; empty if API keys are not used
  */
 public record FleetConfiguration(
     long version,
--- a/src/main/java/slateslip/configuration/HeaderText.java
+++ b/src/main/java/slateslip/configuration/HeaderText.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Text in the values of HTTP headers. On the wire it is UTF-8, as in the configuration and in
- * heartbeats; HTTP libraries read and write one character a byte.
+ * Converts text to and from values of HTTP headers. On the wire the text is UTF-8, as it is in the
+ * configuration and in heartbeats, but HTTP libraries represent each byte of a header value as one
+ * character.
  */
 public final class HeaderText {
   private static final char FIRST_NON_ASCII = 0x80;
@@ -16,10 +17,11 @@
   private HeaderText() {}
 
   /**
-   * Whether a header's value can carry a text unchanged: not if it is empty, has a control
-   * character other than a tab or half of a surrogate pair, or a blank at either end.
+   * Returns whether a header value can carry a text unchanged. Text that is empty, contains a
+   * control character other than a tab, contains an unpaired surrogate, or starts or ends with a
+   * space or tab cannot be carried.
    */
-  public static boolean fits(String text) {
+  public static boolean canCarry(String text) {
     return !text.isEmpty()
         && !isBlank(text.charAt(0))
         && !isBlank(text.charAt(text.length() - 1))
@@ -35,7 +37,9 @@
     return (character < ' ' && character != '\t') || character == DELETE;
   }
 
-  /** A text as a library writes it, one character for each byte of its UTF-8. */
+  /**
+   * Returns a text as an HTTP library writes it: one character for each byte of the UTF-8 encoding.
+   */
   public static String encode(String text) {
     return isAscii(text)
         ? text
@@ -43,14 +47,17 @@
   }
 
   /**
-   * The text of a value as a library read it, one character a byte. Bytes that are not UTF-8 are
-   * taken as ISO 8859-1, as some clients write it.
+   * Returns the text of a header value that an HTTP library read as one character per byte. Bytes
+   * that are not valid UTF-8 are decoded as ISO 8859-1, which some clients send.
    */
   public static String decode(String value) {
     return isAscii(value) ? value : decodeUtf8(value).orElse(value);
   }
 
-  /** Whether the bytes of a value as a library read it are UTF-8. */
+  /**
+   * Returns whether a header value that an HTTP library read as one character per byte is valid
+   * UTF-8.
+   */
   public static boolean isUtf8(String value) {
     return isAscii(value) || decodeUtf8(value).isPresent();
   }
@@ -64,7 +71,7 @@
     }
   }
 
-  /** Whether a text has characters of ASCII alone. */
+  /** Returns whether a text consists of ASCII characters only. */
   static boolean isAscii(String text) {
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) >= FIRST_NON_ASCII) {
--- a/src/main/java/slateslip/configuration/HostName.java
+++ b/src/main/java/slateslip/configuration/HostName.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * Names of hosts. Upper and lower case are the same (RFC 9110), and so are a name with letters
- * beyond ASCII and its form for the domain name system ({@code xn--...}).
+ * Normalizes host names. Names that differ only in case are equal (RFC 9110). A name with non-ASCII
+ * letters is equal to its Punycode form ({@code xn--...}).
  */
 public final class HostName {
   private static final String ENCODED_LABEL = "xn--";
@@ -12,7 +12,10 @@
 
   private HostName() {}
 
-  /** The one form of a host as {@code Host} or the configuration has it, without a port. */
+  /**
+   * Returns the canonical form of a host from a {@code Host} header or the configuration: lower
+   * case, Punycode labels decoded, without a port.
+   */
   public static String canonical(String host) {
     String name = withoutPort(host).toLowerCase(Locale.ROOT);
     return name.contains(ENCODED_LABEL) ? decodeLabels(name) : name;
--- a/src/main/java/slateslip/configuration/IngressLimits.java
+++ b/src/main/java/slateslip/configuration/IngressLimits.java
@@ -1,15 +1,15 @@
 package slateslip.configuration;
 
 /**
- * What clients may send and how long they may take or rest.
+ * Limits of client connections: sizes of requests and timeouts.
  *
- * @param maxHeaderBytes of a request's head
- * @param maxBodyBytes of a request's body
- * @param headerTimeoutMillis until a request's head is complete
- * @param idleTimeoutMillis how long a connection may rest between requests
+ * @param maxHeaderBytes maximum size of the request line and headers of a request
+ * @param maxBodyBytes maximum size of a request body
+ * @param headerTimeoutMillis timeout for receiving all headers of a request
+ * @param idleTimeoutMillis how long a connection may stay idle between requests
  */
 public record IngressLimits(
     int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-  /** What holds until a configuration says otherwise. */
+  /** Limits that apply until a configuration sets others. */
   public static final IngressLimits DEFAULT = new IngressLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/src/main/java/slateslip/configuration/ItemFormat.java
+++ b/src/main/java/slateslip/configuration/ItemFormat.java
@@ -1,14 +1,14 @@
 package slateslip.configuration;
 
 /**
- * Reads one item of a named list.
+ * Parser for the items of one list of the configuration document, such as routes or tenants.
  *
- * @param <T> what the item is read into
+ * @param <T> type of a parsed item
  */
 interface ItemFormat<T> {
-  /** Reads the fields of the open object to its end; what is wrong is reported to the reader. */
+  /** Reads the fields of the open object and closes the object. Reports errors to the reader. */
   T read(FieldReader fields);
 
-  /** Name of the item; null if it has none. */
+  /** Returns the name of an item, or null if it has none. */
   String name(T value);
 }
--- a/src/main/java/slateslip/configuration/JsonSlice.java
+++ b/src/main/java/slateslip/configuration/JsonSlice.java
@@ -6,16 +6,20 @@
 import java.util.function.Consumer;
 
 /**
- * One value within a well-formed JSON text; it gives out the values inside it without reading them.
+ * One value within a well-formed JSON text. Iterates over the elements or fields of the value
+ * without parsing them.
  *
- * @param text the complete text, in UTF-8; not to be modified
- * @param start offset of the value's first byte
- * @param end offset behind its last byte
+ * @param text the complete JSON text in UTF-8; must not be modified
+ * @param start offset of the first byte of the value
+ * @param end offset after the last byte of the value
  */
 record JsonSlice(byte[] text, int start, int end) {
   private static final int NULL_LENGTH = 4;
 
-  /** The one value of a text that {@link JsonSyntax} has found well formed. */
+  /**
+   * Returns the single value of a JSON text, which must be well formed according to {@link
+   * JsonSyntax}.
+   */
   static JsonSlice ofDocument(byte[] text) {
     int start = skipSeparators(text, 0);
     return new JsonSlice(text, start, skipValue(text, start));
@@ -33,7 +37,7 @@
     return text[start] == 'n' && end - start == NULL_LENGTH;
   }
 
-  /** A copy of the value's bytes. */
+  /** Returns a copy of the bytes of the value. */
   byte[] toBytes() {
     return Arrays.copyOfRange(text, start, end);
   }
@@ -43,7 +47,7 @@
     return new String(text, start, end - start, StandardCharsets.UTF_8);
   }
 
-  /** Gives out the elements of a list in their order. */
+  /** Calls the action with each element of a list, in order. */
   void forEachElement(Consumer<JsonSlice> action) {
     int position = skipSeparators(text, start + 1);
     while (text[position] != ']') {
@@ -53,7 +57,7 @@
     }
   }
 
-  /** Gives out the fields of an object in their order. */
+  /** Calls the action with the name and the value of each field of an object, in order. */
   void forEachField(BiConsumer<String, JsonSlice> action) {
     int position = skipSeparators(text, start + 1);
     while (text[position] != '}') {
@@ -66,17 +70,17 @@
     }
   }
 
-  private static String fieldName(JsonSlice quoted) {
-    String name = quoted.toString();
+  private static String fieldName(JsonSlice quotedName) {
+    String name = quotedName.toString();
     if (name.indexOf('\\') < 0) {
       return name.substring(1, name.length() - 1);
     }
-    try (FieldReader reader = new FieldReader(quoted.toBytes(), new ValidationErrors())) {
+    try (FieldReader reader = new FieldReader(quotedName.toBytes(), new ValidationErrors())) {
       return reader.text();
     }
   }
 
-  /** Skips blanks, commas and colons. */
+  /** Returns the offset of the first byte that is not whitespace, a comma or a colon. */
   private static int skipSeparators(byte[] text, int from) {
     int position = from;
     while (text[position] <= ' ' || text[position] == ',' || text[position] == ':') {
@@ -89,7 +93,7 @@
     return switch (text[from]) {
       case '"' -> skipString(text, from);
       case '{', '[' -> skipNested(text, from);
-      default -> skipWord(text, from);
+      default -> skipLiteral(text, from);
     };
   }
 
@@ -105,14 +109,14 @@
     int depth = 0;
     int position = from;
     do {
-      byte unit = text[position];
-      if (unit == '"') {
+      byte character = text[position];
+      if (character == '"') {
         position = skipString(text, position);
         continue;
       }
-      if (unit == '{' || unit == '[') {
+      if (character == '{' || character == '[') {
         depth++;
-      } else if (unit == '}' || unit == ']') {
+      } else if (character == '}' || character == ']') {
         depth--;
       }
       position++;
@@ -120,15 +124,18 @@
     return position;
   }
 
-  private static int skipWord(byte[] text, int from) {
+  private static int skipLiteral(byte[] text, int from) {
     int position = from;
-    while (position < text.length && isPartOfWord(text[position])) {
+    while (position < text.length && isPartOfLiteral(text[position])) {
       position++;
     }
     return position;
   }
 
-  private static boolean isPartOfWord(byte unit) {
-    return Character.isLetterOrDigit(unit) || unit == '+' || unit == '-' || unit == '.';
+  private static boolean isPartOfLiteral(byte character) {
+    return Character.isLetterOrDigit(character)
+        || character == '+'
+        || character == '-'
+        || character == '.';
   }
 }
--- a/src/main/java/slateslip/configuration/JsonSyntax.java
+++ b/src/main/java/slateslip/configuration/JsonSyntax.java
@@ -1,13 +1,13 @@
 package slateslip.configuration;
 
 /**
- * Checks that bytes are exactly one JSON value (RFC 8259) in UTF-8, with nothing behind it.
+ * Checks that a byte array is exactly one JSON value (RFC 8259) in UTF-8, without trailing bytes.
  *
- * <p>The JSON library skips what it does not need without looking at it closely; a document that is
- * kept and handed out again must be well formed throughout.
+ * <p>The JSON library does not fully check values that it skips. A document that is stored and
+ * returned to clients must be well formed throughout.
  */
 public final class JsonSyntax {
-  /** Objects and arrays may be nested this deep; it bounds the stack of the readers. */
+  /** Maximum nesting depth of objects and arrays. Bounds the stack depth of the parsers. */
   static final int MAX_DEPTH = 64;
 
   private static final int FIRST_PRINTABLE = 0x20;
@@ -22,22 +22,22 @@
     this.text = text;
   }
 
-  /** What is wrong and where; null if the bytes are well formed. */
-  public static String problem(byte[] text) {
+  /** Returns the first syntax error with its byte offset, or null if the bytes are well formed. */
+  public static String findProblem(byte[] text) {
     JsonSyntax syntax = new JsonSyntax(text);
-    if (syntax.value(0) && syntax.blanksToEnd()) {
+    if (syntax.value(0) && syntax.onlyWhitespaceFollows()) {
       return null;
     }
     return syntax.problem + " at byte " + syntax.position;
   }
 
-  private boolean blanksToEnd() {
-    skipBlanks();
+  private boolean onlyWhitespaceFollows() {
+    skipWhitespace();
     return position == text.length || fail("more bytes follow the document");
   }
 
   private boolean value(int depth) {
-    skipBlanks();
+    skipWhitespace();
     if (position == text.length) {
       return fail("the document ends early");
     }
@@ -45,37 +45,37 @@
       case '{' -> depth < MAX_DEPTH ? object(depth) : fail("nested too deep");
       case '[' -> depth < MAX_DEPTH ? array(depth) : fail("nested too deep");
       case '"' -> string();
-      case 't' -> word("true");
-      case 'f' -> word("false");
-      case 'n' -> word("null");
+      case 't' -> literal("true");
+      case 'f' -> literal("false");
+      case 'n' -> literal("null");
       default -> number();
     };
   }
 
   private boolean object(int depth) {
     position++;
-    if (consumeAfterBlanks('}')) {
+    if (consumeAfterWhitespace('}')) {
       return true;
     }
     do {
-      skipBlanks();
+      skipWhitespace();
       if (!string() || !expect(':') || !value(depth + 1)) {
         return false;
       }
-    } while (consumeAfterBlanks(','));
+    } while (consumeAfterWhitespace(','));
     return expect('}');
   }
 
   private boolean array(int depth) {
     position++;
-    if (consumeAfterBlanks(']')) {
+    if (consumeAfterWhitespace(']')) {
       return true;
     }
     do {
       if (!value(depth + 1)) {
         return false;
       }
-    } while (consumeAfterBlanks(','));
+    } while (consumeAfterWhitespace(','));
     return expect(']');
   }
 
@@ -84,23 +84,26 @@
       return fail("a string is expected");
     }
     while (position < text.length) {
-      int unit = text[position] & 0xff;
-      if (unit == '"') {
+      int character = text[position] & 0xff;
+      if (character == '"') {
         position++;
         return true;
       }
-      if (unit < FIRST_PRINTABLE) {
+      if (character < FIRST_PRINTABLE) {
         return fail("a control character in a string");
       }
-      boolean taken = unit == '\\' ? escape() : unit < FIRST_NON_ASCII ? skipOne() : sequence(unit);
-      if (!taken) {
+      boolean consumed =
+          character == '\\'
+              ? escape()
+              : character < FIRST_NON_ASCII ? consumeByte() : multiByteCharacter(character);
+      if (!consumed) {
         return false;
       }
     }
     return fail("the document ends early");
   }
 
-  private boolean skipOne() {
+  private boolean consumeByte() {
     position++;
     return true;
   }
@@ -123,8 +126,8 @@
     return true;
   }
 
-  /** One character of two to four bytes of UTF-8. */
-  private boolean sequence(int lead) {
+  /** Consumes one character that UTF-8 encodes in two to four bytes. */
+  private boolean multiByteCharacter(int lead) {
     int following = lead >= 0xc2 && lead < 0xe0 ? 1 : lead >= 0xe0 && lead < 0xf0 ? 2 : 3;
     if (lead < 0xc2 || lead > 0xf4 || position + following >= text.length) {
       return fail("bytes that are not UTF-8");
@@ -169,9 +172,9 @@
     return position > start;
   }
 
-  private boolean word(String word) {
-    for (int index = 0; index < word.length(); index++) {
-      if (!consume(word.charAt(index))) {
+  private boolean literal(String literal) {
+    for (int index = 0; index < literal.length(); index++) {
+      if (!consume(literal.charAt(index))) {
         return fail("a value is expected");
       }
     }
@@ -179,11 +182,11 @@
   }
 
   private boolean expect(char character) {
-    return consumeAfterBlanks(character) || fail("'" + character + "' is expected");
+    return consumeAfterWhitespace(character) || fail("'" + character + "' is expected");
   }
 
-  private boolean consumeAfterBlanks(char character) {
-    skipBlanks();
+  private boolean consumeAfterWhitespace(char character) {
+    skipWhitespace();
     return consume(character);
   }
 
@@ -195,14 +198,14 @@
     return false;
   }
 
-  private void skipBlanks() {
-    while (position < text.length && isBlank(text[position])) {
+  private void skipWhitespace() {
+    while (position < text.length && isWhitespace(text[position])) {
       position++;
     }
   }
 
-  private static boolean isBlank(byte unit) {
-    return unit == ' ' || unit == '\n' || unit == '\r' || unit == '\t';
+  private static boolean isWhitespace(byte character) {
+    return character == ' ' || character == '\n' || character == '\r' || character == '\t';
   }
 
   private boolean fail(String what) {
--- a/src/main/java/slateslip/configuration/LimitsFormat.java
+++ b/src/main/java/slateslip/configuration/LimitsFormat.java
@@ -1,10 +1,10 @@
 package slateslip.configuration;
 
-/** Reads the limits of client connections; a missing or zero one gets its default. */
+/** Parses the limits of client connections. A limit that is missing or 0 gets its default. */
 final class LimitsFormat {
   private LimitsFormat() {}
 
-  /** Reads the fields of the open object to its end. */
+  /** Reads the fields of the open object and closes the object. */
   static IngressLimits read(FieldReader fields) {
     int header = 0;
     int body = 0;
@@ -12,8 +12,8 @@
     long idleTimeout = 0;
     while (fields.nextField()) {
       switch (fields.field()) {
-        case "max_header_bytes" -> header = fields.smallCount(0);
-        case "max_body_bytes" -> body = fields.smallCount(0);
+        case "max_header_bytes" -> header = fields.intCount(0);
+        case "max_body_bytes" -> body = fields.intCount(0);
         case "header_timeout_ms" -> headerTimeout = fields.count(0);
         case "idle_timeout_ms" -> idleTimeout = fields.count(0);
         default -> fields.skip();
--- a/src/main/java/slateslip/configuration/UnreadItemFormat.java
+++ b/src/main/java/slateslip/configuration/NameOnlyItemFormat.java
@@ -1,7 +1,7 @@
 package slateslip.configuration;
 
-/** Reads nothing of an item but its name: for lists that this version does not know. */
-final class UnreadItemFormat implements ItemFormat<String> {
+/** Parses only the name of an item. Used for lists that are unknown to this program version. */
+final class NameOnlyItemFormat implements ItemFormat<String> {
   @Override
   public String name(String value) {
     return value;
--- a/src/main/java/slateslip/configuration/NamedItems.java
+++ b/src/main/java/slateslip/configuration/NamedItems.java
@@ -9,13 +9,15 @@
 import java.util.Set;
 
 /**
- * A list of items with unique names, each kept as it was sent beside what was read from it; an item
- * with a problem is kept as it was sent alone.
+ * A list of items with unique names. Holds for each item its JSON as it was sent and the parsed
+ * value; an item with an error has no parsed value. Immutable.
  *
- * @param <T> what an item is read into
+ * @param <T> type of a parsed item
  */
 final class NamedItems<T> {
-  /** An item: its JSON as sent, and what was read from it; null if that has a problem. */
+  /**
+   * JSON of an item as it was sent, and the parsed value, which is null if the item has an error.
+   */
   private record Item<T>(byte[] json, T value) {}
 
   private final String field;
@@ -28,12 +30,15 @@
     this.items = items;
   }
 
-  /** An empty list. */
-  static <T> NamedItems<T> none(String field, ItemFormat<T> format) {
+  /** Returns an empty list. */
+  static <T> NamedItems<T> empty(String field, ItemFormat<T> format) {
     return new NamedItems<>(field, format, new LinkedHashMap<>());
   }
 
-  /** This list with the items of a JSON list added, or put in the place of those of their name. */
+  /**
+   * Returns this list with the items of a JSON list added. An added item replaces an existing item
+   * of the same name. Reports errors to {@code problems}.
+   */
   NamedItems<T> with(JsonSlice list, ValidationErrors problems) {
     if (!list.isList()) {
       problems.report(field, "is not a list");
@@ -55,18 +60,18 @@
       return;
     }
     byte[] json = element.toBytes();
-    ValidationErrors ofItem = new ValidationErrors();
-    T value = read(json, ofItem);
+    ValidationErrors itemProblems = new ValidationErrors();
+    T value = read(json, itemProblems);
     String name = format.name(value);
     if (name == null || name.isEmpty()) {
       problems.report(field, "has an item without a name");
       return;
     }
-    problems.reportAll(field + " \"" + name + "\":", ofItem);
+    problems.reportAll(field + " \"" + name + "\":", itemProblems);
     if (!seen.add(name)) {
       problems.report(field, "has two items of the name \"" + name + "\"");
     }
-    changed.put(name, new Item<>(json, ofItem.first() == null ? value : null));
+    changed.put(name, new Item<>(json, itemProblems.first() == null ? value : null));
   }
 
   private T read(byte[] json, ValidationErrors problems) {
@@ -76,7 +81,9 @@
     }
   }
 
-  /** This list without the items of these names; names that it does not hold are passed over. */
+  /**
+   * Returns this list without the items of the given names. Names that do not occur are ignored.
+   */
   NamedItems<T> without(List<String> names) {
     if (names.isEmpty()) {
       return this;
@@ -86,7 +93,7 @@
     return new NamedItems<>(field, format, changed);
   }
 
-  /** What was read, in order, of items without a problem. */
+  /** Returns the parsed values of the items without errors, in order. */
   List<T> values() {
     List<T> values = new ArrayList<>(items.size());
     for (Item<T> item : items.values()) {
@@ -111,7 +118,7 @@
     json.write(']');
   }
 
-  /** The list as JSON, each item as it was sent. */
+  /** Returns the list as JSON, each item as it was sent. */
   byte[] toJson() {
     ByteArrayOutputStream json = new ByteArrayOutputStream();
     write(json);
--- a/src/main/java/slateslip/configuration/Punycode.java
+++ b/src/main/java/slateslip/configuration/Punycode.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Decodes labels of host names in the ASCII form of the domain name system (RFC 3492). */
+/** Decodes internationalized labels of host names from their ASCII form (RFC 3492). */
 final class Punycode {
   private static final char DELIMITER = '-';
   private static final int BASE = 36;
@@ -13,7 +13,7 @@
   private static final int INITIAL_BIAS = 72;
   private static final int INITIAL_CODE_POINT = 0x80;
 
-  /** Longest label of a host name. */
+  /** Maximum length of a label of a host name (RFC 1035). */
   private static final int MAX_LABEL_LENGTH = 63;
 
   private final String encoded;
@@ -24,7 +24,10 @@
     this.position = position;
   }
 
-  /** The text of a label without its prefix {@code xn--}; empty if it is none. */
+  /**
+   * Decodes a label that is given without its prefix {@code xn--}. Returns an empty result if the
+   * label is not valid Punycode.
+   */
   static Optional<String> decode(String label) {
     if (label.isEmpty() || label.length() > MAX_LABEL_LENGTH) {
       return Optional.empty();
@@ -59,7 +62,7 @@
     return true;
   }
 
-  /** The next number of variable length; -1 if the digits do not make one. */
+  /** Reads the next variable-length integer. Returns -1 if the digits are not a valid integer. */
   private long nextDelta(int bias) {
     long delta = 0;
     long weight = 1;
@@ -78,7 +81,10 @@
     return -1;
   }
 
-  /** Letters are 0 to 25, digits 26 to 35; -1 for any other character. */
+  /**
+   * Returns the value of a digit: 0 to 25 for letters, 26 to 35 for decimal digits, -1 for any
+   * other character.
+   */
   private static int digit(char character) {
     int value = character < INITIAL_CODE_POINT ? Character.digit(character, BASE) : -1;
     if (value < 0) {
--- a/src/main/java/slateslip/configuration/Route.java
+++ b/src/main/java/slateslip/configuration/Route.java
@@ -3,21 +3,24 @@
 import java.util.List;
 
 /**
- * A route of the operator's configuration.
+ * A route of the operator's configuration: maps requests of a host and path prefix to services.
  *
- * @param name unique name
- * @param hostname the {@code Host} that it is for
- * @param pathPrefix starts and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis how long a request may be held at most
- * @param targetLatencyMillis within this time a response earns its full worth
- * @param priority rank, 0 highest
- * @param targets services with their weights; at least one, weights not all 0
- * @param maxAttempts backends that one try may be sent to at most
- * @param isPublic whether no key is needed
- * @param sticky whether requests name parts of prompts that backends keep
- * @param resumable whether a stream may be taken up at another backend
- * @param targetGapMillis longest pause between events that keeps a response in time; 0 if not given
+ * @param name unique name of the route
+ * @param hostname host of the requests, compared with the {@code Host} header
+ * @param pathPrefix prefix of the request paths; starts and ends with a slash
+ * @param kind determines which requests may be sent again
+ * @param timeoutMillis maximum time that a request may be in progress
+ * @param targetLatencyMillis target for the time until the first event or the complete response; a
+ *     response within this time counts as in time
+ * @param priority priority class; 0 is the highest
+ * @param targets services with their weights; at least one
+ * @param maxAttempts maximum number of backends that one client request may be sent to
+ * @param isPublic whether requests are accepted without an API key
+ * @param sticky whether requests name parts of their prompts that backends cache, so that routing
+ *     applies prefix affinity
+ * @param resumable whether a broken stream may be resumed at another backend
+ * @param targetGapMillis longest pause between two events for a stream to count as in time; 0 if
+ *     not given
  */
 public record Route(
     String name,
@@ -34,6 +37,6 @@
     boolean resumable,
     long targetGapMillis) {
 
-  /** A service and its weight within a route. */
+  /** A service and its share of the traffic of a route, relative to the other weights. */
   public record WeightedService(String service, int weight) {}
 }
--- a/src/main/java/slateslip/configuration/RouteFormat.java
+++ b/src/main/java/slateslip/configuration/RouteFormat.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads routes. Weights may be fractions; a route names one service or a weighted list of them. */
+/**
+ * Parses routes. A route names one service or a list of services with weights, which may be
+ * fractions.
+ */
 final class RouteFormat implements ItemFormat<Route> {
   private static final int DEFAULT_ATTEMPTS = 1;
   private static final long DEFAULT_TARGET_LATENCY_MILLIS = 1_000;
@@ -65,10 +68,10 @@
       case "timeout_ms" -> draft.timeoutMillis = fields.count(0);
       case "target_latency_ms" ->
           draft.targetLatencyMillis = fields.count(DEFAULT_TARGET_LATENCY_MILLIS);
-      case "priority" -> draft.priority = fields.smallCount(0);
+      case "priority" -> draft.priority = fields.intCount(0);
       case "service" -> draft.service = fields.text();
       case "traffic_split" -> draft.split = split(fields);
-      case "max_attempts" -> draft.maxAttempts = fields.smallCount(DEFAULT_ATTEMPTS);
+      case "max_attempts" -> draft.maxAttempts = fields.intCount(DEFAULT_ATTEMPTS);
       case "public" -> draft.isPublic = fields.flag(false);
       case "sticky" -> draft.sticky = fields.flag(false);
       case "resumable" -> draft.resumable = fields.flag(false);
@@ -77,7 +80,10 @@
     }
   }
 
-  /** A kind that is not known is treated as the one that promises least. */
+  /**
+   * Returns the kind of a name. An unknown kind is treated as {@link RouteKind#NON_IDEMPOTENT},
+   * which allows the fewest retries.
+   */
   private static RouteKind kind(String name) {
     return switch (name == null ? "" : name) {
       case "idempotent" -> RouteKind.IDEMPOTENT;
@@ -155,7 +161,7 @@
     return target.weight() == Math.rint(target.weight()) && target.weight() <= FRACTION_SCALE;
   }
 
-  /** Brings the largest weight to {@link #FRACTION_SCALE}. */
+  /** Returns the factor that scales the largest weight to {@link #FRACTION_SCALE}. */
   private static double scale(List<Target> split) {
     double largest = split.stream().mapToDouble(Target::weight).max().orElse(1);
     return largest > 0 ? FRACTION_SCALE / largest : 1;
--- a/src/main/java/slateslip/configuration/RouteKind.java
+++ b/src/main/java/slateslip/configuration/RouteKind.java
@@ -1,11 +1,14 @@
 package slateslip.configuration;
 
-/** What of a route's requests may be repeated. */
+/** Determines which requests of a route may be sent to a backend again. */
 public enum RouteKind {
-  /** May run any number of times. */
+  /** A request may be executed any number of times. */
   IDEMPOTENT,
-  /** May run once at most for each attempt of the client. */
+  /** A request may be executed at most once for each time that the client sends it. */
   NON_IDEMPOTENT,
-  /** Answered with a series of events; as {@link #NON_IDEMPOTENT} unless the route is resumable. */
+  /**
+   * The response is a stream of events. Treated as {@link #NON_IDEMPOTENT} unless the route is
+   * resumable.
+   */
   STREAMING
 }
--- a/src/main/java/slateslip/configuration/RoutingTable.java
+++ b/src/main/java/slateslip/configuration/RoutingTable.java
@@ -8,7 +8,8 @@
 import java.util.Optional;
 
 /**
- * A configuration indexed for look-ups; immutable, so that a complete one is swapped in at once.
+ * Indexes a configuration for look-ups. Immutable: a new configuration takes effect by replacing
+ * the whole table.
  */
 public final class RoutingTable {
   private final FleetConfiguration configuration;
@@ -17,7 +18,7 @@
   private final Map<String, Service> services = new HashMap<>();
   private final Map<String, Tenant> tenantsByKey = new HashMap<>();
 
-  /** A route beside the one form of its path prefix. */
+  /** A route with the canonical form of its path prefix. */
   private record IndexedRoute(Route route, String canonicalPrefix) {}
 
   /** Indexes a valid configuration. */
@@ -43,19 +44,20 @@
     byHost.computeIfAbsent(host, name -> new ArrayList<>()).add(route);
   }
 
-  /** Version of the configuration. */
+  /** Returns the version of the indexed configuration. */
   public long version() {
     return configuration.version();
   }
 
-  /** The configuration that is indexed. */
+  /** Returns the indexed configuration. */
   public FleetConfiguration configuration() {
     return configuration;
   }
 
   /**
-   * The route of this host with the longest prefix that begins the path, if any. Routes that have
-   * the host or the path just as it stands go before those that mean the same by another spelling.
+   * Returns the route of the host with the longest prefix of the path, or empty if no route
+   * matches. Routes that match the host or the path exactly as written take precedence over routes
+   * that match only in canonical form.
    */
   public Optional<Route> route(String host, String path) {
     Optional<Route> exact = longestMatch(routesByHost.getOrDefault(host, List.of()), path);
@@ -84,17 +86,20 @@
     return Optional.ofNullable(match).map(IndexedRoute::route);
   }
 
-  /** The service of this name, if any. */
+  /** Returns the service of a name, or empty if there is none. */
   public Optional<Service> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** The tenant that holds this key, if any. */
+  /** Returns the tenant that an API key belongs to, or empty if the key is unknown. */
   public Optional<Tenant> tenantByKey(String key) {
     return Optional.ofNullable(tenantsByKey.get(key));
   }
 
-  /** Whether routes that are not public need a key. */
+  /**
+   * Returns whether requests to routes that are not public need an API key, which is so if there
+   * are tenants.
+   */
   public boolean needsKeys() {
     return !configuration.tenants().isEmpty();
   }
--- a/src/main/java/slateslip/configuration/ServiceFormat.java
+++ b/src/main/java/slateslip/configuration/ServiceFormat.java
@@ -1,6 +1,6 @@
 package slateslip.configuration;
 
-/** Reads services. */
+/** Parses services. */
 final class ServiceFormat implements ItemFormat<Service> {
   private static final String DEFAULT_HEALTH_PATH = "/health";
 
@@ -19,7 +19,7 @@
       switch (fields.field()) {
         case "name" -> name = fields.text();
         case "health_path" -> healthPath = fields.text();
-        case "max_conns" -> maxConnections = fields.smallCount(0);
+        case "max_conns" -> maxConnections = fields.intCount(0);
         case "engine" -> engine = fields.beginObject() ? engine(fields) : null;
         default -> fields.skip();
       }
@@ -31,15 +31,15 @@
   private static Service.Engine engine(FieldReader fields) {
     int slots = 0;
     long cacheTokens = 0;
-    int stride = 1;
+    int tokensPerEvent = 1;
     while (fields.nextField()) {
       switch (fields.field()) {
-        case "slots" -> slots = fields.smallCount(0);
+        case "slots" -> slots = fields.intCount(0);
         case "kv_capacity_tokens" -> cacheTokens = fields.count(0);
-        case "stride" -> stride = fields.smallCount(1);
+        case "stride" -> tokensPerEvent = fields.intCount(1);
         default -> fields.skip();
       }
     }
-    return new Service.Engine(slots, cacheTokens, Math.max(1, stride));
+    return new Service.Engine(slots, cacheTokens, Math.max(1, tokensPerEvent));
   }
 }
--- a/src/main/java/slateslip/configuration/TenantFormat.java
+++ b/src/main/java/slateslip/configuration/TenantFormat.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Reads tenants. */
+/** Parses tenants. */
 final class TenantFormat implements ItemFormat<Tenant> {
   private static final int NO_PRIORITY = -1;
   private static final String TOKENS = "tokens";
--- a/src/main/java/slateslip/configuration/ValidationErrors.java
+++ b/src/main/java/slateslip/configuration/ValidationErrors.java
@@ -1,24 +1,24 @@
 package slateslip.configuration;
 
-/** Keeps the first problem that was found in a document. */
+/** Collects errors found in a document and keeps only the first one. */
 public final class ValidationErrors {
   private String first;
 
-  /** Remembers a problem, unless there is an earlier one. */
+  /** Records an error, unless an earlier error was recorded. */
   void report(String subject, String reason) {
     if (first == null) {
       first = subject + " " + reason;
     }
   }
 
-  /** Takes over the problem of a part. */
+  /** Records the error of a part of the document, if the part has one. */
   void reportAll(String subject, ValidationErrors part) {
     if (part.first != null) {
       report(subject, part.first);
     }
   }
 
-  /** The first problem; null if there is none. */
+  /** Returns the first error, or null if there is none. */
   public String first() {
     return first;
   }
--- a/src/main/java/slateslip/configuration/VersionNumber.java
+++ b/src/main/java/slateslip/configuration/VersionNumber.java
@@ -2,11 +2,13 @@
 
 import java.math.BigDecimal;
 
-/** Reads the number of a version. */
+/** Parses configuration versions. */
 final class VersionNumber {
   private VersionNumber() {}
 
-  /** The whole number that a value is; 0, and a problem, if it is none. */
+  /**
+   * Parses a value as an integer. Reports an error and returns 0 if the value is not an integer.
+   */
   static long read(JsonSlice value, ValidationErrors problems) {
     try {
       return new BigDecimal(value.toString()).longValueExact();
--- a/src/main/java/slateslip/configuration/package-info.java
+++ b/src/main/java/slateslip/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's configuration: model, reading and checking, patches, and the routing table. */
+/** The operator's configuration: data model, parsing, validation, patches and the routing table. */
 package slateslip.configuration;
--- a/src/main/java/slateslip/controlplane/InstanceParser.java
+++ b/src/main/java/slateslip/controlplane/InstanceParser.java
@@ -35,7 +35,7 @@
     if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
       return new InstanceParseResult.Invalid("the instance's id is empty or too long");
     }
-    String error = isObject(body) ? JsonSyntax.problem(body) : "the document is not an object";
+    String error = isObject(body) ? JsonSyntax.findProblem(body) : "the document is not an object";
     if (error != null) {
       return new InstanceParseResult.Invalid(error);
     }
@@ -75,7 +75,7 @@
       case "zone" -> zone = fields.text();
       case "version" -> version = fields.text();
       case "state" -> state = fields.text();
-      case "slots" -> slots = fields.smallCount(0);
+      case "slots" -> slots = fields.intCount(0);
       case "cold_left_ms" -> remainingWarmupMillis = fields.count(0);
       case "seq" -> sequence = fields.count(-1);
       default -> fields.skip();
--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -227,7 +227,7 @@
     LOG.infof("configuration %d in force", configuration.version());
     configuration.tenants().stream()
         .map(Tenant::name)
-        .filter(name -> !HeaderText.fits(name))
+        .filter(name -> !HeaderText.canCarry(name))
         .forEach(name -> LOG.warnf("tenant not served, no header can carry its name: %s", name));
   }
 
--- a/src/main/java/slateslip/dataplane/backend/BackendPools.java
+++ b/src/main/java/slateslip/dataplane/backend/BackendPools.java
@@ -174,7 +174,7 @@
   public void probe(String backendId, Consumer<ProbeResult> onResult) {
     BackendPool pool = pools.get(backendId);
     var headers = new DefaultHttpHeaders().set(HttpHeaderNames.HOST, "backend");
-    if (HeaderText.fits(backendId)) {
+    if (HeaderText.canCarry(backendId)) {
       headers.set(HeaderNames.TARGET_INSTANCE, HeaderText.encode(backendId));
     }
     var request =
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -227,7 +227,7 @@
     ClientRequest request = forwarded.request;
     HttpHeaders headers = new DefaultHttpHeaders().set(request.headers());
     headers.set(HeaderNames.ATTEMPT_ID, forwarded.attemptId);
-    if (HeaderText.fits(send.backendId())) {
+    if (HeaderText.canCarry(send.backendId())) {
       headers.set(HeaderNames.TARGET_INSTANCE, HeaderText.encode(send.backendId()));
     }
     if (send.tenant() != null) {
--- a/src/main/java/slateslip/routing/Admission.java
+++ b/src/main/java/slateslip/routing/Admission.java
@@ -63,7 +63,7 @@
     if (tenant == null && needsKey) {
       return refused(arrived, 401, 0);
     }
-    if (tenant != null && !HeaderText.fits(tenant.name())) {
+    if (tenant != null && !HeaderText.canCarry(tenant.name())) {
       // The tenant's name cannot be sent to a backend in the X-Tenant header.
       return refused(arrived, 503, retryMicros);
     }
--- a/src/test/java/slateslip/configuration/ChangeDigestTest.java
+++ b/src/test/java/slateslip/configuration/ChangeDigestTest.java
@@ -11,7 +11,7 @@
   private static final byte[] BODY = {1, 2, 3};
 
   @Test
-  void theSameCallHasTheSameDigest() {
+  void equalRequestsHaveEqualDigests() {
     ChangeDigest digest = ChangeDigest.of("PUT", 7, BODY);
     assertThat(ChangeDigest.of("PUT", 7, BODY.clone()), equalTo(digest));
     assertThat(ChangeDigest.ofBytes(digest.toBytes()), equalTo(digest));
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void methodBaseVersionAndBodyCount() {
+  void digestDependsOnMethodBaseVersionAndBody() {
     ChangeDigest digest = ChangeDigest.of("PUT", 7, BODY);
     assertThat(ChangeDigest.of("PATCH", 7, BODY), not(equalTo(digest)));
     assertThat(ChangeDigest.of("PUT", 8, BODY), not(equalTo(digest)));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void anotherLengthIsNoDigest() {
+  void bytesOfAnotherLengthAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> ChangeDigest.ofBytes(BODY));
   }
 }
--- a/src/test/java/slateslip/configuration/ConfigurationDocumentTest.java
+++ b/src/test/java/slateslip/configuration/ConfigurationDocumentTest.java
@@ -23,10 +23,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class ConfigurationDocumentTest {
-  private static final ObjectMapper OTHER_LIBRARY = new ObjectMapper();
-
-  private static String complete(String routes, String services, String more) {
-    return "{\"version\":8,\"routes\":" + routes + ",\"services\":" + services + more + "}";
+  private static final ObjectMapper JACKSON = new ObjectMapper();
+
+  private static String complete(String routes, String services, String additionalParts) {
+    return "{\"version\":8,\"routes\":"
+        + routes
+        + ",\"services\":"
+        + services
+        + additionalParts
+        + "}";
   }
 
   @Test
@@ -68,20 +73,20 @@
   }
 
   @Test
-  void theDocumentIsGivenBackAsItWasSent() throws IOException {
+  void toJsonReturnsTheDocumentAsSent() throws IOException {
     byte[] again = parsed(FULL_DOCUMENT).toJson();
-    assertThat(OTHER_LIBRARY.readTree(again), equalTo(OTHER_LIBRARY.readTree(FULL_DOCUMENT)));
+    assertThat(JACKSON.readTree(again), equalTo(JACKSON.readTree(FULL_DOCUMENT)));
     assertThat(
         parsed(ConfigurationDocument.parse(again)).configuration(),
         equalTo(parsed(FULL_DOCUMENT).configuration()));
   }
 
   @Test
-  void blanksAndEscapesMakeNoDifference() throws IOException {
+  void whitespaceAndEscapesDoNotChangeTheResult() throws IOException {
     String pretty =
-        OTHER_LIBRARY
+        JACKSON
             .writerWithDefaultPrettyPrinter()
-            .writeValueAsString(OTHER_LIBRARY.readTree(FULL_DOCUMENT));
+            .writeValueAsString(JACKSON.readTree(FULL_DOCUMENT));
     assertThat(parsed(pretty).configuration(), equalTo(parsed(FULL_DOCUMENT).configuration()));
     String escaped =
         FULL_DOCUMENT.replace("chat", "\\u0063hat").replace("api_keys", "api\\u005fkeys");
@@ -89,7 +94,7 @@
   }
 
   @Test
-  void nullIsAMissingField() {
+  void nullFieldIsTreatedAsMissing() {
     String route = ROUTE_LOG.replace("}", ",\"traffic_split\":null,\"priority\":null}");
     assertThat(
         parsed(complete("[" + route + "]", SERVICES, ",\"tenants\":null,\"limits\":null"))
@@ -115,7 +120,7 @@
   }
 
   @Test
-  void theVersionHasToBeAboveTheCurrentOne() {
+  void versionNotAboveTheCurrentOneIsRejected() {
     assertThat(
         ConfigurationDocument.parse(bytes(FULL_DOCUMENT), 6),
         instanceOf(ConfigurationOutcome.Parsed.class));
@@ -156,18 +161,19 @@
         "\"services\"|\"service\"|services is missing",
         "\"max_body_bytes\":4000000|\"max_body_bytes\":[]|limits: max_body_bytes is not a number",
       })
-  void anInvalidDocumentIsRefusedWithItsField(String sent, String instead, String message) {
-    assertThat(FULL_DOCUMENT, containsString(sent));
-    int start = FULL_DOCUMENT.indexOf(sent);
+  void invalidDocumentIsRejectedAndItsFieldNamed(
+      String original, String replacement, String message) {
+    assertThat(FULL_DOCUMENT, containsString(original));
+    int start = FULL_DOCUMENT.indexOf(original);
     String changed =
         FULL_DOCUMENT.substring(0, start)
-            + instead
-            + FULL_DOCUMENT.substring(start + sent.length());
+            + replacement
+            + FULL_DOCUMENT.substring(start + original.length());
     assertThat(invalid(ConfigurationDocument.parse(bytes(changed))), containsString(message));
   }
 
   @Test
-  void weightsThatAddUpToZeroAreRefused() {
+  void weightsThatAddUpToZeroAreRejected() {
     String changed = FULL_DOCUMENT.replace(":90}", ":0}").replace(":10}", ":0.0}");
     assertThat(
         invalid(ConfigurationDocument.parse(bytes(changed))),
@@ -179,29 +185,29 @@
   }
 
   @Test
-  void oneServiceOfWeightZeroIsNoProblem() {
+  void singleWeightOfZeroIsAccepted() {
     assertThat(parsed(FULL_DOCUMENT.replace(":10}", ":0}")).version(), equalTo(7L));
   }
 
   @Test
-  void bytesBehindTheDocumentAreRefused() {
-    for (String more : List.of("x", "{}", "]", "\0", FULL_DOCUMENT)) {
+  void trailingBytesAreRejected() {
+    for (String trailing : List.of("x", "{}", "]", "\0", FULL_DOCUMENT)) {
       assertThat(
-          invalid(ConfigurationDocument.parse(bytes(FULL_DOCUMENT + more))),
+          invalid(ConfigurationDocument.parse(bytes(FULL_DOCUMENT + trailing))),
           containsString("more bytes follow the document"));
     }
     assertThat(parsed(FULL_DOCUMENT + " \r\n\t").version(), equalTo(7L));
   }
 
   @Test
-  void aDocumentOfAnotherTypeIsRefused() {
+  void documentThatIsNotAnObjectIsRejected() {
     for (String document : List.of("", " ", "[]", "7", "null", "\"x\"", "true")) {
       invalid(ConfigurationDocument.parse(bytes(document)));
     }
   }
 
   @Test
-  void partsMayBeEmpty() {
+  void emptyListsAreAccepted() {
     FleetConfiguration configuration = parsed(complete("[]", "[]", "")).configuration();
     assertThat(configuration.routes(), hasSize(0));
     assertThat(configuration.limits(), equalTo(IngressLimits.DEFAULT));
--- a/src/test/java/slateslip/configuration/ConfigurationFuzzTest.java
+++ b/src/test/java/slateslip/configuration/ConfigurationFuzzTest.java
@@ -26,14 +26,14 @@
       FULL_DOCUMENT
           .replace("{\"version\":7,", "{\"version\":9,\"upsert\":{")
           .replace(",\"motto\"", "},\"remove\":{\"routes\":[\"a\"],\"regions\":[]},\"motto\"");
-  private static final ObjectMapper STRICT_LIBRARY =
+  private static final ObjectMapper STRICT_JACKSON =
       JsonMapper.builder()
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .disable(StreamReadFeature.USE_FAST_DOUBLE_PARSER)
           .build();
 
   @Test
-  void aDocumentCutShortAnywhereIsRefused() {
+  void truncatedDocumentIsRejected() {
     byte[] complete = bytes(FULL_DOCUMENT);
     for (int length = 0; length < complete.length; length++) {
       assertThat(
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aPatchCutShortAnywhereIsRefused() {
+  void truncatedPatchIsRejected() {
     ConfigurationDocument current = parsed(FULL_DOCUMENT);
     byte[] patch = bytes(PATCH);
     assertThat(current.patched(patch), instanceOf(ConfigurationOutcome.Parsed.class));
@@ -57,43 +57,44 @@
   }
 
   /**
-   * Whatever another strict library takes for one JSON value is well formed here too, and no more.
+   * Checks that {@link JsonSyntax} accepts exactly the mutated documents that Jackson, in strict
+   * mode, parses as one JSON value.
    */
   @Test
-  void syntaxAgreesWithAnotherLibrary() {
+  void syntaxCheckAgreesWithJackson() {
     Random random = new Random(1);
     byte[] complete = bytes(FULL_DOCUMENT);
     for (int round = 0; round < MUTATIONS; round++) {
       byte[] mutated = mutated(complete, random);
-      boolean wellFormed = JsonSyntax.problem(mutated) == null;
+      boolean wellFormed = JsonSyntax.findProblem(mutated) == null;
       assertThat(
           new String(mutated, StandardCharsets.UTF_8), wellFormed, equalTo(readable(mutated)));
     }
   }
 
   @Test
-  void noDocumentMakesTheReaderThrow() {
+  void mutatedDocumentsNeverCauseExceptions() {
     Random random = new Random(2);
     byte[] complete = bytes(FULL_DOCUMENT);
     ConfigurationDocument current = parsed(FULL_DOCUMENT);
     for (int round = 0; round < MUTATIONS; round++) {
       byte[] mutated = mutated(complete, random);
       ConfigurationOutcome outcome = ConfigurationDocument.parse(mutated);
-      if (outcome instanceof ConfigurationOutcome.Parsed taken) {
+      if (outcome instanceof ConfigurationOutcome.Parsed accepted) {
         assertThat(
-            parsed(ConfigurationDocument.parse(taken.document().toJson())).configuration(),
-            equalTo(taken.document().configuration()));
+            parsed(ConfigurationDocument.parse(accepted.document().toJson())).configuration(),
+            equalTo(accepted.document().configuration()));
       }
       assertThat(current.patched(mutated(bytes(PATCH), random)), notNullValue());
     }
   }
 
   @Test
-  void nestingIsBounded() {
+  void nestingBeyondMaxDepthIsRejected() {
     String deepest = "[".repeat(JsonSyntax.MAX_DEPTH) + "]".repeat(JsonSyntax.MAX_DEPTH);
-    assertThat(JsonSyntax.problem(bytes(deepest)), nullValue());
-    assertThat(JsonSyntax.problem(bytes("[" + deepest + "]")), notNullValue());
-    assertThat(JsonSyntax.problem(bytes("[".repeat(1_000_000))), notNullValue());
+    assertThat(JsonSyntax.findProblem(bytes(deepest)), nullValue());
+    assertThat(JsonSyntax.findProblem(bytes("[" + deepest + "]")), notNullValue());
+    assertThat(JsonSyntax.findProblem(bytes("[".repeat(1_000_000))), notNullValue());
   }
 
   private static byte[] mutated(byte[] document, Random random) {
@@ -110,8 +111,8 @@
   }
 
   private static boolean readable(byte[] document) {
-    try (JsonParser parser = STRICT_LIBRARY.createParser(document)) {
-      return STRICT_LIBRARY.readTree(parser) != null && parser.nextToken() == null;
+    try (JsonParser parser = STRICT_JACKSON.createParser(document)) {
+      return STRICT_JACKSON.readTree(parser) != null && parser.nextToken() == null;
     } catch (IOException malformed) {
       return false;
     }
--- a/src/test/java/slateslip/configuration/ConfigurationPatchTest.java
+++ b/src/test/java/slateslip/configuration/ConfigurationPatchTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Test;
 
 final class ConfigurationPatchTest {
-  private static final ObjectMapper OTHER_LIBRARY = new ObjectMapper();
+  private static final ObjectMapper JACKSON = new ObjectMapper();
 
   private static ConfigurationDocument patched(String patch) {
     return parsed(parsed(FULL_DOCUMENT).patched(bytes(patch)));
   }
 
-  private static String refused(String patch) {
+  private static String rejectionMessage(String patch) {
     return invalid(parsed(FULL_DOCUMENT).patched(bytes(patch)));
   }
 
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void aKeyMovesFromOneTenantToAnother() {
+  void apiKeyCanMoveBetweenTenants() {
     ConfigurationDocument document =
         patched(
             "{\"version\":9,\"upsert\":{\"tenants\":[{\"name\":\"office\",\"api_keys\":[\"k1\"]},"
@@ -93,14 +93,14 @@
   }
 
   @Test
-  void unknownPartsAreKeptAndChangedByName() throws IOException {
+  void unknownPartsAreKeptAndPatchedByName() throws IOException {
     ConfigurationDocument document =
         patched(
             "{\"version\":9,\"upsert\":{\"regions\":[{\"name\":\"r2\"}],\"quirks\":[{\"name\":\"q\"}]},"
                 + "\"remove\":{\"regions\":[\"r1\"],\"nothing\":[\"x\"]},\"motto\":1}");
-    JsonNode json = OTHER_LIBRARY.readTree(document.toJson());
-    assertThat(json.get("regions"), equalTo(OTHER_LIBRARY.readTree("[{\"name\":\"r2\"}]")));
-    assertThat(json.get("quirks"), equalTo(OTHER_LIBRARY.readTree("[{\"name\":\"q\"}]")));
+    JsonNode json = JACKSON.readTree(document.toJson());
+    assertThat(json.get("regions"), equalTo(JACKSON.readTree("[{\"name\":\"r2\"}]")));
+    assertThat(json.get("quirks"), equalTo(JACKSON.readTree("[{\"name\":\"q\"}]")));
     assertThat(json.get("motto").asInt(), equalTo(1));
     assertThat(json.has("nothing"), equalTo(false));
     assertThat(json.at("/routes/0/note/owner").asText(), equalTo("añil"));
@@ -116,36 +116,40 @@
   }
 
   @Test
-  void theFormerVersionIsLeftAsItWas() {
-    ConfigurationDocument former = parsed(FULL_DOCUMENT);
-    parsed(former.patched(bytes("{\"version\":9,\"remove\":{\"routes\":[\"ledger\"]}}")));
-    assertThat(routeNames(former), contains("chat", "ledger"));
-    assertThat(former.version(), equalTo(7L));
+  void patchLeavesThePreviousDocumentUnchanged() {
+    ConfigurationDocument previous = parsed(FULL_DOCUMENT);
+    parsed(previous.patched(bytes("{\"version\":9,\"remove\":{\"routes\":[\"ledger\"]}}")));
+    assertThat(routeNames(previous), contains("chat", "ledger"));
+    assertThat(previous.version(), equalTo(7L));
   }
 
   @Test
-  void anInvalidPatchIsRefusedWithItsField() {
-    assertThat(refused("{}"), containsString("version 0 is not above the current one, 7"));
-    assertThat(refused("{\"version\":7}"), containsString("version 7 is not above"));
+  void invalidPatchIsRejectedAndItsFieldNamed() {
+    assertThat(rejectionMessage("{}"), containsString("version 0 is not above the current one, 7"));
+    assertThat(rejectionMessage("{\"version\":7}"), containsString("version 7 is not above"));
     assertThat(
-        refused("{\"version\":9,\"remove\":{\"services\":[\"model-b\"]}}"),
+        rejectionMessage("{\"version\":9,\"remove\":{\"services\":[\"model-b\"]}}"),
         containsString("routes \"chat\": service \"model-b\" is unknown"));
     assertThat(
-        refused(
+        rejectionMessage(
             "{\"version\":9,\"upsert\":{\"routes\":[" + route("a").replace("8000", "0") + "]}}"),
         containsString("routes \"a\": timeout_ms is 0"));
     assertThat(
-        refused("{\"version\":9,\"upsert\":{\"routes\":[" + route("a") + "," + route("a") + "]}}"),
+        rejectionMessage(
+            "{\"version\":9,\"upsert\":{\"routes\":[" + route("a") + "," + route("a") + "]}}"),
         containsString("two items of the name \"a\""));
     assertThat(
-        refused(
+        rejectionMessage(
             "{\"version\":9,\"upsert\":{\"tenants\":[{\"name\":\"t\",\"api_keys\":[\"k3\"]}]}}"),
         containsString("shares a key with \"office\""));
     assertThat(
-        refused("{\"version\":9,\"upsert\":{\"routes\":{}}}"), containsString("is not a list"));
+        rejectionMessage("{\"version\":9,\"upsert\":{\"routes\":{}}}"),
+        containsString("is not a list"));
     assertThat(
-        refused("{\"version\":9,\"remove\":{\"routes\":[1]}}"),
+        rejectionMessage("{\"version\":9,\"remove\":{\"routes\":[1]}}"),
         containsString("remove.routes is not a list of names"));
-    assertThat(refused("{\"version\":9,\"upsert\":[]}"), containsString("upsert is not an object"));
+    assertThat(
+        rejectionMessage("{\"version\":9,\"upsert\":[]}"),
+        containsString("upsert is not an object"));
   }
 }
--- a/src/test/java/slateslip/configuration/ConfigurationSamples.java
+++ b/src/test/java/slateslip/configuration/ConfigurationSamples.java
@@ -5,7 +5,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Documents for the tests of this package. */
+/** Configuration documents and parsing helpers for the tests of this package. */
 final class ConfigurationSamples {
   static final String ROUTE_CHAT =
       """
@@ -64,7 +64,7 @@
     return ((ConfigurationOutcome.Invalid) outcome).message();
   }
 
-  /** A document with this many routes to one service. */
+  /** Returns a document with the given number of routes. */
   static String withRoutes(int count) {
     StringBuilder routes = new StringBuilder();
     for (int index = 0; index < count; index++) {
--- a/src/test/java/slateslip/configuration/HeaderTextTest.java
+++ b/src/test/java/slateslip/configuration/HeaderTextTest.java
@@ -12,7 +12,10 @@
 class HeaderTextTest {
   private static final int TEXTS = 2_000;
 
-  /** Parts of Unicode that texts are drawn from: ASCII, ISO 8859-1, two, three and four bytes. */
+  /**
+   * Ranges of code points that random texts are drawn from: ASCII, ISO 8859-1, and characters of
+   * two, three and four bytes in UTF-8.
+   */
   private static final int[][] ALPHABETS = {
     {0x21, 0x7e}, {0xa1, 0xff}, {0x100, 0x7ff}, {0x800, 0xd7ff}, {0x10000, 0x10ffff}
   };
@@ -28,19 +31,19 @@
   }
 
   @Test
-  void anyTextIsCarriedAsItsUtf8AndReadBack() {
+  void encodedTextIsUtf8OnTheWireAndDecodesToTheOriginal() {
     for (long seed = 1; seed <= TEXTS; seed++) {
       String text = randomText(new SplittableRandom(seed));
       String value = HeaderText.encode(text);
       byte[] onTheWire = value.getBytes(StandardCharsets.ISO_8859_1);
-      assertThat("seed " + seed, HeaderText.fits(text), is(true));
+      assertThat("seed " + seed, HeaderText.canCarry(text), is(true));
       assertThat("seed " + seed, new String(onTheWire, StandardCharsets.UTF_8), is(text));
       assertThat("seed " + seed, HeaderText.decode(value), is(text));
     }
   }
 
   @Test
-  void bytesThatAreNoUtf8AreTakenAsLatin1() {
+  void invalidUtf8IsDecodedAsIso88591() {
     assertThat(HeaderText.decode("caf\u00e9"), is("caf\u00e9"));
     assertThat(HeaderText.decode("caf\u00c3\u00a9"), is("caf\u00e9"));
   }
@@ -59,13 +62,13 @@
         "\ud800",
         "a\udc00"
       })
-  void whatNoHeaderCanCarryDoesNotFit(String text) {
-    assertThat(HeaderText.fits(text), is(false));
+  void textThatAHeaderCannotCarryIsDetected(String text) {
+    assertThat(HeaderText.canCarry(text), is(false));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"a", "a b", "a\tb", "Z\u00f3na \u010c", "\u6771\u4eac", "\ud83d\udeb0"})
-  void whatAHeaderCanCarryFits(String text) {
-    assertThat(HeaderText.fits(text), is(true));
+  void textThatAHeaderCanCarryIsAccepted(String text) {
+    assertThat(HeaderText.canCarry(text), is(true));
   }
 }
--- a/src/test/java/slateslip/configuration/HostNameTest.java
+++ b/src/test/java/slateslip/configuration/HostNameTest.java
@@ -26,12 +26,12 @@
     "xn--99999999.example, xn--99999999.example",
     "xn--a_b.example, xn--a_b.example",
   })
-  void hasOneForm(String host, String canonical) {
+  void canonicalFormIsAsExpected(String host, String canonical) {
     assertThat(HostName.canonical(host), is(canonical));
   }
 
   @Test
-  void formForTheDomainNameSystemIsTheSameName() {
+  void punycodeAndUnicodeFormsHaveTheSameCanonicalForm() {
     for (long seed = 1; seed <= NAMES; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       StringBuilder label = new StringBuilder("a");
--- a/src/test/java/slateslip/configuration/RequestPathTest.java
+++ b/src/test/java/slateslip/configuration/RequestPathTest.java
@@ -25,12 +25,12 @@
     "/%c, /%c",
     "/%zz%c5, /%zz%C5",
   })
-  void hasOneForm(String path, String canonical) {
+  void canonicalFormIsAsExpected(String path, String canonical) {
     assertThat(RequestPath.canonical(path), is(canonical));
   }
 
   @Test
-  void letterAndItsEscapesAreTheSame() {
+  void rawAndPercentEncodedFormsHaveTheSameCanonicalForm() {
     for (long seed = 1; seed <= TEXTS; seed++) {
       String text = HeaderTextTest.randomText(new SplittableRandom(seed)).replaceAll("[ -~]", "");
       String escaped = URLEncoder.encode(text, StandardCharsets.UTF_8);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void isEncodedAsARequestLineCanCarryIt() {
+  void encodeEscapesAllBytesButVisibleAscii() {
     assertThat(RequestPath.encode("/health"), is("/health"));
     assertThat(RequestPath.encode("/zdravie \u017e?q=%41\n"), is("/zdravie%20%C5%BE?q=%41%0A"));
   }
--- a/src/test/java/slateslip/configuration/RoutingTableTest.java
+++ b/src/test/java/slateslip/configuration/RoutingTableTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void longestPrefixThatBeginsThePathIsTaken() {
+  void longestMatchingPrefixWins() {
     RoutingTable table = table("h", "/", "h", "/a/", "h", "/a/b/", "other", "/a/b/c/");
     assertThat(route(table, "h", "/a/b/c/d"), is("r2"));
     assertThat(route(table, "h", "/a/x"), is("r1"));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void lettersOfPathsMatchInEachOfTheirForms() {
+  void pathsMatchInRawAndPercentEncodedForm() {
     RoutingTable table = table("h", "/\u017eiadosti/", "h", "/%C4%8Das/");
     for (String path : List.of("/\u017eiadosti/1", "/%C5%BEiadosti/1", "/%c5%beiadosti/1")) {
       assertThat(path, route(table, "h", path), is("r0"));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void ofTwoSpellingsOfOnePathTheOneThatWasSentIsTaken() {
+  void exactSpellingOfThePathTakesPrecedence() {
     RoutingTable table = table("h", "/\u017e/", "h", "/%C5%BE/");
     assertThat(route(table, "h", "/\u017e/1"), is("r0"));
     assertThat(route(table, "h", "/%C5%BE/1"), is("r1"));
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void hostsMatchWhateverTheirCasePortOrAlphabet() {
+  void hostsMatchRegardlessOfCasePortAndPunycode() {
     RoutingTable table = table("\u017eilina.example", "/a/", "Fleet.example", "/a/");
     for (String host :
         List.of("\u017eilina.example", "\u017dILINA.example", "xn--ilina-tib.example:8080")) {
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void ofTwoSpellingsOfOneHostTheOneThatWasSentIsTaken() {
+  void exactSpellingOfTheHostTakesPrecedence() {
     RoutingTable table = table("a.example", "/a/", "A.example", "/a/");
     assertThat(route(table, "a.example", "/a/x"), is("r0"));
     assertThat(route(table, "A.example", "/a/x"), is("r1"));
