--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -98,7 +98,7 @@
             loop,
             periodic,
             maxConnections(),
-            settings.bounds().passMillis() / POLLS_PER_FORWARDING_LIMIT,
+            settings.bounds().maxEventDelayMillis() / POLLS_PER_FORWARDING_LIMIT,
             metrics,
             PollableSocketChannel::new);
     keyLease = settings.bounds().closed() ? KeyLease.required() : KeyLease.notRequired();
--- a/src/main/java/slateslip/settings/Bounds.java
+++ b/src/main/java/slateslip/settings/Bounds.java
@@ -1,31 +1,39 @@
 package slateslip.settings;
 
 /**
- * Figures of the deployment's rules ({@code bounds.*}). Times are in milliseconds, also where the
- * file gives seconds.
+ * Numeric limits that the deployment must keep ({@code bounds.*}). All times are in milliseconds,
+ * including those that the settings file gives in seconds.
  *
- * @param seedLagMillis by how much a list of control addresses may be out of date
- * @param addressReuseMillis after a backend's end its address may be given to another after this
- * @param contactMillis a machine is in contact after this time without trouble
- * @param acknowledgeTimeoutMillis a valid change is acknowledged within this time
- * @param syncMillis time for which a machine still counts as lost after it is back
- * @param drainTimeoutMillis after this time no request reaches a backend that is draining
- * @param gracePeriodMillis between SIGTERM and SIGKILL
- * @param lossSlackMillis a request may still be closed unanswered within this time of its last byte
- * @param configurationApplyMillis after this time an acknowledged configuration is in force
- * @param rollbackSlackMillis tolerance of the check that a machine never goes back
- * @param maxSkewMillis added to {@code configurationApplyMillis} while the core is unstable
- * @param closed whether data planes serve keys only by a lease on the newest configuration
- * @param revokeTimeoutMillis after this time a key that was taken away is refused
- * @param retryBudgetRatio repeats allowed, as a share of requests
- * @param retryWindowMillis window of the retry budget
- * @param retryBudgetSlack repeats allowed on top in a window
- * @param quotaWindowMillis window of quotas
- * @param quotaOvershoot fraction by which a quota may be exceeded
- * @param quotaSlack units allowed on top in a window
- * @param recoveryMillis after this time requests are served again after a fault of everything
- * @param passMillis longest time between a backend's event and its passing on
- * @param againMillis a prompt part that is read again within this time is priced
+ * @param seedLagMillis maximum age of the information in a list of seed addresses
+ * @param addressReuseMillis time after the end of a backend before its address may be assigned to
+ *     another backend
+ * @param contactMillis time without failures after which a machine counts as in contact
+ * @param acknowledgeTimeoutMillis maximum time until a valid configuration change is acknowledged
+ * @param syncMillis time after the return of a machine during which the machine still counts as
+ *     lost
+ * @param drainTimeoutMillis time after which no more requests may reach a draining backend
+ * @param gracePeriodMillis time between SIGTERM and SIGKILL
+ * @param lossSlackMillis time after the last byte of a request within which the connection of the
+ *     request may still be closed without a response
+ * @param configurationApplyMillis time after which an acknowledged configuration is in force
+ * @param rollbackSlackMillis tolerance of the check that a machine never returns to an older
+ *     configuration version
+ * @param maxSkewMillis added to {@code configurationApplyMillis} while the group of control agents
+ *     is unstable
+ * @param closed whether data planes accept API keys only while they hold a lease on the newest
+ *     configuration
+ * @param revokeTimeoutMillis time after which a revoked API key is rejected
+ * @param retryBudgetRatio number of retries allowed, as a fraction of the number of requests
+ * @param retryWindowMillis length of the window over which the retry budget is counted
+ * @param retryBudgetSlack number of additional retries allowed in a window
+ * @param quotaWindowMillis length of the window over which quotas are counted
+ * @param quotaOvershoot fraction by which a quota may be exceeded in a window
+ * @param quotaSlack number of additional units allowed in a window
+ * @param recoveryMillis maximum time until requests are served again after a failure of the whole
+ *     system
+ * @param maxEventDelayMillis maximum time between the arrival of a backend's event and its
+ *     forwarding to the client
+ * @param rereadWindowMillis window within which reading a prompt part again counts as a cost
  */
 public record Bounds(
     long seedLagMillis,
@@ -48,12 +56,14 @@
     double quotaOvershoot,
     double quotaSlack,
     long recoveryMillis,
-    long passMillis,
-    long againMillis) {
+    long maxEventDelayMillis,
+    long rereadWindowMillis) {
 
   private static final String PREFIX = "bounds.";
 
-  /** Reads the bounds; a missing one gets the figure of the deployments that are documented. */
+  /**
+   * Reads the bounds. A missing bound gets the value of the documented deployments as its default.
+   */
   static Bounds read(KeyReader keys) {
     return new Bounds(
         seconds(keys, "seed_lag_s", 3),
--- a/src/main/java/slateslip/settings/FaultTolerance.java
+++ b/src/main/java/slateslip/settings/FaultTolerance.java
@@ -1,11 +1,12 @@
 package slateslip.settings;
 
 /**
- * What may be lost at once while the rules are kept ({@code fault_tolerance.*}); 0 for none.
+ * Number of simultaneous failures that the deployment must tolerate ({@code fault_tolerance.*}); 0
+ * for none.
  *
- * @param machines of those that count for the quorum
- * @param zones whole zones
- * @param regions whole regions
+ * @param machines failed machines among those that count for the quorum
+ * @param zones failed zones, each with all its machines
+ * @param regions failed regions, each with all its zones
  */
 public record FaultTolerance(int machines, int zones, int regions) {
   static FaultTolerance read(KeyReader keys) {
--- a/src/main/java/slateslip/settings/KeyReader.java
+++ b/src/main/java/slateslip/settings/KeyReader.java
@@ -9,7 +9,10 @@
 import java.util.Properties;
 import java.util.TreeMap;
 
-/** Typed access to the keys of a settings file; collects a problem for each that is wrong. */
+/**
+ * Reads typed values of the keys of a settings file, and collects a problem for each missing or
+ * malformed key.
+ */
 final class KeyReader {
   private static final int IPV4_BYTES = 4;
   private static final int MAX_BYTE = 255;
@@ -22,17 +25,17 @@
     this.properties = properties;
   }
 
-  /** What was wrong with the keys read so far. */
+  /** Returns the problems of the keys read so far. */
   List<SettingsOutcome.Problem> problems() {
     return problems;
   }
 
-  /** The value; empty if the key is missing or empty. */
+  /** Returns the value of a key, or an empty string if the key is missing. */
   String text(String key) {
     return properties.getProperty(key, "");
   }
 
-  /** The value of a key that has to be there. */
+  /** Returns the value of a required key. Reports a problem if the key is missing or empty. */
   String required(String key) {
     String value = text(key);
     if (value.isEmpty()) {
@@ -41,7 +44,10 @@
     return value;
   }
 
-  /** A number, or the fallback if the key is missing or empty. */
+  /**
+   * Reads a number of at least 0. Returns the fallback if the key is missing, empty or malformed;
+   * reports a malformed value.
+   */
   double number(String key, double fallback) {
     String value = text(key);
     if (value.isEmpty()) {
@@ -53,18 +59,24 @@
         return number;
       }
     } catch (NumberFormatException notANumber) {
-      // reported below, as a negative one
+      // The value is reported below, together with negative and infinite numbers.
     }
     problem(key, "\"" + value + "\" is not a number of at least 0");
     return fallback;
   }
 
-  /** A whole number, or the fallback if the key is missing or empty. */
+  /**
+   * Reads a number as {@link #number} does, rounded to the nearest integer and limited to {@link
+   * Integer#MAX_VALUE}.
+   */
   int integer(String key, int fallback) {
     return (int) Math.min(Integer.MAX_VALUE, Math.round(number(key, fallback)));
   }
 
-  /** {@code true} or {@code false}, or the fallback if the key is missing or empty. */
+  /**
+   * Reads {@code true} or {@code false} in any case. Returns the fallback if the key is missing,
+   * empty or malformed; reports a malformed value.
+   */
   boolean flag(String key, boolean fallback) {
     String value = text(key);
     if (value.isEmpty()) {
@@ -77,7 +89,7 @@
     return Boolean.parseBoolean(value);
   }
 
-  /** The parts of a list joined by commas, without empty ones. */
+  /** Reads a comma-separated list. Blank elements are left out. */
   List<String> list(String key) {
     List<String> parts = new ArrayList<>();
     for (String part : text(key).split(",", -1)) {
@@ -88,7 +100,10 @@
     return parts;
   }
 
-  /** An IPv4 address of a key that has to be there; null if it is wrong. */
+  /**
+   * Reads an IPv4 address from a required key. Reports a problem and returns null if the value is
+   * missing or malformed.
+   */
   InetAddress requiredAddress(String key) {
     String value = required(key);
     InetAddress address = value.isEmpty() ? null : parseAddress(value);
@@ -98,13 +113,19 @@
     return address;
   }
 
-  /** An address and port; null if the key is missing or empty, or wrong. */
+  /**
+   * Reads an IPv4 address and port. Returns null if the key is missing, empty or malformed; reports
+   * a malformed value.
+   */
   InetSocketAddress socketAddress(String key) {
     String value = text(key);
     return value.isEmpty() ? null : parseSocketAddress(key, value);
   }
 
-  /** Addresses and ports joined by commas; wrong ones are left out and reported. */
+  /**
+   * Reads a comma-separated list of IPv4 addresses with ports. Malformed elements are reported and
+   * left out.
+   */
   List<InetSocketAddress> socketAddresses(String key) {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (String part : list(key)) {
@@ -116,7 +137,10 @@
     return addresses;
   }
 
-  /** First and last port joined by a comma, of a key that has to be there; null if it is wrong. */
+  /**
+   * Reads the first and the last port, separated by a comma, from a required key. Reports a problem
+   * and returns null if the value is missing or malformed.
+   */
   PortRange requiredPortRange(String key) {
     if (required(key).isEmpty()) {
       return null;
@@ -131,7 +155,10 @@
     return new PortRange(first, last);
   }
 
-  /** All keys that start with the prefix, without it, in alphabetical order. */
+  /**
+   * Returns the values of all keys that start with the prefix, by the rest of the key, in
+   * alphabetical order.
+   */
   Map<String, String> withPrefix(String prefix) {
     Map<String, String> found = new TreeMap<>();
     for (String key : properties.stringPropertyNames()) {
@@ -173,7 +200,7 @@
     try {
       return InetAddress.getByAddress(bytes);
     } catch (UnknownHostException impossible) {
-      throw new IllegalStateException("four bytes are an IPv4 address", impossible);
+      throw new IllegalStateException("an address of four bytes was rejected", impossible);
     }
   }
 
@@ -181,7 +208,7 @@
     return parseDecimal(value, MAX_PORT);
   }
 
-  /** A decimal number from 0 to the limit; -1 if it is none. */
+  /** Parses a decimal number from 0 to the limit. Returns -1 if the value is not such a number. */
   private static int parseDecimal(String value, int limit) {
     if (value.isEmpty() || value.length() > String.valueOf(MAX_PORT).length()) {
       return -1;
--- a/src/main/java/slateslip/settings/LiteralProperties.java
+++ b/src/main/java/slateslip/settings/LiteralProperties.java
@@ -7,15 +7,16 @@
 import java.util.Properties;
 
 /**
- * Reads {@code key=value} lines with {@link Properties}, every character literally: the escapes,
- * line continuations and other separators of that format are not part of the settings file.
+ * Reads {@code key=value} lines into {@link Properties} and takes every character literally. The
+ * settings file does not support the escapes, line continuations and alternative separators of the
+ * properties format, so characters that are special in that format are escaped first.
  */
 final class LiteralProperties {
   private static final String SPECIAL_IN_KEY = "\\ \t\f:#!";
 
   private LiteralProperties() {}
 
-  /** Reads all lines; of a key that stands twice the last value counts. */
+  /** Reads all lines. If a key occurs more than once, the last value is used. */
   static Properties read(Reader source) throws IOException {
     BufferedReader lines = new BufferedReader(source);
     StringBuilder escaped = new StringBuilder();
--- a/src/main/java/slateslip/settings/NodeSettings.java
+++ b/src/main/java/slateslip/settings/NodeSettings.java
@@ -12,27 +12,30 @@
 import java.util.Set;
 
 /**
- * The settings of one process.
+ * The settings of one process, read from its settings file.
  *
  * @param node name of the machine
- * @param role name of the role in the deploy file; empty if not given
- * @param ip address of the machine
+ * @param role name of the role of the process in the deploy file; empty if not given
+ * @param ip IPv4 address of the machine
  * @param zone zone of the machine
  * @param region region of the machine; empty if not given
- * @param zones region of each zone of the deployment
- * @param frontListen where clients connect; null if the process does not serve them
- * @param readyListen where readiness is asked; null if it is not
- * @param controlListen where backends and the operator call; null if they do not
- * @param ports free for traffic between agents
- * @param seeds control addresses of some control agents, in the order given
- * @param bootstrap whether the whole system starts for the first time, with empty disks
- * @param countsForQuorum whether the machine counts for {@link FaultTolerance#machines}
- * @param limits what the process may use
- * @param dataDirectory where files live; null if the machine has no disk
- * @param heartbeatMillis between two calls of a backend
- * @param contracts names of the parts of the rules that are in force
- * @param faultTolerance what may be lost at once
- * @param bounds figures of the rules
+ * @param zones region of each zone of the deployment, by the name of the zone
+ * @param frontListen address that accepts connections of clients; null if the process does not
+ *     serve clients
+ * @param readyListen address that serves readiness checks; null if there are none
+ * @param controlListen address that accepts requests of backends and the operator; null if the
+ *     process does not serve them
+ * @param ports ports that are free for traffic between agents
+ * @param seeds control addresses of some control agents, in the order of the file
+ * @param bootstrap whether the whole system is started for the first time, with empty disks
+ * @param countsForQuorum whether a failure of the machine counts towards {@link
+ *     FaultTolerance#machines}
+ * @param limits resource limits of the process
+ * @param dataDirectory directory for stored data; null if the machine has no disk
+ * @param heartbeatMillis interval between two heartbeats of a backend
+ * @param contracts names of the sets of requirements that apply to the deployment
+ * @param faultTolerance number of simultaneous failures that the deployment must tolerate
+ * @param bounds numeric limits that the deployment must keep
  */
 public record NodeSettings(
     String node,
@@ -59,7 +62,7 @@
   private static final String ZONES_PREFIX = "zones.";
   private static final String SEEDS = "seed_nodes";
 
-  /** Reads and checks a settings file. */
+  /** Reads and validates a settings file. */
   public static SettingsOutcome load(Path file) {
     try (Reader reader = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
       return parse(reader);
@@ -68,7 +71,7 @@
     }
   }
 
-  /** Reads and checks settings; unknown keys are ignored. Does not close the reader. */
+  /** Reads and validates settings. Unknown keys are ignored. Does not close the reader. */
   public static SettingsOutcome parse(Reader source) {
     KeyReader keys;
     try {
--- a/src/main/java/slateslip/settings/PortRange.java
+++ b/src/main/java/slateslip/settings/PortRange.java
@@ -1,6 +1,7 @@
 package slateslip.settings;
 
 /**
- * Ports that are free for traffic between agents, the same on every machine; both ends included.
+ * Range of ports that are free for traffic between agents, the same on every machine. Both ends are
+ * included.
  */
 public record PortRange(int first, int last) {}
--- a/src/main/java/slateslip/settings/ProcessLimits.java
+++ b/src/main/java/slateslip/settings/ProcessLimits.java
@@ -1,14 +1,15 @@
 package slateslip.settings;
 
 /**
- * What a process may use ({@code limits.*}); 0 where the file says nothing.
+ * Resource limits of a process ({@code limits.*}). A limit that the settings file does not give is
+ * 0.
  *
- * @param cpuQuota share of a core
- * @param cpuCores cores that the machine shows
- * @param memoryMegabytes above this the process is killed
- * @param maxFileDescriptors descriptors, sockets included
- * @param linkMegabitsPerSecond bandwidth of the machine's link
- * @param diskMegabytes size of the data directory
+ * @param cpuQuota processor time that the process may use, in cores
+ * @param cpuCores number of cores that are visible on the machine
+ * @param memoryMegabytes memory limit; a process that exceeds the limit is killed
+ * @param maxFileDescriptors maximum number of open file descriptors, including sockets
+ * @param linkMegabitsPerSecond bandwidth of the network link of the machine
+ * @param diskMegabytes maximum size of the data directory
  */
 public record ProcessLimits(
     double cpuQuota,
--- a/src/main/java/slateslip/settings/ReloadSignal.java
+++ b/src/main/java/slateslip/settings/ReloadSignal.java
@@ -3,15 +3,15 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP: the settings are to be read again. It is handled from this object's creation on, as it
- * would end the process otherwise, with all requests that it has read; one that comes before {@link
- * #start} is carried out then.
+ * Handles SIGHUP, which requests a reload of the settings. Creating the object installs the
+ * handler, because an unhandled SIGHUP would end the process and lose all requests that it has
+ * read. A signal that arrives before {@link #start} is handled by {@link #start}.
  */
 public final class ReloadSignal {
   private Runnable reload;
   private boolean pending;
 
-  /** Handles the signal. */
+  /** Installs the signal handler. */
   public ReloadSignal() {
     Signal.handle(new Signal("HUP"), signal -> received());
   }
@@ -24,7 +24,10 @@
     }
   }
 
-  /** From now on each signal runs this, and so does one that came before. */
+  /**
+   * Sets the action that each later signal runs. Runs the action immediately if a signal has
+   * arrived before.
+   */
   public synchronized void start(Runnable action) {
     reload = action;
     if (pending) {
--- a/src/main/java/slateslip/settings/SettingsFileWatcher.java
+++ b/src/main/java/slateslip/settings/SettingsFileWatcher.java
@@ -9,8 +9,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Reads the settings file again when it has changed or on request. A file that is not usable
- * changes nothing.
+ * Reloads the settings file when its modification time changes or on request. If the file is
+ * invalid, the watcher logs the errors and the previous settings stay in effect.
  */
 public final class SettingsFileWatcher {
   private static final Logger LOG = Logger.getLogger(SettingsFileWatcher.class);
@@ -21,9 +21,10 @@
   private FileTime modified;
 
   /**
-   * A watch that does not look yet.
+   * Creates a watcher that does not poll the file until {@link #start}.
    *
-   * @param onChange receives new settings, on any thread
+   * @param onChange receives new valid settings, on the polling thread or on the thread that
+   *     requests a reload
    */
   public SettingsFileWatcher(Path file, Consumer<NodeSettings> onChange) {
     this.file = file;
@@ -31,7 +32,7 @@
     this.modified = modifiedTime();
   }
 
-  /** Looks at the file every now and then, on a thread of its own. */
+  /** Starts a daemon thread that polls the modification time of the file. */
   public void start() {
     Thread thread = new Thread(this::pollUntilInterrupted, "settings");
     thread.setDaemon(true);
@@ -49,7 +50,7 @@
     }
   }
 
-  /** Reads the file if it has another time than before. */
+  /** Reloads the file if its modification time has changed since the last load. */
   public synchronized void reloadIfModified() {
     FileTime now = modifiedTime();
     if (now != null && !now.equals(modified)) {
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Reads the file. */
+  /** Reloads the file. */
   public synchronized void reload() {
     modified = modifiedTime();
     SettingsOutcome outcome = NodeSettings.load(file);
--- a/src/main/java/slateslip/settings/SettingsOutcome.java
+++ b/src/main/java/slateslip/settings/SettingsOutcome.java
@@ -4,16 +4,16 @@
 
 /** Result of reading a settings file. */
 public sealed interface SettingsOutcome {
-  /** Every needed key is present and well formed. */
+  /** All required keys are present, and all values are well formed. */
   record Valid(NodeSettings settings) implements SettingsOutcome {}
 
   /**
-   * The process cannot start with this file.
+   * The settings file cannot be used; a process cannot start with it.
    *
-   * @param problems at least one, in the order in which the keys are checked
+   * @param problems all problems found, at least one, in the order in which the keys are checked
    */
   record Invalid(List<Problem> problems) implements SettingsOutcome {
-    /** All problems, one a line. */
+    /** Returns all problems, one per line. */
     public String message() {
       return String.join("\n", problems.stream().map(Problem::toString).toList());
     }
@@ -22,8 +22,8 @@
   /**
    * A key that is missing or malformed.
    *
-   * @param key as it stands in the file; empty if the file itself cannot be read
-   * @param reason what is wrong with it, with the value that was found
+   * @param key name of the key in the file; empty if the file itself cannot be read
+   * @param reason description of the problem, with the malformed value if there is one
    */
   record Problem(String key, String reason) {
     @Override
--- a/src/main/java/slateslip/settings/package-info.java
+++ b/src/main/java/slateslip/settings/package-info.java
@@ -1,2 +1,5 @@
-/** The settings file of a process: reading, checks, and the typed record of its keys. */
+/**
+ * The settings file of a process: reading, validation and reloading of the file, and typed records
+ * of its keys.
+ */
 package slateslip.settings;
--- a/src/test/java/slateslip/settings/NodeSettingsTest.java
+++ b/src/test/java/slateslip/settings/NodeSettingsTest.java
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void namesOfZonesComeThroughUnchanged() {
+  void zoneNamesAreReadLiterally() {
     NodeSettings settings = valid(COMPLETE + "zones.a\\u0041b=c\\nd\nzones.ñandú=sur\n");
     assertThat(settings.zones(), hasEntry("north", "coast"));
     assertThat(settings.zones(), hasEntry("south: old #1", "far coast"));
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aMissingKeyIsNamed() {
+  void missingKeyIsReportedByName() {
     for (String key : List.of("node", "ip", "zone", "port_range", "seed_nodes")) {
       List<SettingsOutcome.Problem> problems = problems(without(key));
       assertThat(problems, hasSize(1));
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void aMalformedValueIsNamedWithItsKey() {
+  void malformedValueIsReportedWithItsKey() {
     for (String line :
         List.of(
             "ip=10.1.0",
@@ -173,13 +173,13 @@
   }
 
   @Test
-  void aFileIsRead(@TempDir Path directory) throws IOException {
+  void settingsFileIsLoaded(@TempDir Path directory) throws IOException {
     Path file = Files.writeString(directory.resolve("settings.conf"), COMPLETE);
     assertThat(NodeSettings.load(file), instanceOf(SettingsOutcome.Valid.class));
   }
 
   @Test
-  void aFileThatCannotBeReadIsAnOutcome(@TempDir Path directory) throws IOException {
+  void unreadableFileIsReportedAsInvalid(@TempDir Path directory) throws IOException {
     assertThat(
         NodeSettings.load(directory.resolve("none")), instanceOf(SettingsOutcome.Invalid.class));
     Path binary = Files.write(directory.resolve("binary"), new byte[] {(byte) 0xff, (byte) 0xfe});
--- a/src/test/java/slateslip/settings/ReloadSignalTest.java
+++ b/src/test/java/slateslip/settings/ReloadSignalTest.java
@@ -8,18 +8,21 @@
 import org.junit.jupiter.api.Test;
 import sun.misc.Signal;
 
-/** SIGHUP before and after a program has started. */
+/**
+ * Checks that a SIGHUP before the start of a program is not lost and that later ones are handled.
+ */
 class ReloadSignalTest {
-  private static final int GENEROUS_SECONDS = 20;
+  private static final int TIMEOUT_SECONDS = 20;
   private static final int SIGNALS = 2;
 
   @Test
-  void signalBeforeTheStartIsCarriedOutThenAndLaterOnesAtOnce() throws InterruptedException {
+  void signalBeforeStartRunsTheActionAtStartAndLaterSignalsRunItImmediately()
+      throws InterruptedException {
     ReloadSignal signal = new ReloadSignal();
-    Signal.raise(new Signal("HUP")); // ends this process if nobody handles it
+    Signal.raise(new Signal("HUP")); // Ends this process if no handler is installed.
     CountDownLatch reloads = new CountDownLatch(SIGNALS);
     signal.start(reloads::countDown);
     Signal.raise(new Signal("HUP"));
-    assertThat(reloads.await(GENEROUS_SECONDS, TimeUnit.SECONDS), is(true));
+    assertThat(reloads.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), is(true));
   }
 }
