--- a/src/main/java/slateslip/cli/CommandLine.java
+++ b/src/main/java/slateslip/cli/CommandLine.java
@@ -7,11 +7,12 @@
 import slateslip.settings.SettingsOutcome;
 
 /**
- * Entry point of both programs' command lines. Without arguments, or with {@code run}, the program
- * is started; only other arguments load the classes that read them.
+ * Entry point of the command lines of both programs. Without arguments, or with {@code run}, starts
+ * the program. The classes that parse other commands are loaded only for those commands, so that
+ * starting the program does not load them.
  */
 public final class CommandLine {
-  /** Variable with the path of the settings file. */
+  /** Environment variable with the path of the settings file. */
   public static final String SETTINGS_VARIABLE = "SLATESLIP_CONFIG";
 
   private static final String RUN = "run";
@@ -29,8 +30,8 @@
   }
 
   /**
-   * Runs a program's command line. The process ends by itself if the command is done or has failed;
-   * a program that was started goes on.
+   * Executes a command line. Ends the process with an exit status when a command has completed or
+   * failed; returns if the command has started the program.
    */
   public static void main(Program program, ProgramStart start, String[] arguments) {
     CommandLine commandLine = new CommandLine(program, start, System.out, System.err);
@@ -41,7 +42,10 @@
     }
   }
 
-  /** Carries a command out and tells the exit status. */
+  /**
+   * Executes a command and returns the exit status. A null {@code settingsPath} means that no
+   * settings file is given.
+   */
   int execute(String[] arguments, String settingsPath) {
     if (startsProgram(arguments)) {
       return run(settingsPath);
--- a/src/main/java/slateslip/cli/Commands.java
+++ b/src/main/java/slateslip/cli/Commands.java
@@ -20,7 +20,7 @@
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
-/** The commands besides starting a program. */
+/** Parses and executes all commands except the one that starts the program. */
 final class Commands {
   private static final String HELP = "help";
   private static final String VERSION = "version";
@@ -50,9 +50,9 @@
         output.println(program.jar() + " " + version());
         return ExitStatus.SUCCESS;
       }
-      return command(parsed, settingsPath);
-    } catch (ParseException wrong) {
-      return misused(wrong.getMessage());
+      return executeCommand(parsed, settingsPath);
+    } catch (ParseException invalid) {
+      return reportUsageError(invalid.getMessage());
     }
   }
 
@@ -79,31 +79,35 @@
     return options;
   }
 
-  private int command(org.apache.commons.cli.CommandLine parsed, String settingsPath)
+  private int executeCommand(org.apache.commons.cli.CommandLine parsed, String settingsPath)
       throws ParseException {
-    List<String> words = parsed.getArgList();
-    if (words.size() == 2 && words.get(0).equals("check-settings")) {
-      return checkSettings(Path.of(words.get(1)));
+    List<String> commandWords = parsed.getArgList();
+    if (commandWords.size() == 2 && commandWords.get(0).equals("check-settings")) {
+      return checkSettings(Path.of(commandWords.get(1)));
     }
-    if (words.size() == 3 && words.subList(0, 2).equals(List.of("config", "check"))) {
-      return checkConfiguration(Path.of(words.get(2)));
+    if (commandWords.size() == 3 && commandWords.subList(0, 2).equals(List.of("config", "check"))) {
+      return checkConfiguration(Path.of(commandWords.get(2)));
     }
-    if (words.size() >= 2 && words.get(0).equals("losses")) {
-      return new LossReport(output, errors).print(words.subList(1, words.size()));
+    if (commandWords.size() >= 2 && commandWords.get(0).equals("losses")) {
+      return new LossReport(output, errors).print(commandWords.subList(1, commandWords.size()));
     }
     if (program == Program.CONTROL_PLANE) {
       OperatorCommands operator = new OperatorCommands(output, errors);
       String addresses = parsed.getOptionValue(CONTROL);
       String base = parsed.getOptionValue(BASE);
-      OperatorCommands.Outcome outcome = operator.execute(words, addresses, base, settingsPath);
+      OperatorCommands.Outcome outcome =
+          operator.execute(commandWords, addresses, base, settingsPath);
       if (outcome.known()) {
         return outcome.status();
       }
     }
-    return misused(words.isEmpty() ? "no command" : "unknown command: " + String.join(" ", words));
+    return reportUsageError(
+        commandWords.isEmpty()
+            ? "no command"
+            : "unknown command: " + String.join(" ", commandWords));
   }
 
-  private int misused(String reason) {
+  private int reportUsageError(String reason) {
     errors.println(reason);
     printHelp(errors);
     return ExitStatus.INVALID;
--- a/src/main/java/slateslip/cli/ControlClient.java
+++ b/src/main/java/slateslip/cli/ControlClient.java
@@ -14,9 +14,12 @@
 import okhttp3.Response;
 import okhttp3.ResponseBody;
 
-/** Calls control agents; a call without a clear response goes to the next one, unchanged. */
+/**
+ * Sends requests to control agents. A request that gets no definite response is retried, unchanged,
+ * at the next agent.
+ */
 final class ControlClient {
-  /** HTTP status of a configuration that does not exist yet. */
+  /** HTTP status of a response if no configuration exists yet. */
   static final int NOT_FOUND = 404;
 
   private static final int REQUEST_TIMEOUT = 408;
@@ -30,17 +33,17 @@
   private static final MediaType JSON = MediaType.get("application/json");
 
   /**
-   * Last response of a call.
+   * Last response to a request.
    *
-   * @param status HTTP status; 0 if no agent answered
-   * @param body text of the response, or what went wrong
+   * @param status HTTP status; 0 if no agent responded
+   * @param body text of the response, or a description of the failure if no agent responded
    */
   record Reply(int status, String body) {
     boolean isSuccess() {
       return status >= 200 && status < 300;
     }
 
-    /** Whether the call has been refused for good. */
+    /** Returns whether an agent has rejected the request and retrying cannot succeed. */
     boolean isRejection() {
       return status >= 400 && status < FIRST_SERVER_ERROR && !isRetryable();
     }
@@ -67,10 +70,11 @@
           .build();
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param agents addresses, a.b.c.d:port; at least one
-   * @param delay before the first repetition; it doubles up to eight times that; zero for none
+   * @param agents addresses of control agents in the form a.b.c.d:port; at least one
+   * @param delay delay before the first retry, which doubles with each retry up to eight times this
+   *     value; zero for no delay
    */
   ControlClient(List<String> agents, Duration delay) {
     this.agents = agents;
@@ -89,7 +93,7 @@
     return call(new Request.Builder().get(), path);
   }
 
-  /** Sends a change that builds on a version. */
+  /** Sends a configuration change that is based on a version. */
   Reply send(String method, String path, String baseVersion, byte[] body) {
     RequestBody json = RequestBody.create(body, JSON);
     return call(new Request.Builder().method(method, json).header("If-Match", baseVersion), path);
--- a/src/main/java/slateslip/cli/LossReport.java
+++ b/src/main/java/slateslip/cli/LossReport.java
@@ -13,12 +13,13 @@
 import okhttp3.Response;
 
 /**
- * The command that tells how requests ended, by reason, from the metrics of data planes: files with
- * what their {@code /metrics} gave, or the addresses at which they tell it.
+ * Implements the command {@code losses}, which prints how many requests ended with each outcome,
+ * summed over the metrics of several data planes. A source is a file with a response of {@code
+ * /metrics}, or the address of a data plane that serves {@code /metrics}.
  */
 final class LossReport {
-  private static final String ENDED = "slateslip_dataplane_requests_ended_";
-  private static final String TOTAL = "_total";
+  private static final String METRIC_PREFIX = "slateslip_dataplane_requests_ended_";
+  private static final String METRIC_SUFFIX = "_total";
   private static final String SERVED = "served";
   private static final double PERCENT = 100;
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -32,14 +33,17 @@
     this.errors = errors;
   }
 
-  /** Adds up what these sources tell, and prints it; the exit status of the command. */
+  /**
+   * Sums the metrics of the given sources, prints a table, and returns the exit status of the
+   * command.
+   */
   int print(List<String> sources) {
     int unreadable = 0;
     for (String source : sources) {
       try {
         add(read(source));
-      } catch (IOException untold) {
-        errors.println("cannot read " + source + ": " + untold.getMessage());
+      } catch (IOException unreadableSource) {
+        errors.println("cannot read " + source + ": " + unreadableSource.getMessage());
         unreadable++;
       }
     }
@@ -55,8 +59,8 @@
     Request request = new Request.Builder().url("http://" + source + "/metrics").build();
     try (Response response = client.newCall(request).execute()) {
       return response.body().string();
-    } catch (IllegalArgumentException noAddress) {
-      throw new IOException("neither a file nor an address", noAddress);
+    } catch (IllegalArgumentException invalidAddress) {
+      throw new IOException("neither a file nor an address", invalidAddress);
     } finally {
       client.dispatcher().executorService().shutdown();
       client.connectionPool().evictAll();
@@ -66,25 +70,25 @@
   private void add(String metrics) {
     for (String line : metrics.split("\\R", -1)) {
       int space = line.lastIndexOf(' ');
-      if (line.startsWith(ENDED) && space > 0) {
-        String outcome = line.substring(ENDED.length(), space).replace(TOTAL, "");
+      if (line.startsWith(METRIC_PREFIX) && space > 0) {
+        String outcome = line.substring(METRIC_PREFIX.length(), space).replace(METRIC_SUFFIX, "");
         byOutcome.merge(outcome, Long.parseLong(line.substring(space + 1)), Long::sum);
       }
     }
   }
 
   private void printTable(int sources) {
-    long all = byOutcome.values().stream().mapToLong(Long::longValue).sum();
-    output.printf("requests ended: %d, at %d data planes%n", all, sources);
-    printRow(SERVED, byOutcome.getOrDefault(SERVED, 0L), all);
+    long total = byOutcome.values().stream().mapToLong(Long::longValue).sum();
+    output.printf("requests ended: %d, at %d data planes%n", total, sources);
+    printRow(SERVED, byOutcome.getOrDefault(SERVED, 0L), total);
     byOutcome.entrySet().stream()
         .filter(entry -> !entry.getKey().equals(SERVED) && entry.getValue() > 0)
         .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
-        .forEach(entry -> printRow(entry.getKey(), entry.getValue(), all));
+        .forEach(entry -> printRow(entry.getKey(), entry.getValue(), total));
   }
 
-  private void printRow(String outcome, long count, long all) {
-    double percent = all == 0 ? 0 : PERCENT * count / all;
+  private void printRow(String outcome, long count, long total) {
+    double percent = total == 0 ? 0 : PERCENT * count / total;
     output.printf("%-12s %8d %6.2f %%%n", outcome, count, percent);
   }
 }
--- a/src/main/java/slateslip/cli/OperatorCommands.java
+++ b/src/main/java/slateslip/cli/OperatorCommands.java
@@ -15,18 +15,18 @@
 import slateslip.settings.NodeSettings;
 import slateslip.settings.SettingsOutcome;
 
-/** The operator's commands, which call control agents. */
+/** Executes the operator's commands that send requests to control agents. */
 final class OperatorCommands {
   /**
-   * Result of a command.
+   * Result of executing a command.
    *
-   * @param known whether there is such a command
-   * @param status exit status
+   * @param known whether the command exists
+   * @param status exit status of the command, a constant of {@link ExitStatus}
    */
   record Outcome(boolean known, int status) {}
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(200);
-  private static final String NONE_YET = "0";
+  private static final String NO_VERSION = "0";
 
   private final PrintStream output;
   private final PrintStream errors;
@@ -37,12 +37,13 @@
   }
 
   /**
-   * Carries a command out.
+   * Executes a command.
    *
-   * @param words of the command
-   * @param addresses control agents, joined by commas; null for those of the settings file
-   * @param base version to build on; null for the newest one
-   * @param settingsPath the settings file; null if there is none
+   * @param words words of the command line without options
+   * @param addresses comma-separated addresses of control agents; null for the seed nodes of the
+   *     settings file
+   * @param base configuration version that the change is based on; null for the newest version
+   * @param settingsPath path of the settings file; null if none is given
    */
   Outcome execute(List<String> words, String addresses, String base, String settingsPath) {
     String command = String.join(" ", words.subList(0, Math.min(2, words.size())));
@@ -105,7 +106,7 @@
   private String newestVersion(ControlClient client) {
     ControlClient.Reply reply = client.get("/config");
     if (reply.status() == ControlClient.NOT_FOUND) {
-      return NONE_YET;
+      return NO_VERSION;
     }
     if (reply.isSuccess()) {
       byte[] document = reply.body().getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/slateslip/cli/Program.java
+++ b/src/main/java/slateslip/cli/Program.java
@@ -1,10 +1,10 @@
 package slateslip.cli;
 
-/** One of the two programs. */
+/** The programs that have a command line. */
 public enum Program {
-  /** Takes clients' requests. */
+  /** Forwards requests of clients to backends. */
   DATA_PLANE("slateslip-dataplane"),
-  /** Keeps the configuration and the sessions of backends. */
+  /** Stores the configuration and the sessions of backends. */
   CONTROL_PLANE("slateslip-controlplane");
 
   private final String jar;
@@ -13,7 +13,7 @@
     this.jar = jar;
   }
 
-  /** Name of its jar, without the ending. */
+  /** Returns the name of the jar of the program, without the extension. */
   public String jar() {
     return jar;
   }
--- a/src/main/java/slateslip/cli/package-info.java
+++ b/src/main/java/slateslip/cli/package-info.java
@@ -1,2 +1,5 @@
-/** Command line of both programs: start, checks of files, and the operator's commands. */
+/**
+ * Command line of both programs: start of the program, validation of files, and the operator's
+ * commands.
+ */
 package slateslip.cli;
--- a/src/test/java/slateslip/cli/CommandLineTest.java
+++ b/src/test/java/slateslip/cli/CommandLineTest.java
@@ -58,16 +58,16 @@
     return Files.writeString(directory.resolve(name), content);
   }
 
-  private String printed() {
+  private String standardOutput() {
     return output.toString(StandardCharsets.UTF_8);
   }
 
-  private String complained() {
+  private String errorOutput() {
     return errors.toString(StandardCharsets.UTF_8);
   }
 
   @Test
-  void theProgramIsStartedWithItsSettings() throws IOException {
+  void runStartsTheProgramWithItsSettings() throws IOException {
     Path settings = file("settings.conf", SETTINGS);
     assertThat(run(Program.DATA_PLANE, settings), equalTo(0));
     assertThat(run(Program.DATA_PLANE, settings, "run"), equalTo(0));
@@ -75,81 +75,85 @@
   }
 
   @Test
-  void wrongSettingsAreToldWithTheirKey() throws IOException {
+  void invalidSettingsAreReportedWithTheirKey() throws IOException {
     Path settings = file("settings.conf", SETTINGS.replace("zone=north", "zone="));
     assertThat(run(Program.DATA_PLANE, settings), equalTo(ExitStatus.INVALID));
-    assertThat(complained(), containsString("zone: is missing"));
+    assertThat(errorOutput(), containsString("zone: is missing"));
     assertThat(started, equalTo(List.of()));
     assertThat(run(Program.DATA_PLANE, (Path) null), equalTo(ExitStatus.INVALID));
-    assertThat(complained(), containsString(CommandLine.SETTINGS_VARIABLE));
+    assertThat(errorOutput(), containsString(CommandLine.SETTINGS_VARIABLE));
   }
 
   @Test
-  void aStartThatFailsIsTold() throws IOException {
+  void failedStartIsReported() throws IOException {
     ProgramStart failing =
         (file, settings) -> {
           throw new IOException("port in use");
         };
     Path settings = file("settings.conf", SETTINGS);
     assertThat(run(Program.DATA_PLANE, failing, settings), equalTo(ExitStatus.FAILURE));
-    assertThat(complained(), containsString("port in use"));
+    assertThat(errorOutput(), containsString("port in use"));
   }
 
   @Test
-  void helpNamesTheProgramsOwnCommands() {
+  void helpListsOnlyTheCommandsOfTheProgram() {
     assertThat(run(Program.DATA_PLANE, null, "--help"), equalTo(0));
     assertThat(
-        printed(), allOf(containsString("check-settings"), not(containsString("config put"))));
+        standardOutput(),
+        allOf(containsString("check-settings"), not(containsString("config put"))));
     assertThat(run(Program.CONTROL_PLANE, null, "-h"), equalTo(0));
-    assertThat(printed(), allOf(containsString("config put"), containsString("--control")));
+    assertThat(standardOutput(), allOf(containsString("config put"), containsString("--control")));
   }
 
   @Test
-  void theVersionIsTold() {
+  void versionOptionPrintsTheVersion() {
     assertThat(run(Program.CONTROL_PLANE, null, "--version"), equalTo(0));
-    assertThat(printed(), startsWith("slateslip-controlplane "));
+    assertThat(standardOutput(), startsWith("slateslip-controlplane "));
   }
 
   @Test
-  void anUnknownCommandShowsTheHelp() {
+  void invalidCommandPrintsTheHelp() {
     for (String[] arguments :
         new String[][] {{"fly"}, {"--fly"}, {"config", "put"}, {"check-settings"}, {"-b"}}) {
       assertThat(run(Program.CONTROL_PLANE, null, arguments), equalTo(ExitStatus.INVALID));
-      assertThat(complained(), containsString("Commands:"));
+      assertThat(errorOutput(), containsString("Commands:"));
     }
     assertThat(run(Program.DATA_PLANE, null, "status"), equalTo(ExitStatus.INVALID));
     assertThat(started, equalTo(List.of()));
   }
 
   @Test
-  void settingsAndConfigurationsAreChecked() throws IOException {
+  void checkCommandsReportValidAndInvalidFiles() throws IOException {
     String good = file("good.conf", SETTINGS).toString();
     assertThat(run(Program.DATA_PLANE, null, "check-settings", good), equalTo(0));
     String bad = file("bad.conf", "ip=x\n").toString();
     assertThat(run(Program.DATA_PLANE, null, "check-settings", bad), equalTo(ExitStatus.INVALID));
-    assertThat(complained(), containsString("ip: \"x\" is not an IPv4 address"));
+    assertThat(errorOutput(), containsString("ip: \"x\" is not an IPv4 address"));
     String valid = file("valid.json", CONFIGURATION).toString();
     assertThat(run(Program.CONTROL_PLANE, null, "config", "check", valid), equalTo(0));
-    assertThat(printed(), containsString("valid, version 7, 1 routes, 1 services, 0 tenants"));
+    assertThat(
+        standardOutput(), containsString("valid, version 7, 1 routes, 1 services, 0 tenants"));
     String invalid = file("invalid.json", CONFIGURATION.replace(":5", ":0")).toString();
     assertThat(
         run(Program.CONTROL_PLANE, null, "config", "check", invalid), equalTo(ExitStatus.INVALID));
-    assertThat(complained(), containsString("routes \"r\": timeout_ms is 0"));
+    assertThat(errorOutput(), containsString("routes \"r\": timeout_ms is 0"));
   }
 
   @Test
-  void aCommandNeedsAControlAgent() {
+  void commandWithoutControlAgentIsRejected() {
     assertThat(run(Program.CONTROL_PLANE, null, "status"), equalTo(ExitStatus.INVALID));
-    assertThat(complained(), containsString("no control agent is known"));
+    assertThat(errorOutput(), containsString("no control agent is known"));
   }
 
-  /** A control agent that gives prepared answers, in order, and remembers what it was asked. */
+  /**
+   * A stub of a control agent that returns prepared responses in order and records the requests.
+   */
   private static final class ControlAgent implements AutoCloseable {
-    private record Answer(int status, String body) {}
+    private record PreparedResponse(int status, String body) {}
 
     private final HttpServer server;
     private final List<String> calls = new ArrayList<>();
-    private final List<Answer> responses = new ArrayList<>();
+    private final List<PreparedResponse> responses = new ArrayList<>();
 
     ControlAgent() throws IOException {
       server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
@@ -157,8 +161,8 @@
       server.start();
     }
 
-    ControlAgent answering(int status, String body) {
-      responses.add(new Answer(status, body));
+    ControlAgent respondingWith(int status, String body) {
+      responses.add(new PreparedResponse(status, body));
       return this;
     }
 
@@ -177,7 +181,7 @@
               + base
               + " "
               + sent.length);
-      Answer response = responses.remove(0);
+      PreparedResponse response = responses.remove(0);
       byte[] body = response.body().getBytes(StandardCharsets.UTF_8);
       exchange.sendResponseHeaders(response.status(), body.length);
       exchange.getResponseBody().write(body);
@@ -191,27 +195,28 @@
   }
 
   @Test
-  void statusIsShown() throws IOException {
-    try (ControlAgent agent = new ControlAgent().answering(200, "{\"epoch\":3}")) {
+  void statusCommandPrintsTheResponse() throws IOException {
+    try (ControlAgent agent = new ControlAgent().respondingWith(200, "{\"epoch\":3}")) {
       assertThat(
           run(Program.CONTROL_PLANE, null, "status", "--control", agent.address()), equalTo(0));
-      assertThat(printed(), containsString("{\"epoch\":3}"));
+      assertThat(standardOutput(), containsString("{\"epoch\":3}"));
     }
   }
 
   @Test
-  void seedsOfTheSettingsFileAreCalled() throws IOException {
-    try (ControlAgent agent = new ControlAgent().answering(200, CONFIGURATION)) {
+  void seedNodesOfTheSettingsFileAreUsedAsControlAgents() throws IOException {
+    try (ControlAgent agent = new ControlAgent().respondingWith(200, CONFIGURATION)) {
       Path settings = file("s.conf", SETTINGS.replace("127.0.0.1:1", agent.address()));
       assertThat(run(Program.CONTROL_PLANE, settings, "config", "get"), equalTo(0));
-      assertThat(printed(), containsString(CONFIGURATION));
+      assertThat(standardOutput(), containsString(CONFIGURATION));
     }
   }
 
   @Test
   void configPutBuildsOnNewestVersion() throws IOException {
     String document = file("new.json", CONFIGURATION).toString();
-    try (ControlAgent agent = new ControlAgent().answering(200, CONFIGURATION).answering(200, "")) {
+    try (ControlAgent agent =
+        new ControlAgent().respondingWith(200, CONFIGURATION).respondingWith(200, "")) {
       int status =
           run(Program.CONTROL_PLANE, null, "-c", agent.address(), "config", "put", document);
       assertThat(status, equalTo(0));
@@ -224,7 +229,7 @@
   @Test
   void rejectionIsReportedAndNotRetried() throws IOException {
     String document = file("new.json", CONFIGURATION).toString();
-    try (ControlAgent agent = new ControlAgent().answering(412, "version 9 is current")) {
+    try (ControlAgent agent = new ControlAgent().respondingWith(412, "version 9 is current")) {
       int status =
           run(
               Program.CONTROL_PLANE,
@@ -237,15 +242,15 @@
               "patch",
               document);
       assertThat(status, equalTo(ExitStatus.INVALID));
-      assertThat(complained(), containsString("412: version 9 is current"));
+      assertThat(errorOutput(), containsString("412: version 9 is current"));
       assertThat(agent.calls, equalTo(List.of("PATCH /config 7 " + CONFIGURATION.length())));
     }
   }
 
   @Test
   void ambiguousResponseRetriesAtNextAgent() throws IOException {
-    try (ControlAgent failing = new ControlAgent().answering(503, "no majority");
-        ControlAgent working = new ControlAgent().answering(200, "")) {
+    try (ControlAgent failing = new ControlAgent().respondingWith(503, "no majority");
+        ControlAgent working = new ControlAgent().respondingWith(200, "")) {
       ControlClient client =
           new ControlClient(List.of(failing.address(), working.address()), Duration.ZERO);
       ControlClient.Reply reply = client.send("PUT", "/config", "7", new byte[] {1, 2, 3});
@@ -256,7 +261,7 @@
   }
 
   @Test
-  void noResponseIsAnOutcome() throws IOException {
+  void missingResponseIsReportedAsFailure() throws IOException {
     String address;
     try (ControlAgent gone = new ControlAgent()) {
       address = gone.address();
--- a/src/test/java/slateslip/cli/LossReportTest.java
+++ b/src/test/java/slateslip/cli/LossReportTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How requests ended, added up over the metrics of several data planes. */
+/** Tests that the outcomes of requests are summed over the metrics of several data planes. */
 class LossReportTest {
   private static final String METRIC = "slateslip_dataplane_requests_ended_";
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void reasonsAreAddedUpAndTheDearestComesFirst() throws IOException {
+  void outcomesAreSummedAndSortedByCount() throws IOException {
     String first =
         metrics(
             "a",
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void whatCannotBeReadIsNamedAndFailsTheCommand() throws IOException {
+  void unreadableSourceIsNamedAndFailsTheCommand() throws IOException {
     String readable = metrics("a", METRIC + "served_total 1");
     String missing = folder.resolve("none").toString();
     assertThat(report.print(List.of(readable, missing)), is(ExitStatus.FAILURE));
