--- a/src/main/java/slateslip/logging/KeyValueFormatter.java
+++ b/src/main/java/slateslip/logging/KeyValueFormatter.java
@@ -7,8 +7,8 @@
 import java.util.logging.LogRecord;
 
 /**
- * One line an event: {@code time=... level=... node=... epoch=... version=... logger=...
- * msg="..."}, with {@code error="..."} if something was thrown.
+ * Formats each log record as one line: {@code time=... level=... node=... epoch=... version=...
+ * logger=... msg="..."}, followed by {@code error="..."} if the record has a throwable.
  */
 final class KeyValueFormatter extends Formatter {
   private static final int MAX_FRAMES = 12;
@@ -43,7 +43,10 @@
     line.append(LocalDateTime.ofEpochSecond(second, nanos, ZoneOffset.UTC)).append('Z');
   }
 
-  /** The levels' usual names; the platform's own are others. */
+  /**
+   * Returns the conventional name of a level. The names of java.util.logging, such as SEVERE and
+   * FINE, are not written.
+   */
   private static String levelName(Level level) {
     int value = level.intValue();
     if (value >= Level.SEVERE.intValue()) {
@@ -88,7 +91,10 @@
     line.append('"');
   }
 
-  /** Text from outside must not look like the end of a line to any reader. */
+  /**
+   * Escapes control characters and Unicode line separators, so that text from clients or peers
+   * cannot end a log line for any reader.
+   */
   private static void appendVisible(StringBuilder line, char character) {
     boolean invisible = Character.isISOControl(character) && character != '\t';
     if (invisible || character == LINE_SEPARATOR || character == PARAGRAPH_SEPARATOR) {
--- a/src/main/java/slateslip/logging/LineHandler.java
+++ b/src/main/java/slateslip/logging/LineHandler.java
@@ -5,7 +5,7 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 
-/** Writes each event as one line to a stream, in one call. */
+/** Writes each log record to a stream as one line, in a single write call. */
 final class LineHandler extends Handler {
   private final PrintStream stream;
 
--- a/src/main/java/slateslip/logging/LogContext.java
+++ b/src/main/java/slateslip/logging/LogContext.java
@@ -1,6 +1,9 @@
 package slateslip.logging;
 
-/** What every line of the process's log tells of its node. Set by the host when it changes. */
+/**
+ * Fields of the process's node that every log line contains. The process updates a field whenever
+ * the value changes.
+ */
 public final class LogContext {
   private static volatile String node = "-";
   private static volatile long epoch;
@@ -8,17 +11,20 @@
 
   private LogContext() {}
 
-  /** Sets the node's name. */
+  /** Sets the name of the node. */
   public static void node(String name) {
     node = name;
   }
 
-  /** Sets the epoch of the newest view that the node knows; data planes know none. */
+  /**
+   * Sets the epoch of the newest view that the node has received. Data planes receive no views and
+   * leave the epoch at 0.
+   */
   public static void epoch(long newest) {
     epoch = newest;
   }
 
-  /** Sets the version of the newest configuration that the node holds. */
+  /** Sets the version of the newest configuration that the node has. */
   public static void version(long newest) {
     version = newest;
   }
--- a/src/main/java/slateslip/logging/LogSetup.java
+++ b/src/main/java/slateslip/logging/LogSetup.java
@@ -7,26 +7,39 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Sets the process's log up; to be called before the first logger is made. */
+/** Configures logging for the process. Must be called before the first logger is created. */
 public final class LogSetup {
-  /** System property with the lowest level that is written: ERROR, WARN, INFO, DEBUG or TRACE. */
+  /**
+   * System property with the lowest level that is logged: ERROR, WARN, INFO, DEBUG or TRACE; INFO
+   * if not set.
+   */
   public static final String LEVEL_PROPERTY = "slateslip.log.level";
 
   private static final String PROVIDER_PROPERTY = "org.jboss.logging.provider";
   private static final String CONFIGURATION_PROPERTY = "java.util.logging.config.class";
 
-  /** Libraries that report their ordinary work at INFO. */
+  /** Libraries that log normal operation at INFO; only their warnings and errors are logged. */
   private static final String[] QUIET_LIBRARIES = {"io.javalin", "org.eclipse.jetty", "io.netty"};
 
-  /** Held here: the platform forgets loggers that nobody holds, and their levels with them. */
+  /**
+   * Strong references to the loggers of the libraries. The platform holds loggers by weak
+   * references, and a collected logger loses its level.
+   */
   private static final Logger[] RETAINED_LOGGERS = new Logger[QUIET_LIBRARIES.length];
 
   private LogSetup() {}
 
-  /** Replaces the platform's own start-up configuration, which costs time and is not wanted. */
+  /**
+   * Replaces the default configuration of java.util.logging, which delays the start and is not
+   * used.
+   */
   public static final class NoPlatformConfiguration {}
 
-  /** Writes to standard error, with the level of {@link #LEVEL_PROPERTY}. */
+  /**
+   * Configures logging to standard error, with the level of {@link #LEVEL_PROPERTY}.
+   *
+   * @param node name of the node, written in every log line
+   */
   public static void install(String node) {
     install(node, System.err, level(System.getProperty(LEVEL_PROPERTY, "")));
   }
@@ -47,7 +60,10 @@
     }
   }
 
-  /** The platform's level of a usual name; INFO if the name is none. */
+  /**
+   * Returns the java.util.logging level of a conventional level name, or INFO if the name is
+   * unknown.
+   */
   static Level level(String name) {
     return switch (name.toUpperCase(Locale.ROOT)) {
       case "ERROR" -> Level.SEVERE;
--- a/src/main/java/slateslip/logging/MetricLabel.java
+++ b/src/main/java/slateslip/logging/MetricLabel.java
@@ -1,10 +1,13 @@
 package slateslip.logging;
 
-/** Values of labels in Prometheus' text format, which knows three escapes and is UTF-8. */
+/**
+ * Escapes label values for the Prometheus text format, which is UTF-8 and defines three escapes:
+ * for backslash, quotation mark and newline.
+ */
 public final class MetricLabel {
   private MetricLabel() {}
 
-  /** A value as it stands between quotation marks. */
+  /** Returns a label value in the form that is written between quotation marks. */
   public static String escaped(String value) {
     return value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
   }
--- a/src/main/java/slateslip/logging/package-info.java
+++ b/src/main/java/slateslip/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Set-up of the process's log: JBoss Logging over java.util.logging, one line an event; text of
- * metrics.
+ * Configuration and format of the log: JBoss Logging over java.util.logging, one line per record.
+ * Also escapes label values of metrics.
  */
 package slateslip.logging;
--- a/src/test/java/slateslip/logging/LogSetupTest.java
+++ b/src/test/java/slateslip/logging/LogSetupTest.java
@@ -25,14 +25,14 @@
   private Level levelBefore;
 
   @BeforeEach
-  void keepThePlatformsLog() {
+  void saveRootLogger() {
     java.util.logging.Logger root = LogManager.getLogManager().getLogger("");
     handlersBefore = root.getHandlers();
     levelBefore = root.getLevel();
   }
 
   @AfterEach
-  void giveThePlatformsLogBack() {
+  void restoreRootLogger() {
     java.util.logging.Logger root = LogManager.getLogManager().getLogger("");
     for (Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aLineTellsLevelNodeEpochAndVersion() {
+  void lineContainsLevelNodeEpochAndVersion() {
     install("INFO");
     LogContext.epoch(3);
     LogContext.version(17);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void levelsBelowTheChosenOneAreNotWritten() {
+  void recordsBelowTheConfiguredLevelAreNotWritten() {
     install("INFO");
     Logger logger = Logger.getLogger(LogSetupTest.class);
     logger.debug("hidden");
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void everyLevelHasItsUsualName() {
+  void levelsAreWrittenWithTheirConventionalNames() {
     install("TRACE");
     Logger logger = Logger.getLogger(LogSetupTest.class);
     logger.error("e");
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void whatWasThrownStandsOnTheSameLine() {
+  void throwableIsWrittenOnTheSameLine() {
     install("INFO");
     Exception cause = new IllegalStateException("inner");
     Logger.getLogger(LogSetupTest.class)
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void librariesAreHeardFromWarningsOn() {
+  void librariesLogOnlyWarningsAndAbove() {
     install("INFO");
     java.util.logging.Logger library = java.util.logging.Logger.getLogger("io.javalin.Javalin");
     library.info("ordinary");
--- a/src/test/java/slateslip/logging/MetricLabelTest.java
+++ b/src/test/java/slateslip/logging/MetricLabelTest.java
@@ -7,7 +7,7 @@
 
 class MetricLabelTest {
   @Test
-  void escapesWhatTheFormatEscapesAndNothingElse() {
+  void escapesOnlyBackslashQuoteAndNewline() {
     assertThat(MetricLabel.escaped("a\\b\"c\nd"), is("a\\\\b\\\"c\\nd"));
     assertThat(MetricLabel.escaped("Z\u00f3na \u010c\t\u0001"), is("Z\u00f3na \u010c\t\u0001"));
   }
