--- a/src/main/java/slateslip/protocol/Decoded.java
+++ b/src/main/java/slateslip/protocol/Decoded.java
@@ -1,26 +1,27 @@
 package slateslip.protocol;
 
 /**
- * What came of reading one message.
+ * Result of decoding one message.
  *
- * @param <T> kind of message that was looked for
+ * @param <T> type of the expected messages
  */
 public sealed interface Decoded<T> {
-  /** A complete message. */
+  /** A message was decoded successfully. */
   record Message<T>(T value) implements Decoded<T> {}
 
   /**
-   * A well-formed header of a message that this version does not know; to be skipped.
+   * The header is complete, but the schema or the template is unknown to this program version. The
+   * receiver skips the message.
    *
-   * @param schema id of its schema
-   * @param template id of its kind
+   * @param schema schema id of the message
+   * @param template template id of the message
    */
   record Unknown<T>(int schema, int template) implements Decoded<T> {}
 
   /**
-   * No message: the peer is broken, and the connection is to be closed.
+   * The bytes are not a valid message. The peer is faulty, and the receiver closes the connection.
    *
-   * @param reason for the log
+   * @param reason description of the error for the log
    */
   record Malformed<T>(String reason) implements Decoded<T> {}
 }
--- a/src/main/java/slateslip/protocol/MessageBuffer.java
+++ b/src/main/java/slateslip/protocol/MessageBuffer.java
@@ -3,8 +3,8 @@
 import org.agrona.ExpandableArrayBuffer;
 
 /**
- * A buffer that messages are written into one after the other; it does not keep the size of a large
- * one.
+ * Reusable buffer for encoding one message at a time. After a large message the buffer shrinks to
+ * its initial size, so that the memory is not retained.
  */
 public final class MessageBuffer {
   private static final int INITIAL_BYTES = 512;
@@ -13,12 +13,15 @@
 
   private ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_BYTES);
 
-  /** What to write into, from its start. */
+  /** Returns the buffer to encode a message into, starting at offset 0. */
   public ExpandableArrayBuffer buffer() {
     return buffer;
   }
 
-  /** A copy of the message that was written: its header and as many bytes of a body. */
+  /**
+   * Returns a copy of the encoded message, which is its header and {@code bodyLength} bytes of
+   * body.
+   */
   public byte[] copy(int bodyLength) {
     byte[] bytes = new byte[HEADER_BYTES + bodyLength];
     buffer.getBytes(0, bytes);
--- a/src/main/java/slateslip/protocol/MessageReader.java
+++ b/src/main/java/slateslip/protocol/MessageReader.java
@@ -4,7 +4,10 @@
 import org.agrona.DirectBuffer;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** Reads one SBE message of a schema; whatever is wrong with its bytes becomes a value. */
+/**
+ * Decodes one SBE message of a schema. Malformed bytes yield {@link Decoded.Malformed} instead of
+ * an exception.
+ */
 public final class MessageReader {
   private static final int HEADER_BYTES = 8;
   private static final int TEMPLATE_OFFSET = 2;
@@ -13,26 +16,26 @@
 
   private MessageReader() {}
 
-  /** Reads the body of a message of one kind; null if the kind is not known. */
+  /** Decodes messages of a schema by their template id. */
   public interface BodyReader<T> {
     /**
-     * Reads the message, header included.
+     * Decodes the message, header included. Returns null if the template is unknown.
      *
-     * @throws IndexOutOfBoundsException if it reaches beyond the buffer
-     * @throws IllegalArgumentException if it holds an unknown value
+     * @throws IndexOutOfBoundsException if a field reaches beyond the buffer
+     * @throws IllegalArgumentException if a field has an unknown value
      */
     T read(DirectBuffer buffer, int template);
   }
 
-  /** Schema id of a message; -1 if it has no whole header. */
+  /** Returns the schema id of a message, or -1 if the message is shorter than a header. */
   public static int schemaOf(byte[] message) {
     return message.length < HEADER_BYTES ? -1 : unsignedShort(message, SCHEMA_OFFSET);
   }
 
-  /** Reads a message. */
+  /** Decodes a message. A message of another schema yields {@link Decoded.Unknown}. */
   public static <T> Decoded<T> read(byte[] message, int expectedSchema, BodyReader<T> bodyReader) {
     if (message.length < HEADER_BYTES) {
-      return new Decoded.Malformed<>("no whole header in " + message.length + " bytes");
+      return new Decoded.Malformed<>("incomplete message header of " + message.length + " bytes");
     }
     int schema = unsignedShort(message, SCHEMA_OFFSET);
     int template = unsignedShort(message, TEMPLATE_OFFSET);
@@ -48,16 +51,22 @@
   }
 
   /**
-   * The length of a document, if the message holds as much: else memory of any size would be taken.
+   * Returns the length of a document within a message after checking it against the size of the
+   * message. Without the check, a malformed length would cause an allocation of any size.
    *
-   * @param offset of the document's first byte
-   * @param length as the message says
+   * @param offset offset of the first byte of the document
+   * @param length length of the document according to the message
+   * @throws IndexOutOfBoundsException if the document does not fit into the message
    */
   public static int checkedLength(DirectBuffer buffer, int offset, int length) {
-    int left = buffer.capacity() - offset;
-    if (length < 0 || length > left) {
+    int remaining = buffer.capacity() - offset;
+    if (length < 0 || length > remaining) {
       throw new IndexOutOfBoundsException(
-          "a document of " + length + " bytes where " + left + " are");
+          "document length "
+              + length
+              + " is not between 0 and the remaining "
+              + remaining
+              + " bytes");
     }
     return length;
   }
--- a/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/DurableRecordCodec.java
@@ -22,13 +22,13 @@
 import slateslip.protocol.coordination.generated.VoteRecordDecoder;
 import slateslip.protocol.coordination.generated.VoteRecordEncoder;
 
-/** Records on disk as SBE. */
+/** Encodes and decodes the SBE records that replicas write to disk. */
 public final class DurableRecordCodec {
   private static final int INITIAL_BYTES = 512;
 
   private DurableRecordCodec() {}
 
-  /** Encodes a record, header included. */
+  /** Encodes a record, including the message header. */
   public static byte[] encode(DurableRecord record) {
     ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_BYTES);
     byte[] bytes = new byte[write(record, buffer)];
@@ -36,7 +36,9 @@
     return bytes;
   }
 
-  /** Decodes a record that fills the array; bad input gives {@link Decoded.Malformed}. */
+  /**
+   * Decodes a record that occupies the whole array. Invalid bytes yield {@link Decoded.Malformed}.
+   */
   public static Decoded<DurableRecord> decode(byte[] bytes) {
     return MessageReader.read(bytes, ReplicaMessageCodec.SCHEMA_ID, DurableRecordCodec::read);
   }
--- a/src/main/java/slateslip/protocol/coordination/FieldCodec.java
+++ b/src/main/java/slateslip/protocol/coordination/FieldCodec.java
@@ -17,7 +17,7 @@
 import slateslip.protocol.coordination.generated.StatusReportDecoder;
 import slateslip.protocol.coordination.generated.StatusReportEncoder;
 
-/** Parts that several messages have. */
+/** Encodes and decodes composite fields that several messages share. */
 final class FieldCodec {
   private static final int LENGTH_BYTES = 4;
   private static final short YES = 1;
@@ -87,19 +87,26 @@
   }
 
   /**
-   * Room for a document that the message is to hold next.
+   * Allocates an array for the document that is next in a message.
    *
-   * @param limit where its length field begins
-   * @param length as the message says
+   * @param limit offset of the length field of the document
+   * @param length length of the document according to the message
+   * @throws IndexOutOfBoundsException if the document does not fit into the message
    */
   static byte[] allocateBytes(DirectBuffer buffer, int limit, int length) {
     return new byte[MessageReader.checkedLength(buffer, limit + LENGTH_BYTES, length)];
   }
 
-  /** A block shorter than that of its own version would be read beyond its end. */
+  /**
+   * Checks that the fixed-size block of a message is at least as long as its schema version
+   * requires. The decoder would read beyond the end of a shorter block.
+   *
+   * @throws IllegalArgumentException if the block is too short
+   */
   static void checkBlock(int length, int version, int knownLength, int knownVersion) {
     if (version >= knownVersion && length < knownLength) {
-      throw new IllegalArgumentException("a block of " + length + " bytes");
+      throw new IllegalArgumentException(
+          "message block of " + length + " bytes is too short for its schema version");
     }
   }
 }
--- a/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
+++ b/src/main/java/slateslip/protocol/coordination/NestedBlocks.java
@@ -16,19 +16,22 @@
 import slateslip.protocol.coordination.generated.ViewBlockDecoder;
 import slateslip.protocol.coordination.generated.ViewBlockEncoder;
 
-/** Views and states inside of messages and records: each a message of its own. */
+/**
+ * Encodes and decodes views and state transfers that are nested in messages and records. Each
+ * nested block is an SBE message with its own header.
+ */
 final class NestedBlocks {
-  private static final byte[] NOTHING = new byte[0];
-  private static final int SMALL = 256;
+  private static final byte[] EMPTY = new byte[0];
+  private static final int INITIAL_BYTES = 256;
 
   private NestedBlocks() {}
 
-  /** A view's message; empty for {@link View#NONE}. */
+  /** Encodes a view. {@link View#NONE} is encoded as an empty array. */
   static byte[] encode(View view) {
     if (view.isNone()) {
-      return NOTHING;
+      return EMPTY;
     }
-    ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(SMALL);
+    ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_BYTES);
     ViewBlockEncoder encoder =
         new ViewBlockEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder.epoch(view.epoch());
@@ -46,17 +49,18 @@
   }
 
   /**
-   * Reads a view.
+   * Decodes a view.
    *
-   * @throws RuntimeException of the kinds that {@link slateslip.protocol.MessageReader} turns into
-   *     values
+   * @throws IndexOutOfBoundsException if the bytes are incomplete
+   * @throws IllegalArgumentException if the bytes are not a view; {@link
+   *     slateslip.protocol.MessageReader} converts both exceptions to results
    */
   static View view(byte[] bytes) {
     if (bytes.length == 0) {
       return View.NONE;
     }
     DirectBuffer buffer = new UnsafeBuffer(bytes);
-    expect(buffer, ViewBlockDecoder.TEMPLATE_ID);
+    checkTemplate(buffer, ViewBlockDecoder.TEMPLATE_ID);
     ViewBlockDecoder decoder = new ViewBlockDecoder();
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long epoch = decoder.epoch();
@@ -72,9 +76,9 @@
     return new View(epoch, primary, members, witnesses);
   }
 
-  /** A state's message. */
+  /** Encodes a state transfer. */
   static byte[] encode(StateTransfer state) {
-    ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(SMALL + (int) state.bytes());
+    ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_BYTES + (int) state.bytes());
     StateTransferBlockEncoder encoder =
         new StateTransferBlockEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder
@@ -90,14 +94,15 @@
   }
 
   /**
-   * Reads a state.
+   * Decodes a state transfer.
    *
-   * @throws RuntimeException of the kinds that {@link slateslip.protocol.MessageReader} turns into
-   *     values
+   * @throws IndexOutOfBoundsException if the bytes are incomplete
+   * @throws IllegalArgumentException if the bytes are not a state transfer; {@link
+   *     slateslip.protocol.MessageReader} converts both exceptions to results
    */
   static StateTransfer state(byte[] bytes) {
     DirectBuffer buffer = new UnsafeBuffer(bytes);
-    expect(buffer, StateTransferBlockDecoder.TEMPLATE_ID);
+    checkTemplate(buffer, StateTransferBlockDecoder.TEMPLATE_ID);
     StateTransferBlockDecoder decoder = new StateTransferBlockDecoder();
     decoder.wrapAndApplyHeader(buffer, 0, new MessageHeaderDecoder());
     long baseSequence = decoder.baseSequence();
@@ -114,10 +119,11 @@
     return new StateTransfer(baseSequence, complete, base, records, committedSequence);
   }
 
-  private static void expect(DirectBuffer buffer, int template) {
+  private static void checkTemplate(DirectBuffer buffer, int template) {
     MessageHeaderDecoder header = new MessageHeaderDecoder().wrap(buffer, 0);
     if (header.schemaId() != MessageHeaderDecoder.SCHEMA_ID || header.templateId() != template) {
-      throw new IllegalArgumentException("no message " + template + " inside of another");
+      throw new IllegalArgumentException(
+          "expected a nested message with template " + template + " of the coordination schema");
     }
   }
 
--- a/src/main/java/slateslip/protocol/coordination/ReplicaFrame.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaFrame.java
@@ -4,9 +4,9 @@
 import slateslip.coordination.ReplicaMessage;
 
 /**
- * A message with its sender.
+ * A message between replicas, with the identity of its sender.
  *
  * @param from identity of the sending node
- * @param message it
+ * @param message message that the node has sent
  */
 public record ReplicaFrame(NodeId from, ReplicaMessage message) {}
--- a/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageDecoder.java
@@ -23,7 +23,10 @@
 import slateslip.protocol.coordination.generated.SyncedDecoder;
 import slateslip.protocol.coordination.generated.TransferLeadershipDecoder;
 
-/** Reads one message; what is wrong with it is thrown, for the reader to turn into a value. */
+/**
+ * Decodes one message. Throws the exceptions of {@link slateslip.protocol.MessageReader.BodyReader}
+ * for malformed bytes; the message reader converts them to results.
+ */
 final class ReplicaMessageDecoder {
   private final MessageHeaderDecoder header = new MessageHeaderDecoder();
   private final DirectBuffer buffer;
@@ -32,7 +35,7 @@
     this.buffer = buffer;
   }
 
-  /** Reads a message; null if its kind is not known. */
+  /** Decodes the message. Returns null if the template is unknown. */
   ReplicaFrame read(int template) {
     return switch (template) {
       case HelloDecoder.TEMPLATE_ID -> readHello();
@@ -43,11 +46,11 @@
       case PromiseDecoder.TEMPLATE_ID -> readPromise();
       case AcceptDecoder.TEMPLATE_ID -> readAccept();
       case AcceptedDecoder.TEMPLATE_ID -> readAccepted();
-      case RejectedDecoder.TEMPLATE_ID -> readRefused();
+      case RejectedDecoder.TEMPLATE_ID -> readRejected();
       case InstallDecoder.TEMPLATE_ID -> readInstall();
       case AppendDecoder.TEMPLATE_ID -> readAppend();
       case SyncedDecoder.TEMPLATE_ID -> readSynced();
-      case TransferLeadershipDecoder.TEMPLATE_ID -> readTakeOver();
+      case TransferLeadershipDecoder.TEMPLATE_ID -> readTransferLeadership();
       default -> null;
     };
   }
@@ -152,7 +155,7 @@
     return new ReplicaFrame(from, new ReplicaMessage.Accepted(baseEpoch, ballot));
   }
 
-  private ReplicaFrame readRefused() {
+  private ReplicaFrame readRejected() {
     RejectedDecoder decoder = new RejectedDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(RejectedDecoder.BLOCK_LENGTH, RejectedDecoder.SCHEMA_VERSION);
     NodeId from = FieldCodec.node(decoder.sender());
@@ -197,7 +200,7 @@
     return new ReplicaFrame(from, new ReplicaMessage.Synced(term, sequence));
   }
 
-  private ReplicaFrame readTakeOver() {
+  private ReplicaFrame readTransferLeadership() {
     TransferLeadershipDecoder decoder =
         new TransferLeadershipDecoder().wrapAndApplyHeader(buffer, 0, header);
     check(TransferLeadershipDecoder.BLOCK_LENGTH, TransferLeadershipDecoder.SCHEMA_VERSION);
--- a/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
+++ b/src/main/java/slateslip/protocol/coordination/ReplicaMessageEncoder.java
@@ -18,24 +18,24 @@
 import slateslip.protocol.coordination.generated.SyncedEncoder;
 import slateslip.protocol.coordination.generated.TransferLeadershipEncoder;
 
-/** Writes one message into a buffer. */
+/** Encodes one message into a buffer. */
 final class ReplicaMessageEncoder {
   private final MessageHeaderEncoder header = new MessageHeaderEncoder();
   private final ExpandableArrayBuffer buffer;
   private final NodeId from;
 
   /**
-   * An encoder for one message.
+   * Creates an encoder for one message.
    *
-   * @param buffer written from its start
-   * @param from the sender
+   * @param buffer receives the message from offset 0
+   * @param from identity of the sending node
    */
   ReplicaMessageEncoder(ExpandableArrayBuffer buffer, NodeId from) {
     this.buffer = buffer;
     this.from = from;
   }
 
-  /** Writes the message and returns its length. */
+  /** Encodes the message and returns its length in bytes, header included. */
   int write(ReplicaMessage message) {
     if (message instanceof ReplicaMessage.Hello hello) {
       return write(hello);
@@ -61,8 +61,8 @@
     if (message instanceof ReplicaMessage.Accepted accepted) {
       return write(accepted);
     }
-    if (message instanceof ReplicaMessage.Rejected refused) {
-      return write(refused);
+    if (message instanceof ReplicaMessage.Rejected rejected) {
+      return write(rejected);
     }
     if (message instanceof ReplicaMessage.Install install) {
       return write(install);
@@ -73,10 +73,10 @@
     if (message instanceof ReplicaMessage.Synced synced) {
       return write(synced);
     }
-    if (message instanceof ReplicaMessage.TransferLeadership takeOver) {
-      return write(takeOver);
+    if (message instanceof ReplicaMessage.TransferLeadership transfer) {
+      return write(transfer);
     }
-    throw new IllegalStateException("a message without an encoding: " + message);
+    throw new IllegalStateException("no encoding exists for the message " + message);
   }
 
   private int write(ReplicaMessage.Hello message) {
--- a/src/main/java/slateslip/protocol/coordination/package-info.java
+++ b/src/main/java/slateslip/protocol/coordination/package-info.java
@@ -1,2 +1,5 @@
-/** SBE codec of the messages among core nodes, and of what they write to disk. */
+/**
+ * SBE codecs of the messages between the replicas of control agents, and of the records that
+ * replicas write to disk.
+ */
 package slateslip.protocol.coordination;
--- a/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionDecoder.java
@@ -27,14 +27,14 @@
 import slateslip.protocol.distribution.generated.SubscribeDecoder;
 
 /**
- * Reads messages of the distribution schema. Whatever reaches beyond the message's end raises
- * {@link IndexOutOfBoundsException}, by the buffer's own checks or by those here; an unknown value
- * of a type raises {@link IllegalArgumentException}.
+ * Decodes messages of the distribution schema. Throws {@link IndexOutOfBoundsException} if a field
+ * reaches beyond the end of the message, which the buffer or this class checks, and {@link
+ * IllegalArgumentException} if a field has an unknown value.
  */
 final class DistributionDecoder {
   private final MessageHeaderDecoder header = new MessageHeaderDecoder();
 
-  /** Reads a message for a control agent; null if its kind is not known. */
+  /** Decodes a message to a control agent. Returns null if the template is unknown. */
   DataPlaneMessage readToControl(DirectBuffer buffer, int template) {
     return switch (template) {
       case SubscribeDecoder.TEMPLATE_ID -> readSubscribe(buffer);
@@ -47,13 +47,13 @@
     };
   }
 
-  /** Reads a message for a data plane; null if its kind is not known. */
+  /** Decodes a message to a data plane. Returns null if the template is unknown. */
   ControlPlaneMessage readToDataPlane(DirectBuffer buffer, int template) {
     return switch (template) {
       case ConfigurationSnapshotDecoder.TEMPLATE_ID -> readSnapshot(buffer);
       case ConfigurationPatchDecoder.TEMPLATE_ID -> readPatch(buffer);
       case SessionsDecoder.TEMPLATE_ID -> readSessions(buffer);
-      case QuotaUpdateDecoder.TEMPLATE_ID -> readShares(buffer);
+      case QuotaUpdateDecoder.TEMPLATE_ID -> readQuotaUpdate(buffer);
       case HeartbeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
       case PongDecoder.TEMPLATE_ID ->
           new ControlPlaneMessage.Pong(
@@ -139,13 +139,13 @@
     for (SessionsDecoder.ChangedDecoder session : decoder.changed()) {
       changed.add(readSession(session));
     }
-    List<String> gone = new ArrayList<>();
+    List<String> removedIds = new ArrayList<>();
     for (SessionsDecoder.GoneDecoder id : decoder.gone()) {
-      gone.add(id.instance());
+      removedIds.add(id.instance());
     }
     return fullTable
         ? new ControlPlaneMessage.SessionSnapshot(revision, complete, changed)
-        : new ControlPlaneMessage.SessionDelta(revision, changed, gone);
+        : new ControlPlaneMessage.SessionDelta(revision, changed, removedIds);
   }
 
   private static BackendSession readSession(SessionsDecoder.ChangedDecoder decoder) {
@@ -162,7 +162,7 @@
         id, service, address, zone, software, slots, draining, remainingWarmupMillis, sequence);
   }
 
-  private ControlPlaneMessage readShares(DirectBuffer buffer) {
+  private ControlPlaneMessage readQuotaUpdate(DirectBuffer buffer) {
     QuotaUpdateDecoder decoder = new QuotaUpdateDecoder().wrapAndApplyHeader(buffer, 0, header);
     int agents = decoder.agents();
     QuotaAllocation.Lease lease = readLease(decoder);
--- a/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
+++ b/src/main/java/slateslip/protocol/distribution/DistributionEncoder.java
@@ -22,17 +22,17 @@
 import slateslip.protocol.distribution.generated.SessionsEncoder;
 import slateslip.protocol.distribution.generated.SubscribeEncoder;
 
-/** Writes messages of the distribution schema. Not safe for several threads. */
+/** Encodes messages of the distribution schema. Not thread-safe. */
 final class DistributionEncoder {
   private final MessageHeaderEncoder header = new MessageHeaderEncoder();
-  private final MessageBuffer written = new MessageBuffer();
+  private final MessageBuffer messageBuffer = new MessageBuffer();
 
   byte[] encode(DataPlaneMessage message) {
-    return written.copy(write(message));
+    return messageBuffer.copy(write(message));
   }
 
   byte[] encode(ControlPlaneMessage message) {
-    return written.copy(write(message));
+    return messageBuffer.copy(write(message));
   }
 
   private int write(DataPlaneMessage message) {
@@ -46,10 +46,10 @@
       return write(demand);
     }
     if (message instanceof DataPlaneMessage.Ping ping) {
-      PingEncoder encoder = new PingEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+      PingEncoder encoder = new PingEncoder().wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
       return encoder.nonce(ping.nonce()).encodedLength();
     }
-    throw new AssertionError("a message that is not in the schema: " + message);
+    throw new AssertionError("the schema has no encoding for the message " + message);
   }
 
   private int write(ControlPlaneMessage message) {
@@ -66,22 +66,22 @@
     if (message instanceof ControlPlaneMessage.SessionDelta delta) {
       return writeSessions(delta.revision(), false, false, delta.changed(), delta.removedIds());
     }
-    if (message instanceof ControlPlaneMessage.QuotaUpdate shares) {
-      return write(shares);
+    if (message instanceof ControlPlaneMessage.QuotaUpdate update) {
+      return write(update);
     }
     if (message instanceof ControlPlaneMessage.Heartbeat heartbeat) {
       return write(heartbeat);
     }
     if (message instanceof ControlPlaneMessage.Pong pong) {
-      PongEncoder encoder = new PongEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+      PongEncoder encoder = new PongEncoder().wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
       return encoder.nonce(pong.nonce()).encodedLength();
     }
-    throw new AssertionError("a message that is not in the schema: " + message);
+    throw new AssertionError("the schema has no encoding for the message " + message);
   }
 
   private int write(DataPlaneMessage.Subscribe message) {
     return new SubscribeEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .incarnation(message.incarnation())
         .configurationVersion(message.configurationVersion())
         .active(flag(message.active()))
@@ -92,7 +92,7 @@
 
   private int write(DataPlaneMessage.Acknowledge message) {
     return new AcknowledgeEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .configurationVersion(message.configurationVersion())
         .sessionRevision(message.sessionRevision())
         .encodedLength();
@@ -102,7 +102,7 @@
     QuotaReport report = message.report();
     DemandEncoder encoder =
         new DemandEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, header)
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
             .allocatorEpoch(report.epoch())
             .appliedNumber(report.appliedNumber())
             .sentMicros(report.sentMicros())
@@ -127,7 +127,7 @@
 
   private int write(ControlPlaneMessage.ConfigurationSnapshot message) {
     return new ConfigurationSnapshotEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .configurationVersion(message.version())
         .putContent(message.document(), 0, message.document().length)
         .encodedLength();
@@ -135,7 +135,7 @@
 
   private int write(ControlPlaneMessage.ConfigurationPatch message) {
     return new ConfigurationPatchEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .fromVersion(message.fromVersion())
         .toVersion(message.toVersion())
         .putContent(message.patch(), 0, message.patch().length)
@@ -147,10 +147,10 @@
       boolean fullTable,
       boolean complete,
       List<BackendSession> changed,
-      List<String> gone) {
+      List<String> removedIds) {
     SessionsEncoder encoder =
         new SessionsEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, header)
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
             .revision(revision)
             .fullTable(flag(fullTable))
             .complete(flag(complete));
@@ -158,8 +158,8 @@
     for (BackendSession session : changed) {
       write(session, sessions.next());
     }
-    SessionsEncoder.GoneEncoder ids = encoder.goneCount(gone.size());
-    for (String id : gone) {
+    SessionsEncoder.GoneEncoder ids = encoder.goneCount(removedIds.size());
+    for (String id : removedIds) {
       ids.next().instance(id);
     }
     return encoder.encodedLength();
@@ -181,7 +181,7 @@
   private int write(ControlPlaneMessage.QuotaUpdate message) {
     QuotaUpdateEncoder encoder =
         new QuotaUpdateEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, header)
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
             .agents(message.allocation().dataPlanes());
     write(message.allocation().lease(), encoder);
     QuotaUpdateEncoder.TenantsEncoder group =
@@ -212,7 +212,7 @@
   private int write(ControlPlaneMessage.Heartbeat message) {
     HeartbeatEncoder encoder =
         new HeartbeatEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, header)
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
             .current(flag(message.current()))
             .configurationVersion(message.configurationVersion())
             .sessionRevision(message.sessionRevision());
--- a/src/main/java/slateslip/protocol/distribution/package-info.java
+++ b/src/main/java/slateslip/protocol/distribution/package-info.java
@@ -1,2 +1,2 @@
-/** SBE messages between data planes and control agents. */
+/** SBE codec of the messages between data planes and control agents. */
 package slateslip.protocol.distribution;
--- a/src/main/java/slateslip/protocol/package-info.java
+++ b/src/main/java/slateslip/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** What slateslip's processes say to each other: SBE messages in frames over TCP. */
+/** Protocols between the processes of slateslip: framing and decoding of SBE messages over TCP. */
 package slateslip.protocol;
--- a/src/main/java/slateslip/protocol/peer/ConfigurationStateCodec.java
+++ b/src/main/java/slateslip/protocol/peer/ConfigurationStateCodec.java
@@ -14,19 +14,22 @@
 import slateslip.protocol.peer.generated.MessageHeaderDecoder;
 import slateslip.protocol.peer.generated.MessageHeaderEncoder;
 
-/** The replicated configuration state as it is copied and kept on disk. */
+/**
+ * Encodes and decodes snapshots of the replicated configuration state, which are sent to other
+ * replicas and stored on disk.
+ */
 public final class ConfigurationStateCodec {
   private ConfigurationStateCodec() {}
 
-  /** Bytes of a state. */
-  public static byte[] encode(ConfigurationStateSnapshot image) {
-    MessageBuffer written = new MessageBuffer();
+  /** Encodes a snapshot. */
+  public static byte[] encode(ConfigurationStateSnapshot snapshot) {
+    MessageBuffer messageBuffer = new MessageBuffer();
     ConfigurationStateSnapshotEncoder encoder =
         new ConfigurationStateSnapshotEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder());
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, new MessageHeaderEncoder());
     ConfigurationStateSnapshotEncoder.ChangesEncoder group =
-        encoder.changesCount(image.changes().size());
-    for (CommittedChange change : image.changes()) {
+        encoder.changesCount(snapshot.changes().size());
+    for (CommittedChange change : snapshot.changes()) {
       group
           .next()
           .baseVersion(change.baseVersion())
@@ -34,11 +37,11 @@
           .digestHigh(change.digestHigh())
           .digestLow(change.digestLow());
     }
-    encoder.putContent(image.document(), 0, image.document().length);
-    return written.copy(encoder.encodedLength());
+    encoder.putContent(snapshot.document(), 0, snapshot.document().length);
+    return messageBuffer.copy(encoder.encodedLength());
   }
 
-  /** Reads a state. */
+  /** Decodes a snapshot. Invalid bytes yield {@link Decoded.Malformed}. */
   public static Decoded<ConfigurationStateSnapshot> decode(byte[] bytes) {
     return MessageReader.read(bytes, ControlPeerCodec.SCHEMA_ID, ConfigurationStateCodec::read);
   }
--- a/src/main/java/slateslip/protocol/peer/ControlPeerCodec.java
+++ b/src/main/java/slateslip/protocol/peer/ControlPeerCodec.java
@@ -6,22 +6,28 @@
 import slateslip.protocol.peer.generated.MessageHeaderDecoder;
 
 /**
- * Writes and reads the messages among control agents: an SBE header and body, without the frame's
- * length. An error of the peer is a value, never thrown. Not safe for several threads.
+ * Encodes and decodes the SBE messages between control agents, without the length field of the
+ * frame. Malformed bytes from a peer yield {@link Decoded.Malformed}, never an exception. Not
+ * thread-safe.
  */
 public final class ControlPeerCodec {
-  /** Schema id that tells these messages from others on the same connection. */
+  /**
+   * Schema id in the message header. Distinguishes these messages from other messages on the same
+   * connection.
+   */
   public static final int SCHEMA_ID = MessageHeaderDecoder.SCHEMA_ID;
 
   private final ControlPeerEncoder encoder = new ControlPeerEncoder();
   private final ControlPeerDecoder decoder = new ControlPeerDecoder();
 
-  /** Bytes of a message. */
+  /** Encodes a message, including the message header. */
   public byte[] encode(ControlPeerMessage message) {
     return encoder.encode(message);
   }
 
-  /** Reads a message. */
+  /**
+   * Decodes a message that occupies the whole array. Invalid bytes yield {@link Decoded.Malformed}.
+   */
   public Decoded<ControlPeerMessage> decode(byte[] message) {
     return MessageReader.read(message, SCHEMA_ID, decoder::read);
   }
--- a/src/main/java/slateslip/protocol/peer/ControlPeerDecoder.java
+++ b/src/main/java/slateslip/protocol/peer/ControlPeerDecoder.java
@@ -31,17 +31,20 @@
 import slateslip.protocol.peer.generated.SessionChangesDecoder;
 import slateslip.protocol.peer.generated.SessionRenewalsDecoder;
 
-/** Reads messages of the exchange schema; errors as {@link MessageReader.BodyReader} says. */
+/**
+ * Decodes the messages between control agents. Throws the exceptions of {@link
+ * MessageReader.BodyReader} for malformed bytes.
+ */
 final class ControlPeerDecoder {
   private final MessageHeaderDecoder header = new MessageHeaderDecoder();
 
-  /** Reads a message; null if its kind is not known. */
+  /** Decodes a message. Returns null if the template is unknown. */
   ControlPeerMessage read(DirectBuffer buffer, int template) {
     return switch (template) {
       case HelloDecoder.TEMPLATE_ID -> readHello(buffer);
       case HeartbeatDecoder.TEMPLATE_ID -> readHeartbeat(buffer);
-      case SessionChangesDecoder.TEMPLATE_ID -> readChanges(buffer);
-      case SessionRenewalsDecoder.TEMPLATE_ID -> readRenewals(buffer);
+      case SessionChangesDecoder.TEMPLATE_ID -> readSessionChanges(buffer);
+      case SessionRenewalsDecoder.TEMPLATE_ID -> readSessionRenewals(buffer);
       case SessionChangesAcknowledgedDecoder.TEMPLATE_ID ->
           new ControlPeerMessage.SessionChangesAcknowledged(
               new SessionChangesAcknowledgedDecoder()
@@ -67,13 +70,13 @@
   private ControlPeerMessage readHeartbeat(DirectBuffer buffer) {
     HeartbeatDecoder decoder = new HeartbeatDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
-    long echoed = decoder.acknowledgedNumber();
+    long acknowledgedNumber = decoder.acknowledgedNumber();
     boolean complete = isSet(decoder.complete());
-    List<String> known = new ArrayList<>();
+    List<String> knownAgents = new ArrayList<>();
     for (HeartbeatDecoder.KnownAgentsDecoder agent : decoder.knownAgents()) {
-      known.add(agent.address());
+      knownAgents.add(agent.address());
     }
-    return new ControlPeerMessage.Heartbeat(number, echoed, complete, known);
+    return new ControlPeerMessage.Heartbeat(number, acknowledgedNumber, complete, knownAgents);
   }
 
   private ControlPeerMessage readForwardedRequest(DirectBuffer buffer) {
@@ -105,14 +108,14 @@
     return MessageReader.checkedLength(buffer, offset, length);
   }
 
-  private ControlPeerMessage readChanges(DirectBuffer buffer) {
+  private ControlPeerMessage readSessionChanges(DirectBuffer buffer) {
     SessionChangesDecoder decoder =
         new SessionChangesDecoder().wrapAndApplyHeader(buffer, 0, header);
     long number = decoder.number();
     boolean fullTable = isSet(decoder.fullTable());
     List<SessionEntry> entries = new ArrayList<>();
     for (SessionChangesDecoder.EntriesDecoder entry : decoder.entries()) {
-      entries.add(readEntry(entry));
+      entries.add(readSessionEntry(entry));
     }
     List<String> deregistered = new ArrayList<>();
     for (SessionChangesDecoder.DeregisteredDecoder id : decoder.deregistered()) {
@@ -121,7 +124,7 @@
     return new ControlPeerMessage.SessionChanges(number, fullTable, entries, deregistered);
   }
 
-  private static SessionEntry readEntry(SessionChangesDecoder.EntriesDecoder decoder) {
+  private static SessionEntry readSessionEntry(SessionChangesDecoder.EntriesDecoder decoder) {
     long registeredAge = decoder.registeredAgeMillis();
     long heardAge = decoder.heardAgeMillis();
     int slots = decoder.slots();
@@ -139,7 +142,7 @@
     return new SessionEntry(session, registeredAge, heardAge);
   }
 
-  private ControlPeerMessage readRenewals(DirectBuffer buffer) {
+  private ControlPeerMessage readSessionRenewals(DirectBuffer buffer) {
     SessionRenewalsDecoder decoder =
         new SessionRenewalsDecoder().wrapAndApplyHeader(buffer, 0, header);
     List<SessionRenewal> renewals = new ArrayList<>();
@@ -195,7 +198,7 @@
   private ControlPeerMessage readQuotaAllocations(DirectBuffer buffer) {
     QuotaAllocationsDecoder decoder =
         new QuotaAllocationsDecoder().wrapAndApplyHeader(buffer, 0, header);
-    List<DataPlaneQuota> allotted = new ArrayList<>();
+    List<DataPlaneQuota> quotas = new ArrayList<>();
     for (QuotaAllocationsDecoder.AgentsDecoder agent : decoder.agents()) {
       int agents = agent.agents();
       QuotaAllocation.Lease lease = readLease(agent);
@@ -205,9 +208,9 @@
         boolean exhausted = lease != null && isSet(tenant.exhausted());
         shares.add(new TenantShare(tenant.tenant(), fraction, exhausted));
       }
-      allotted.add(new DataPlaneQuota(agent.node(), new QuotaAllocation(agents, lease, shares)));
+      quotas.add(new DataPlaneQuota(agent.node(), new QuotaAllocation(agents, lease, shares)));
     }
-    return new ControlPeerMessage.QuotaAllocations(allotted);
+    return new ControlPeerMessage.QuotaAllocations(quotas);
   }
 
   private static QuotaAllocation.Lease readLease(QuotaAllocationsDecoder.AgentsDecoder decoder) {
--- a/src/main/java/slateslip/protocol/peer/ControlPeerEncoder.java
+++ b/src/main/java/slateslip/protocol/peer/ControlPeerEncoder.java
@@ -26,13 +26,13 @@
 import slateslip.protocol.peer.generated.SessionChangesEncoder;
 import slateslip.protocol.peer.generated.SessionRenewalsEncoder;
 
-/** Writes messages of the exchange schema. Not safe for several threads. */
+/** Encodes the messages between control agents. Not thread-safe. */
 final class ControlPeerEncoder {
   private final MessageHeaderEncoder header = new MessageHeaderEncoder();
-  private final MessageBuffer written = new MessageBuffer();
+  private final MessageBuffer messageBuffer = new MessageBuffer();
 
   byte[] encode(ControlPeerMessage message) {
-    return written.copy(write(message));
+    return messageBuffer.copy(write(message));
   }
 
   private int write(ControlPeerMessage message) {
@@ -48,16 +48,16 @@
     if (message instanceof ControlPeerMessage.ForwardedResponse response) {
       return write(response);
     }
-    if (message instanceof ControlPeerMessage.DeliveryReport delivered) {
+    if (message instanceof ControlPeerMessage.DeliveryReport report) {
       DeliveryReportEncoder encoder = new DeliveryReportEncoder();
-      encoder.wrapAndApplyHeader(written.buffer(), 0, header);
-      return encoder.slowestVersion(delivered.slowestVersion()).encodedLength();
+      encoder.wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
+      return encoder.slowestVersion(report.slowestVersion()).encodedLength();
     }
     if (message instanceof ControlPeerMessage.DemandReport demands) {
       return write(demands);
     }
-    if (message instanceof ControlPeerMessage.QuotaAllocations allotted) {
-      return write(allotted);
+    if (message instanceof ControlPeerMessage.QuotaAllocations allocations) {
+      return write(allocations);
     }
     return writeSessions(message);
   }
@@ -69,17 +69,17 @@
     if (message instanceof ControlPeerMessage.SessionRenewals renewals) {
       return write(renewals);
     }
-    if (message instanceof ControlPeerMessage.SessionChangesAcknowledged stored) {
+    if (message instanceof ControlPeerMessage.SessionChangesAcknowledged acknowledgement) {
       SessionChangesAcknowledgedEncoder encoder = new SessionChangesAcknowledgedEncoder();
-      encoder.wrapAndApplyHeader(written.buffer(), 0, header);
-      return encoder.number(stored.number()).encodedLength();
+      encoder.wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
+      return encoder.number(acknowledgement.number()).encodedLength();
     }
-    throw new AssertionError("a message that is not in the schema: " + message);
+    throw new AssertionError("the schema has no encoding for the message " + message);
   }
 
   private int write(ControlPeerMessage.Hello message) {
     return new HelloEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .incarnation(message.incarnation())
         .address(message.address())
         .encodedLength();
@@ -88,7 +88,7 @@
   private int write(ControlPeerMessage.Heartbeat message) {
     HeartbeatEncoder encoder =
         new HeartbeatEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, header)
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
             .number(message.number())
             .acknowledgedNumber(message.acknowledgedNumber())
             .complete(flag(message.complete()));
@@ -103,7 +103,7 @@
   private int write(ControlPeerMessage.ForwardedRequest message) {
     OperatorRequest request = message.request();
     return new ForwardedRequestEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .requestId(message.requestId())
         .baseVersion(request.baseVersion())
         .method(OperatorMethods.toWire(request.method()))
@@ -114,7 +114,7 @@
   private int write(ControlPeerMessage.ForwardedResponse message) {
     byte[] body = message.response().body();
     return new ForwardedResponseEncoder()
-        .wrapAndApplyHeader(written.buffer(), 0, header)
+        .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
         .requestId(message.requestId())
         .configurationVersion(message.response().version())
         .status(message.response().status())
@@ -125,7 +125,7 @@
   private int write(ControlPeerMessage.SessionChanges message) {
     SessionChangesEncoder encoder =
         new SessionChangesEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, header)
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, header)
             .number(message.number())
             .fullTable(flag(message.fullTable()));
     SessionChangesEncoder.EntriesEncoder entries = encoder.entriesCount(message.entries().size());
@@ -158,7 +158,7 @@
 
   private int write(ControlPeerMessage.SessionRenewals message) {
     SessionRenewalsEncoder encoder =
-        new SessionRenewalsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+        new SessionRenewalsEncoder().wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
     List<SessionRenewal> renewals = message.renewals();
     SessionRenewalsEncoder.RenewalsEncoder group = encoder.renewalsCount(renewals.size());
     for (SessionRenewal renewal : renewals) {
@@ -169,7 +169,7 @@
 
   private int write(ControlPeerMessage.DemandReport message) {
     DemandReportEncoder encoder =
-        new DemandReportEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+        new DemandReportEncoder().wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
     DemandReportEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
     for (DataPlaneDemand demand : message.dataPlanes()) {
       QuotaReport report = demand.report();
@@ -204,22 +204,22 @@
 
   private int write(ControlPeerMessage.QuotaAllocations message) {
     QuotaAllocationsEncoder encoder =
-        new QuotaAllocationsEncoder().wrapAndApplyHeader(written.buffer(), 0, header);
+        new QuotaAllocationsEncoder().wrapAndApplyHeader(messageBuffer.buffer(), 0, header);
     QuotaAllocationsEncoder.AgentsEncoder agents = encoder.agentsCount(message.dataPlanes().size());
-    for (DataPlaneQuota allotted : message.dataPlanes()) {
+    for (DataPlaneQuota quota : message.dataPlanes()) {
       QuotaAllocationsEncoder.AgentsEncoder agent =
-          agents.next().agents(allotted.allocation().dataPlanes());
-      write(allotted.allocation().lease(), agent);
+          agents.next().agents(quota.allocation().dataPlanes());
+      write(quota.allocation().lease(), agent);
       QuotaAllocationsEncoder.AgentsEncoder.TenantsEncoder tenants =
-          agent.tenantsCount(allotted.allocation().tenants().size());
-      for (TenantShare share : allotted.allocation().tenants()) {
+          agent.tenantsCount(quota.allocation().tenants().size());
+      for (TenantShare share : quota.allocation().tenants()) {
         tenants
             .next()
             .fraction(share.fraction())
             .exhausted(flag(share.exhausted()))
             .tenant(share.tenant());
       }
-      agent.node(allotted.node());
+      agent.node(quota.node());
     }
     return encoder.encodedLength();
   }
--- a/src/main/java/slateslip/protocol/peer/OperatorMethods.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorMethods.java
@@ -3,7 +3,7 @@
 import slateslip.distribution.peer.OperatorRequest;
 import slateslip.protocol.peer.generated.OperatorMethod;
 
-/** The methods of operator's calls on the wire. */
+/** Converts the HTTP methods of the operator's requests to and from their SBE values. */
 final class OperatorMethods {
   private OperatorMethods() {}
 
@@ -20,7 +20,7 @@
       case GET -> OperatorRequest.Method.GET;
       case PUT -> OperatorRequest.Method.PUT;
       case PATCH -> OperatorRequest.Method.PATCH;
-      case NULL_VAL -> throw new IllegalArgumentException("no method");
+      case NULL_VAL -> throw new IllegalArgumentException("the request has no method");
     };
   }
 }
--- a/src/main/java/slateslip/protocol/peer/OperatorRequestCodec.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorRequestCodec.java
@@ -11,24 +11,27 @@
 import slateslip.protocol.peer.generated.MessageHeaderDecoder;
 import slateslip.protocol.peer.generated.MessageHeaderEncoder;
 
-/** The record of a change: the operator's call as it was sent. */
+/**
+ * Encodes and decodes replicated records of configuration changes. A record contains the operator's
+ * request as it was sent.
+ */
 public final class OperatorRequestCodec {
   private OperatorRequestCodec() {}
 
-  /** Bytes of a call. */
+  /** Encodes a request. */
   public static byte[] encode(OperatorRequest request) {
-    MessageBuffer written = new MessageBuffer();
+    MessageBuffer messageBuffer = new MessageBuffer();
     int length =
         new ConfigurationChangeEncoder()
-            .wrapAndApplyHeader(written.buffer(), 0, new MessageHeaderEncoder())
+            .wrapAndApplyHeader(messageBuffer.buffer(), 0, new MessageHeaderEncoder())
             .baseVersion(request.baseVersion())
             .method(OperatorMethods.toWire(request.method()))
             .putContent(request.body(), 0, request.body().length)
             .encodedLength();
-    return written.copy(length);
+    return messageBuffer.copy(length);
   }
 
-  /** Reads a call. */
+  /** Decodes a request. Invalid bytes yield {@link Decoded.Malformed}. */
   public static Decoded<OperatorRequest> decode(byte[] bytes) {
     return MessageReader.read(bytes, ControlPeerCodec.SCHEMA_ID, OperatorRequestCodec::read);
   }
--- a/src/main/java/slateslip/protocol/peer/OperatorResponseCodec.java
+++ b/src/main/java/slateslip/protocol/peer/OperatorResponseCodec.java
@@ -4,24 +4,31 @@
 import slateslip.distribution.peer.OperatorResponse;
 import slateslip.protocol.Decoded;
 
-/** A response to the operator by itself, as the replicated state hands it through. */
+/**
+ * Encodes and decodes responses to the operator that pass through the replicated state machine as
+ * byte arrays.
+ */
 public final class OperatorResponseCodec {
   private static final long NO_REQUEST_ID = 0;
 
   private OperatorResponseCodec() {}
 
-  /** Bytes of a response. */
+  /** Encodes a response. */
   public static byte[] encode(OperatorResponse response) {
     return new ControlPeerCodec()
         .encode(new ControlPeerMessage.ForwardedResponse(NO_REQUEST_ID, response));
   }
 
-  /** Reads what {@link #encode} wrote in this process. */
+  /**
+   * Decodes a response that {@link #encode} encoded in this process.
+   *
+   * @throws IllegalStateException if the bytes are not an encoded response
+   */
   public static OperatorResponse decode(byte[] bytes) {
     if (new ControlPeerCodec().decode(bytes) instanceof Decoded.Message<ControlPeerMessage> message
         && message.value() instanceof ControlPeerMessage.ForwardedResponse response) {
       return response.response();
     }
-    throw new IllegalStateException("not an answer of this process");
+    throw new IllegalStateException("the bytes are not a response encoded by this process");
   }
 }
--- a/src/main/java/slateslip/protocol/peer/package-info.java
+++ b/src/main/java/slateslip/protocol/peer/package-info.java
@@ -1,2 +1,2 @@
-/** SBE codec of the messages among control agents, and of the replicated configuration state. */
+/** SBE codecs of the messages between control agents, and of the replicated configuration state. */
 package slateslip.protocol.peer;
--- a/src/test/java/slateslip/protocol/FramingTest.java
+++ b/src/test/java/slateslip/protocol/FramingTest.java
@@ -14,7 +14,10 @@
 import io.netty.handler.codec.TooLongFrameException;
 import org.junit.jupiter.api.Test;
 
-/** A stream is cut into messages wherever its bytes are parted. */
+/**
+ * Tests that a stream is split into messages correctly, however its bytes are divided between
+ * reads.
+ */
 class FramingTest {
   private static final byte[] MESSAGE = {1, 2, 3, 4, 5};
 
@@ -40,7 +43,7 @@
   }
 
   @Test
-  void severalMessagesMayComeAtOnce() {
+  void severalMessagesInOneReadAreDecoded() {
     ByteBuf first = Framing.frame(ByteBufAllocator.DEFAULT, MESSAGE);
     ByteBuf second = Framing.frame(ByteBufAllocator.DEFAULT, new byte[0]);
     channel.writeInbound(Unpooled.wrappedBuffer(first, second));
@@ -53,13 +56,13 @@
   }
 
   @Test
-  void hugeLengthIsRefusedBeforeItsBytesCome() {
+  void tooLongFrameIsRejectedByItsLengthField() {
     ByteBuf head = Unpooled.buffer().writeInt(Framing.MAX_MESSAGE_BYTES + 1);
     assertThrows(TooLongFrameException.class, () -> channel.writeInbound(head));
   }
 
   @Test
-  void negativeLengthIsRefused() {
+  void negativeLengthIsRejected() {
     ByteBuf head = Unpooled.buffer().writeInt(-1);
     assertThrows(DecoderException.class, () -> channel.writeInbound(head));
   }
--- a/src/test/java/slateslip/protocol/coordination/ReplicaMessageCodecTest.java
+++ b/src/test/java/slateslip/protocol/coordination/ReplicaMessageCodecTest.java
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void everyMessageComesBackAsItWas() {
+  void everyMessageIsUnchangedByEncodingAndDecoding() {
     for (ReplicaMessage message : messages()) {
       byte[] bytes = ReplicaMessageCodec.encode(TWO, message);
       Decoded<ReplicaFrame> decoded = ReplicaMessageCodec.decode(bytes);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void contentsSurvive() {
+  void contentsAreUnchangedByEncodingAndDecoding() {
     ReplicaMessage.Promise promise = new ReplicaMessage.Promise(7, BALLOT, BALLOT, VIEW, STATUS);
     assertThat(decoded(ReplicaMessageCodec.encode(ONE, promise)), is(promise));
     ReplicaMessage.Install install =
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void everyRecordComesBackAsItWas() {
+  void everyRecordIsUnchangedByEncodingAndDecoding() {
     for (DurableRecord record : records()) {
       byte[] bytes = DurableRecordCodec.encode(record);
       Decoded<DurableRecord> decoded = DurableRecordCodec.decode(bytes);
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void noGarbageThrows() {
+  void damagedMessagesNeverCauseExceptions() {
     SplittableRandom random = new SplittableRandom(1);
     for (byte[] bytes : allEncoded()) {
       for (int i = 0; i < 2_000; i++) {
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void aHugeLengthTakesNoMemory() {
+  void hugeLengthIsMalformedWithoutAllocation() {
     byte[] bytes =
         ReplicaMessageCodec.encode(ONE, new ReplicaMessage.Append(TERM, 1, 0, new byte[4]));
     int lengthField = bytes.length - 8;
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void anotherSchemaOrKindIsUnknown() {
+  void otherSchemaOrTemplateIsUnknown() {
     byte[] bytes = ReplicaMessageCodec.encode(ONE, new ReplicaMessage.TransferLeadership(1));
     byte[] otherKind = bytes.clone();
     otherKind[2] = 99;
--- a/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/coordination/SchemaVersionsTest.java
@@ -19,7 +19,10 @@
 import slateslip.protocol.coordination.generated.next.MessageHeaderEncoder;
 import slateslip.protocol.coordination.generated.next.ViewBlockEncoder;
 
-/** This version and a later one, with fields and data added, read each other. */
+/**
+ * Tests that the current schema version and a later one, which adds fields and variable-length
+ * data, can read each other's messages and records.
+ */
 final class SchemaVersionsTest {
   private static final long ADDED_VALUE = 77;
 
@@ -43,7 +46,7 @@
   }
 
   @Test
-  void aLaterHeartbeatIsRead() {
+  void heartbeatOfALaterVersionIsRead() {
     byte[] view = laterView();
     HeartbeatEncoder encoder =
         new HeartbeatEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void aLaterRecordOnDiskIsRead() {
+  void diskRecordOfALaterVersionIsRead() {
     EntryRecordEncoder encoder =
         new EntryRecordEncoder().wrapAndApplyHeader(buffer, 0, new MessageHeaderEncoder());
     encoder.sequence(3).committedSequence(2).addedNote(ADDED_VALUE);
@@ -73,7 +76,7 @@
   }
 
   @Test
-  void aLaterVersionReadsThisOne() {
+  void laterVersionReadsMessagesOfThisVersion() {
     byte[] heartbeat =
         ReplicaMessageCodec.encode(
             ReplicaMessageCodecTest.ONE,
--- a/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
+++ b/src/test/java/slateslip/protocol/distribution/DistributionCodecTest.java
@@ -27,7 +27,8 @@
 import slateslip.protocol.Decoded;
 
 /**
- * What is written is read back; what is not complete or not known is told apart and harms nothing.
+ * Tests that messages are unchanged by encoding and decoding, and that incomplete, damaged or
+ * unknown messages yield a result instead of an exception.
  */
 class DistributionCodecTest {
   private static final int CONTENT_LENGTH_OFFSET = 8 + 8;
@@ -78,14 +79,14 @@
 
   @ParameterizedTest
   @MethodSource("toControl")
-  void readsWhatItWroteToControl(DataPlaneMessage message) {
+  void messageToControlIsUnchangedByEncodingAndDecoding(DataPlaneMessage message) {
     assertThat(
         codec.decodeToControl(codec.encode(message)), equalTo(new Decoded.Message<>(message)));
   }
 
   @ParameterizedTest
   @MethodSource("toDataPlane")
-  void readsWhatItWroteToDataPlane(ControlPlaneMessage message) {
+  void messageToDataPlaneIsUnchangedByEncodingAndDecoding(ControlPlaneMessage message) {
     assertThat(
         codec.decodeToDataPlane(codec.encode(message)), equalTo(new Decoded.Message<>(message)));
   }
@@ -110,7 +111,7 @@
 
   @ParameterizedTest
   @MethodSource("toControl")
-  void isDistinguishedFromDataPlaneMessages(DataPlaneMessage message) {
+  void messageToControlIsUnknownToADataPlane(DataPlaneMessage message) {
     assertThat(
         codec.decodeToDataPlane(codec.encode(message)), is(instanceOf(Decoded.Unknown.class)));
   }
@@ -118,10 +119,10 @@
   @ParameterizedTest
   @MethodSource("toDataPlane")
   void truncatedMessageIsMalformed(ControlPlaneMessage message) {
-    byte[] fullTable = codec.encode(message);
-    for (int length = 0; length < fullTable.length; length++) {
+    byte[] encoded = codec.encode(message);
+    for (int length = 0; length < encoded.length; length++) {
       Decoded<ControlPlaneMessage> decoded =
-          codec.decodeToDataPlane(Arrays.copyOf(fullTable, length));
+          codec.decodeToDataPlane(Arrays.copyOf(encoded, length));
       assertThat("cut at " + length, decoded, is(instanceOf(Decoded.Malformed.class)));
     }
   }
@@ -137,14 +138,14 @@
   }
 
   @Test
-  void anotherSchemaIsUnknown() {
+  void otherSchemaIsUnknown() {
     byte[] bytes = codec.encode(new DataPlaneMessage.Ping(1));
     ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN).putShort(4, (short) 9999);
     assertThat(codec.decodeToControl(bytes), equalTo(new Decoded.Unknown<>(9999, 4)));
   }
 
   @Test
-  void garbageIsNeverThrownBack() {
+  void randomBytesNeverCauseExceptions() {
     Random random = new Random(7);
     for (int round = 0; round < 20_000; round++) {
       byte[] bytes = new byte[random.nextInt(80)];
@@ -155,13 +156,13 @@
   }
 
   @Test
-  void damagedMessagesAreNeverThrownBack() {
+  void damagedMessagesNeverCauseExceptions() {
     Random random = new Random(8);
-    List<byte[]> fullTable = new ArrayList<>();
-    toControl().forEach(message -> fullTable.add(codec.encode(message)));
-    toDataPlane().forEach(message -> fullTable.add(codec.encode(message)));
+    List<byte[]> encoded = new ArrayList<>();
+    toControl().forEach(message -> encoded.add(codec.encode(message)));
+    toDataPlane().forEach(message -> encoded.add(codec.encode(message)));
     for (int round = 0; round < 20_000; round++) {
-      byte[] bytes = fullTable.get(random.nextInt(fullTable.size())).clone();
+      byte[] bytes = encoded.get(random.nextInt(encoded.size())).clone();
       for (int damage = 0; damage < 3; damage++) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       }
--- a/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
+++ b/src/test/java/slateslip/protocol/distribution/SchemaVersionsTest.java
@@ -24,7 +24,8 @@
 import slateslip.protocol.distribution.newer.generated.SubscribeEncoder;
 
 /**
- * The schema as it is against a later one ({@code src/test/sbe}) that added fields and a message.
+ * Tests that the current schema version and a later one ({@code src/test/sbe}), which adds fields
+ * and a message, can read each other's messages.
  */
 class SchemaVersionsTest {
   private static final BackendSession FIRST =
@@ -81,7 +82,7 @@
   }
 
   @Test
-  void newerReaderTakesOlderSubscribe() {
+  void newerReaderReadsOlderSubscribe() {
     byte[] message = codec.encode(new DataPlaneMessage.Subscribe("edge-1", 5, "faro", 7, true));
     SubscribeDecoder decoder =
         new SubscribeDecoder()
@@ -94,7 +95,7 @@
   }
 
   @Test
-  void newerReaderTakesOlderAcknowledge() {
+  void newerReaderReadsOlderAcknowledge() {
     byte[] message = codec.encode(new DataPlaneMessage.Acknowledge(9, 12));
     AcknowledgeDecoder decoder =
         new AcknowledgeDecoder()
@@ -104,7 +105,7 @@
   }
 
   @Test
-  void newerReaderTakesOlderSessions() {
+  void newerReaderReadsOlderSessions() {
     byte[] message =
         codec.encode(
             new ControlPlaneMessage.SessionDelta(3, List.of(FIRST, SECOND), List.of("i-0")));
--- a/src/test/java/slateslip/protocol/peer/ControlPeerCodecTest.java
+++ b/src/test/java/slateslip/protocol/peer/ControlPeerCodecTest.java
@@ -30,7 +30,10 @@
 import slateslip.distribution.peer.SessionRenewal;
 import slateslip.protocol.Decoded;
 
-/** What is written is read back; what is cut or damaged harms nothing. */
+/**
+ * Tests that messages are unchanged by encoding and decoding, and that truncated or damaged
+ * messages yield a result instead of an exception.
+ */
 class ControlPeerCodecTest {
   private static final byte[] BODY = "{\"version\":7}".getBytes(StandardCharsets.UTF_8);
 
@@ -69,16 +72,16 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void readsWhatItWrote(ControlPeerMessage message) {
+  void messageIsUnchangedByEncodingAndDecoding(ControlPeerMessage message) {
     assertThat(codec.decode(codec.encode(message)), equalTo(new Decoded.Message<>(message)));
   }
 
   @ParameterizedTest
   @MethodSource("messages")
   void truncatedMessageIsMalformed(ControlPeerMessage message) {
-    byte[] fullTable = codec.encode(message);
-    for (int length = 0; length < fullTable.length; length++) {
-      Decoded<ControlPeerMessage> decoded = codec.decode(Arrays.copyOf(fullTable, length));
+    byte[] encoded = codec.encode(message);
+    for (int length = 0; length < encoded.length; length++) {
+      Decoded<ControlPeerMessage> decoded = codec.decode(Arrays.copyOf(encoded, length));
       assertThat("cut at " + length, decoded, is(instanceOf(Decoded.Malformed.class)));
     }
   }
@@ -105,7 +108,7 @@
   }
 
   @Test
-  void theStateAndItsRecordsAreReadBack() {
+  void stateSnapshotAndRecordsAreUnchangedByEncodingAndDecoding() {
     List<CommittedChange> changes =
         List.of(new CommittedChange(0, 3, 1, 2), new CommittedChange(3, 9, -1, -2));
     Decoded<ConfigurationStateSnapshot> image =
@@ -125,11 +128,11 @@
   }
 
   @Test
-  void damageIsNeverThrownBack() {
+  void damagedMessagesNeverCauseExceptions() {
     Random random = new Random(3);
-    List<byte[]> fullTable = messages().map(codec::encode).toList();
+    List<byte[]> encoded = messages().map(codec::encode).toList();
     for (int round = 0; round < 20_000; round++) {
-      byte[] bytes = fullTable.get(random.nextInt(fullTable.size())).clone();
+      byte[] bytes = encoded.get(random.nextInt(encoded.size())).clone();
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       codec.decode(bytes);
