--- a/src/main/java/slateslip/experiment/Experiment.java
+++ b/src/main/java/slateslip/experiment/Experiment.java
@@ -6,19 +6,21 @@
 import slateslip.simulation.dataplane.WorldPlan;
 
 /**
- * What is played.
+ * Describes one experiment: every variant is simulated with every plan.
  *
- * @param name for the outputs
- * @param plans one for each seed
- * @param variants routers that play every plan
+ * @param name name of the experiment in the JSON lines and the plot
+ * @param plans simulation plans, one for each seed
+ * @param variants router variants, each of which is simulated with every plan
  */
 public record Experiment(String name, List<WorldPlan> plans, List<Variant> variants) {
   /**
-   * A router with its parameters.
+   * Describes a router and its parameters.
    *
-   * @param name for the outputs
-   * @param policy of a router that only places requests; null for the fleet's own router
-   * @param mechanisms that the fleet's own router uses
+   * @param name name of the variant in the table, the JSON lines and the plot
+   * @param policy placement policy of a {@link slateslip.experiment.policy.PolicyRouter}, or null
+   *     if the variant uses the fleet's router
+   * @param mechanisms enabled mechanisms and parameters of the fleet's router; ignored if a
+   *     placement policy is given
    */
   public record Variant(String name, PlacementPolicy policy, RoutingPolicy mechanisms) {}
 }
--- a/src/main/java/slateslip/experiment/ExperimentFields.java
+++ b/src/main/java/slateslip/experiment/ExperimentFields.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checked access to the fields of a JSON object; a problem names the field by its whole path. */
+/**
+ * Reads the fields of a JSON object and checks their types. Exceptions name the field by its full
+ * path.
+ */
 final class ExperimentFields {
   private final String path;
   private final Map<?, ?> values;
@@ -14,11 +17,11 @@
     this.values = values;
   }
 
-  /** A field that is missing, of another type or out of range. */
-  static final class Problem extends Exception {
+  /** Signals that a field is missing, has the wrong type or is out of range. */
+  static final class InvalidFieldException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Problem(String field, String reason) {
+    InvalidFieldException(String field, String reason) {
       super(field + " " + reason);
     }
   }
@@ -27,97 +30,103 @@
     return values.get(name) != null;
   }
 
-  String text(String name) throws Problem {
+  String text(String name) throws InvalidFieldException {
     if (values.get(name) instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw problem(name, "is not a text");
+    throw invalidField(name, "is not a non-empty string");
   }
 
-  String text(String name, String otherwise) throws Problem {
-    return has(name) ? text(name) : otherwise;
+  String text(String name, String defaultValue) throws InvalidFieldException {
+    return has(name) ? text(name) : defaultValue;
   }
 
-  double number(String name) throws Problem {
+  double number(String name) throws InvalidFieldException {
     if (values.get(name) instanceof Number number && number.doubleValue() >= 0) {
       return number.doubleValue();
     }
-    throw problem(name, "is not a number of 0 or more");
+    throw invalidField(name, "is not a number of 0 or more");
   }
 
-  double number(String name, double otherwise) throws Problem {
-    return has(name) ? number(name) : otherwise;
+  double number(String name, double defaultValue) throws InvalidFieldException {
+    return has(name) ? number(name) : defaultValue;
   }
 
-  int integer(String name) throws Problem {
+  int integer(String name) throws InvalidFieldException {
     double number = number(name);
     if (number != Math.rint(number) || number > Integer.MAX_VALUE) {
-      throw problem(name, "is not a whole number");
+      throw invalidField(name, "is not a whole number");
     }
     return (int) number;
   }
 
-  int integer(String name, int otherwise) throws Problem {
-    return has(name) ? integer(name) : otherwise;
+  int integer(String name, int defaultValue) throws InvalidFieldException {
+    return has(name) ? integer(name) : defaultValue;
   }
 
-  boolean flag(String name, boolean otherwise) throws Problem {
+  boolean flag(String name, boolean defaultValue) throws InvalidFieldException {
     if (!has(name)) {
-      return otherwise;
+      return defaultValue;
     }
     if (values.get(name) instanceof Boolean flag) {
       return flag;
     }
-    throw problem(name, "is neither true nor false");
+    throw invalidField(name, "is neither true nor false");
   }
 
-  ExperimentFields object(String name) throws Problem {
+  ExperimentFields object(String name) throws InvalidFieldException {
     if (values.get(name) instanceof Map<?, ?> map) {
-      return new ExperimentFields(inner(name), map);
+      return new ExperimentFields(qualifiedName(name), map);
     }
-    throw problem(name, "is not an object");
+    throw invalidField(name, "is not an object");
   }
 
-  /** The objects of a list; an empty one if the field is missing. */
-  List<ExperimentFields> objects(String name) throws Problem {
+  /**
+   * Returns the objects of a list field, or an empty list if the field is missing. Throws if an
+   * element is not an object.
+   */
+  List<ExperimentFields> objects(String name) throws InvalidFieldException {
     List<ExperimentFields> result = new ArrayList<>();
     for (Object element : list(name)) {
-      String row = inner(name) + "[" + result.size() + "]";
+      String elementPath = qualifiedName(name) + "[" + result.size() + "]";
       if (!(element instanceof Map<?, ?> map)) {
-        throw new Problem(row, "is not an object");
+        throw new InvalidFieldException(elementPath, "is not an object");
       }
-      result.add(new ExperimentFields(row, map));
+      result.add(new ExperimentFields(elementPath, map));
     }
     return result;
   }
 
-  /** The whole numbers of a list. */
-  List<Long> integers(String name) throws Problem {
+  /**
+   * Returns the numbers of a list field without their fractions, or an empty list if the field is
+   * missing.
+   */
+  List<Long> integers(String name) throws InvalidFieldException {
     List<Long> result = new ArrayList<>();
     for (Object element : list(name)) {
       if (!(element instanceof Number number)) {
-        throw problem(name, "holds something that is not a number");
+        throw invalidField(name, "contains an element that is not a number");
       }
       result.add(number.longValue());
     }
     return result;
   }
 
-  Problem problem(String name, String reason) {
-    return new Problem(inner(name), reason);
+  InvalidFieldException invalidField(String name, String reason) {
+    return new InvalidFieldException(qualifiedName(name), reason);
   }
 
-  private List<?> list(String name) throws Problem {
+  private List<?> list(String name) throws InvalidFieldException {
     if (!has(name)) {
       return List.of();
     }
     if (values.get(name) instanceof List<?> list) {
       return list;
     }
-    throw problem(name, "is not a list");
+    throw invalidField(name, "is not a list");
   }
 
-  private String inner(String name) {
+  private String qualifiedName(String name) {
     return path.isEmpty() ? name : path + "." + name;
   }
 }
--- a/src/main/java/slateslip/experiment/ExperimentFile.java
+++ b/src/main/java/slateslip/experiment/ExperimentFile.java
@@ -24,47 +24,56 @@
 import slateslip.simulation.dataplane.WorldPlan.TenantPlan;
 import slateslip.simulation.engine.EngineParameters;
 
-/** Reads an experiment and the deployment that it names, both JSON. */
+/**
+ * Reads an experiment file and the deployment file that the experiment names. Both files are JSON.
+ */
 public final class ExperimentFile {
   private static final double MICROS_PER_SECOND = 1e6;
   private static final double MICROS_PER_MILLI = 1e3;
 
   private ExperimentFile() {}
 
-  /** What reading gave. */
-  public sealed interface Reading {
-    /** A whole experiment. */
-    record Valid(Experiment experiment) implements Reading {}
+  /** Result of reading an experiment file. */
+  public sealed interface ReadResult {
+    /** The files are valid and describe this experiment. */
+    record Valid(Experiment experiment) implements ReadResult {}
 
-    /** The file, the field at fault and the reason. */
-    record Invalid(String message) implements Reading {}
+    /**
+     * One of the files is invalid. The message names the file, the invalid field and the reason.
+     */
+    record Invalid(String message) implements ReadResult {}
   }
 
-  /** Reads a file; the deployment's path is relative to it. */
-  public static Reading read(Path file) {
+  /**
+   * Reads an experiment file. The path of the deployment file is relative to the folder of the
+   * experiment file.
+   */
+  public static ReadResult read(Path file) {
     try {
       ExperimentFields fields = parse(file);
       Path deploymentFile = file.resolveSibling(fields.text("deployment"));
-      return new Reading.Valid(experiment(fields, deployment(deploymentFile)));
-    } catch (ExperimentFields.Problem problem) {
-      return new Reading.Invalid(file + ": " + problem.getMessage());
+      return new ReadResult.Valid(experiment(fields, deployment(deploymentFile)));
+    } catch (ExperimentFields.InvalidFieldException invalid) {
+      return new ReadResult.Invalid(file + ": " + invalid.getMessage());
     }
   }
 
-  private static ExperimentFields parse(Path file) throws ExperimentFields.Problem {
+  private static ExperimentFields parse(Path file) throws ExperimentFields.InvalidFieldException {
     try {
       Map<String, Object> values =
           JsonMapper.builder().build().fromJsonObject(Files.readString(file));
       return new ExperimentFields("", values);
     } catch (IOException unreadable) {
-      throw new ExperimentFields.Problem(file.toString(), "cannot be read: " + unreadable);
+      throw new ExperimentFields.InvalidFieldException(
+          file.toString(), "cannot be read: " + unreadable);
     } catch (JsonException malformed) {
-      throw new ExperimentFields.Problem(file.toString(), "is not JSON: " + malformed.getMessage());
+      throw new ExperimentFields.InvalidFieldException(
+          file.toString(), "is not JSON: " + malformed.getMessage());
     }
   }
 
   private static Experiment experiment(ExperimentFields fields, WorldPlan deployment)
-      throws ExperimentFields.Problem {
+      throws ExperimentFields.InvalidFieldException {
     double load = fields.number("load", 1);
     List<Fault> faults = new ArrayList<>();
     for (ExperimentFields fault : fields.objects("faults")) {
@@ -87,35 +96,37 @@
               faults));
     }
     if (plans.isEmpty()) {
-      throw fields.problem("seeds", "names none");
+      throw fields.invalidField("seeds", "is missing or an empty list");
     }
     return new Experiment(fields.text("name"), plans, variants(fields));
   }
 
-  private static List<Variant> variants(ExperimentFields fields) throws ExperimentFields.Problem {
+  private static List<Variant> variants(ExperimentFields fields)
+      throws ExperimentFields.InvalidFieldException {
     List<Variant> variants = new ArrayList<>();
     for (ExperimentFields variant : fields.objects("variants")) {
       PlacementPolicy policy = variant.has("policy") ? policy(variant.object("policy")) : null;
       variants.add(new Variant(variant.text("name"), policy, mechanisms(variant)));
     }
     if (variants.isEmpty()) {
-      throw fields.problem("variants", "names none");
+      throw fields.invalidField("variants", "is missing or an empty list");
     }
     return variants;
   }
 
   private static RoutingPolicy mechanisms(ExperimentFields variant)
-      throws ExperimentFields.Problem {
+      throws ExperimentFields.InvalidFieldException {
     String disabled = variant.text("disabled", "");
     String parameters = variant.text("parameters", "");
     try {
       return RoutingPolicy.of(disabled, parameters);
     } catch (IllegalArgumentException unknown) {
-      throw variant.problem("disabled or parameters", "names " + unknown.getMessage());
+      throw variant.invalidField("disabled or parameters", "is invalid: " + unknown.getMessage());
     }
   }
 
-  private static PlacementPolicy policy(ExperimentFields fields) throws ExperimentFields.Problem {
+  private static PlacementPolicy policy(ExperimentFields fields)
+      throws ExperimentFields.InvalidFieldException {
     return new PlacementPolicy(
         fields.flag("own_zone_only", false),
         fields.integer("choices"),
@@ -128,16 +139,17 @@
         fields.number("bound_factor", 0));
   }
 
-  private static Fault fault(ExperimentFields fields) throws ExperimentFields.Problem {
+  private static Fault fault(ExperimentFields fields)
+      throws ExperimentFields.InvalidFieldException {
     return new Fault(
-        oneOf(fields, "kind", Fault.Kind.class),
+        enumConstant(fields, "kind", Fault.Kind.class),
         Math.round(fields.number("at_s") * MICROS_PER_SECOND),
         Math.round(fields.number("for_s", 0) * MICROS_PER_SECOND),
         fields.integer("target", 0),
         fields.number("strength", 0));
   }
 
-  private static WorldPlan deployment(Path file) throws ExperimentFields.Problem {
+  private static WorldPlan deployment(Path file) throws ExperimentFields.InvalidFieldException {
     ExperimentFields fields = parse(file);
     List<RequestClass> classes = new ArrayList<>();
     for (ExperimentFields requestClass : fields.objects("classes")) {
@@ -145,7 +157,7 @@
     }
     List<BackendGroup> backends = new ArrayList<>();
     for (ExperimentFields group : fields.objects("backends")) {
-      backends.add(backends(group));
+      backends.add(backendGroup(group));
     }
     List<TenantPlan> tenants = new ArrayList<>();
     for (ExperimentFields tenant : fields.objects("tenants")) {
@@ -169,11 +181,13 @@
         List.of());
   }
 
-  private static long micros(ExperimentFields fields, String name) throws ExperimentFields.Problem {
+  private static long micros(ExperimentFields fields, String name)
+      throws ExperimentFields.InvalidFieldException {
     return Math.round(fields.number(name) * MICROS_PER_MILLI);
   }
 
-  private static BackendGroup backends(ExperimentFields fields) throws ExperimentFields.Problem {
+  private static BackendGroup backendGroup(ExperimentFields fields)
+      throws ExperimentFields.InvalidFieldException {
     EngineParameters engine = fields.has("engine") ? engine(fields.object("engine")) : null;
     return new BackendGroup(
         fields.text("service"),
@@ -183,7 +197,8 @@
         fields.integer("queue", 0));
   }
 
-  private static EngineParameters engine(ExperimentFields fields) throws ExperimentFields.Problem {
+  private static EngineParameters engine(ExperimentFields fields)
+      throws ExperimentFields.InvalidFieldException {
     return new EngineParameters(
         fields.integer("slots"),
         fields.integer("queue"),
@@ -200,7 +215,7 @@
   }
 
   private static RequestClass requestClass(ExperimentFields fields)
-      throws ExperimentFields.Problem {
+      throws ExperimentFields.InvalidFieldException {
     List<SharedPart> parts = new ArrayList<>();
     for (ExperimentFields part : fields.objects("shared_parts")) {
       parts.add(
@@ -209,7 +224,7 @@
     return new RequestClass(
         fields.text("name"),
         fields.text("service"),
-        oneOf(fields, "kind", RouteKind.class),
+        enumConstant(fields, "kind", RouteKind.class),
         fields.flag("resumable", false),
         fields.integer("target_latency_ms"),
         fields.integer("gap_aim_ms", 0),
@@ -228,7 +243,8 @@
         fields.number("error_share", 0));
   }
 
-  private static Size size(ExperimentFields fields, String name) throws ExperimentFields.Problem {
+  private static Size size(ExperimentFields fields, String name)
+      throws ExperimentFields.InvalidFieldException {
     if (!fields.has(name)) {
       return Size.NONE;
     }
@@ -236,14 +252,15 @@
     return new Size(size.number("mean"), size.number("spread"), size.number("max"));
   }
 
-  private static <T extends Enum<T>> T oneOf(ExperimentFields fields, String name, Class<T> type)
-      throws ExperimentFields.Problem {
+  private static <T extends Enum<T>> T enumConstant(
+      ExperimentFields fields, String name, Class<T> type)
+      throws ExperimentFields.InvalidFieldException {
     String text = fields.text(name).toUpperCase(Locale.ROOT);
     for (T constant : type.getEnumConstants()) {
       if (constant.name().equals(text)) {
         return constant;
       }
     }
-    throw fields.problem(name, "is none of " + List.of(type.getEnumConstants()));
+    throw fields.invalidField(name, "is none of " + List.of(type.getEnumConstants()));
   }
 }
--- a/src/main/java/slateslip/experiment/ExperimentMain.java
+++ b/src/main/java/slateslip/experiment/ExperimentMain.java
@@ -12,14 +12,17 @@
 import org.apache.commons.cli.ParseException;
 import slateslip.experiment.ExperimentRun.VariantResult;
 
-/** Command line of the experiments. */
+/** Runs an experiment from the command line and prints its results. */
 public final class ExperimentMain {
   private static final int USAGE_ERROR = 2;
   private static final int DEFAULT_THREADS = 2;
 
   private ExperimentMain() {}
 
-  /** Plays an experiment and ends with 0, or with 2 if it cannot be played. */
+  /**
+   * Runs an experiment. Exits with status 0, or with status 2 if the arguments or the experiment
+   * file are invalid.
+   */
   public static void main(String[] arguments) throws IOException {
     System.exit(run(arguments, System.out, System.err));
   }
@@ -29,8 +32,8 @@
     CommandLine command;
     try {
       command = new DefaultParser().parse(options, arguments);
-    } catch (ParseException wrong) {
-      err.println(wrong.getMessage());
+    } catch (ParseException invalid) {
+      err.println(invalid.getMessage());
       return USAGE_ERROR;
     }
     if (command.hasOption("help") || command.getArgList().size() != 1) {
@@ -41,20 +44,20 @@
           .forEach(o -> target.println("  --" + o.getLongOpt() + "  " + o.getDescription()));
       return command.hasOption("help") ? 0 : USAGE_ERROR;
     }
-    ExperimentFile.Reading reading = ExperimentFile.read(Path.of(command.getArgList().get(0)));
-    if (reading instanceof ExperimentFile.Reading.Invalid invalid) {
+    ExperimentFile.ReadResult result = ExperimentFile.read(Path.of(command.getArgList().get(0)));
+    if (result instanceof ExperimentFile.ReadResult.Invalid invalid) {
       err.println(invalid.message());
       return USAGE_ERROR;
     }
-    play(((ExperimentFile.Reading.Valid) reading).experiment(), command, out);
+    runExperiment(((ExperimentFile.ReadResult.Valid) result).experiment(), command, out);
     return 0;
   }
 
-  private static void play(Experiment experiment, CommandLine command, PrintStream out)
+  private static void runExperiment(Experiment experiment, CommandLine command, PrintStream out)
       throws IOException {
     int threads =
         Integer.parseInt(command.getOptionValue("threads", String.valueOf(DEFAULT_THREADS)));
-    List<VariantResult> results = ExperimentRun.play(experiment, threads);
+    List<VariantResult> results = ExperimentRun.run(experiment, threads);
     out.print(ResultTable.format(results));
     if (command.hasOption("lines")) {
       Files.writeString(
@@ -68,12 +71,25 @@
 
   private static Options options() {
     Options options = new Options();
-    options.addOption(Option.builder().longOpt("help").desc("say this").get());
+    options.addOption(Option.builder().longOpt("help").desc("print this help").get());
     options.addOption(
-        Option.builder().longOpt("lines").hasArg().desc("write JSON lines here").get());
-    options.addOption(Option.builder().longOpt("plot").hasArg().desc("write an SVG here").get());
+        Option.builder()
+            .longOpt("lines")
+            .hasArg()
+            .desc("file for the results as JSON lines")
+            .get());
     options.addOption(
-        Option.builder().longOpt("threads").hasArg().desc("worlds played at once").get());
+        Option.builder()
+            .longOpt("plot")
+            .hasArg()
+            .desc("file for the plot of the results as SVG")
+            .get());
+    options.addOption(
+        Option.builder()
+            .longOpt("threads")
+            .hasArg()
+            .desc("number of simulations that run at once")
+            .get());
     return options;
   }
 }
--- a/src/main/java/slateslip/experiment/ExperimentRun.java
+++ b/src/main/java/slateslip/experiment/ExperimentRun.java
@@ -14,32 +14,39 @@
 import slateslip.simulation.dataplane.Measurements;
 import slateslip.simulation.dataplane.WorldPlan;
 
-/** Plays every variant of an experiment with every seed. */
+/** Simulates every variant of an experiment with every seed. */
 final class ExperimentRun {
   private ExperimentRun() {}
 
   /**
-   * What a variant gave over all seeds.
+   * Results of one variant over all seeds.
    *
-   * @param bySeed worth earned by worth owed with each seed
-   * @param violations rules that it broke, over all seeds
+   * @param variant name of the variant
+   * @param measurements measurements of all seeds together
+   * @param valueFractionsBySeed for each seed, the value earned by served requests as a fraction of
+   *     the value of all requests
+   * @param violations number of rule violations over all seeds
    */
   record VariantResult(
-      String variant, Measurements measurements, List<Double> bySeed, int violations) {}
+      String variant,
+      Measurements measurements,
+      List<Double> valueFractionsBySeed,
+      int violations) {}
 
   /**
-   * Plays an experiment, a few worlds at a time; the order of the results does not depend on it.
+   * Runs all simulations of an experiment on the given number of threads. The number of threads
+   * does not affect the results or their order.
    */
-  static List<VariantResult> play(Experiment experiment, int threads) {
+  static List<VariantResult> run(Experiment experiment, int threads) {
     ExecutorService executor = Executors.newFixedThreadPool(threads);
     try {
       List<List<Future<DataPlaneWorld.Result>>> runs = new ArrayList<>();
       for (Variant variant : experiment.variants()) {
-        List<Future<DataPlaneWorld.Result>> ofVariant = new ArrayList<>();
+        List<Future<DataPlaneWorld.Result>> variantRuns = new ArrayList<>();
         for (WorldPlan plan : experiment.plans()) {
-          ofVariant.add(executor.submit(() -> DataPlaneWorld.run(plan, router(variant))));
+          variantRuns.add(executor.submit(() -> DataPlaneWorld.run(plan, router(variant))));
         }
-        runs.add(ofVariant);
+        runs.add(variantRuns);
       }
       List<VariantResult> results = new ArrayList<>();
       for (int i = 0; i < runs.size(); i++) {
@@ -59,15 +66,15 @@
 
   private static VariantResult merge(String name, List<Future<DataPlaneWorld.Result>> runs) {
     Measurements all = new Measurements();
-    List<Double> bySeed = new ArrayList<>();
+    List<Double> valueFractionsBySeed = new ArrayList<>();
     int violations = 0;
     for (Future<DataPlaneWorld.Result> run : runs) {
       DataPlaneWorld.Result result = get(run);
       all.add(result.measurements());
-      bySeed.add(result.measurements().whole().valueFraction());
+      valueFractionsBySeed.add(result.measurements().whole().valueFraction());
       violations += result.violations().size();
     }
-    return new VariantResult(name, all, bySeed, violations);
+    return new VariantResult(name, all, valueFractionsBySeed, violations);
   }
 
   private static DataPlaneWorld.Result get(Future<DataPlaneWorld.Result> run) {
@@ -75,9 +82,9 @@
       return run.get();
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted while a world was played", interrupted);
-    } catch (ExecutionException broken) {
-      throw new IllegalStateException("a world broke", broken.getCause());
+      throw new IllegalStateException("interrupted while a simulation was running", interrupted);
+    } catch (ExecutionException failure) {
+      throw new IllegalStateException("a simulation failed", failure.getCause());
     }
   }
 }
--- a/src/main/java/slateslip/experiment/PairedDifference.java
+++ b/src/main/java/slateslip/experiment/PairedDifference.java
@@ -5,13 +5,17 @@
 import slateslip.experiment.ExperimentRun.VariantResult;
 
 /**
- * Difference in worth between a variant and the first one, seed by seed.
+ * Difference between the value fractions of a variant and of the first variant, paired by seed.
  *
- * @param mean over the seeds
- * @param halfWidth of the 95 in 100 confidence interval of that mean; NaN with one seed
+ * @param mean mean of the differences over all seeds
+ * @param halfWidth half the width of the 95 % confidence interval of the mean, or NaN if there is
+ *     only one seed
  */
 record PairedDifference(double mean, double halfWidth) {
-  /** Student's t for 95 in 100, two-sided, by degrees of freedom from 1 on. */
+  /**
+   * Quantiles of Student's t distribution for a two-sided 95 % confidence interval. The first
+   * element is for 1 degree of freedom.
+   */
   private static final double[] STUDENT_T = {
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086
@@ -19,7 +23,10 @@
 
   private static final double NORMAL = 1.96;
 
-  /** Of two lists with the same seeds in the same order. */
+  /**
+   * Returns the difference between two lists of value fractions that contain the same seeds in the
+   * same order.
+   */
   static PairedDifference of(List<Double> values, List<Double> reference) {
     int count = values.size();
     double sum = 0;
@@ -40,13 +47,16 @@
     return new PairedDifference(mean, quantile * error);
   }
 
-  /** A line for each variant but the first, in Markdown. */
+  /**
+   * Formats a Markdown table with one line per variant, which shows the difference from the first
+   * variant.
+   */
   static String format(List<VariantResult> results) {
     StringBuilder table = new StringBuilder("\n| variant | worth | difference | 95 in 100 |\n");
     table.append("|---|---|---|---|\n");
-    List<Double> reference = results.get(0).bySeed();
+    List<Double> reference = results.get(0).valueFractionsBySeed();
     for (VariantResult result : results) {
-      PairedDifference difference = of(result.bySeed(), reference);
+      PairedDifference difference = of(result.valueFractionsBySeed(), reference);
       table.append(
           String.format(
               Locale.ROOT,
--- a/src/main/java/slateslip/experiment/ResultLines.java
+++ b/src/main/java/slateslip/experiment/ResultLines.java
@@ -8,7 +8,10 @@
 import slateslip.simulation.dataplane.Measurements.Group;
 import slateslip.simulation.dataplane.Measurements.GroupKey;
 
-/** Writes results as JSON lines, one for each variant, class and tenant. */
+/**
+ * Formats results as JSON lines, one line for each combination of variant, request class and
+ * tenant.
+ */
 final class ResultLines {
   private ResultLines() {}
 
--- a/src/main/java/slateslip/experiment/ResultPlot.java
+++ b/src/main/java/slateslip/experiment/ResultPlot.java
@@ -10,8 +10,9 @@
 import slateslip.simulation.dataplane.Measurements.Group;
 
 /**
- * Draws results as one SVG: for each class a panel with the quantiles of the time to the first
- * event, of the longest pause, and bars for cached parts and refusals.
+ * Draws results as one SVG image. Each request class has a row of four panels: percentiles of the
+ * first-token latency, percentiles of the longest gap between events, the cached fraction of
+ * prompts and the fraction of refused requests.
  */
 final class ResultPlot {
   private static final int PANEL_WIDTH = 300;
@@ -29,7 +30,7 @@
     this.results = results;
   }
 
-  /** The whole drawing. */
+  /** Returns the complete SVG document. */
   static String svg(String title, List<VariantResult> results) {
     return new ResultPlot(results).draw(title);
   }
@@ -44,34 +45,37 @@
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%d\" height=\"%d\""
                 + " font-family=\"sans-serif\" font-size=\"11\">%n",
             width, height));
-    text(MARGIN, 20, title);
+    drawText(MARGIN, 20, title);
     int row = 0;
     for (String name : classes) {
       int top = MARGIN + row * (PANEL_HEIGHT + 2 * MARGIN);
-      curves(0, top, name + ": time to first event, ms", name, Group::firstMicros);
-      curves(1, top, name + ": longest pause, ms", name, Group::gapMicros);
-      bars(2, top, name + ": kept part of prompts", name, Group::cachedFraction);
-      bars(3, top, name + ": refused", name, g -> (double) g.refused() / g.total());
+      drawCurves(0, top, name + ": time to first event, ms", name, Group::firstMicros);
+      drawCurves(1, top, name + ": longest pause, ms", name, Group::gapMicros);
+      drawBars(2, top, name + ": kept part of prompts", name, Group::cachedFraction);
+      drawBars(3, top, name + ": refused", name, g -> (double) g.refused() / g.total());
       row++;
     }
-    legend(MARGIN + row * (PANEL_HEIGHT + 2 * MARGIN));
+    drawLegend(MARGIN + row * (PANEL_HEIGHT + 2 * MARGIN));
     return svg.append("</svg>\n").toString();
   }
 
-  private void curves(
+  private void drawCurves(
       int column,
       int top,
       String title,
       String name,
       java.util.function.Function<Group, Histogram> histogram) {
-    int left = frame(column, top, title);
+    int left = drawFrame(column, top, title);
     double max = 1;
     for (Group group : groups(name)) {
       max = Math.max(max, histogram.apply(group).getValueAtPercentile(99.5) / 1e3);
     }
-    text(left - 45, top + 10, String.format(Locale.ROOT, "%.0f", max));
+    drawText(left - 45, top + 10, String.format(Locale.ROOT, "%.0f", max));
     for (double percentile : new double[] {50, 90, 99}) {
-      text(left + (int) row(percentile), top + PANEL_HEIGHT + 14, "p" + (int) percentile);
+      drawText(
+          left + (int) percentileOffset(percentile),
+          top + PANEL_HEIGHT + 14,
+          "p" + (int) percentile);
     }
     int index = 0;
     for (Group group : groups(name)) {
@@ -79,7 +83,8 @@
       for (double percentile : PERCENTILES) {
         double millis = histogram.apply(group).getValueAtPercentile(percentile) / 1e3;
         double y = top + PANEL_HEIGHT * (1 - millis / max);
-        points.append(String.format(Locale.ROOT, "%.1f,%.1f ", left + row(percentile), y));
+        points.append(
+            String.format(Locale.ROOT, "%.1f,%.1f ", left + percentileOffset(percentile), y));
       }
       svg.append(
           String.format(
@@ -88,8 +93,9 @@
     }
   }
 
-  private void bars(int column, int top, String title, String name, ToDoubleFunction<Group> value) {
-    int left = frame(column, top, title);
+  private void drawBars(
+      int column, int top, String title, String name, ToDoubleFunction<Group> value) {
+    int left = drawFrame(column, top, title);
     int index = 0;
     int step = PANEL_WIDTH / Math.max(1, results.size());
     for (Group group : groups(name)) {
@@ -105,7 +111,7 @@
               height,
               colour(index)));
       if (!Double.isNaN(share)) {
-        text(
+        drawText(
             left + index * step + 2,
             top + PANEL_HEIGHT + 14,
             String.format(Locale.ROOT, "%.3f", share));
@@ -114,23 +120,23 @@
     }
   }
 
-  private int frame(int column, int top, String title) {
+  private int drawFrame(int column, int top, String title) {
     int left = MARGIN + column * (PANEL_WIDTH + MARGIN);
     svg.append(
         String.format(
             "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"none\" stroke=\"#999\"/>%n",
             left, top, PANEL_WIDTH, PANEL_HEIGHT));
-    text(left, top - 6, title);
+    drawText(left, top - 6, title);
     return left;
   }
 
-  private void legend(int top) {
+  private void drawLegend(int top) {
     for (int i = 0; i < results.size(); i++) {
       svg.append(
           String.format(
               "<rect x=\"%d\" y=\"%d\" width=\"12\" height=\"12\" fill=\"%s\"/>%n",
               MARGIN, top + 20 * i - 10, colour(i)));
-      text(MARGIN + 18, top + 20 * i, results.get(i).variant());
+      drawText(MARGIN + 18, top + 20 * i, results.get(i).variant());
     }
   }
 
@@ -142,8 +148,11 @@
     return groups;
   }
 
-  /** Quantiles are spread so that the upper end shows: by the logarithm of what lies above. */
-  private static double row(double percentile) {
+  /**
+   * Returns the horizontal offset of a percentile in pixels. The axis is logarithmic in the
+   * fraction of values above the percentile, so that high percentiles remain distinguishable.
+   */
+  private static double percentileOffset(double percentile) {
     double nines = -Math.log10(1 - percentile / 100);
     return PANEL_WIDTH * nines / -Math.log10(1 - 0.995);
   }
@@ -152,7 +161,7 @@
     return COLOURS[index % COLOURS.length];
   }
 
-  private void text(int x, int y, String text) {
+  private void drawText(int x, int y, String text) {
     String escaped = text.replace("&", "&amp;").replace("<", "&lt;");
     svg.append(String.format("<text x=\"%d\" y=\"%d\">%s</text>%n", x, y, escaped));
   }
--- a/src/main/java/slateslip/experiment/ResultTable.java
+++ b/src/main/java/slateslip/experiment/ResultTable.java
@@ -5,7 +5,10 @@
 import slateslip.experiment.ExperimentRun.VariantResult;
 import slateslip.simulation.dataplane.Measurements.Group;
 
-/** Prints results as a table: a line for each variant and class, then for each tenant. */
+/**
+ * Formats results as a table with one line for each variant and request class, followed by one line
+ * for each variant and tenant.
+ */
 final class ResultTable {
   private static final String HEAD =
       "| variant | group | requests | worth | in time | late | refused | failed |"
@@ -14,15 +17,24 @@
 
   private ResultTable() {}
 
-  /** The full table, in Markdown. */
+  /**
+   * Returns all tables in Markdown, followed by the cross-zone calls, probes and rule violations of
+   * each variant.
+   */
   static String format(List<VariantResult> results) {
     StringBuilder table = new StringBuilder(HEAD);
     for (VariantResult result : results) {
-      line(table, result.variant(), "all", result.measurements().whole());
-      result.measurements().byClass().forEach((name, g) -> line(table, result.variant(), name, g));
+      appendLine(table, result.variant(), "all", result.measurements().whole());
+      result
+          .measurements()
+          .byClass()
+          .forEach((name, g) -> appendLine(table, result.variant(), name, g));
     }
     for (VariantResult result : results) {
-      result.measurements().byTenant().forEach((name, g) -> line(table, result.variant(), name, g));
+      result
+          .measurements()
+          .byTenant()
+          .forEach((name, g) -> appendLine(table, result.variant(), name, g));
     }
     table.append(PairedDifference.format(results));
     for (VariantResult result : results) {
@@ -38,7 +50,7 @@
     return table.toString();
   }
 
-  private static void line(StringBuilder table, String variant, String name, Group group) {
+  private static void appendLine(StringBuilder table, String variant, String name, Group group) {
     table.append(
         String.format(
             Locale.ROOT,
@@ -48,10 +60,10 @@
             name,
             group.total(),
             group.valueFraction(),
-            share(group.inTime(), group),
-            share(group.late(), group),
-            share(group.refused(), group),
-            share(group.failed(), group),
+            fraction(group.inTime(), group),
+            fraction(group.late(), group),
+            fraction(group.refused(), group),
+            fraction(group.failed(), group),
             millis(group.firstMicros().getValueAtPercentile(50)),
             millis(group.firstMicros().getValueAtPercentile(95)),
             millis(group.firstMicros().getValueAtPercentile(99)),
@@ -62,7 +74,7 @@
             group.sharedTokensReadAgain() / 1e3));
   }
 
-  private static double share(long part, Group group) {
+  private static double fraction(long part, Group group) {
     return group.total() == 0 ? 0 : (double) part / group.total();
   }
 
--- a/src/main/java/slateslip/experiment/package-info.java
+++ b/src/main/java/slateslip/experiment/package-info.java
@@ -1,2 +1,5 @@
-/** Experiments: a file says what is played, a table, JSON lines and a plot say what came of it. */
+/**
+ * Runs the simulations that an experiment file describes and writes the results as a table, as JSON
+ * lines and as a plot.
+ */
 package slateslip.experiment;
--- a/src/main/java/slateslip/experiment/policy/KnownBackend.java
+++ b/src/main/java/slateslip/experiment/policy/BackendState.java
@@ -7,8 +7,11 @@
 import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.routing.RouterInput.BackendLoad;
 
-/** What a router knows of a backend: its own attempts there and what it must have kept of them. */
-final class KnownBackend {
+/**
+ * State of one backend as seen by one router: the attempts that the router has in flight there, and
+ * an estimate of the prompt parts that the backend has cached for this router.
+ */
+final class BackendState {
   private final long memoryTokens;
   private final Map<Long, Integer> cachedParts = new LinkedHashMap<>(16, 0.75f, true);
   private BackendSession session;
@@ -18,7 +21,7 @@
   private long pendingTokens;
   private BackendLoad load;
 
-  KnownBackend(BackendSession session, long memoryTokens) {
+  BackendState(BackendSession session, long memoryTokens) {
     this.session = session;
     this.memoryTokens = memoryTokens;
   }
@@ -39,8 +42,11 @@
     return waiting;
   }
 
-  /** Requests running or waiting there, by its last response and by the own attempts. */
-  int busy() {
+  /**
+   * Returns the larger of two estimates of the running and waiting requests: the load in the
+   * backend's last response, and the number of attempts that this router has in flight there.
+   */
+  int loadEstimate() {
     return Math.max(inFlight, load == null ? 0 : load.running() + load.waiting());
   }
 
@@ -50,15 +56,18 @@
     }
   }
 
-  /** Tokens that the own attempts there have still to read, as reckoned when they were sent. */
+  /**
+   * Returns the prompt tokens that the backend has yet to process for attempts of this router. The
+   * tokens of each attempt are estimated when the attempt is sent.
+   */
   long pendingTokens() {
     return pendingTokens;
   }
 
-  void sent(List<PromptPart> prompt, long tokensToRead) {
+  void attemptSent(List<PromptPart> prompt, long uncachedTokens) {
     inFlight++;
     waiting++;
-    pendingTokens += tokensToRead;
+    pendingTokens += uncachedTokens;
     for (PromptPart part : prompt) {
       Integer before = cachedParts.put(part.id(), part.tokens());
       cachedTokens += before == null ? part.tokens() : 0;
@@ -70,25 +79,28 @@
     }
   }
 
-  void begun(long tokensToRead) {
+  void attemptStarted(long uncachedTokens) {
     waiting--;
-    pendingTokens -= tokensToRead;
+    pendingTokens -= uncachedTokens;
   }
 
-  void ended(boolean hadStarted, long tokensToRead) {
+  void attemptEnded(boolean responseStarted, long uncachedTokens) {
     inFlight--;
-    if (!hadStarted) {
-      begun(tokensToRead);
+    if (!responseStarted) {
+      attemptStarted(uncachedTokens);
     }
   }
 
-  /** Tokens of a prompt that it has to read. */
-  long missingTokens(List<PromptPart> prompt) {
+  /**
+   * Returns the number of prompt tokens after the longest prefix that the backend is assumed to
+   * have cached.
+   */
+  long uncachedTokens(List<PromptPart> prompt) {
     long missing = 0;
-    boolean cachedTokens = true;
+    boolean cached = true;
     for (PromptPart part : prompt) {
-      cachedTokens &= cachedParts.containsKey(part.id());
-      missing += cachedTokens ? 0 : part.tokens();
+      cached &= cachedParts.containsKey(part.id());
+      missing += cached ? 0 : part.tokens();
     }
     return missing;
   }
--- a/src/main/java/slateslip/experiment/policy/PolicyRouter.java
+++ b/src/main/java/slateslip/experiment/policy/PolicyRouter.java
@@ -23,22 +23,26 @@
 import slateslip.routing.RouterOutput;
 
 /**
- * A router that only places requests: no quota, no retry budget, no health. It serves to compare
- * {@link PlacementPolicy policies} on equal terms.
+ * A router that only selects backends, without quotas, retry budgets or health checks. Experiments
+ * use this router to compare {@link PlacementPolicy placement policies} without the effects of
+ * those mechanisms.
  */
 public final class PolicyRouter implements RequestRouter {
-  private static final double TOKENS_READ_PER_MILLI = 63.9;
+  private static final double PREFILL_TOKENS_PER_MILLI = 63.9;
   private static final long RETRY_AFTER_MICROS = 300_000;
 
   private final String zone;
   private final PlacementPolicy policy;
-  private final Map<String, KnownBackend> backends = new LinkedHashMap<>();
-  private final Map<Long, Open> open = new HashMap<>();
+  private final Map<String, BackendState> backends = new LinkedHashMap<>();
+  private final Map<Long, PendingRequest> openRequests = new HashMap<>();
   private List<RouterOutput> outputs = new ArrayList<>();
   private List<BackendSession> sessions = List.of();
   private RoutingTable table;
 
-  /** A router of a zone that places by a policy. */
+  /**
+   * Creates a router of a data plane in the given zone that selects backends according to the
+   * policy.
+   */
   public PolicyRouter(String zone, PlacementPolicy policy) {
     this.zone = zone;
     this.policy = policy;
@@ -49,18 +53,18 @@
     outputs = new ArrayList<>();
     if (input instanceof RouterInput.TableChanged changed) {
       table = changed.table();
-      listBackends();
+      updateBackends();
     } else if (input instanceof RouterInput.BackendsChanged changed) {
       sessions = changed.backends();
-      listBackends();
+      updateBackends();
     } else if (input instanceof RouterInput.RequestArrived arrived) {
-      arrived(nowMicros, arrived);
+      requestArrived(nowMicros, arrived);
     } else if (input instanceof RouterInput.ClientGone gone) {
       clientGone(gone.request());
     } else if (input instanceof RouterInput.AttemptStarted started) {
-      begun(started);
+      attemptStarted(started);
     } else if (input instanceof RouterInput.AttemptEnded ended) {
-      ended(nowMicros, ended);
+      attemptEnded(nowMicros, ended);
     } else if (input instanceof RouterInput.Wake) {
       expire(nowMicros);
     }
@@ -72,7 +76,7 @@
     return QuotaReport.NOTHING;
   }
 
-  private void listBackends() {
+  private void updateBackends() {
     if (table == null) {
       return;
     }
@@ -80,13 +84,13 @@
     for (BackendSession session : sessions) {
       present.add(session.id());
       backends
-          .computeIfAbsent(session.id(), id -> new KnownBackend(session, memoryOf(session)))
+          .computeIfAbsent(session.id(), id -> new BackendState(session, cacheCapacity(session)))
           .session(session);
     }
     backends.keySet().retainAll(present);
   }
 
-  private long memoryOf(BackendSession session) {
+  private long cacheCapacity(BackendSession session) {
     return table
         .service(session.service())
         .map(Service::engine)
@@ -94,7 +98,7 @@
         .orElse(0L);
   }
 
-  private void arrived(long nowMicros, RouterInput.RequestArrived arrived) {
+  private void requestArrived(long nowMicros, RouterInput.RequestArrived arrived) {
     RequestAttributes attributes = arrived.attributes();
     Route route =
         table == null ? null : table.route(attributes.host(), attributes.path()).orElse(null);
@@ -103,32 +107,33 @@
       return;
     }
     Tenant tenant = table.tenantByKey(attributes.credential()).orElseThrow();
-    long holdMillis = Math.min(route.timeoutMillis(), attributes.deadlineMillis());
-    Open request =
-        new Open(arrived.request(), attributes, route, tenant, nowMicros + holdMillis * 1_000);
-    open.put(request.id, request);
-    outputs.add(new RouterOutput.WakeAt(request.endMicros));
+    long timeoutMillis = Math.min(route.timeoutMillis(), attributes.deadlineMillis());
+    PendingRequest request =
+        new PendingRequest(
+            arrived.request(), attributes, route, tenant, nowMicros + timeoutMillis * 1_000);
+    openRequests.put(request.id, request);
+    outputs.add(new RouterOutput.WakeAt(request.deadlineMicros));
     send(nowMicros, request);
   }
 
-  private void send(long nowMicros, Open request) {
-    KnownBackend backend =
+  private void send(long nowMicros, PendingRequest request) {
+    BackendState backend =
         request.tried.size() < request.route.maxAttempts() ? pick(request) : null;
     if (backend == null) {
-      giveUp(request);
+      abandon(request);
       return;
     }
     request.backend = backend;
-    request.started = false;
+    request.attemptStarted = false;
     request.tried.add(backend.session().id());
-    request.tokensToRead = tokensToRead(backend, request);
-    backend.sent(request.attributes.prompt(), request.tokensToRead);
+    request.uncachedTokens = uncachedTokens(backend, request);
+    backend.attemptSent(request.attributes.prompt(), request.uncachedTokens);
     outputs.add(
         new RouterOutput.SendAttempt(
             request.id,
             request.attempts++,
             backend.session().id(),
-            Math.max(1, (request.endMicros - nowMicros) / 1_000),
+            Math.max(1, (request.deadlineMicros - nowMicros) / 1_000),
             0,
             0,
             request.route.priority(),
@@ -136,22 +141,24 @@
             request.lastEventId >= 0 ? request.lastEventId : RouterOutput.AS_SENT));
   }
 
-  private KnownBackend pick(Open request) {
-    request.assumedKeepers.clear();
-    List<KnownBackend> eligible = eligible(request, policy.ownZoneOnly());
+  private BackendState pick(PendingRequest request) {
+    request.assumedCacheHolders.clear();
+    List<BackendState> eligible = eligible(request, policy.ownZoneOnly());
     if (eligible.isEmpty()) {
       eligible = eligible(request, false);
     }
-    long part = deepestShared(request.attributes.prompt());
+    long part = lastSharedPartId(request.attributes.prompt());
     eligible.sort(
         Comparator.comparingLong(
-            (KnownBackend backend) -> rendezvous(part, backend.session().id())));
-    eligible.stream().limit(policy.assumedCachedTokens()).forEach(request.assumedKeepers::add);
-    double mean = eligible.stream().mapToInt(KnownBackend::inFlight).average().orElse(0);
-    List<KnownBackend> choices = new ArrayList<>();
-    for (KnownBackend backend : eligible) {
-      boolean bounded = policy.limitFactor() > 0;
-      if (!bounded || backend.inFlight() <= policy.limitFactor() * mean + 1) {
+            (BackendState backend) -> rendezvous(part, backend.session().id())));
+    eligible.stream()
+        .limit(policy.assumedCachedBackends())
+        .forEach(request.assumedCacheHolders::add);
+    double mean = eligible.stream().mapToInt(BackendState::inFlight).average().orElse(0);
+    List<BackendState> choices = new ArrayList<>();
+    for (BackendState backend : eligible) {
+      boolean limited = policy.limitFactor() > 0;
+      if (!limited || backend.inFlight() <= policy.limitFactor() * mean + 1) {
         choices.add(backend);
       }
     }
@@ -163,39 +170,39 @@
         .orElse(eligible.isEmpty() ? null : eligible.get(0));
   }
 
-  private List<KnownBackend> eligible(Open request, boolean ownZone) {
-    List<KnownBackend> result = new ArrayList<>();
-    for (KnownBackend backend : backends.values()) {
+  private List<BackendState> eligible(PendingRequest request, boolean ownZone) {
+    List<BackendState> result = new ArrayList<>();
+    for (BackendState backend : backends.values()) {
       BackendSession session = backend.session();
       boolean serves = session.service().equals(request.service()) && !session.draining();
-      boolean near = !ownZone || session.zone().equals(zone);
-      if (serves && near && !request.tried.contains(session.id())) {
+      boolean zoneMatches = !ownZone || session.zone().equals(zone);
+      if (serves && zoneMatches && !request.tried.contains(session.id())) {
         result.add(backend);
       }
     }
     return result;
   }
 
-  private double cost(KnownBackend backend, Open request) {
-    double reading = tokensToRead(backend, request) / TOKENS_READ_PER_MILLI;
-    double pending = backend.pendingTokens() / TOKENS_READ_PER_MILLI;
-    double away = backend.session().zone().equals(zone) ? 0 : policy.otherZoneMillis();
-    return away
-        + policy.readingWeight() * reading
-        + policy.pendingWeight() * pending
+  private double cost(BackendState backend, PendingRequest request) {
+    double prefillMillis = uncachedTokens(backend, request) / PREFILL_TOKENS_PER_MILLI;
+    double pendingMillis = backend.pendingTokens() / PREFILL_TOKENS_PER_MILLI;
+    double zoneCost = backend.session().zone().equals(zone) ? 0 : policy.otherZoneMillis();
+    return zoneCost
+        + policy.prefillWeight() * prefillMillis
+        + policy.pendingWeight() * pendingMillis
         + policy.waitingMillis() * backend.waiting()
-        + policy.runningMillis() * backend.busy();
+        + policy.runningMillis() * backend.loadEstimate();
   }
 
-  private long tokensToRead(KnownBackend backend, Open request) {
+  private long uncachedTokens(BackendState backend, PendingRequest request) {
     List<PromptPart> prompt = request.attributes.prompt();
-    if (request.assumedKeepers.contains(backend) && !prompt.isEmpty()) {
+    if (request.assumedCacheHolders.contains(backend) && !prompt.isEmpty()) {
       return prompt.get(prompt.size() - 1).tokens();
     }
-    return backend.missingTokens(prompt);
+    return backend.uncachedTokens(prompt);
   }
 
-  private static long deepestShared(List<PromptPart> prompt) {
+  private static long lastSharedPartId(List<PromptPart> prompt) {
     return prompt.size() < 2 ? 0 : prompt.get(prompt.size() - 2).id();
   }
 
@@ -206,45 +213,45 @@
     return mixed ^ (mixed >>> 31);
   }
 
-  private void begun(RouterInput.AttemptStarted started) {
-    Open request = open.get(started.request());
-    if (request != null && !request.started) {
-      request.started = true;
-      request.everStarted = true;
-      request.backend.begun(request.tokensToRead);
+  private void attemptStarted(RouterInput.AttemptStarted started) {
+    PendingRequest request = openRequests.get(started.request());
+    if (request != null && !request.attemptStarted) {
+      request.attemptStarted = true;
+      request.responseStarted = true;
+      request.backend.attemptStarted(request.uncachedTokens);
     }
   }
 
-  private void ended(long nowMicros, RouterInput.AttemptEnded ended) {
-    Open request = open.get(ended.request());
+  private void attemptEnded(long nowMicros, RouterInput.AttemptEnded ended) {
+    PendingRequest request = openRequests.get(ended.request());
     if (request == null) {
       return;
     }
-    request.backend.ended(request.started, request.tokensToRead);
+    request.backend.attemptEnded(request.attemptStarted, request.uncachedTokens);
     request.backend.load(ended.load());
     request.lastEventId = Math.max(request.lastEventId, ended.lastEventId());
     request.mayHaveRun |= ended.outcome().mayHaveRun();
     switch (ended.outcome().kind()) {
-      case SUCCESS -> open.remove(request.id);
+      case SUCCESS -> openRequests.remove(request.id);
       case ERROR_RESPONSE -> {
         outputs.add(new RouterOutput.RelayError(request.id, ended.attempt()));
-        open.remove(request.id);
+        openRequests.remove(request.id);
       }
       case NOT_SENT, WITHHELD, OTHER_INSTANCE, NOT_EXECUTED -> send(nowMicros, request);
       case BROKEN, TIMEOUT, CANCELLED -> {
         if (request.repeatable()) {
           send(nowMicros, request);
         } else {
-          giveUp(request);
+          abandon(request);
         }
       }
       default -> throw new IllegalStateException("unknown outcome");
     }
   }
 
-  private void giveUp(Open request) {
-    open.remove(request.id);
-    if (request.everStarted) {
+  private void abandon(PendingRequest request) {
+    openRequests.remove(request.id);
+    if (request.responseStarted) {
       outputs.add(new RouterOutput.AbortConnection(request.id, AbortReason.NO_BACKEND));
     } else if (request.mayHaveRun) {
       outputs.add(new RouterOutput.Respond(request.id, 502, 0));
@@ -254,53 +261,54 @@
   }
 
   private void clientGone(long id) {
-    Open request = open.remove(id);
+    PendingRequest request = openRequests.remove(id);
     if (request != null) {
-      leave(request);
+      cancelAttempt(request);
     }
   }
 
   private void expire(long nowMicros) {
-    for (Open request : List.copyOf(open.values())) {
-      if (request.endMicros <= nowMicros) {
-        open.remove(request.id);
-        leave(request);
+    for (PendingRequest request : List.copyOf(openRequests.values())) {
+      if (request.deadlineMicros <= nowMicros) {
+        openRequests.remove(request.id);
+        cancelAttempt(request);
         outputs.add(
-            request.everStarted
+            request.responseStarted
                 ? new RouterOutput.AbortConnection(request.id, AbortReason.DEADLINE)
                 : new RouterOutput.Respond(request.id, 504, 0));
       }
     }
   }
 
-  private void leave(Open request) {
-    request.backend.ended(request.started, request.tokensToRead);
+  private void cancelAttempt(PendingRequest request) {
+    request.backend.attemptEnded(request.attemptStarted, request.uncachedTokens);
     outputs.add(new RouterOutput.CancelAttempt(request.id, request.attempts - 1));
   }
 
-  /** A request that is owed a response. */
-  private static final class Open {
+  /** A request that has not been completed yet. */
+  private static final class PendingRequest {
     private final long id;
     private final RequestAttributes attributes;
     private final Route route;
     private final Tenant tenant;
-    private final long endMicros;
+    private final long deadlineMicros;
     private final Set<String> tried = new HashSet<>();
-    private final Set<KnownBackend> assumedKeepers = new HashSet<>();
-    private KnownBackend backend;
-    private long tokensToRead;
+    private final Set<BackendState> assumedCacheHolders = new HashSet<>();
+    private BackendState backend;
+    private long uncachedTokens;
     private int attempts;
     private long lastEventId = -1;
-    private boolean started;
-    private boolean everStarted;
+    private boolean attemptStarted;
+    private boolean responseStarted;
     private boolean mayHaveRun;
 
-    Open(long id, RequestAttributes attributes, Route route, Tenant tenant, long endMicros) {
+    PendingRequest(
+        long id, RequestAttributes attributes, Route route, Tenant tenant, long deadlineMicros) {
       this.id = id;
       this.attributes = attributes;
       this.route = route;
       this.tenant = tenant;
-      this.endMicros = endMicros;
+      this.deadlineMicros = deadlineMicros;
     }
 
     String service() {
--- a/src/main/java/slateslip/experiment/policy/package-info.java
+++ b/src/main/java/slateslip/experiment/policy/package-info.java
@@ -1,2 +1,5 @@
-/** Routers that do nothing but place requests, to compare ways of placing. */
+/**
+ * A router without quotas, retry budgets and health checks, which serves to compare placement
+ * policies in experiments.
+ */
 package slateslip.experiment.policy;
--- a/src/test/java/slateslip/experiment/ExperimentFileTest.java
+++ b/src/test/java/slateslip/experiment/ExperimentFileTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import slateslip.experiment.ExperimentFile.Reading;
+import slateslip.experiment.ExperimentFile.ReadResult;
 import slateslip.simulation.dataplane.WorldPlan;
 
 class ExperimentFileTest {
@@ -28,15 +28,15 @@
   void committedExperimentsAreValid() throws IOException {
     try (Stream<Path> files = Files.list(EXPERIMENTS)) {
       for (Path file : files.filter(f -> f.toString().endsWith(".json")).toList()) {
-        assertThat(file.toString(), ExperimentFile.read(file), instanceOf(Reading.Valid.class));
+        assertThat(file.toString(), ExperimentFile.read(file), instanceOf(ReadResult.Valid.class));
       }
     }
   }
 
   @Test
-  void deploymentAndExperimentMakeOnePlanForEachSeed() {
-    Reading reading = ExperimentFile.read(EXPERIMENTS.resolve("placement-trouble.json"));
-    Experiment experiment = ((Reading.Valid) reading).experiment();
+  void deploymentAndExperimentYieldOnePlanPerSeed() {
+    ReadResult result = ExperimentFile.read(EXPERIMENTS.resolve("placement-trouble.json"));
+    Experiment experiment = ((ReadResult.Valid) result).experiment();
     assertThat(experiment.plans().size(), is(6));
     WorldPlan plan = experiment.plans().get(2);
     assertThat(plan.seed(), is(3L));
@@ -47,29 +47,31 @@
   }
 
   @Test
-  void problemNamesFileFieldAndReason() throws IOException {
+  void errorMessageNamesFileFieldAndReason() throws IOException {
     assertThat(
-        problem("\"seeds\": [1]", "\"seeds\": \"one\""), containsString("seeds is not a list"));
+        errorMessage("\"seeds\": [1]", "\"seeds\": \"one\""),
+        containsString("seeds is not a list"));
     assertThat(
-        problem("\"duration_s\": 1", "\"duration_s\": -1"),
+        errorMessage("\"duration_s\": 1", "\"duration_s\": -1"),
         containsString("duration_s is not a number"));
     assertThat(
-        problem("\"choices\": 1", "\"choices\": 1.5"),
+        errorMessage("\"choices\": 1", "\"choices\": 1.5"),
         containsString("variants[0].policy.choices is not a whole number"));
     assertThat(
-        problem("\"name\": \"small\"", "\"name\": \"\""), containsString("name is not a text"));
-    assertThat(problem("}]}", "}]"), containsString("is not JSON"));
-    assertThat(problem("hot_key", "cold_key"), containsString("faults[0].kind is none of"));
-    assertThat(problem("pv-slateslip.json", "missing.json"), containsString("cannot be read"));
+        errorMessage("\"name\": \"small\"", "\"name\": \"\""),
+        containsString("name is not a non-empty string"));
+    assertThat(errorMessage("}]}", "}]"), containsString("is not JSON"));
+    assertThat(errorMessage("hot_key", "cold_key"), containsString("faults[0].kind is none of"));
+    assertThat(errorMessage("pv-slateslip.json", "missing.json"), containsString("cannot be read"));
   }
 
   @Test
-  void linesDoNotDependOnThreadCount() throws IOException {
+  void resultLinesDoNotDependOnThreadCount() throws IOException {
     Path file = folder.resolve("small.json");
-    Files.writeString(file, small());
-    Experiment experiment = ((Reading.Valid) ExperimentFile.read(file)).experiment();
-    String one = ResultLines.format("small", ExperimentRun.play(experiment, 1));
-    String two = ResultLines.format("small", ExperimentRun.play(experiment, 2));
+    Files.writeString(file, smallExperiment());
+    Experiment experiment = ((ReadResult.Valid) ExperimentFile.read(file)).experiment();
+    String one = ResultLines.format("small", ExperimentRun.run(experiment, 1));
+    String two = ResultLines.format("small", ExperimentRun.run(experiment, 2));
     assertThat(two, equalTo(one));
     assertThat(one.lines().count() > 0, is(true));
   }
@@ -77,7 +79,7 @@
   @Test
   void commandWritesTableLinesAndPlot() throws IOException {
     Path file = folder.resolve("small.json");
-    Files.writeString(file, small());
+    Files.writeString(file, smallExperiment());
     Path lines = folder.resolve("out.jsonl");
     Path plot = folder.resolve("out.svg");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -103,15 +105,15 @@
     return ExperimentMain.run(arguments, stream, stream);
   }
 
-  private String problem(String part, String instead) throws IOException {
+  private String errorMessage(String part, String replacement) throws IOException {
     Path file = folder.resolve("wrong.json");
-    Files.writeString(file, small().replace(part, instead));
-    Reading reading = ExperimentFile.read(file);
-    assertThat(reading, instanceOf(Reading.Invalid.class));
-    return ((Reading.Invalid) reading).message();
+    Files.writeString(file, smallExperiment().replace(part, replacement));
+    ReadResult result = ExperimentFile.read(file);
+    assertThat(result, instanceOf(ReadResult.Invalid.class));
+    return ((ReadResult.Invalid) result).message();
   }
 
-  private static String small() {
+  private static String smallExperiment() {
     String deployment =
         EXPERIMENTS.resolve("deployments/pv-slateslip.json").toAbsolutePath().toString();
     return String.join(
