--- a/src/main/java/slateslip/soak/CountingBackend.java
+++ b/src/main/java/slateslip/soak/CountingBackend.java
@@ -5,7 +5,9 @@
 import slateslip.standin.BackendDescription;
 import slateslip.standin.StandInServer;
 
-/** A stand-in backend without limits that counts how often each request has run. */
+/**
+ * A stand-in backend without a concurrency limit that counts how often each request is executed.
+ */
 abstract class CountingBackend extends StandInServer {
   private static final int NOT_FOUND = 404;
 
@@ -16,7 +18,7 @@
     this.runs = runs;
   }
 
-  /** Answers a request that counts as run. */
+  /** Responds to a request that has been counted as executed. */
   abstract void run(Context context);
 
   @Override
@@ -31,9 +33,9 @@
 
   @Override
   protected void serve(Context context) {
-    runs.ran(context.header(ATTEMPT_ID));
+    runs.recordRun(context.header(ATTEMPT_ID));
     if (context.header(SoakQuota.TENANT_HEADER) != null) {
-      runs.ranForTenant(SoakQuota.units(context.header(SoakQuota.USAGE_HEADER)));
+      runs.recordTenantRun(SoakQuota.units(context.header(SoakQuota.USAGE_HEADER)));
     }
     run(context);
   }
--- a/src/main/java/slateslip/soak/EntryBackend.java
+++ b/src/main/java/slateslip/soak/EntryBackend.java
@@ -3,7 +3,7 @@
 import io.javalin.http.Context;
 import slateslip.standin.BackendDescription;
 
-/** Takes entries, and gives each back as it came. */
+/** A backend that accepts entries and returns each entry unchanged in the response. */
 final class EntryBackend extends CountingBackend {
   EntryBackend(BackendDescription description, RunCounter runs) {
     super(description, runs);
@@ -11,7 +11,7 @@
 
   @Override
   void run(Context context) {
-    responseHead(context, 200);
+    startResponse(context, 200);
     context.result(context.body());
   }
 }
--- a/src/main/java/slateslip/soak/FleetLayout.java
+++ b/src/main/java/slateslip/soak/FleetLayout.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Where the processes of a soak listen, and their settings files. */
+/** Assigns addresses to the processes of a soak test and writes their settings files. */
 final class FleetLayout {
   static final long GRACE_SECONDS = 6;
   static final int HEARTBEAT_MILLIS = 600;
@@ -51,7 +51,7 @@
     return "127.0.0." + (index + 2);
   }
 
-  /** Where backends of a service listen. */
+  /** Returns the addresses on which the backends of a service listen. */
   List<InetSocketAddress> backends(int service) {
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (int i = 0; i < BACKENDS_PER_SERVICE; i++) {
@@ -61,12 +61,12 @@
     return addresses;
   }
 
-  /** Where a control agent listens. */
+  /** Returns the address on which a control agent listens. */
   InetSocketAddress control(int index) {
     return new InetSocketAddress(controlIp(index), control);
   }
 
-  /** {@code host:port} of all control agents. */
+  /** Returns the addresses of all control agents in the form {@code host:port}. */
   List<String> controlAddresses() {
     List<String> addresses = new ArrayList<>();
     for (int i = 0; i < options.controlAgents(); i++) {
@@ -83,7 +83,10 @@
     return folder.resolve("control-" + index + "-data");
   }
 
-  /** Writes the settings of a control agent; only the first start may found the fleet. */
+  /**
+   * Writes the settings file of a control agent. {@code bootstrap} allows the agent to create a new
+   * fleet and must be true only for the first start.
+   */
   Path controlSettings(int index, boolean bootstrap) throws IOException {
     String ip = controlIp(index);
     Path data = Files.createDirectories(controlData(index));
@@ -123,13 +126,13 @@
             + "\nbootstrap=false\nlimits.max_fds=1024\n");
   }
 
-  private Path write(String name, String own) throws IOException {
+  private Path write(String name, String processSettings) throws IOException {
     List<String> seeds = controlAddresses().subList(0, Math.min(3, options.controlAgents()));
     String text =
         "node="
             + name
             + "\n"
-            + own
+            + processSettings
             + "zones.zone-0=local\nzones.zone-1=local\nzones.zone-2=local\nregion=local\nport_range="
             + internal
             + ","
--- a/src/main/java/slateslip/soak/ManagedProcess.java
+++ b/src/main/java/slateslip/soak/ManagedProcess.java
@@ -8,8 +8,9 @@
 import slateslip.standin.ChildProcess;
 
 /**
- * One place of the fleet and the processes that run there one after the other. Steps come from any
- * thread; one that ends a process is left out while another is at it.
+ * One address of the fleet and the successive processes that run there. All methods may be called
+ * from any thread. A request to stop or kill the process is ignored while another thread is already
+ * restarting the process.
  */
 final class ManagedProcess {
   private static final long START_MILLIS = 3_000;
@@ -18,11 +19,12 @@
   private static final long GRACE_MILLIS = TimeUnit.SECONDS.toMillis(FleetLayout.GRACE_SECONDS);
 
   /**
-   * A process that has not ended so long after its grace period is at fault, however busy it is.
+   * Time after the end of the grace period in which a process must exit. A process that exceeds
+   * this time is counted as faulty even on a busy machine.
    */
-  private static final long END_TOLERANCE_MILLIS = 4_000;
+  private static final long EXIT_TOLERANCE_MILLIS = 4_000;
 
-  /** Starts a process. */
+  /** Starts a new process for the same address. */
   interface Starter {
     ChildProcess start() throws IOException;
   }
@@ -33,15 +35,15 @@
   private final SoakRecords records;
   private final ReentrantLock restartLock = new ReentrantLock();
   private int incarnations;
-  private volatile long disturbedMillis;
+  private volatile long lastDisturbanceMillis;
   private volatile boolean listening;
   private volatile ChildProcess process;
   private volatile ProcessIncarnation incarnation;
 
   /**
-   * A place where no process runs yet.
+   * Creates the state of an address at which no process runs yet.
    *
-   * @param listens whether the process that runs there can be connected to
+   * @param listens returns whether the process accepts connections
    */
   ManagedProcess(String name, BooleanSupplier listens, LongSupplier clock, SoakRecords records) {
     this.name = name;
@@ -54,111 +56,130 @@
     return incarnation;
   }
 
-  /** How long it has run without a signal; until it listens, since its start. */
-  long undisturbedMillis() {
-    return restartLock.isLocked() ? 0 : clock.getAsLong() - disturbedMillis;
+  /**
+   * Returns the milliseconds since the last termination signal or since the process began to
+   * listen, whichever is later. Before the process listens, the time counts from its start. Returns
+   * 0 while the process is being restarted.
+   */
+  long millisSinceDisturbance() {
+    return restartLock.isLocked() ? 0 : clock.getAsLong() - lastDisturbanceMillis;
   }
 
-  /** How long it has listened without a signal. A busy machine takes seconds to start a runtime. */
-  long undisturbedListeningMillis() {
-    return listening ? undisturbedMillis() : 0;
+  /**
+   * Returns the milliseconds for which the process has been listening without a termination signal,
+   * or 0 if it does not listen yet. The time before the process listens does not count, because a
+   * JVM takes seconds to start on a busy machine.
+   */
+  long listeningMillisSinceDisturbance() {
+    return listening ? millisSinceDisturbance() : 0;
   }
 
-  /** Looks whether a process that was started listens by now. */
+  /**
+   * Checks whether a started process accepts connections, and if so records the current time as the
+   * start of listening.
+   */
   void checkListening() {
     if (!listening && listens.getAsBoolean()) {
-      disturbedMillis = clock.getAsLong();
+      lastDisturbanceMillis = clock.getAsLong();
       listening = true;
     }
   }
 
   void start(Starter starter) throws IOException {
     incarnations++;
-    disturbedMillis = clock.getAsLong();
+    lastDisturbanceMillis = clock.getAsLong();
     listening = false;
     ProcessIncarnation next = new ProcessIncarnation(name + "/" + incarnations, GRACE_MILLIS);
-    records.began(next);
+    records.addIncarnation(next);
     incarnation = next;
     process = starter.start();
   }
 
-  /** Sends SIGHUP; not to a runtime that has not come to the program yet: it would end. */
+  /**
+   * Sends SIGHUP unless the process was started, began to listen or received SIGTERM less than
+   * three seconds ago. A JVM that has not installed the program's signal handler yet would be
+   * terminated by SIGHUP.
+   */
   void reload() throws IOException {
-    if (undisturbedMillis() > START_MILLIS) {
+    if (millisSinceDisturbance() > START_MILLIS) {
       process.reload();
     }
   }
 
-  private void askToEnd() {
-    disturbedMillis = clock.getAsLong();
-    incarnation.stopped(clock.getAsLong());
-    process.askToEnd();
+  private void terminate() {
+    lastDisturbanceMillis = clock.getAsLong();
+    incarnation.recordStop(clock.getAsLong());
+    process.terminate();
   }
 
   /**
-   * SIGTERM, SIGKILL if it has not ended well after its grace period, and a new start.
+   * Sends SIGTERM, sends SIGKILL if the process has not exited four seconds after its grace period,
+   * and starts a new process.
    *
-   * @param signals how often SIGTERM is sent
+   * @param signals number of times that SIGTERM is sent
    */
-  void stopAndStart(int signals, Starter starter) throws IOException, InterruptedException {
+  void terminateAndRestart(int signals, Starter starter) throws IOException, InterruptedException {
     if (!restartLock.tryLock()) {
       return;
     }
     try {
-      askToEnd();
+      terminate();
       for (int signal = 1; signal < signals; signal++) {
         TimeUnit.MILLISECONDS.sleep(SIGNAL_INTERVAL_MILLIS);
-        askToEnd();
+        terminate();
       }
-      if (!process.awaitEnd(GRACE_MILLIS + END_TOLERANCE_MILLIS)) {
+      if (!process.awaitExit(GRACE_MILLIS + EXIT_TOLERANCE_MILLIS)) {
         kill();
       }
-      startAgain(starter);
+      restart(starter);
     } finally {
       restartLock.unlock();
     }
   }
 
-  /** SIGKILL and a new start. */
-  void killAndStart(Starter starter) throws IOException, InterruptedException {
+  /** Sends SIGKILL and starts a new process. */
+  void killAndRestart(Starter starter) throws IOException, InterruptedException {
     if (!restartLock.tryLock()) {
       return;
     }
     try {
       kill();
-      startAgain(starter);
+      restart(starter);
     } finally {
       restartLock.unlock();
     }
   }
 
   private void kill() throws InterruptedException {
-    incarnation.killed(clock.getAsLong());
+    incarnation.recordKill(clock.getAsLong());
     process.kill();
-    process.awaitEnd(GRACE_MILLIS);
+    process.awaitExit(GRACE_MILLIS);
   }
 
-  private void startAgain(Starter starter) throws IOException, InterruptedException {
-    incarnation.ended(clock.getAsLong());
+  private void restart(Starter starter) throws IOException, InterruptedException {
+    incarnation.recordExit(clock.getAsLong());
     TimeUnit.MILLISECONDS.sleep(START_DELAY_MILLIS);
     start(starter);
   }
 
-  /** Notes an end that nobody asked for; not while a step ends it or starts the next one. */
-  void checkRunning() {
+  /**
+   * Records an exit of the process that was not requested. Does nothing while another thread
+   * restarts the process.
+   */
+  void checkForExit() {
     if (!restartLock.tryLock()) {
       return;
     }
     try {
-      if (!process.running() && !incarnation.isStopping()) {
-        incarnation.ended(clock.getAsLong());
+      if (!process.isRunning() && !incarnation.isStopping()) {
+        incarnation.recordExit(clock.getAsLong());
       }
     } finally {
       restartLock.unlock();
     }
   }
 
-  /** Ends it for good. */
+  /** Kills the current process, if any, without starting a new one. */
   void close() {
     ChildProcess current = process;
     if (current != null) {
--- a/src/main/java/slateslip/soak/PlannedEvent.java
+++ b/src/main/java/slateslip/soak/PlannedEvent.java
@@ -3,35 +3,44 @@
 import java.util.Locale;
 
 /**
- * One step of a soak.
+ * One planned event of a soak test, such as a restart or a configuration change.
  *
- * @param atMillis after the start of traffic
- * @param kind what is done
- * @param target index of the process; unused by configurations
+ * @param atMillis time of the event in milliseconds after the start of traffic
+ * @param kind kind of the event
+ * @param target index of the process; ignored by configuration changes
  */
 record PlannedEvent(long atMillis, Kind kind, int target) {
-  /** What can be done. */
+  /** Kind of a planned event. */
   enum Kind {
-    /** SIGTERM to a data plane, SIGKILL once its grace period is over, and a new start. */
+    /**
+     * Sends SIGTERM to a data plane, SIGKILL if it has not exited some seconds after its grace
+     * period, and restarts it.
+     */
     STOP_DATA_PLANE,
-    /** The same with a second SIGTERM a moment after the first. */
+    /**
+     * Stops and restarts a data plane like {@link #STOP_DATA_PLANE}, but sends a second SIGTERM
+     * shortly after the first.
+     */
     STOP_DATA_PLANE_TWICE,
-    /** SIGKILL to a data plane, and a new start. */
+    /** Sends SIGKILL to a data plane and restarts it. */
     KILL_DATA_PLANE,
-    /** SIGHUP to a data plane. */
+    /** Sends SIGHUP to a data plane, which reloads its settings. */
     RELOAD_DATA_PLANE,
-    /** SIGTERM to a control agent, and a new start with its disk. */
+    /** Sends SIGTERM to a control agent and restarts it with its data on disk. */
     STOP_CONTROL_AGENT,
-    /** SIGKILL to a control agent, and a new start with its disk. */
+    /** Sends SIGKILL to a control agent and restarts it with its data on disk. */
     KILL_CONTROL_AGENT,
     /**
-     * SIGKILL to a control agent, and a new start at its address with an empty disk; with its disk
-     * if another agent was disturbed shortly before, as more lost disks need not be borne.
+     * Sends SIGKILL to a control agent and restarts it at the same address with an empty data
+     * folder. The data is kept if another agent was restarted shortly before, because the fleet
+     * does not have to tolerate the loss of more than one disk at a time.
      */
     WIPE_CONTROL_AGENT,
-    /** A configuration that only has a newer version. */
+    /** Sends a configuration that differs from the current one only in its version. */
     CONFIGURE,
-    /** A configuration that takes a route and its service away, or brings them back. */
+    /**
+     * Sends a configuration that removes the optional route and its service, or adds them again.
+     */
     CONFIGURE_ROUTE
   }
 
--- a/src/main/java/slateslip/soak/ProcessIncarnation.java
+++ b/src/main/java/slateslip/soak/ProcessIncarnation.java
@@ -1,6 +1,9 @@
 package slateslip.soak;
 
-/** One incarnation of a process: when it was signalled, and how it ended. Written by one thread. */
+/**
+ * One incarnation of a process, with the times of its signals and its exit. Written by one thread
+ * at a time and read by any thread. All times are in milliseconds.
+ */
 final class ProcessIncarnation {
   private static final long NEVER = Long.MAX_VALUE;
 
@@ -11,9 +14,10 @@
   private volatile long endedMillis = NEVER;
 
   /**
-   * A incarnation that has begun.
+   * Creates the record of an incarnation that is about to start.
    *
-   * @param name of the process and number of its incarnation
+   * @param name name of the process and number of the incarnation, separated by a slash
+   * @param graceMillis grace period after SIGTERM
    */
   ProcessIncarnation(String name, long graceMillis) {
     this.name = name;
@@ -24,17 +28,17 @@
     return name;
   }
 
-  /** SIGTERM was sent; the first one counts. */
-  void stopped(long nowMillis) {
+  /** Records that SIGTERM was sent. Only the time of the first SIGTERM is kept. */
+  void recordStop(long nowMillis) {
     stoppedMillis = Math.min(stoppedMillis, nowMillis);
   }
 
-  /** SIGKILL was sent. */
-  void killed(long nowMillis) {
+  /** Records that SIGKILL was sent. */
+  void recordKill(long nowMillis) {
     killedMillis = nowMillis;
   }
 
-  void ended(long nowMillis) {
+  void recordExit(long nowMillis) {
     endedMillis = nowMillis;
   }
 
@@ -42,28 +46,32 @@
     return stoppedMillis != NEVER;
   }
 
-  /** Whether it was ended by SIGKILL before a request's end: an unplanned end excuses all. */
-  boolean killedBefore(long millis) {
-    return killedMillis <= millis && !overran();
+  /**
+   * Returns whether the process was killed by SIGKILL before the given time as part of the plan.
+   * Such a crash excuses every incomplete request. A kill because the process exceeded its grace
+   * period does not count.
+   */
+  boolean crashedBefore(long millis) {
+    return killedMillis <= millis && !exceededGracePeriod();
   }
 
-  /** Whether it was killed because it did not end within its grace period. */
-  boolean overran() {
+  /** Returns whether the process was killed because it did not exit within its grace period. */
+  boolean exceededGracePeriod() {
     return stoppedMillis != NEVER
         && killedMillis != NEVER
         && killedMillis - stoppedMillis >= graceMillis;
   }
 
-  /** Whether it ended though nobody asked for it. */
-  boolean endedByItself() {
+  /** Returns whether the process exited without having received SIGTERM or SIGKILL. */
+  boolean exitedUnexpectedly() {
     return endedMillis != NEVER && stoppedMillis == NEVER && killedMillis == NEVER;
   }
 
   /**
-   * Whether a request may be cut: it was sent soon after SIGTERM, and its backend was at work in
-   * the last sixth of the grace period.
+   * Returns whether the response to a request may be truncated: the request was sent at most three
+   * seconds after SIGTERM, and ended in the last sixth of the grace period or later.
    */
-  boolean mayTruncate(long sentMillis, long endMillis) {
+  boolean mayTruncateResponse(long sentMillis, long endMillis) {
     boolean inTime =
         stoppedMillis != NEVER && sentMillis <= stoppedMillis + SoakChecker.SENT_AFTER_STOP_MILLIS;
     return inTime && endMillis >= stoppedMillis + graceMillis * 5 / 6;
--- a/src/main/java/slateslip/soak/RequestRecord.java
+++ b/src/main/java/slateslip/soak/RequestRecord.java
@@ -1,15 +1,16 @@
 package slateslip.soak;
 
 /**
- * One request of a client, and its end.
+ * One request of a client and its result. Times are in milliseconds since the start of the run.
  *
- * @param attemptId its own
- * @param kind what was asked for
- * @param process the data plane's process that was asked, as {@link ProcessIncarnation#name} says
- * @param sentMillis when its last byte was sent
- * @param endMillis when its end was seen
- * @param outcome how it ended
- * @param status of the response; 0 if there was none
+ * @param attemptId attempt id of the request, which no other request has
+ * @param kind kind of the request
+ * @param process {@linkplain ProcessIncarnation#name name} of the data plane incarnation that
+ *     received the request
+ * @param sentMillis time just before the request was written to the connection
+ * @param endMillis time when the client had read the response or noticed the end of the connection
+ * @param outcome how the request ended
+ * @param status status of the response, or 0 if no complete response was read
  */
 record RequestRecord(
     String attemptId,
@@ -19,15 +20,15 @@
     long endMillis,
     Outcome outcome,
     int status) {
-  /** What a client asks for. */
+  /** Kind of a request. */
   enum Kind {
-    /** A stream that may be resumed. */
+    /** A request for a stream that can be resumed. */
     STREAM(true),
-    /** An entry that may run once. */
+    /** An entry that may be executed at most once. */
     ENTRY(false),
-    /** An entry on the route that comes and goes. */
+    /** An entry on the optional route, which configuration changes remove and add again. */
     OPTIONAL_ENTRY(false),
-    /** An entry of the tenant that asks for more than its limit. */
+    /** An entry of the tenant whose requests exceed its quota. */
     LIMITED_ENTRY(false);
 
     private final boolean repeatable;
@@ -36,19 +37,19 @@
       this.repeatable = repeatable;
     }
 
-    /** Whether it may run more than once. */
+    /** Returns whether a request of this kind may be executed more than once. */
     boolean isRepeatable() {
       return repeatable;
     }
   }
 
-  /** How a request can end. */
+  /** Ways in which a request can end. */
   enum Outcome {
-    /** A whole response. */
+    /** The client read a complete response with the expected content. */
     COMPLETE,
-    /** A whole response with other content than was asked for. */
+    /** The client read a complete response with unexpected content. */
     WRONG,
-    /** The connection ended after a part of the response. */
+    /** The connection ended after the first byte and before the last byte of the response. */
     TRUNCATED,
     /** The connection ended before any byte of the response. */
     NO_RESPONSE
--- a/src/main/java/slateslip/soak/ResponseReader.java
+++ b/src/main/java/slateslip/soak/ResponseReader.java
@@ -9,27 +9,30 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads the responses of one connection, byte by byte as they are framed. */
+/**
+ * Reads the HTTP responses of one connection. Each call consumes exactly the bytes of one response,
+ * as its framing specifies.
+ */
 final class ResponseReader {
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
 
   private final InputStream input;
-  private boolean anyByte;
+  private boolean responseStarted;
 
   ResponseReader(InputStream input) {
     this.input = new BufferedInputStream(input);
   }
 
-  /** A whole response. */
+  /** A complete response. */
   record Response(int status, Map<String, String> headers, String body) {
-    boolean isLast() {
+    boolean closesConnection() {
       return "close".equalsIgnoreCase(headers.get("Connection"));
     }
   }
 
-  /** Whether a byte of the response that was read last has come. */
+  /** Returns whether at least one byte of the most recent response has been read. */
   boolean hasStarted() {
-    return anyByte;
+    return responseStarted;
   }
 
   /**
@@ -38,16 +41,16 @@
    * @throws IOException if the connection ends before the response does
    */
   Response read() throws IOException {
-    anyByte = false;
-    String statusLine = line();
+    responseStarted = false;
+    String statusLine = readLine();
     int status = Integer.parseInt(statusLine.split(" ", -1)[1]);
     Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-    for (String line = line(); !line.isEmpty(); line = line()) {
+    for (String line = readLine(); !line.isEmpty(); line = readLine()) {
       int colon = line.indexOf(':');
       headers.put(line.substring(0, colon).trim(), line.substring(colon + 1).trim());
     }
     String coding = headers.getOrDefault("Transfer-Encoding", "").toLowerCase(Locale.ROOT);
-    byte[] body = coding.equals("chunked") ? chunks() : exactly(length(headers));
+    byte[] body = coding.equals("chunked") ? readChunks() : readExactly(length(headers));
     return new Response(status, headers, new String(body, StandardCharsets.UTF_8));
   }
 
@@ -55,33 +58,33 @@
     return Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
   }
 
-  private byte[] chunks() throws IOException {
+  private byte[] readChunks() throws IOException {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     while (true) {
-      int length = Integer.parseInt(line(), HEX);
-      body.writeBytes(exactly(length));
-      line();
+      int length = Integer.parseInt(readLine(), HEX_RADIX);
+      body.writeBytes(readExactly(length));
+      readLine();
       if (length == 0) {
         return body.toByteArray();
       }
     }
   }
 
-  private byte[] exactly(int length) throws IOException {
+  private byte[] readExactly(int length) throws IOException {
     byte[] bytes = input.readNBytes(length);
     if (bytes.length < length) {
-      throw new IOException("ended inside a body");
+      throw new IOException("the connection ended inside a response body");
     }
     return bytes;
   }
 
-  private String line() throws IOException {
+  private String readLine() throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int next = input.read(); next != '\n'; next = input.read()) {
       if (next < 0) {
-        throw new IOException("ended");
+        throw new IOException("the connection ended inside a line");
       }
-      anyByte = true;
+      responseStarted = true;
       line.write(next);
     }
     return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
--- a/src/main/java/slateslip/soak/RunCounter.java
+++ b/src/main/java/slateslip/soak/RunCounter.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongSupplier;
 
-/** How often each request ran at a backend, and what the limited tenant's did. From any thread. */
+/**
+ * Counts how often the backends execute each request, and records the executed requests of the
+ * limited tenant. Thread-safe.
+ */
 final class RunCounter {
   private final LongSupplier clockMillis;
   private final Map<String, Integer> runs = new ConcurrentHashMap<>();
@@ -17,21 +20,21 @@
     this.clockMillis = clockMillis;
   }
 
-  void ran(String attemptId) {
+  void recordRun(String attemptId) {
     runs.merge(attemptId, 1, Integer::sum);
   }
 
-  void ranForTenant(long units) {
+  void recordTenantRun(long units) {
     synchronized (tenantRuns) {
       tenantRuns.add(new TenantRun(clockMillis.getAsLong(), units));
     }
   }
 
-  Map<String, Integer> counts() {
+  Map<String, Integer> runsByAttemptId() {
     return Map.copyOf(runs);
   }
 
-  /** Runs of the limited tenant, in the order of their time. */
+  /** Returns the executed requests of the limited tenant in the order of their start. */
   List<TenantRun> tenantRuns() {
     synchronized (tenantRuns) {
       return List.copyOf(tenantRuns);
--- a/src/main/java/slateslip/soak/SoakChecker.java
+++ b/src/main/java/slateslip/soak/SoakChecker.java
@@ -9,15 +9,23 @@
 import slateslip.soak.RequestRecord.Outcome;
 import slateslip.soak.SoakViolation.Rule;
 
-/** Judges what was recorded. Pure functions. */
+/** Checks the records of a soak test for rule violations. All methods are pure functions. */
 final class SoakChecker {
-  /** A request sent so much later than SIGTERM has to be finished or refused. */
+  /**
+   * A request that is sent more than this time after SIGTERM must get a complete response or a
+   * refusal.
+   */
   static final long SENT_AFTER_STOP_MILLIS = 3_000;
 
-  /** A request that waited so long on an open connection was read, or could have been. */
+  /**
+   * A request that waited for at least this time on an open connection counts as read by the data
+   * plane, so that the data plane must respond to it.
+   */
   private static final long UNREAD_MILLIS = 2_000;
 
-  /** After an acknowledgement, until no read may give an older version. */
+  /**
+   * Time after the acknowledgement of a change from which on no read may return an older version.
+   */
   private static final long CONFIGURATION_APPLY_MILLIS = 2_500;
 
   private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
@@ -25,10 +33,10 @@
   private SoakChecker() {}
 
   /**
-   * All rules that are broken.
+   * Returns all violations of the rules for requests, processes and configurations.
    *
-   * @param incarnations of processes, by name
-   * @param runs how often each request ran at a backend, by its attempt id
+   * @param incarnations process incarnations by name
+   * @param runs number of executions of each request on any backend, by attempt id
    */
   static List<SoakViolation> check(
       Collection<RequestRecord> requests,
@@ -46,9 +54,12 @@
     return violations;
   }
 
-  /** The limited tenant's runs, over all data planes, in every window. */
+  /**
+   * Checks that the limited tenant's requests, summed over all data planes, stay within the quota
+   * in every window.
+   */
   static List<SoakViolation> checkQuota(List<TenantRun> runs) {
-    long worst = SoakQuota.worstWindow(runs);
+    long worst = SoakQuota.maxWindowUnits(runs);
     double permitted = SoakQuota.permittedUnits();
     if (worst <= permitted) {
       return List.of();
@@ -86,19 +97,23 @@
     return isUnanswered(request, incarnation) && !crossed;
   }
 
-  /** Whether it got no whole response, and nothing that happened to its process excuses that. */
+  /**
+   * Returns whether the request got no complete response and neither a kill nor a shutdown of its
+   * process excuses that.
+   */
   private static boolean isUnanswered(RequestRecord request, ProcessIncarnation incarnation) {
     boolean incomplete =
         request.outcome() == Outcome.TRUNCATED || request.outcome() == Outcome.NO_RESPONSE;
     return incomplete
-        && !incarnation.killedBefore(request.endMillis())
-        && !incarnation.mayTruncate(request.sentMillis(), request.endMillis());
+        && !incarnation.crashedBefore(request.endMillis())
+        && !incarnation.mayTruncateResponse(request.sentMillis(), request.endMillis());
   }
 
   /**
-   * Requests that are excused only as the end of their connection may have crossed them.
+   * Returns the requests without a response that are excused only because the data plane may have
+   * closed the connection while the request was on its way.
    *
-   * @param incarnations of processes, by name
+   * @param incarnations process incarnations by name
    */
   static List<RequestRecord> crossedByClose(
       Collection<RequestRecord> requests, Map<String, ProcessIncarnation> incarnations) {
@@ -115,7 +130,7 @@
 
   private static void checkIncarnation(
       ProcessIncarnation incarnation, List<SoakViolation> violations) {
-    if (incarnation.endedByItself() || incarnation.overran()) {
+    if (incarnation.exitedUnexpectedly() || incarnation.exceededGracePeriod()) {
       violations.add(new SoakViolation(Rule.PROCESS, 0, incarnation.toString()));
     }
   }
@@ -125,7 +140,7 @@
       List<ConfigurationRecord> configurations,
       List<SoakViolation> violations) {
     long newest = 0;
-    boolean sent = false; // by an operator, with this content
+    boolean sent = false; // whether an operator sent this version with the same set of routes
     for (ConfigurationRecord change : configurations) {
       boolean acknowledged = change.kind() == Kind.ACKNOWLEDGED;
       if (acknowledged && change.endMillis() <= read.sentMillis() - CONFIGURATION_APPLY_MILLIS) {
@@ -134,7 +149,7 @@
       sent |=
           change.kind() != Kind.READ
               && change.version() == read.version()
-              && hasOptional(change) == hasOptional(read);
+              && hasOptionalRoute(change) == hasOptionalRoute(read);
     }
     if (read.version() < newest || !sent) {
       String detail = "read " + read.version() + " where " + newest + " was acknowledged";
@@ -142,7 +157,7 @@
     }
   }
 
-  private static boolean hasOptional(ConfigurationRecord record) {
+  private static boolean hasOptionalRoute(ConfigurationRecord record) {
     return record.body().contains(SoakConfiguration.OPTIONAL_ENTRIES);
   }
 }
--- a/src/main/java/slateslip/soak/SoakClient.java
+++ b/src/main/java/slateslip/soak/SoakClient.java
@@ -11,8 +11,8 @@
 import slateslip.soak.RequestRecord.Outcome;
 
 /**
- * A client that keeps its connection in use until the other side ends it: the next request often
- * goes out right behind the last byte of a response, sometimes several at once.
+ * A client that uses its connection until the data plane closes it. The client often sends the next
+ * request immediately after the last byte of a response, and sometimes pipelines several requests.
  */
 final class SoakClient implements Runnable {
   private static final List<Kind> KINDS = List.of(Kind.values());
@@ -24,24 +24,25 @@
   private static final int NOT_FOUND = 404;
 
   private final SoakRun run;
-  private final int number;
+  private final int index;
   private final SplittableRandom random;
   private int requests;
   private boolean connectionOpen;
-  private boolean lastAnnounced;
+  private boolean closeAnnounced;
 
-  SoakClient(SoakRun run, int number, long seed) {
+  SoakClient(SoakRun run, int index, long seed) {
     this.run = run;
-    this.number = number;
+    this.index = index;
     this.random = new SplittableRandom(seed);
   }
 
-  private record Sent(String attemptId, Kind kind, String body, StreamSpec spec, String usage) {}
+  private record PendingRequest(
+      String attemptId, Kind kind, String body, StreamSpec spec, String usage) {}
 
   @Override
   public void run() {
     try {
-      while (!run.clientsShouldEnd()) {
+      while (!run.clientsShouldStop()) {
         useConnection(random.nextInt(run.options().dataPlanes()));
         TimeUnit.MILLISECONDS.sleep(RECONNECT_MILLIS);
       }
@@ -61,22 +62,22 @@
         exchange(socket, incarnation.name());
       }
     } catch (IOException notUp) {
-      // refused before anything was sent
+      // the connection failed before a request was sent
     }
   }
 
   private void exchange(Socket socket, String process) throws IOException, InterruptedException {
     ResponseReader reader = new ResponseReader(socket.getInputStream());
     connectionOpen = true;
-    lastAnnounced = false;
-    while (connectionOpen && !lastAnnounced && !run.clientsShouldEnd()) {
-      List<Sent> batch = draw();
+    closeAnnounced = false;
+    while (connectionOpen && !closeAnnounced && !run.clientsShouldStop()) {
+      List<PendingRequest> batch = drawBatch();
       StringBuilder text = new StringBuilder();
-      batch.forEach(sent -> text.append(head(sent)).append(sent.body()));
+      batch.forEach(request -> text.append(head(request)).append(request.body()));
       long sentMillis = run.nowMillis();
       connectionOpen = write(socket, text.toString());
-      for (Sent sent : batch) {
-        readResponse(reader, sent, process, sentMillis);
+      for (PendingRequest request : batch) {
+        readResponse(reader, request, process, sentMillis);
       }
       if (connectionOpen && random.nextBoolean()) {
         TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_DELAY_MILLIS));
@@ -84,7 +85,10 @@
     }
   }
 
-  /** Writes all; a connection that has ended may still hold responses. */
+  /**
+   * Writes the text and returns whether the write succeeded. After a failed write, the client does
+   * not read the responses that the connection may still hold.
+   */
   private static boolean write(Socket socket, String text) {
     try {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -94,16 +98,17 @@
     }
   }
 
-  /** Reads and records the end of one request. */
-  private void readResponse(ResponseReader reader, Sent sent, String process, long sentMillis) {
+  /** Reads the response to one request and records how the request ended. */
+  private void readResponse(
+      ResponseReader reader, PendingRequest request, String process, long sentMillis) {
     Outcome outcome = Outcome.NO_RESPONSE;
     int status = 0;
     if (connectionOpen) {
       try {
         ResponseReader.Response response = reader.read();
         status = response.status();
-        outcome = isWanted(sent, response) ? Outcome.COMPLETE : Outcome.WRONG;
-        lastAnnounced |= response.isLast();
+        outcome = isExpected(request, response) ? Outcome.COMPLETE : Outcome.WRONG;
+        closeAnnounced |= response.closesConnection();
       } catch (IOException ended) {
         connectionOpen = false;
         outcome = reader.hasStarted() ? Outcome.TRUNCATED : Outcome.NO_RESPONSE;
@@ -111,34 +116,40 @@
     }
     run.record(
         new RequestRecord(
-            sent.attemptId(), sent.kind(), process, sentMillis, run.nowMillis(), outcome, status));
+            request.attemptId(),
+            request.kind(),
+            process,
+            sentMillis,
+            run.nowMillis(),
+            outcome,
+            status));
   }
 
-  private static boolean isWanted(Sent sent, ResponseReader.Response response) {
+  private static boolean isExpected(PendingRequest request, ResponseReader.Response response) {
     if (response.status() != 200) {
-      boolean unknown = response.status() == NOT_FOUND && sent.kind() != Kind.OPTIONAL_ENTRY;
+      boolean unknown = response.status() == NOT_FOUND && request.kind() != Kind.OPTIONAL_ENTRY;
       return !unknown;
     }
-    String expected = sent.spec() == null ? sent.body() : sent.spec().body();
+    String expected = request.spec() == null ? request.body() : request.spec().body();
     return response.body().equals(expected)
-        && sent.attemptId().equals(response.headers().get("X-Attempt-Id"));
+        && request.attemptId().equals(response.headers().get("X-Attempt-Id"));
   }
 
-  private List<Sent> draw() {
+  private List<PendingRequest> drawBatch() {
     int count = random.nextInt(4) == 0 ? 2 + random.nextInt(MAX_PIPELINED - 1) : 1;
-    List<Sent> batch = new ArrayList<>();
+    List<PendingRequest> batch = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      batch.add(drawOne());
+      batch.add(drawRequest());
     }
     return batch;
   }
 
-  private Sent drawOne() {
-    String attemptId = "c" + number + "-" + ++requests;
+  private PendingRequest drawRequest() {
+    String attemptId = "c" + index + "-" + ++requests;
     Kind kind = KINDS.get(random.nextInt(KINDS.size()));
     if (kind != Kind.STREAM) {
       String usage = kind == Kind.LIMITED_ENTRY ? SoakQuota.drawUsage(random) : null;
-      return new Sent(attemptId, kind, "entry of " + attemptId, null, usage);
+      return new PendingRequest(attemptId, kind, "entry of " + attemptId, null, usage);
     }
     int events = 1 + random.nextInt(20);
     boolean stalls = random.nextInt(4) == 0;
@@ -148,32 +159,32 @@
             random.nextInt(120),
             stalls ? 1 + random.nextInt(events) : 0,
             stalls ? 500 + random.nextInt(2_500) : 0);
-    return new Sent(attemptId, kind, spec.text(), spec, null);
+    return new PendingRequest(attemptId, kind, spec.text(), spec, null);
   }
 
-  private static String head(Sent sent) {
+  private static String head(PendingRequest request) {
     return "POST "
-        + SoakConfiguration.path(sent.kind())
+        + SoakConfiguration.path(request.kind())
         + " HTTP/1.1\r\nHost: "
         + SoakConfiguration.HOST
         + "\r\nX-Attempt-Id: "
-        + sent.attemptId()
+        + request.attemptId()
         + "\r\nX-Deadline-Ms: "
         + DEADLINE_MILLIS
-        + quotaHeaders(sent)
+        + quotaHeaders(request)
         + "\r\nContent-Length: "
-        + sent.body().length()
+        + request.body().length()
         + "\r\n\r\n";
   }
 
-  private static String quotaHeaders(Sent sent) {
-    return sent.usage() == null
+  private static String quotaHeaders(PendingRequest request) {
+    return request.usage() == null
         ? ""
         : "\r\nX-Credential: "
             + SoakQuota.KEY
             + "\r\n"
             + SoakQuota.USAGE_HEADER
             + ": "
-            + sent.usage();
+            + request.usage();
   }
 }
--- a/src/main/java/slateslip/soak/SoakConfiguration.java
+++ b/src/main/java/slateslip/soak/SoakConfiguration.java
@@ -1,6 +1,6 @@
 package slateslip.soak;
 
-/** The configurations of a soak. */
+/** Builds the configuration documents of a soak test. */
 final class SoakConfiguration {
   static final String HOST = "soak.example";
   static final String STREAMS = "streams";
@@ -25,8 +25,10 @@
     };
   }
 
-  /** A whole configuration, with or without the route that comes and goes. */
-  static String document(long version, boolean withOptional) {
+  /**
+   * Returns a complete configuration document, with or without the optional route and its service.
+   */
+  static String document(long version, boolean withOptionalRoute) {
     String routes =
         String.join(
             ",",
@@ -35,7 +37,7 @@
             route(LIMITED_ENTRIES, "non_idempotent", false, false));
     String services =
         String.join(",", service(STREAMS), service(ENTRIES), service(LIMITED_ENTRIES));
-    if (withOptional) {
+    if (withOptionalRoute) {
       routes += "," + route(OPTIONAL_ENTRIES, "non_idempotent", false, true);
       services += "," + service(OPTIONAL_ENTRIES);
     }
--- a/src/main/java/slateslip/soak/SoakFleet.java
+++ b/src/main/java/slateslip/soak/SoakFleet.java
@@ -17,15 +17,21 @@
 import slateslip.standin.Heartbeats;
 import slateslip.standin.StandInServer;
 
-/** The processes of both programs, and the stand-in backends. */
+/**
+ * Starts, stops and restarts the processes of both programs and the stand-in backends of a soak
+ * test.
+ */
 final class SoakFleet {
-  /** No control agent. */
+  /** Index for {@link #killControlPlane} that stands for no control agent. */
   static final int NO_AGENT = -1;
 
   private static final int SLOTS = 64;
   private static final int CONNECT_MILLIS = 500;
 
-  /** A machine whose disk was lost counts as lost until it has been back for so long. */
+  /**
+   * Time after a control agent starts to listen in which its disk counts as lost, because the agent
+   * may still be copying the data from its peers.
+   */
   private static final long SYNC_MILLIS = 5_000;
 
   private static final String CONTROL_JAR = "slateslip-controlplane.jar";
@@ -81,7 +87,7 @@
         ChildProcess.start(options.jars().resolve(DATA_PLANE_JAR), layout.dataPlaneSettings(index));
   }
 
-  /** Starts backends of all services and has them registered. */
+  /** Starts the backends of all services and their heartbeats. */
   void startBackends(OkHttpClient client, RunCounter runs) {
     List<String> services =
         List.of(
@@ -126,42 +132,50 @@
     return dataPlanes.get(dataPlane).incarnation();
   }
 
-  /** Carries out a step that concerns a process; returns when it has started again. */
-  void carryOut(PlannedEvent event) throws IOException, InterruptedException {
+  /**
+   * Executes a planned event that concerns a process, and returns after a new process has been
+   * started.
+   */
+  void execute(PlannedEvent event) throws IOException, InterruptedException {
     int target = event.target();
     switch (event.kind()) {
-      case STOP_DATA_PLANE -> dataPlanes.get(target).stopAndStart(1, dataPlaneStarter(target));
+      case STOP_DATA_PLANE ->
+          dataPlanes.get(target).terminateAndRestart(1, dataPlaneStarter(target));
       case STOP_DATA_PLANE_TWICE ->
-          dataPlanes.get(target).stopAndStart(2, dataPlaneStarter(target));
-      case KILL_DATA_PLANE -> dataPlanes.get(target).killAndStart(dataPlaneStarter(target));
+          dataPlanes.get(target).terminateAndRestart(2, dataPlaneStarter(target));
+      case KILL_DATA_PLANE -> dataPlanes.get(target).killAndRestart(dataPlaneStarter(target));
       case RELOAD_DATA_PLANE -> dataPlanes.get(target).reload();
       case STOP_CONTROL_AGENT ->
-          controlAgents.get(target).stopAndStart(1, controlStarter(target, false));
+          controlAgents.get(target).terminateAndRestart(1, controlStarter(target, false));
       case KILL_CONTROL_AGENT ->
-          controlAgents.get(target).killAndStart(controlStarter(target, false));
+          controlAgents.get(target).killAndRestart(controlStarter(target, false));
       case WIPE_CONTROL_AGENT -> {
-        if (mayLoseDisk()) {
-          wipe(target);
+        if (mayEraseDisk()) {
+          killAndEraseDisk(target);
         } else {
-          controlAgents.get(target).killAndStart(controlStarter(target, false));
+          controlAgents.get(target).killAndRestart(controlStarter(target, false));
         }
       }
       default -> throw new IllegalArgumentException(event.toString());
     }
   }
 
-  /** Whether the loss of a disk is one that must be borne: no other may still be copied anew. */
-  boolean mayLoseDisk() {
+  /**
+   * Returns whether the fleet must tolerate the loss of a disk now. This is the case if no control
+   * agent was restarted recently, because such an agent may still be copying its data from its
+   * peers.
+   */
+  boolean mayEraseDisk() {
     controlAgents.forEach(ManagedProcess::checkListening);
     return controlAgents.stream()
-        .allMatch(agent -> agent.undisturbedListeningMillis() > SYNC_MILLIS);
+        .allMatch(agent -> agent.listeningMillisSinceDisturbance() > SYNC_MILLIS);
   }
 
-  private void wipe(int target) throws IOException, InterruptedException {
+  private void killAndEraseDisk(int target) throws IOException, InterruptedException {
     ManagedProcess.Starter starter = controlStarter(target, false);
     controlAgents
         .get(target)
-        .killAndStart(
+        .killAndRestart(
             () -> {
               delete(layout.controlData(target));
               return starter.start();
@@ -169,15 +183,16 @@
   }
 
   /**
-   * All control agents are killed at once, one of them loses its disk, and all start again.
+   * Kills all control agents at once, erases the data folder of one of them and restarts all of
+   * them.
    *
-   * @param wiped which one, or {@link #NO_AGENT}
+   * @param erasedAgent index of the control agent whose data folder is erased, or {@link #NO_AGENT}
    */
-  void loseControlPlane(int wiped) throws IOException, InterruptedException {
+  void killControlPlane(int erasedAgent) throws IOException, InterruptedException {
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < controlAgents.size(); i++) {
       int target = i;
-      threads.add(new Thread(() -> loseOrFail(target, target == wiped), "final-" + i));
+      threads.add(new Thread(() -> killAgent(target, target == erasedAgent), "final-" + i));
     }
     threads.forEach(Thread::start);
     for (Thread thread : threads) {
@@ -185,12 +200,12 @@
     }
   }
 
-  private void loseOrFail(int target, boolean disk) {
+  private void killAgent(int target, boolean disk) {
     try {
       if (disk) {
-        wipe(target);
+        killAndEraseDisk(target);
       } else {
-        controlAgents.get(target).killAndStart(controlStarter(target, false));
+        controlAgents.get(target).killAndRestart(controlStarter(target, false));
       }
     } catch (IOException failed) {
       throw new IllegalStateException(failed);
@@ -199,14 +214,17 @@
     }
   }
 
-  /** Notes processes that have ended by themselves, and control agents that listen by now. */
-  void checkRunning() {
+  /**
+   * Records processes that have exited without a signal, and control agents that have started to
+   * listen.
+   */
+  void checkForExit() {
     controlAgents.forEach(ManagedProcess::checkListening);
     Stream.concat(controlAgents.stream(), dataPlanes.stream())
-        .forEach(ManagedProcess::checkRunning);
+        .forEach(ManagedProcess::checkForExit);
   }
 
-  /** Ends all processes at once. */
+  /** Kills all processes immediately. */
   void killAll() {
     Stream.concat(controlAgents.stream(), dataPlanes.stream()).forEach(ManagedProcess::close);
   }
--- a/src/main/java/slateslip/soak/SoakMain.java
+++ b/src/main/java/slateslip/soak/SoakMain.java
@@ -13,27 +13,33 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Command line of the soak. */
+/** Runs soak tests from the command line. */
 public final class SoakMain {
   private static final int USAGE_ERROR = 2;
   private static final int FAILURE = 1;
   private static final String HELP =
       "usage: java -cp target/slateslip-local.jar slateslip.soak.SoakMain [options]\n"
-          + "  --seed N           first seed, 1 if not given; a seed is replayed by naming it\n"
-          + "  --seeds N          how many seeds, 1 if not given\n"
-          + "  --seconds N        how long clients send, 30 if not given\n"
-          + "  --data-planes N    3 if not given\n"
-          + "  --control-agents N 3 if not given\n"
-          + "  --clients N        24 if not given\n"
-          + "  --jars DIR         folder with the jars of both programs; this jar's if not given\n"
-          + "  --help             say this";
+          + "  --seed N           first seed, 1 by default; the same seed repeats the same plan\n"
+          + "  --seeds N          number of seeds, 1 by default\n"
+          + "  --seconds N        duration of the client traffic, 30 by default\n"
+          + "  --data-planes N    number of data planes, 3 by default\n"
+          + "  --control-agents N number of control agents, 3 by default\n"
+          + "  --clients N        number of clients, 24 by default\n"
+          + "  --jars DIR         folder with the jars of both programs, by default this jar's folder\n"
+          + "  --help             print this help";
 
-  /** Held here, else its level would be lost with it. */
+  /**
+   * Strong reference to the root logger. The log manager holds loggers weakly, so the level set
+   * here would be lost if the logger were garbage-collected.
+   */
   private static final Logger ROOT_LOG = Logger.getLogger("");
 
   private SoakMain() {}
 
-  /** Plays seeds one after the other; ends with 1 if one of them broke a rule. */
+  /**
+   * Runs one soak test per seed, one after the other. Exits with status 1 if a run violated a rule,
+   * and with status 2 if the arguments are invalid.
+   */
   public static void main(String[] arguments) throws Exception {
     ROOT_LOG.setLevel(Level.WARNING);
     try {
@@ -42,9 +48,9 @@
         System.out.println(HELP);
         return;
       }
-      System.exit(play(command, System.out));
-    } catch (ParseException wrong) {
-      System.err.println(wrong.getMessage() + "\n" + HELP);
+      System.exit(runSeeds(command, System.out));
+    } catch (ParseException invalid) {
+      System.err.println(invalid.getMessage() + "\n" + HELP);
       System.exit(USAGE_ERROR);
     }
   }
@@ -60,12 +66,13 @@
     return options;
   }
 
-  private static int number(CommandLine command, String name, int otherwise) throws ParseException {
-    Number given = command.getParsedOptionValue(name, (Number) (long) otherwise);
+  private static int number(CommandLine command, String name, int defaultValue)
+      throws ParseException {
+    Number given = command.getParsedOptionValue(name, (Number) (long) defaultValue);
     return given.intValue();
   }
 
-  private static int play(CommandLine command, PrintStream out)
+  private static int runSeeds(CommandLine command, PrintStream out)
       throws ParseException, IOException, InterruptedException, URISyntaxException {
     Path jars = command.hasOption("jars") ? Path.of(command.getOptionValue("jars")) : jarFolder();
     int first = number(command, "seed", 1);
@@ -79,17 +86,20 @@
               number(command, "control-agents", 3),
               number(command, "clients", 24),
               jars);
-      failed += playSeed(options, out) ? 0 : 1;
+      failed += runSeed(options, out) ? 0 : 1;
     }
     out.println(failed == 0 ? "soak: no rule broken" : "soak: " + failed + " seeds broke a rule");
     return failed == 0 ? 0 : FAILURE;
   }
 
-  /** Plays one seed; the folder with its logs stays if it broke a rule. */
-  private static boolean playSeed(SoakOptions options, PrintStream out)
+  /**
+   * Runs the soak test of one seed and returns whether no rule was violated. The folder with the
+   * logs is kept if a rule was violated.
+   */
+  private static boolean runSeed(SoakOptions options, PrintStream out)
       throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("slateslip-soak-");
-    SoakRun.Result result = new SoakRun(options, folder).play();
+    SoakRun.Result result = new SoakRun(options, folder).run();
     SoakReport.print(options, result, out);
     boolean passed = result.violations().isEmpty();
     if (passed) {
--- a/src/main/java/slateslip/soak/SoakOperator.java
+++ b/src/main/java/slateslip/soak/SoakOperator.java
@@ -14,7 +14,7 @@
 import okhttp3.Response;
 import slateslip.soak.ConfigurationRecord.Kind;
 
-/** Changes and reads the configuration as an operator does, and records what came of it. */
+/** Changes and reads the configuration like an operator, and records the results. */
 final class SoakOperator {
   private static final MediaType JSON = MediaType.get("application/json");
   private static final Pattern VERSION = Pattern.compile("\"version\"\\s*:\\s*(\\d+)");
@@ -28,9 +28,9 @@
   private final LongSupplier clock;
   private final SoakRecords records;
   private int next;
-  private long base;
+  private long baseVersion;
   private long version;
-  private boolean withOptional = true;
+  private boolean withOptionalRoute = true;
 
   SoakOperator(List<String> agents, LongSupplier clock, SoakRecords records) {
     this.agents = agents;
@@ -38,20 +38,24 @@
     this.records = records;
   }
 
-  /** Sends the next configuration until it is taken or refused; whether it was acknowledged. */
+  /**
+   * Sends the next configuration until a control agent acknowledges or refuses it, or until the
+   * attempts are exhausted. Returns whether the configuration was acknowledged.
+   */
   synchronized boolean change(boolean switchOptional) throws InterruptedException {
     version++;
-    boolean optional = withOptional != switchOptional;
+    boolean optional = withOptionalRoute != switchOptional;
     String body = SoakConfiguration.document(version, optional);
     long sentMillis = clock.getAsLong();
     Kind kind = Kind.UNCLEAR;
     for (int i = 0; i < MAX_ATTEMPTS && kind == Kind.UNCLEAR; i++) {
       kind = putOnce(body);
     }
-    records.configured(new ConfigurationRecord(sentMillis, clock.getAsLong(), version, body, kind));
+    records.addConfiguration(
+        new ConfigurationRecord(sentMillis, clock.getAsLong(), version, body, kind));
     if (kind == Kind.ACKNOWLEDGED) {
-      base = version;
-      withOptional = optional;
+      baseVersion = version;
+      withOptionalRoute = optional;
     } else {
       readBase();
     }
@@ -62,7 +66,7 @@
     Request request =
         new Request.Builder()
             .url("http://" + nextAgent() + "/config")
-            .header("If-Match", Long.toString(base))
+            .header("If-Match", Long.toString(baseVersion))
             .put(RequestBody.create(body, JSON))
             .build();
     try (Response response = client.newCall(request).execute()) {
@@ -73,7 +77,7 @@
         return Kind.REFUSED;
       }
     } catch (IOException unreachable) {
-      // asked again below
+      // the caller retries after the delay below
     }
     TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
     return Kind.UNCLEAR;
@@ -84,25 +88,30 @@
     return agents.get(next % agents.size());
   }
 
-  /** What is in force after a change without a clear response. */
+  /**
+   * Reads the configuration that is in force after a change that was not acknowledged, as the base
+   * of the next change.
+   */
   private void readBase() throws InterruptedException {
     for (int i = 0; i < MAX_ATTEMPTS; i++) {
       ConfigurationRecord read = read(nextAgent());
       if (read != null) {
-        base = read.version();
-        withOptional = read.body().contains(SoakConfiguration.OPTIONAL_ENTRIES);
+        baseVersion = read.version();
+        withOptionalRoute = read.body().contains(SoakConfiguration.OPTIONAL_ENTRIES);
         return;
       }
       TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
     }
   }
 
-  /** Asks every agent once. */
+  /** Reads the configuration once from every control agent. */
   void readAll() {
     agents.forEach(this::read);
   }
 
-  /** Reads at one agent and records it; null if it gave none. */
+  /**
+   * Reads the configuration from one control agent and records it. Returns null if the read failed.
+   */
   private ConfigurationRecord read(String agent) {
     long sentMillis = clock.getAsLong();
     Request request = new Request.Builder().url("http://" + agent + "/config").build();
@@ -115,14 +124,17 @@
       long found = matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
       ConfigurationRecord read =
           new ConfigurationRecord(sentMillis, clock.getAsLong(), found, body, Kind.READ);
-      records.configured(read);
+      records.addConfiguration(read);
       return read;
     } catch (IOException unreachable) {
       return null;
     }
   }
 
-  /** Reads until an agent answers; whether one did. */
+  /**
+   * Reads the configuration from the control agents in turn until a read succeeds or the attempts
+   * are exhausted. Returns whether a read succeeded.
+   */
   boolean awaitRead() throws InterruptedException {
     for (int i = 0; i < MAX_ATTEMPTS * 2; i++) {
       if (read(nextAgent()) != null) {
--- a/src/main/java/slateslip/soak/SoakOptions.java
+++ b/src/main/java/slateslip/soak/SoakOptions.java
@@ -3,18 +3,18 @@
 import java.nio.file.Path;
 
 /**
- * What a soak is made of.
+ * Parameters of a soak test.
  *
- * @param seed of all that is drawn
- * @param seconds how long clients send
- * @param dataPlanes processes
- * @param controlAgents processes
- * @param clients each with a connection of its own
+ * @param seed seed of all random numbers
+ * @param seconds duration of the client traffic in seconds
+ * @param dataPlanes number of data planes
+ * @param controlAgents number of control agents
+ * @param clients number of clients, each of which has its own connection
  * @param jars folder with the jars of both programs
  */
 record SoakOptions(
     long seed, int seconds, int dataPlanes, int controlAgents, int clients, Path jars) {
-  /** How many control agents may be lost at once. */
+  /** Returns how many control agents may fail at the same time without loss of the majority. */
   int faultTolerance() {
     return (controlAgents - 1) / 2;
   }
--- a/src/main/java/slateslip/soak/SoakPlan.java
+++ b/src/main/java/slateslip/soak/SoakPlan.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import slateslip.soak.PlannedEvent.Kind;
 
-/** Draws the steps of a soak from its seed: in series that overlap. */
+/** Generates the planned events of a soak test from its seed, in series that overlap. */
 final class SoakPlan {
   private static final List<Kind> KINDS = List.of(Kind.values());
   private static final List<Series> SERIES = List.of(Series.values());
@@ -15,7 +15,7 @@
   private static final int MAX_STEP_GAP_MILLIS = 900;
   private static final int MAX_STEPS = 5;
 
-  /** What a series is made of. */
+  /** Kinds of events that a series consists of. */
   private enum Series {
     STOPS,
     STOPS_WITH_RELOADS,
@@ -33,7 +33,7 @@
     this.random = new SplittableRandom(options.seed());
   }
 
-  /** The steps, in the order of their time. */
+  /** Returns the planned events in the order of their times. */
   static List<PlannedEvent> draw(SoakOptions options) {
     SoakPlan plan = new SoakPlan(options);
     long endMillis = options.seconds() * 1_000L;
--- a/src/main/java/slateslip/soak/SoakQuota.java
+++ b/src/main/java/slateslip/soak/SoakQuota.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The tenant of a soak that asks for more than its limit, and the rule that holds for it. */
+/**
+ * The tenant of a soak test whose requests exceed its quota, and the limit that the fleet must
+ * enforce.
+ */
 final class SoakQuota {
   static final String TENANT_HEADER = "X-Tenant";
   static final String USAGE_HEADER = "X-Token-Usage";
@@ -20,7 +23,10 @@
 
   private SoakQuota() {}
 
-  /** What a request says of its tokens. */
+  /**
+   * Returns a random value for the token usage header: prompt tokens and output tokens, separated
+   * by a comma.
+   */
   static String drawUsage(SplittableRandom random) {
     return PROMPT_UNITS[random.nextInt(PROMPT_UNITS.length)] + "," + OUTPUT_UNITS;
   }
@@ -30,7 +36,7 @@
     return Long.parseLong(usage.substring(0, comma)) + Long.parseLong(usage.substring(comma + 1));
   }
 
-  /** The tenant in a configuration. */
+  /** Returns the tenant's JSON object in the configuration document. */
   static String tenant() {
     return "{\"name\":\"limited\",\"api_keys\":[\""
         + KEY
@@ -41,14 +47,20 @@
         + "}";
   }
 
-  /** What the rule permits in a window. */
+  /**
+   * Returns the maximum number of units that the tenant may use in one window: the rate times the
+   * window plus the burst, increased by the permitted overshoot.
+   */
   static double permittedUnits() {
     long quota = UNITS_PER_SECOND * WINDOW_MILLIS / MILLIS_PER_SECOND + UNITS_PER_SECOND;
     return quota * (1 + OVERSHOOT);
   }
 
-  /** Most units that ran in a window. */
-  static long worstWindow(List<TenantRun> runs) {
+  /**
+   * Returns the maximum number of units that were executed in any window. The runs must be sorted
+   * by time.
+   */
+  static long maxWindowUnits(List<TenantRun> runs) {
     Deque<TenantRun> window = new ArrayDeque<>();
     long sum = 0;
     long worst = 0;
--- a/src/main/java/slateslip/soak/SoakRecords.java
+++ b/src/main/java/slateslip/soak/SoakRecords.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a soak has seen. From any thread. */
+/**
+ * Records the requests, configuration changes, configuration reads and process incarnations of a
+ * soak test. Thread-safe.
+ */
 final class SoakRecords {
   private final List<RequestRecord> requests = Collections.synchronizedList(new ArrayList<>());
   private final List<ConfigurationRecord> configurations =
@@ -14,15 +17,15 @@
   private final Map<String, ProcessIncarnation> incarnations =
       Collections.synchronizedMap(new LinkedHashMap<>());
 
-  void ended(RequestRecord request) {
+  void addRequest(RequestRecord request) {
     requests.add(request);
   }
 
-  void configured(ConfigurationRecord configuration) {
+  void addConfiguration(ConfigurationRecord configuration) {
     configurations.add(configuration);
   }
 
-  void began(ProcessIncarnation incarnation) {
+  void addIncarnation(ProcessIncarnation incarnation) {
     incarnations.put(incarnation.name(), incarnation);
   }
 
--- a/src/main/java/slateslip/soak/SoakReport.java
+++ b/src/main/java/slateslip/soak/SoakReport.java
@@ -6,10 +6,13 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-/** Says what came of a soak; of a seed that broke a rule, only the history that matters. */
+/**
+ * Prints the results of a soak test. For each violation, only the related processes and
+ * configuration changes are printed.
+ */
 final class SoakReport {
   private static final int MAX_VIOLATIONS = 5;
-  private static final long AROUND_MILLIS = 9_000;
+  private static final long RELATED_CHANGE_MILLIS = 9_000;
 
   private SoakReport() {}
 
@@ -21,20 +24,20 @@
     }
     outcomes.forEach((key, count) -> out.println("  " + key + ": " + count));
     Map<String, ProcessIncarnation> processes = result.records().incarnations();
-    List<RequestRecord> crossed =
+    List<RequestRecord> crossedByClose =
         SoakChecker.crossedByClose(result.records().requests(), processes);
     long longest =
-        crossed.stream()
+        crossedByClose.stream()
             .mapToLong(request -> request.endMillis() - request.sentMillis())
             .max()
             .orElse(0);
     out.printf(
         "  processes: %d; requests crossed by the end of their connection: %d, longest %d ms%n",
-        processes.size(), crossed.size(), longest);
+        processes.size(), crossedByClose.size(), longest);
     out.printf(
         "  limited tenant: %d runs, worst window %.2f of its quota%n",
         result.tenantRuns().size(),
-        SoakQuota.worstWindow(result.tenantRuns()) / SoakQuota.permittedUnits());
+        SoakQuota.maxWindowUnits(result.tenantRuns()) / SoakQuota.permittedUnits());
     List<SoakViolation> violations = result.violations();
     violations.stream().limit(MAX_VIOLATIONS).forEach(violation -> print(violation, result, out));
     out.printf(
@@ -45,7 +48,10 @@
         violations.size());
   }
 
-  /** A violation, and what happened to the processes and configurations around it. */
+  /**
+   * Prints a violation with the incarnations that its detail names and the configuration changes
+   * that ended within nine seconds of it.
+   */
   private static void print(SoakViolation violation, SoakRun.Result result, PrintStream out) {
     out.println("VIOLATION " + violation);
     Stream<String> incarnations =
@@ -55,7 +61,9 @@
     Stream<String> configurations =
         result.records().configurations().stream()
             .filter(change -> change.kind() != ConfigurationRecord.Kind.READ)
-            .filter(change -> Math.abs(change.endMillis() - violation.atMillis()) < AROUND_MILLIS)
+            .filter(
+                change ->
+                    Math.abs(change.endMillis() - violation.atMillis()) < RELATED_CHANGE_MILLIS)
             .map(
                 change ->
                     change.sentMillis()
--- a/src/main/java/slateslip/soak/SoakRun.java
+++ b/src/main/java/slateslip/soak/SoakRun.java
@@ -15,14 +15,20 @@
 import okhttp3.Response;
 import slateslip.soak.SoakViolation.Rule;
 
-/** One soak: starts the fleet, plays the plan while clients send, and judges what was recorded. */
+/**
+ * One soak test: starts the fleet, executes the planned events while clients send requests, and
+ * checks the records for rule violations.
+ */
 final class SoakRun {
   private static final long START_MILLIS = 90_000;
   private static final long POLL_MILLIS = 100;
   private static final long END_MILLIS = 40_000;
   private static final long READ_INTERVAL_MILLIS = 400;
 
-  /** An operator asks for so long at the end, as the users' sheets say ({@code contact_ms}). */
+  /**
+   * Number of reads at the end of the run. Together, the reads take about as long as an operator
+   * needs to retry according to the settings ({@code contact_ms}, 3 seconds by default).
+   */
   private static final int FINAL_READS = 8;
 
   private static final String ERROR_LEVEL = "level=ERROR";
@@ -36,8 +42,8 @@
   private final SoakOperator operator;
   private final ExecutorService threads = Executors.newCachedThreadPool(SoakRun::daemon);
   private final long startNanos = System.nanoTime();
-  private volatile boolean clientsEnd;
-  private volatile boolean readsEnd;
+  private volatile boolean stopClients;
+  private volatile boolean stopReads;
 
   SoakRun(SoakOptions options, Path folder) throws IOException {
     this.options = options;
@@ -54,7 +60,7 @@
     return thread;
   }
 
-  /** What came of a run. */
+  /** Results of a run. */
   record Result(List<SoakViolation> violations, SoakRecords records, List<TenantRun> tenantRuns) {}
 
   SoakOptions options() {
@@ -69,45 +75,49 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
-  boolean clientsShouldEnd() {
-    return clientsEnd;
+  boolean clientsShouldStop() {
+    return stopClients;
   }
 
   void record(RequestRecord request) {
-    records.ended(request);
+    records.addRequest(request);
   }
 
-  /** Plays it to its end. */
-  Result play() throws IOException, InterruptedException {
+  /** Runs the soak test to its end and returns the violations and the records. */
+  Result run() throws IOException, InterruptedException {
     List<SoakViolation> violations = new ArrayList<>();
-    Thread endWithThisProcess = new Thread(fleet::killAll, "end");
-    Runtime.getRuntime().addShutdownHook(endWithThisProcess);
+    Thread shutdownHook = new Thread(fleet::killAll, "end");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
       fleet.start();
       operator.change(false);
       fleet.startBackends(operator.client(), runs);
       if (!awaitReady()) {
-        violations.add(new SoakViolation(Rule.PROCESS, nowMillis(), "the fleet is not ready"));
+        violations.add(
+            new SoakViolation(Rule.PROCESS, nowMillis(), "the fleet did not become ready"));
         return new Result(violations, records, runs.tenantRuns());
       }
-      playPlan();
-      violations.addAll(loseAndReadBack());
+      executePlan();
+      violations.addAll(checkConfigurationDurability());
     } finally {
-      readsEnd = true;
+      stopReads = true;
       fleet.close();
-      Runtime.getRuntime().removeShutdownHook(endWithThisProcess);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
       operator.close();
       threads.shutdownNow();
     }
     violations.addAll(
         SoakChecker.check(
-            records.requests(), records.incarnations(), runs.counts(), records.configurations()));
+            records.requests(),
+            records.incarnations(),
+            runs.runsByAttemptId(),
+            records.configurations()));
     violations.addAll(SoakChecker.checkQuota(runs.tenantRuns()));
     violations.addAll(loggedErrors());
     return new Result(violations, records, runs.tenantRuns());
   }
 
-  /** Faults that the processes have logged of themselves. */
+  /** Returns one violation for each process log that contains a line of level ERROR. */
   private List<SoakViolation> loggedErrors() throws IOException {
     List<SoakViolation> errors = new ArrayList<>();
     try (DirectoryStream<Path> logs = Files.newDirectoryStream(folder, "*.log")) {
@@ -145,7 +155,7 @@
     }
   }
 
-  private void playPlan() throws InterruptedException {
+  private void executePlan() throws InterruptedException {
     SplittableRandom seeds = new SplittableRandom(options.seed());
     List<Thread> clients = new ArrayList<>();
     for (int i = 0; i < options.clients(); i++) {
@@ -153,27 +163,27 @@
       client.start();
       clients.add(client);
     }
-    threads.execute(this::readNowAndThen);
+    threads.execute(this::pollConfiguration);
     long trafficMillis = nowMillis();
     for (PlannedEvent event : plan) {
       long wait = trafficMillis + event.atMillis() - nowMillis();
       TimeUnit.MILLISECONDS.sleep(Math.max(0, wait));
-      threads.execute(() -> carryOut(event));
-      fleet.checkRunning();
+      threads.execute(() -> execute(event));
+      fleet.checkForExit();
     }
-    clientsEnd = true;
+    stopClients = true;
     long end = nowMillis() + END_MILLIS;
     for (Thread client : clients) {
       client.join(Math.max(1, end - nowMillis()));
     }
   }
 
-  private void carryOut(PlannedEvent event) {
+  private void execute(PlannedEvent event) {
     try {
       switch (event.kind()) {
         case CONFIGURE -> operator.change(false);
         case CONFIGURE_ROUTE -> operator.change(true);
-        default -> fleet.carryOut(event);
+        default -> fleet.execute(event);
       }
     } catch (IOException failed) {
       throw new IllegalStateException(failed);
@@ -182,9 +192,9 @@
     }
   }
 
-  private void readNowAndThen() {
+  private void pollConfiguration() {
     try {
-      while (!readsEnd) {
+      while (!stopReads) {
         operator.readAll();
         TimeUnit.MILLISECONDS.sleep(READ_INTERVAL_MILLIS);
       }
@@ -194,25 +204,31 @@
   }
 
   private void awaitUndisturbed() throws InterruptedException {
-    while (!fleet.mayLoseDisk()) {
+    while (!fleet.mayEraseDisk()) {
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
   }
 
   /**
-   * The final fault comes right after an acknowledgement; it must be read back. Where none came,
-   * the disks of an earlier loss may not be copied yet, and no other is lost.
+   * Changes the configuration, kills all control agents immediately after the acknowledgement and
+   * erases the disk of one agent. The acknowledged configuration must then be readable. If the
+   * change is not acknowledged, the data of an earlier disk loss may not have been copied yet, so
+   * no disk is erased.
    */
-  private List<SoakViolation> loseAndReadBack() throws IOException, InterruptedException {
+  private List<SoakViolation> checkConfigurationDurability()
+      throws IOException, InterruptedException {
     awaitUndisturbed();
     boolean replicated = operator.change(false);
-    int wiped = (int) (options.seed() % options.controlAgents());
-    fleet.loseControlPlane(replicated ? wiped : SoakFleet.NO_AGENT);
+    int erasedAgent = (int) (options.seed() % options.controlAgents());
+    fleet.killControlPlane(replicated ? erasedAgent : SoakFleet.NO_AGENT);
     List<SoakViolation> violations = new ArrayList<>();
     for (int i = 0; i < FINAL_READS; i++) {
       if (!operator.awaitRead()) {
         violations.add(
-            new SoakViolation(Rule.CONFIGURATION, nowMillis(), "no read was answered at the end"));
+            new SoakViolation(
+                Rule.CONFIGURATION,
+                nowMillis(),
+                "no configuration read succeeded after the restart of all control agents"));
         return violations;
       }
       TimeUnit.MILLISECONDS.sleep(READ_INTERVAL_MILLIS);
--- a/src/main/java/slateslip/soak/StreamBackend.java
+++ b/src/main/java/slateslip/soak/StreamBackend.java
@@ -9,8 +9,9 @@
 import slateslip.standin.BackendDescription;
 
 /**
- * Streams as many events as the request's body says, one after the other; it may stall on the way
- * for as long as the body says, and goes on then.
+ * A backend that streams the number of events that the request body specifies. If the body
+ * specifies a stall, the stream pauses before one event for the given time and continues
+ * afterwards.
  */
 final class StreamBackend extends CountingBackend {
   StreamBackend(BackendDescription description, RunCounter runs) {
@@ -22,12 +23,12 @@
     StreamSpec spec = StreamSpec.parse(context.body());
     String last = context.header("Last-Event-Id");
     int first = last == null ? 1 : Integer.parseInt(last) + 1;
-    HttpServletResponse response = responseHead(context, 200);
+    HttpServletResponse response = startResponse(context, 200);
     response.setContentType("text/event-stream");
     try {
       stream(response.getOutputStream(), spec, first);
     } catch (IOException gone) {
-      // the data plane has left; nothing more is owed
+      // the data plane has closed the connection
     } catch (InterruptedException stopped) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/slateslip/soak/StreamSpec.java
+++ b/src/main/java/slateslip/soak/StreamSpec.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * What a client asks for in the body of a stream's request.
+ * Parameters of a stream, which the client sends in the request body.
  *
- * @param events how many
- * @param gapMillis between two of them
- * @param stallBefore id of the event before which the backend stalls; 0 for none
- * @param stallMillis for how long
+ * @param events number of events
+ * @param gapMillis milliseconds between two events
+ * @param stallBefore id of the event before which the backend stalls, or 0 for no stall
+ * @param stallMillis duration of the stall in milliseconds
  */
 record StreamSpec(int events, int gapMillis, int stallBefore, int stallMillis) {
   static StreamSpec parse(String text) {
@@ -24,7 +24,7 @@
     return "id: " + id + "\ndata: piece " + id + " of " + events + "\n\n";
   }
 
-  /** The whole body of the response. */
+  /** Returns the complete response body of a stream that is read from its first event. */
   String body() {
     StringBuilder body = new StringBuilder();
     for (int id = 1; id <= events; id++) {
--- a/src/main/java/slateslip/standin/AppendLogServer.java
+++ b/src/main/java/slateslip/standin/AppendLogServer.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import slateslip.routing.RouterInput.BackendLoad;
 
-/** An application backend: it numbers the entries that it is sent, a few at a time. */
+/**
+ * Stand-in for an application backend that assigns consecutive numbers to the entries that it
+ * receives. The server rejects requests while all of its slots are in use.
+ */
 final class AppendLogServer extends StandInServer {
   private final Semaphore slots;
   private final AtomicLong entries = new AtomicLong();
@@ -33,7 +36,7 @@
       return;
     }
     try {
-      responseHead(context, 200);
+      startResponse(context, 200);
       context.contentType("application/json");
       context.result("{\"entry\":" + entries.incrementAndGet() + "}\n");
     } finally {
--- a/src/main/java/slateslip/standin/ArchiveTrainingMain.java
+++ b/src/main/java/slateslip/standin/ArchiveTrainingMain.java
@@ -9,9 +9,10 @@
 import java.util.logging.Logger;
 
 /**
- * Makes the class archives of both programs: a control agent and a data plane of a local fleet
- * serve requests of every kind, and write what they have loaded when they end. A program that is
- * started with such an archive neither reads nor verifies these classes again.
+ * Creates the class data sharing archives of both programs. A local fleet serves requests of every
+ * kind, and one control agent and one data plane write the classes that they have loaded to their
+ * archives when they exit. A program that is started with such an archive does not read and verify
+ * these classes again.
  */
 public final class ArchiveTrainingMain {
   private static final int FAILURE = 1;
@@ -22,7 +23,13 @@
 
   private ArchiveTrainingMain() {}
 
-  /** Arguments: the folder with the jars, and the archive of each program that is to be made. */
+  /**
+   * Creates both archives. Exits with status 0 if both archives exist and the fleet served the
+   * requests, with status 1 otherwise, and with status 2 if the arguments are invalid.
+   *
+   * @param arguments the folder with the jars, the archive file of the control plane and the
+   *     archive file of the data plane
+   */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     if (arguments.length != 3) {
       System.err.println(
@@ -45,7 +52,12 @@
     System.exit(served && written ? 0 : FAILURE);
   }
 
-  /** Whether all ordinary requests were served. */
+  /**
+   * Starts a fleet and sends requests to it. Returns whether the fleet started, served the sample
+   * request and served more than 40 of the 120 ordinary requests that follow. A third of the
+   * ordinary requests is sent with all backends, a third after the removal of a backend and a third
+   * after a backend crash.
+   */
   private static boolean run(FleetAddresses addresses, FleetPrograms programs, PrintStream out)
       throws IOException, InterruptedException {
     LocalFleet fleet = new LocalFleet(addresses, programs);
@@ -58,13 +70,13 @@
       if (!SampleRequest.send(addresses.frontUrl(0), out)) {
         return false;
       }
-      traffic.exceptions();
+      traffic.sendExceptionalRequests();
       traffic.changeConfiguration(CONFIGURATIONS);
-      int served = traffic.rounds(ROUNDS);
+      int served = traffic.sendRounds(ROUNDS);
       fleet.removeLastBackend();
-      served += traffic.rounds(ROUNDS);
+      served += traffic.sendRounds(ROUNDS);
       fleet.crashFirstBackend();
-      served += traffic.rounds(ROUNDS);
+      served += traffic.sendRounds(ROUNDS);
       out.println(served + " requests served");
       return served > 2 * ROUNDS;
     } finally {
--- a/src/main/java/slateslip/standin/ChildProcess.java
+++ b/src/main/java/slateslip/standin/ChildProcess.java
@@ -8,9 +8,12 @@
 import java.util.concurrent.TimeUnit;
 import slateslip.eventloop.ProcessorTime;
 
-/** One program of the fleet, run as in service, with its log in a file. */
+/**
+ * A child process that runs one program of the fleet from its jar, as in production. The output of
+ * the process is appended to a log file.
+ */
 public final class ChildProcess {
-  private static final long END_SECONDS = 15;
+  private static final long EXIT_TIMEOUT_SECONDS = 15;
 
   private final String name;
   private final Path log;
@@ -22,15 +25,15 @@
     this.process = process;
   }
 
-  /** Starts a jar with a settings file; the log stands beside that file. */
+  /** Starts a jar with a settings file. The log file is in the folder of the settings file. */
   public static ChildProcess start(Path jar, Path settings) throws IOException {
     return start(jar, settings, List.of());
   }
 
   /**
-   * Starts a jar with a settings file, and with further options of its JVM. It runs in the folder
-   * above the jar's, as in service: a class archive is only used where the jar is found by the path
-   * that it was made with.
+   * Starts a jar with a settings file and with additional JVM options. The working directory is the
+   * parent of the jar's folder, as in production, because the JVM uses a class data sharing archive
+   * only if the path of the jar equals the path with which the archive was created.
    */
   public static ChildProcess start(Path jar, Path settings, List<String> jvmOptions)
       throws IOException {
@@ -56,51 +59,57 @@
     return name;
   }
 
-  /** Whether it runs. */
-  public boolean running() {
+  /** Returns whether the process is alive. */
+  public boolean isRunning() {
     return process.isAlive();
   }
 
-  /** The end of its log. */
-  public String logEnd() {
+  /** Returns the last ten lines of the log, or an error description if the log cannot be read. */
+  public String logTail() {
     try {
       List<String> lines = Files.readAllLines(log);
       return String.join("\n", lines.subList(Math.max(0, lines.size() - 10), lines.size()));
     } catch (IOException unreadable) {
-      return "its log cannot be read: " + unreadable.getMessage();
+      return "the log cannot be read: " + unreadable.getMessage();
     }
   }
 
-  /** Processor time that its threads have used so far; none once it has ended. */
+  /**
+   * Returns the processor time that the threads of the process have used so far, or zero if the
+   * process has exited.
+   */
   ProcessorTime processorTime() {
     return ProcessorTime.of(process.pid());
   }
 
-  /** Sends SIGTERM. */
-  public void askToEnd() {
+  /** Sends SIGTERM to the process and returns immediately. */
+  public void terminate() {
     process.destroy();
   }
 
-  /** Sends SIGKILL. */
+  /** Sends SIGKILL to the process and returns immediately. */
   public void kill() {
     process.destroyForcibly();
   }
 
-  /** Sends SIGHUP. */
+  /** Sends SIGHUP to the process if it is alive, so that the program reloads its settings. */
   public void reload() throws IOException {
     if (process.isAlive()) {
       new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start();
     }
   }
 
-  /** Waits for its end; whether it came in time. */
-  public boolean awaitEnd(long millis) throws InterruptedException {
+  /**
+   * Waits until the process exits or the given time in milliseconds has passed. Returns whether the
+   * process has exited.
+   */
+  public boolean awaitExit(long millis) throws InterruptedException {
     return process.waitFor(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Waits for its end, and kills it if that does not come. */
-  void awaitEnd() throws InterruptedException {
-    if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+  /** Waits until the process exits, and kills the process if it has not exited after 15 seconds. */
+  void awaitExit() throws InterruptedException {
+    if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       process.destroyForcibly().waitFor();
     }
   }
--- a/src/main/java/slateslip/standin/EngineListener.java
+++ b/src/main/java/slateslip/standin/EngineListener.java
@@ -2,14 +2,18 @@
 
 import slateslip.simulation.engine.EngineOutput;
 
-/** Is told, on the engine's thread, what becomes of one request. */
+/** Receives the progress of one request. All methods are called on the engine's thread. */
 interface EngineListener {
-  /** The request ran no step and will not. */
+  /** Called when the engine rejects the request without having executed any part of it. */
   void rejected(EngineOutput.Reason reason);
 
-  /** An event was put out. */
+  /**
+   * Called when the engine produces an event of the response. {@code last} marks the final event.
+   */
   void event(long id, boolean last);
 
-  /** The request was stopped at its deadline after it had begun. */
+  /**
+   * Called when the engine stops the request at its deadline after the request has started to run.
+   */
   void deadlineExceeded();
 }
--- a/src/main/java/slateslip/standin/EngineServer.java
+++ b/src/main/java/slateslip/standin/EngineServer.java
@@ -20,21 +20,23 @@
 import slateslip.simulation.engine.EngineParameters;
 import slateslip.simulation.engine.EngineRequest;
 
-/** A model backend: a server that streams the events of a {@link LiveEngine}. */
+/**
+ * Stand-in for a model backend that streams the events of a {@link RealTimeEngine} to its clients.
+ */
 final class EngineServer extends StandInServer {
   private static final int DEFAULT_OUTPUT_TOKENS = 60;
   private static final long DEFAULT_DEADLINE_MILLIS = 30_000;
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
   private static final String[] WORDS = {
     "the", "blade", "pitch", "sensor", "reads", "high", "so", "check", "its", "cable", "first"
   };
 
-  private final LiveEngine engine;
+  private final RealTimeEngine engine;
   private final AtomicLong requests = new AtomicLong();
 
   EngineServer(BackendDescription description, EngineParameters parameters) {
     super(description);
-    engine = new LiveEngine(parameters);
+    engine = new RealTimeEngine(parameters);
   }
 
   @Override
@@ -65,47 +67,50 @@
   @Override
   protected void serve(Context context) {
     long id = requests.incrementAndGet();
-    BlockingQueue<Told> reported = new LinkedBlockingQueue<>();
-    engine.submit(engineRequest(id, context), new Queueing(reported));
+    BlockingQueue<EngineUpdate> updates = new LinkedBlockingQueue<>();
+    engine.submit(engineRequest(id, context), new QueueingListener(updates));
     try {
-      respond(context, reported);
+      respond(context, updates);
     } catch (IOException gone) {
-      engine.cancel(id); // the caller has closed the connection: nothing more is owed
+      engine.cancel(id); // the client has closed the connection
     } catch (InterruptedException stopped) {
       engine.cancel(id);
       Thread.currentThread().interrupt();
     }
   }
 
-  private void respond(Context context, BlockingQueue<Told> reported)
+  private void respond(Context context, BlockingQueue<EngineUpdate> updates)
       throws IOException, InterruptedException {
-    Told first = reported.take();
-    if (first.kind() == Told.Kind.REJECTED) {
+    EngineUpdate first = updates.take();
+    if (first.kind() == EngineUpdate.Kind.REJECTED) {
       reject(context, 503, "full");
       return;
     }
-    if (first.kind() == Told.Kind.EXPIRED) {
-      responseHead(context, 504);
+    if (first.kind() == EngineUpdate.Kind.DEADLINE_EXCEEDED) {
+      startResponse(context, 504);
       return;
     }
-    HttpServletResponse response = responseHead(context, 200);
+    HttpServletResponse response = startResponse(context, 200);
     response.setContentType("text/event-stream");
     response.setHeader("Versions", "1");
     OutputStream output = response.getOutputStream();
-    Told next = first;
-    while (next.kind() == Told.Kind.EVENT) {
+    EngineUpdate next = first;
+    while (next.kind() == EngineUpdate.Kind.EVENT) {
       output.write(eventText(next.eventId()));
       output.flush();
       if (next.last()) {
         return;
       }
-      next = reported.take();
+      next = updates.take();
     }
-    breakOff();
+    closeConnection();
   }
 
-  /** Closes the connection, so that the stream cannot look complete. */
-  private static void breakOff() {
+  /**
+   * Closes the connection so that the client does not mistake the truncated stream for a complete
+   * one.
+   */
+  private static void closeConnection() {
     HttpConnection.getCurrentConnection().getEndPoint().close();
   }
 
@@ -129,29 +134,32 @@
         (int) Math.max(1, outputTokens),
         (int) number(context.header("Priority"), EngineRequest.DEFAULT_PRIORITY),
         Math.max(0, number(context.header("Last-Event-Id"), 0)),
-        LiveEngine.nowMicros() + deadlineMillis * 1_000);
+        RealTimeEngine.nowMicros() + deadlineMillis * 1_000);
   }
 
-  /** The parts that the request names, or one of its own as long as the body. */
+  /**
+   * Returns the prompt parts of the X-Prompt-Prefix header. Without this header, returns a single
+   * unshared part with a quarter of the body's byte count as its number of tokens.
+   */
   private static List<PromptPart> prompt(long id, Context context) {
-    String named = context.header("X-Prompt-Prefix");
-    if (named == null || named.isBlank()) {
+    String header = context.header("X-Prompt-Prefix");
+    if (header == null || header.isBlank()) {
       return List.of(new PromptPart(-id, Math.max(1, context.bodyAsBytes().length / 4)));
     }
     List<PromptPart> parts = new ArrayList<>();
-    for (String part : named.split(",", -1)) {
+    for (String part : header.split(",", -1)) {
       int colon = part.indexOf(':');
-      long partId = Long.parseUnsignedLong(part.substring(0, colon).trim(), HEX);
+      long partId = Long.parseUnsignedLong(part.substring(0, colon).trim(), HEX_RADIX);
       parts.add(new PromptPart(partId, Integer.parseInt(part.substring(colon + 1).trim())));
     }
     return parts;
   }
 
-  private static long number(String text, long otherwise) {
+  private static long number(String text, long defaultValue) {
     try {
-      return text == null ? otherwise : Long.parseLong(text.trim());
+      return text == null ? defaultValue : Long.parseLong(text.trim());
     } catch (NumberFormatException unreadable) {
-      return otherwise;
+      return defaultValue;
     }
   }
 
@@ -162,28 +170,28 @@
   }
 
   /** What the engine has told of one request. */
-  private record Told(Kind kind, long eventId, boolean last) {
+  private record EngineUpdate(Kind kind, long eventId, boolean last) {
     private enum Kind {
       EVENT,
       REJECTED,
-      EXPIRED
+      DEADLINE_EXCEEDED
     }
   }
 
-  private record Queueing(BlockingQueue<Told> reported) implements EngineListener {
+  private record QueueingListener(BlockingQueue<EngineUpdate> updates) implements EngineListener {
     @Override
     public void rejected(Reason reason) {
-      reported.add(new Told(Told.Kind.REJECTED, 0, true));
+      updates.add(new EngineUpdate(EngineUpdate.Kind.REJECTED, 0, true));
     }
 
     @Override
     public void event(long id, boolean last) {
-      reported.add(new Told(Told.Kind.EVENT, id, last));
+      updates.add(new EngineUpdate(EngineUpdate.Kind.EVENT, id, last));
     }
 
     @Override
     public void deadlineExceeded() {
-      reported.add(new Told(Told.Kind.EXPIRED, 0, true));
+      updates.add(new EngineUpdate(EngineUpdate.Kind.DEADLINE_EXCEEDED, 0, true));
     }
   }
 }
--- a/src/main/java/slateslip/standin/FleetAddresses.java
+++ b/src/main/java/slateslip/standin/FleetAddresses.java
@@ -8,14 +8,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Where the parts of a local fleet listen: each machine has a loopback address of its own, and
- * ports are the same on all of them.
+ * Addresses on which the processes of a local fleet listen. Each simulated machine has its own
+ * loopback address, and all machines use the same ports.
  *
- * @param front port for clients
- * @param ready port for readiness
- * @param control port for backends and the operator
- * @param internal port between agents
- * @param backend port of backends
+ * @param front port of the data planes for client requests
+ * @param ready port of the data planes for readiness checks and metrics
+ * @param control port of the control agents for backends and operators
+ * @param internal port for connections between agents
+ * @param backend port on which the backends listen
  */
 record FleetAddresses(int front, int ready, int control, int internal, int backend) {
   static final int CONTROL_AGENTS = 3;
@@ -25,7 +25,10 @@
   private static final String DATA_PLANE_NETWORK = "127.0.1.";
   private static final String BACKEND_NETWORK = "127.0.2.";
 
-  /** The given port for clients, and free ports for all else. */
+  /**
+   * Returns addresses with the given client port and with free ports for everything else. If the
+   * given port is 0, a free port is used for clients too.
+   */
   static FleetAddresses withFront(int front) throws IOException {
     return new FleetAddresses(
         front == 0 ? freePort() : front, freePort(), freePort(), freePort(), freePort());
--- a/src/main/java/slateslip/standin/FleetPrograms.java
+++ b/src/main/java/slateslip/standin/FleetPrograms.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * How the two programs of a local fleet are started. The first process of each program may have
- * options of its own: it is the one that is measured or recorded.
+ * Starts the two programs of a local fleet. The first process of each program can get additional
+ * JVM options, because this process is the one that is measured or that writes a class archive.
  *
  * @param jars folder with the jars of both programs
- * @param controlPlaneOptions further options of the first control agent's JVM
- * @param dataPlaneOptions further options of the first data plane's JVM
+ * @param controlPlaneOptions additional JVM options of the first control agent
+ * @param dataPlaneOptions additional JVM options of the first data plane
  */
 record FleetPrograms(Path jars, List<String> controlPlaneOptions, List<String> dataPlaneOptions) {
   private static final String CONTROL_PLANE_JAR = "slateslip-controlplane.jar";
--- a/src/main/java/slateslip/standin/FleetTraffic.java
+++ b/src/main/java/slateslip/standin/FleetTraffic.java
@@ -16,8 +16,8 @@
 import slateslip.eventloop.WakeUpCause;
 
 /**
- * Requests of every kind that a data plane serves in a normal life: streams, plain requests,
- * rejected ones, streams that their client leaves, questions for its state.
+ * Sends the kinds of requests that a data plane serves in production: streams, plain requests,
+ * rejected requests, streams that the client abandons, and readiness and metrics requests.
  */
 final class FleetTraffic {
   private static final MediaType JSON = MediaType.get("application/json");
@@ -40,27 +40,36 @@
     this.addresses = addresses;
   }
 
-  /** One request of each kind, so many times; how many had the response that is due to them. */
-  int rounds(int count) throws IOException {
-    int answered = 0;
+  /**
+   * Sends one stream request and one plain request per round. Returns how many responses had status
+   * 200.
+   */
+  int sendRounds(int count) throws IOException {
+    int successful = 0;
     for (int round = 0; round < count; round++) {
-      answered += isAnswered(chat(round), OK);
-      answered += isAnswered(ledger(), OK);
+      successful += countIfStatus(chatRequest(round), OK);
+      successful += countIfStatus(ledgerRequest(), OK);
     }
-    return answered;
+    return successful;
   }
 
-  /** The same requests at a steady rate. */
-  PacedTraffic paced() {
+  /** Returns a sender that sends the same kinds of requests at a constant rate. */
+  PacedTraffic pacedTraffic() {
     return new PacedTraffic(client, this);
   }
 
-  /** The request with this number of a mix in which three in four are streams. */
-  Request ordinary(int number) {
-    return number % STREAMS_IN_MIX == 0 ? ledger() : chat(number);
+  /**
+   * Returns the request with this sequence number of a mix in which three of four requests are
+   * streams.
+   */
+  Request mixedRequest(int number) {
+    return number % STREAMS_IN_MIX == 0 ? ledgerRequest() : chatRequest(number);
   }
 
-  /** Turns of the first data plane's event loop since its start; 0 where it does not tell them. */
+  /**
+   * Returns the number of event loop iterations of the first data plane since its start, by cause.
+   * The number is 0 for a cause that the metrics do not contain.
+   */
   Map<WakeUpCause, Long> eventLoopTurns() throws IOException {
     String url = addresses.readyUrl(0).replace("/ready", "/metrics");
     Map<WakeUpCause, Long> turns = new EnumMap<>(WakeUpCause.class);
@@ -82,31 +91,37 @@
     return 0;
   }
 
-  /** Requests that are no ordinary ones: each ends early or is rejected. */
-  void exceptions() throws IOException {
-    isAnswered(request(UNKNOWN_PATH).get().build(), NOT_FOUND);
-    isAnswered(
+  /**
+   * Sends one request of each less common kind: an unknown path, a missing credential, a chunked
+   * body, an abandoned stream, and readiness and metrics requests.
+   */
+  void sendExceptionalRequests() throws IOException {
+    countIfStatus(request(UNKNOWN_PATH).get().build(), NOT_FOUND);
+    countIfStatus(
         request(SampleRequest.PATH).removeHeader("X-Credential").get().build(), UNAUTHORIZED);
-    isAnswered(chunked(), OK);
-    leaveStream();
+    countIfStatus(chunkedRequest(), OK);
+    abandonStream();
     for (String path : List.of("/ready", "/metrics")) {
       String url = addresses.readyUrl(0).replace("/ready", path);
-      isAnswered(new Request.Builder().url(url).build(), OK);
+      countIfStatus(new Request.Builder().url(url).build(), OK);
     }
   }
 
-  /** Reads the configuration, and adds a route to it, at each control agent in turn. */
+  /**
+   * Reads the configuration from the first control agent and adds a route to it, once for each of
+   * the given number of versions.
+   */
   void changeConfiguration(int versions) throws IOException {
     for (int version = 2; version < versions + 2; version++) {
       String url = "http://" + addresses.controlAddresses().get(0) + "/config";
-      isAnswered(new Request.Builder().url(url).build(), OK);
+      countIfStatus(new Request.Builder().url(url).build(), OK);
       String patch =
           "{\"version\":%d,\"upsert\":{\"routes\":[{\"name\":\"extra-%d\","
                   .formatted(version, version)
               + "\"hostname\":\"extra.example\",\"path_prefix\":\"/%d/\",".formatted(version)
               + "\"kind\":\"idempotent\",\"timeout_ms\":5000,\"target_latency_ms\":200,"
               + "\"priority\":1,\"service\":\"ledger\",\"max_attempts\":2,\"public\":true}]}}";
-      isAnswered(
+      countIfStatus(
           new Request.Builder()
               .url(url)
               .header("If-Match", String.valueOf(version - 1))
@@ -116,7 +131,7 @@
     }
   }
 
-  private Request chat(int round) {
+  private Request chatRequest(int round) {
     int prompt = round % PROMPTS;
     return request(SampleRequest.PATH)
         .header("X-Token-Usage", "410,60")
@@ -125,11 +140,11 @@
         .build();
   }
 
-  private Request ledger() {
+  private Request ledgerRequest() {
     return request(LEDGER_PATH).post(RequestBody.create("{\"alarm\":1}", JSON)).build();
   }
 
-  private Request chunked() {
+  private Request chunkedRequest() {
     return request(LEDGER_PATH)
         .post(
             new RequestBody() {
@@ -146,9 +161,9 @@
         .build();
   }
 
-  /** Closes the connection of a stream after its first line. */
-  private void leaveStream() throws IOException {
-    try (Response response = client.newCall(chat(0)).execute()) {
+  /** Sends a stream request and closes its connection after the first line of the response. */
+  private void abandonStream() throws IOException {
+    try (Response response = client.newCall(chatRequest(0)).execute()) {
       BufferedSource source = response.body().source();
       source.readUtf8Line();
     }
@@ -164,7 +179,7 @@
         .header("X-Deadline-Ms", String.valueOf(DEADLINE_MILLIS));
   }
 
-  private int isAnswered(Request request, int status) throws IOException {
+  private int countIfStatus(Request request, int status) throws IOException {
     try (Response response = client.newCall(request).execute()) {
       response.body().bytes();
       return response.code() == status ? 1 : 0;
--- a/src/main/java/slateslip/standin/Heartbeats.java
+++ b/src/main/java/slateslip/standin/Heartbeats.java
@@ -14,7 +14,10 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Registers a backend with the control agents, and withdraws it. */
+/**
+ * Registers a backend with the control agents by periodic heartbeats, and removes the registration
+ * when closed.
+ */
 public final class Heartbeats implements AutoCloseable {
   private static final MediaType JSON = MediaType.get("application/json");
 
@@ -23,11 +26,14 @@
   private final List<String> controlAddresses;
   private final long periodMillis;
   private final ScheduledExecutorService thread =
-      Executors.newSingleThreadScheduledExecutor(task -> LiveEngine.daemon(task, "heartbeats"));
-  private int agent;
+      Executors.newSingleThreadScheduledExecutor(task -> RealTimeEngine.daemon(task, "heartbeats"));
+  private int agentIndex;
   private long sequence;
 
-  /** Sends nothing before {@link #start}. */
+  /**
+   * Creates a sender that does not send heartbeats until {@link #start} is called. The period is in
+   * milliseconds.
+   */
   public Heartbeats(
       OkHttpClient client, StandInServer server, List<String> controlAddresses, long periodMillis) {
     this.client = client;
@@ -36,28 +42,31 @@
     this.periodMillis = periodMillis;
   }
 
-  /** Begins to register. */
+  /** Starts to send heartbeats. The first heartbeat is sent immediately. */
   public void start() {
     thread.scheduleAtFixedRate(this::sendHeartbeat, 0, periodMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Tries one agent after the other until one acknowledges. */
+  /**
+   * Sends one heartbeat. If a control agent does not acknowledge the heartbeat, the next agent is
+   * tried, until each agent has been tried once.
+   */
   private void sendHeartbeat() {
     for (int i = 0; i < controlAddresses.size(); i++) {
-      if (call(request().put(RequestBody.create(body(), JSON)).build())) {
+      if (isSuccessful(request().put(RequestBody.create(body(), JSON)).build())) {
         return;
       }
-      agent++;
+      agentIndex++;
     }
   }
 
   private Request.Builder request() {
-    String address = controlAddresses.get(agent % controlAddresses.size());
+    String address = controlAddresses.get(agentIndex % controlAddresses.size());
     return new Request.Builder()
         .url("http://" + address + "/instances/" + server.description().id());
   }
 
-  private boolean call(Request request) {
+  private boolean isSuccessful(Request request) {
     try (Response response = client.newCall(request).execute()) {
       return response.isSuccessful();
     } catch (IOException unreachable) {
@@ -79,11 +88,14 @@
     return JsonMapper.builder().build().toJson(fields);
   }
 
-  /** Says that the backend leaves; waits for no response that does not come. */
+  /**
+   * Stops the heartbeats, marks the backend as draining and sends one request to remove its
+   * registration. A failure of this request is ignored.
+   */
   @Override
   public void close() {
     thread.shutdownNow();
     server.drain();
-    call(request().delete().build());
+    isSuccessful(request().delete().build());
   }
 }
--- a/src/main/java/slateslip/standin/LocalFleet.java
+++ b/src/main/java/slateslip/standin/LocalFleet.java
@@ -16,11 +16,14 @@
 import okhttp3.Response;
 import slateslip.simulation.engine.EngineParameters;
 
-/** A whole fleet on the loopback interface: both programs as in service, and stand-in backends. */
+/**
+ * A complete fleet on the loopback interface: control agents and data planes as separate processes,
+ * and stand-in backends in this process.
+ */
 final class LocalFleet {
   private static final int ENGINES = 3;
   private static final int LEDGERS = 2;
-  private static final int LOG_SLOTS = 6;
+  private static final int LEDGER_SLOTS = 6;
   private static final long START_SECONDS = 120;
   private static final String CONFIGURATION = "configuration.json";
 
@@ -34,19 +37,19 @@
   private final OkHttpClient client =
       new OkHttpClient.Builder().callTimeout(Duration.ofSeconds(2)).build();
 
-  /** What came of the start. */
+  /** Result of starting the fleet. */
   sealed interface Outcome {
-    /** Requests are served. */
+    /** All data planes are ready to serve requests. */
     record Ready() implements Outcome {}
 
-    /** Some part did not come up. */
+    /** The configuration was not accepted or a data plane did not become ready. */
     record Failed(String reason) implements Outcome {}
   }
 
   /**
-   * Nothing runs yet.
+   * Creates a fleet without starting any process.
    *
-   * @param programs how both programs are started
+   * @param programs jars and JVM options of both programs
    */
   LocalFleet(FleetAddresses addresses, FleetPrograms programs) throws IOException {
     this.addresses = addresses;
@@ -58,7 +61,10 @@
     return folder;
   }
 
-  /** Starts everything and waits until a request would be served. */
+  /**
+   * Starts all processes and backends, sends the configuration and waits until all data planes are
+   * ready.
+   */
   Outcome start() throws IOException, InterruptedException {
     LocalSettings settings = new LocalSettings(addresses, folder);
     for (int i = 0; i < FleetAddresses.CONTROL_AGENTS; i++) {
@@ -69,9 +75,9 @@
     }
     startBackends();
     Operator operator =
-        new Operator(client, addresses.controlAddresses(), new Delay(START_SECONDS));
-    if (operator.put(configuration()) instanceof Operator.Outcome.Refused refused) {
-      return new Outcome.Failed("the configuration was not taken: " + refused.reason());
+        new Operator(client, addresses.controlAddresses(), new PollTimer(START_SECONDS));
+    if (operator.put(configuration()) instanceof Operator.Outcome.Rejected rejected) {
+      return new Outcome.Failed("the configuration was not accepted: " + rejected.reason());
     }
     return awaitReady();
   }
@@ -84,13 +90,13 @@
     return dataPlanes.get(index);
   }
 
-  /** Withdraws the registration of the newest backend and ends it. */
+  /** Removes the registration of the most recently started backend and stops the backend. */
   void removeLastBackend() {
     heartbeats.remove(heartbeats.size() - 1).close();
     backends.remove(backends.size() - 1).close();
   }
 
-  /** Ends the first backend while its registration goes on, as if it had crashed. */
+  /** Stops the first backend without removing its registration, to simulate a crash. */
   void crashFirstBackend() {
     backends.get(0).close();
   }
@@ -104,7 +110,7 @@
               engine ? "engines" : "ledger",
               addresses.backend(i),
               LocalSettings.zone(i % FleetAddresses.DATA_PLANES),
-              engine ? EngineParameters.DENSE_70B.slots() : LOG_SLOTS);
+              engine ? EngineParameters.DENSE_70B.slots() : LEDGER_SLOTS);
       StandInServer backend =
           engine
               ? new EngineServer(description, EngineParameters.DENSE_70B)
@@ -126,10 +132,10 @@
   }
 
   private Outcome awaitReady() throws InterruptedException {
-    Delay delay = new Delay(START_SECONDS);
+    PollTimer timer = new PollTimer(START_SECONDS);
     for (int i = 0; i < FleetAddresses.DATA_PLANES; i++) {
       while (!isReady(i)) {
-        if (!delay.another()) {
+        if (!timer.awaitNext()) {
           return new Outcome.Failed(dataPlanes.get(i).name() + " is not ready:\n" + logs());
         }
       }
@@ -152,17 +158,20 @@
         .forEach(
             child ->
                 text.append(child.name())
-                    .append(child.running() ? " runs\n" : " has ended\n")
-                    .append(child.logEnd())
+                    .append(child.isRunning() ? " is running\n" : " has exited\n")
+                    .append(child.logTail())
                     .append('\n'));
     return text.toString();
   }
 
-  /** Ends everything in order: clients' side first. */
+  /**
+   * Stops the data planes first, then the heartbeats, the control agents and the backends, and
+   * deletes the folder with settings, data and logs.
+   */
   void close() throws InterruptedException, IOException {
-    endAll(dataPlanes);
+    terminateAll(dataPlanes);
     heartbeats.forEach(Heartbeats::close);
-    endAll(controlAgents);
+    terminateAll(controlAgents);
     backends.forEach(StandInServer::close);
     client.dispatcher().executorService().shutdown();
     client.connectionPool().evictAll();
@@ -171,18 +180,18 @@
     }
   }
 
-  private static void endAll(List<ChildProcess> children) throws InterruptedException {
-    children.forEach(ChildProcess::askToEnd);
+  private static void terminateAll(List<ChildProcess> children) throws InterruptedException {
+    children.forEach(ChildProcess::terminate);
     for (ChildProcess child : children) {
-      child.awaitEnd();
+      child.awaitExit();
     }
   }
 
   private static void delete(Path file) {
     try {
       Files.delete(file);
-    } catch (IOException stuck) {
-      throw new UncheckedIOException(stuck);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 }
--- a/src/main/java/slateslip/standin/LocalFleetMain.java
+++ b/src/main/java/slateslip/standin/LocalFleetMain.java
@@ -15,23 +15,29 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Command line of the local fleet. */
+/** Starts a local fleet from the command line. */
 public final class LocalFleetMain {
   private static final int FAILURE = 1;
   private static final int USAGE_ERROR = 2;
   private static final int DEFAULT_PORT = 8360;
   private static final String HELP =
       "usage: java -jar slateslip-local.jar [--port N] [--once]\n"
-          + "  --port N  port for clients, 8360 if not given; 0 takes a free one\n"
-          + "  --once    end after one request has been answered\n"
-          + "  --help    say this";
+          + "  --port N  port for clients, 8360 by default; 0 selects a free port\n"
+          + "  --once    exit after the response to the sample request\n"
+          + "  --help    print this help";
 
-  /** Held here, else its level would be lost with it. */
+  /**
+   * Strong reference to the root logger. The log manager holds loggers weakly, so the level set
+   * here would be lost if the logger were garbage-collected.
+   */
   private static final Logger ROOT_LOG = Logger.getLogger("");
 
   private LocalFleetMain() {}
 
-  /** Starts a fleet, answers one request, and keeps it until SIGINT or SIGTERM. */
+  /**
+   * Starts a fleet, sends the sample request to it, and keeps the fleet running until SIGINT or
+   * SIGTERM.
+   */
   public static void main(String[] arguments) throws Exception {
     Options options = new Options();
     options.addOption(Option.builder().longOpt("port").hasArg().type(Number.class).get());
@@ -43,8 +49,8 @@
       command = new DefaultParser().parse(options, arguments);
       Number given = command.getParsedOptionValue("port", (Number) (long) DEFAULT_PORT);
       port = given.intValue();
-    } catch (ParseException wrong) {
-      System.err.println(wrong.getMessage() + "\n" + HELP);
+    } catch (ParseException invalid) {
+      System.err.println(invalid.getMessage() + "\n" + HELP);
       System.exit(USAGE_ERROR);
       return;
     }
@@ -61,22 +67,22 @@
     LocalFleet fleet =
         new LocalFleet(addresses, new FleetPrograms(jarFolder(), List.of(), List.of()));
     AtomicInteger status = new AtomicInteger();
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> end(fleet, status), "ending"));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(fleet, status), "ending"));
     out.println("starting; settings, data and logs are in " + fleet.folder());
     if (fleet.start() instanceof LocalFleet.Outcome.Failed failed) {
       out.println(failed.reason());
-      leave(status, FAILURE);
+      exit(status, FAILURE);
     }
     out.println("ready\n\n" + SampleRequest.curl(addresses.frontUrl(0)) + "\n");
     boolean served = SampleRequest.send(addresses.frontUrl(0), out);
     if (once || !served) {
-      leave(status, served ? 0 : FAILURE);
+      exit(status, served ? 0 : FAILURE);
     }
     out.println("serving until SIGINT or SIGTERM");
     new CountDownLatch(1).await();
   }
 
-  private static void leave(AtomicInteger status, int code) {
+  private static void exit(AtomicInteger status, int code) {
     status.set(code);
     System.exit(code);
   }
@@ -86,12 +92,15 @@
         .getParent();
   }
 
-  /** Ends everything; a signal that asked for it is no failure. */
-  private static void end(LocalFleet fleet, AtomicInteger status) {
+  /**
+   * Stops the fleet and halts the JVM. The exit status is 0 if a signal requested the shutdown and
+   * the shutdown succeeded.
+   */
+  private static void shutDown(LocalFleet fleet, AtomicInteger status) {
     try {
       fleet.close();
     } catch (InterruptedException | IOException | RuntimeException failed) {
-      System.err.println("the end was not in order: " + failed);
+      System.err.println("the fleet was not shut down cleanly: " + failed);
       status.set(FAILURE);
     }
     Runtime.getRuntime().halt(status.get());
--- a/src/main/java/slateslip/standin/LocalSettings.java
+++ b/src/main/java/slateslip/standin/LocalSettings.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Writes the settings files of a local fleet's processes. */
+/** Writes the settings files of the processes of a local fleet. */
 final class LocalSettings {
   static final int HEARTBEAT_MILLIS = 1_200;
 
--- a/src/main/java/slateslip/standin/Operator.java
+++ b/src/main/java/slateslip/standin/Operator.java
@@ -8,32 +8,37 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Sends the operator's first configuration until a control agent takes it. */
+/**
+ * Sends the initial configuration to the control agents until one of them accepts or rejects it.
+ */
 final class Operator {
   private static final MediaType JSON = MediaType.get("application/json");
 
   private final OkHttpClient client;
   private final List<String> controlAddresses;
-  private final Delay delay;
+  private final PollTimer timer;
 
-  Operator(OkHttpClient client, List<String> controlAddresses, Delay delay) {
+  Operator(OkHttpClient client, List<String> controlAddresses, PollTimer timer) {
     this.client = client;
     this.controlAddresses = controlAddresses;
-    this.delay = delay;
+    this.timer = timer;
   }
 
-  /** What came of a configuration. */
+  /** Result of sending a configuration. */
   sealed interface Outcome {
-    /** It was acknowledged. */
-    record Taken() implements Outcome {}
+    /** A control agent acknowledged the configuration. */
+    record Acknowledged() implements Outcome {}
 
-    /** It is invalid, or none of the agents took it in time. */
-    record Refused(String reason) implements Outcome {}
+    /**
+     * A control agent rejected the configuration, or no control agent acknowledged it before the
+     * deadline.
+     */
+    record Rejected(String reason) implements Outcome {}
   }
 
   Outcome put(byte[] configuration) throws InterruptedException {
-    String last = "no agent was asked";
-    for (int i = 0; delay.another(); i++) {
+    String last = "no request was sent";
+    for (int i = 0; timer.awaitNext(); i++) {
       String address = controlAddresses.get(i % controlAddresses.size());
       Request request =
           new Request.Builder()
@@ -44,15 +49,15 @@
       try (Response response = client.newCall(request).execute()) {
         last = response.code() + " " + response.body().string();
         if (response.isSuccessful()) {
-          return new Outcome.Taken();
+          return new Outcome.Acknowledged();
         }
         if (response.code() == 400 || response.code() == 412) {
-          return new Outcome.Refused(last);
+          return new Outcome.Rejected(last);
         }
       } catch (IOException unreachable) {
         last = address + ": " + unreachable.getMessage();
       }
     }
-    return new Outcome.Refused(last);
+    return new Outcome.Rejected(last);
   }
 }
--- a/src/main/java/slateslip/standin/PacedTraffic.java
+++ b/src/main/java/slateslip/standin/PacedTraffic.java
@@ -13,7 +13,7 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Sends requests at a steady rate, whether or not those before have been answered. */
+/** Sends requests at a constant rate, without waiting for the responses to earlier requests. */
 final class PacedTraffic {
   private static final int OK = 200;
 
@@ -21,10 +21,10 @@
   private final FleetTraffic traffic;
 
   /**
-   * What came of the requests of one run.
+   * Counts the requests of one run.
    *
-   * @param sent how many were sent
-   * @param succeeded how many got the response that is due to them
+   * @param sent number of requests that were sent
+   * @param succeeded number of requests that got a complete response with status 200
    */
   record Result(int sent, int succeeded) {}
 
@@ -33,7 +33,7 @@
     this.traffic = traffic;
   }
 
-  /** Sends for this time, and waits until the last request has ended. */
+  /** Sends requests for the given duration, and waits until the last request has ended. */
   Result run(double perSecond, Duration length) throws InterruptedException {
     int count = (int) Math.round(perSecond * length.toMillis() / 1_000);
     long intervalNanos = (long) (TimeUnit.SECONDS.toNanos(1) / perSecond);
@@ -43,7 +43,7 @@
     for (int i = 0; i < count; i++) {
       int number = i;
       pace.schedule(
-          () -> send(traffic.ordinary(number), succeeded, ended),
+          () -> send(traffic.mixedRequest(number), succeeded, ended),
           i * intervalNanos,
           TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/slateslip/standin/Delay.java
+++ b/src/main/java/slateslip/standin/PollTimer.java
@@ -2,19 +2,22 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Spaces repeated questions and ends them at a deadline. */
-final class Delay {
+/** Spaces repeated attempts 50 milliseconds apart and ends them at a deadline. */
+final class PollTimer {
   private static final long STEP_MILLIS = 50;
 
   private final long endNanos;
   private boolean first = true;
 
-  Delay(long timeoutSeconds) {
+  PollTimer(long timeoutSeconds) {
     endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
   }
 
-  /** Waits a moment, but not before the first question; false once the time is over. */
-  boolean another() throws InterruptedException {
+  /**
+   * Waits for the interval between two attempts; the first call does not wait. Returns false if the
+   * deadline has passed.
+   */
+  boolean awaitNext() throws InterruptedException {
     if (!first) {
       TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
     }
--- a/src/main/java/slateslip/standin/ProcessorTimeMain.java
+++ b/src/main/java/slateslip/standin/ProcessorTimeMain.java
@@ -15,71 +15,82 @@
 import slateslip.eventloop.WakeUpCause;
 
 /**
- * Measures the processor time of a data plane by thread: of a start until its first answer, of its
- * first seconds under several rates of requests, and of seconds without any. Several builds are
- * measured by turns on the same machine. A request that is not answered as it should be fails the
- * run: refusing is cheap, and would be taken for a gain.
+ * Measures the processor time of a data plane by kind of thread in three phases: from the start to
+ * the first response, under several request rates, and while the data plane is idle. Several builds
+ * are measured alternately on the same machine. The run fails if any request is not served, because
+ * rejecting a request costs little processor time and would look like an improvement.
  */
 public final class ProcessorTimeMain {
   private static final int USAGE_ERROR = 2;
   private static final int FAILURE = 1;
-  private static final int DEFAULT_TURNS = 5;
+  private static final int DEFAULT_ROUNDS = 5;
   private static final int DEFAULT_SECONDS = 30;
   private static final int IDLE_SECONDS = 5;
   private static final double[] RATES = {3, 7, 14};
   private static final Logger ROOT_LOG = Logger.getLogger("");
 
-  private final int turns;
-  private final Duration length;
+  private final int rounds;
+  private final Duration duration;
   private final List<String> options;
-  private final Map<String, List<Double>> figures = new LinkedHashMap<>();
+  private final Map<String, List<Double>> measurements = new LinkedHashMap<>();
 
-  private ProcessorTimeMain(int turns, Duration length, List<String> options) {
-    this.turns = turns;
-    this.length = length;
+  private ProcessorTimeMain(int rounds, Duration duration, List<String> options) {
+    this.rounds = rounds;
+    this.duration = duration;
     this.options = options;
   }
 
   /**
-   * Arguments: the number of turns and the seconds of each rate ({@code 5x30}) if they are not to
-   * be the default, the folders with the jars of each build, separated by commas, and options of
-   * the measured data plane's JVM; paths in them are relative to the folder above the jars.
+   * Measures the given builds. Exits with status 0 if all rounds were measured, with status 1
+   * otherwise, and with status 2 if the arguments are invalid.
+   *
+   * @param arguments optionally the number of rounds and the seconds at each rate (by default
+   *     {@code 5x30}); the folders with the jars of each build, separated by commas; and optionally
+   *     JVM options of the measured data plane, in which paths are relative to the parent of the
+   *     folder with the jars
    */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     ROOT_LOG.setLevel(Level.WARNING);
-    boolean sized = arguments.length > 0 && arguments[0].matches("[0-9]+x[0-9]+");
-    int first = sized ? 1 : 0;
+    boolean sizeGiven = arguments.length > 0 && arguments[0].matches("[0-9]+x[0-9]+");
+    int first = sizeGiven ? 1 : 0;
     if (arguments.length <= first) {
-      System.err.println("usage: ProcessorTimeMain [TURNSxSECONDS] JARS[,JARS...] [JVM_OPTION]...");
+      System.err.println(
+          "usage: ProcessorTimeMain [ROUNDSxSECONDS] JARS[,JARS...] [JVM_OPTION]...");
       System.exit(USAGE_ERROR);
     }
-    String[] size = sized ? arguments[0].split("x", -1) : new String[0];
-    int turns = sized ? Integer.parseInt(size[0]) : DEFAULT_TURNS;
-    int seconds = sized ? Integer.parseInt(size[1]) : DEFAULT_SECONDS;
+    String[] size = sizeGiven ? arguments[0].split("x", -1) : new String[0];
+    int rounds = sizeGiven ? Integer.parseInt(size[0]) : DEFAULT_ROUNDS;
+    int seconds = sizeGiven ? Integer.parseInt(size[1]) : DEFAULT_SECONDS;
     List<String> options = Arrays.asList(arguments).subList(first + 1, arguments.length);
     List<String> builds = List.of(arguments[first].split(",", -1));
     boolean complete =
-        new ProcessorTimeMain(turns, Duration.ofSeconds(seconds), options).run(builds);
+        new ProcessorTimeMain(rounds, Duration.ofSeconds(seconds), options).run(builds);
     System.exit(complete ? 0 : FAILURE);
   }
 
-  /** Whether all turns were measured. */
+  /**
+   * Measures all builds at all rates in every round and prints the results. Returns false if a
+   * measurement failed.
+   */
   private boolean run(List<String> builds) throws IOException, InterruptedException {
-    for (int turn = 0; turn < turns; turn++) {
+    for (int round = 0; round < rounds; round++) {
       for (String build : builds) {
         for (double rate : RATES) {
-          if (!turn(build, rate)) {
+          if (!measureBuild(build, rate)) {
             return false;
           }
         }
       }
     }
-    figures.forEach((name, values) -> System.out.println(name + ": " + Spread.of(values)));
+    measurements.forEach((name, values) -> System.out.println(name + ": " + Spread.of(values)));
     return true;
   }
 
-  /** One life of a fleet under one rate; whether every request was answered. */
-  private boolean turn(String build, double rate) throws IOException, InterruptedException {
+  /**
+   * Starts a fleet, measures it at one rate and stops it. Returns whether the fleet started and
+   * served every request.
+   */
+  private boolean measureBuild(String build, double rate) throws IOException, InterruptedException {
     FleetPrograms programs = new FleetPrograms(Path.of(build), List.of(), options);
     FleetAddresses addresses = FleetAddresses.withFront(0);
     LocalFleet fleet = new LocalFleet(addresses, programs);
@@ -108,7 +119,7 @@
     }
     ProcessorTime started = dataPlane.processorTime();
     long startTurns = total(traffic.eventLoopTurns());
-    PacedTraffic.Result result = traffic.paced().run(rate, length);
+    PacedTraffic.Result result = traffic.pacedTraffic().run(rate, duration);
     ProcessorTime served = dataPlane.processorTime();
     long servedTurns = total(traffic.eventLoopTurns());
     Thread.sleep(Duration.ofSeconds(IDLE_SECONDS).toMillis());
@@ -119,12 +130,14 @@
           "%s: only %d of %d requests were answered%n", build, result.succeeded(), result.sent());
       return false;
     }
-    String phase = "%s, first %d s at %.0f/s".formatted(build, length.toSeconds(), rate);
+    String phase = "%s, first %d s at %.0f/s".formatted(build, duration.toSeconds(), rate);
     add(build + ", start, ms", started, 1);
-    add(phase + ", ms a second", served.since(started), length.toSeconds());
-    addFigure(phase + ", turns a second", perSecond(servedTurns - startTurns, length.toSeconds()));
+    add(phase + ", ms a second", served.since(started), duration.toSeconds());
+    addMeasurement(
+        phase + ", turns a second", perSecond(servedTurns - startTurns, duration.toSeconds()));
     add(build + ", idle, ms a second", idle.since(served), IDLE_SECONDS);
-    addFigure(build + ", idle, turns a second", perSecond(idleTurns - servedTurns, IDLE_SECONDS));
+    addMeasurement(
+        build + ", idle, turns a second", perSecond(idleTurns - servedTurns, IDLE_SECONDS));
     return true;
   }
 
@@ -137,13 +150,13 @@
   }
 
   private void add(String phase, ProcessorTime used, long count) {
-    addFigure(phase, used.total().toNanos() / 1e6 / count);
+    addMeasurement(phase, used.total().toNanos() / 1e6 / count);
     for (ThreadKind kind : used.byKind().keySet()) {
-      addFigure("  " + phase + ", " + kind.label(), used.of(kind).toNanos() / 1e6 / count);
+      addMeasurement("  " + phase + ", " + kind.label(), used.of(kind).toNanos() / 1e6 / count);
     }
   }
 
-  private void addFigure(String name, double value) {
-    figures.computeIfAbsent(name, unused -> new ArrayList<>()).add(value);
+  private void addMeasurement(String name, double value) {
+    measurements.computeIfAbsent(name, unused -> new ArrayList<>()).add(value);
   }
 }
--- a/src/main/java/slateslip/standin/LiveEngine.java
+++ b/src/main/java/slateslip/standin/RealTimeEngine.java
@@ -13,17 +13,17 @@
 import slateslip.simulation.engine.EngineParameters;
 import slateslip.simulation.engine.EngineRequest;
 
-/** Runs an {@link EngineModel} in real time on a thread of its own. */
-final class LiveEngine implements AutoCloseable {
+/** Runs an {@link EngineModel} in real time on a dedicated thread. */
+final class RealTimeEngine implements AutoCloseable {
   private final EngineParameters parameters;
   private final ScheduledExecutorService thread;
   private final EngineModel model;
   private final Map<Long, EngineListener> listeners = new HashMap<>();
-  private long wakeNumber;
+  private long wakeUpNumber;
   private volatile BackendLoad load;
   private volatile long lockedTokens;
 
-  LiveEngine(EngineParameters parameters) {
+  RealTimeEngine(EngineParameters parameters) {
     this.parameters = parameters;
     this.model = new EngineModel(parameters);
     this.load = new BackendLoad(0, 0, parameters.slots());
@@ -39,7 +39,7 @@
     return created;
   }
 
-  /** Microseconds of the engine's own clock. */
+  /** Returns the engine's monotonic clock in microseconds. */
   static long nowMicros() {
     return System.nanoTime() / 1_000;
   }
@@ -48,7 +48,7 @@
     run(
         () -> {
           listeners.put(request.id(), listener);
-          feed(new EngineInput.Submit(request));
+          process(new EngineInput.Submit(request));
         });
   }
 
@@ -56,16 +56,18 @@
     run(
         () -> {
           listeners.remove(request);
-          feed(new EngineInput.Cancel(request));
+          process(new EngineInput.Cancel(request));
         });
   }
 
-  /** Requests running and waiting, as of the last thing that happened. */
+  /** Returns the number of running and waiting requests after the last processed input. */
   BackendLoad load() {
     return load;
   }
 
-  /** Tokens of memory that cannot give way, as of the last thing that happened. */
+  /**
+   * Returns the number of memory tokens that could not be evicted after the last processed input.
+   */
   long lockedTokens() {
     return lockedTokens;
   }
@@ -78,18 +80,18 @@
     try {
       thread.execute(task);
     } catch (RejectedExecutionException closed) {
-      // the engine has been closed: its requests end with their connections
+      // The engine has been closed. Its requests end when their connections are closed.
     }
   }
 
-  private void feed(EngineInput input) {
-    long number = ++wakeNumber;
+  private void process(EngineInput input) {
+    long number = ++wakeUpNumber;
     for (EngineOutput output : model.handle(nowMicros(), input)) {
       if (output instanceof EngineOutput.WakeAt wake) {
         long delay = Math.max(0, wake.atMicros() - nowMicros());
         thread.schedule(() -> wake(number), delay, TimeUnit.MICROSECONDS);
       } else {
-        tell(output);
+        notifyListener(output);
       }
     }
     load = new BackendLoad(model.runningCount(), model.waitingCount(), parameters.slots());
@@ -97,24 +99,24 @@
   }
 
   private void wake(long number) {
-    if (number == wakeNumber) {
-      feed(new EngineInput.Wake());
+    if (number == wakeUpNumber) {
+      process(new EngineInput.Wake());
     }
   }
 
-  private void tell(EngineOutput output) {
+  private void notifyListener(EngineOutput output) {
     if (output instanceof EngineOutput.Event event) {
-      EngineListener listener = listener(event.request(), event.last());
+      EngineListener listener = findListener(event.request(), event.last());
       listener.event(event.eventId(), event.last());
     } else if (output instanceof EngineOutput.Rejected rejected) {
-      listener(rejected.request(), true).rejected(rejected.reason());
+      findListener(rejected.request(), true).rejected(rejected.reason());
     } else if (output instanceof EngineOutput.DeadlineExceeded exceeded) {
-      listener(exceeded.request(), true).deadlineExceeded();
+      findListener(exceeded.request(), true).deadlineExceeded();
     }
   }
 
-  private EngineListener listener(long request, boolean over) {
-    return over ? listeners.remove(request) : listeners.get(request);
+  private EngineListener findListener(long request, boolean last) {
+    return last ? listeners.remove(request) : listeners.get(request);
   }
 
   @Override
--- a/src/main/java/slateslip/standin/SampleRequest.java
+++ b/src/main/java/slateslip/standin/SampleRequest.java
@@ -9,7 +9,7 @@
 import okhttp3.Response;
 import okio.BufferedSource;
 
-/** The request that shows that a fleet serves: a streamed answer of a few events. */
+/** A request with a streamed response of a few events, which shows that a fleet serves requests. */
 final class SampleRequest {
   static final String HOST = "fleet.example";
   static final String PATH = "/chat/ask";
@@ -29,7 +29,7 @@
 
   private SampleRequest() {}
 
-  /** The same request as a command line. */
+  /** Returns a shell command that sends the same request with curl. */
   static String curl(String frontUrl) {
     return "curl -N "
         + frontUrl
@@ -50,14 +50,15 @@
   }
 
   /**
-   * Sends it and prints the events as they come; whether the response was whole. A data plane may
-   * be ready before it knows the first backend of a service: 503 says that the request has not run,
-   * and it is sent again with another attempt id.
+   * Sends the request and prints the events as they arrive. Returns whether the response was
+   * complete and successful. A data plane can be ready before it has received the first backend of
+   * a service. In this case, the data plane responds with status 503, which means that the request
+   * was not executed, and the request is sent again with another attempt id.
    */
   static boolean send(String frontUrl, PrintStream out) throws InterruptedException {
-    Delay delay = new Delay(TimeUnit.MILLISECONDS.toSeconds(DEADLINE_MILLIS));
+    PollTimer timer = new PollTimer(TimeUnit.MILLISECONDS.toSeconds(DEADLINE_MILLIS));
     Outcome outcome = Outcome.NOT_YET;
-    while (outcome == Outcome.NOT_YET && delay.another()) {
+    while (outcome == Outcome.NOT_YET && timer.awaitNext()) {
       outcome = sendOnce(frontUrl, out);
     }
     if (outcome == Outcome.NOT_YET) {
@@ -93,7 +94,7 @@
       }
       return response.isSuccessful() ? Outcome.SERVED : Outcome.FAILED;
     } catch (IOException broken) {
-      out.println("no whole answer: " + broken.getMessage());
+      out.println("incomplete response: " + broken.getMessage());
       return Outcome.FAILED;
     } finally {
       client.dispatcher().executorService().shutdown();
--- a/src/main/java/slateslip/standin/Spread.java
+++ b/src/main/java/slateslip/standin/Spread.java
@@ -3,16 +3,19 @@
 import java.util.List;
 
 /**
- * The same figure of several turns.
+ * Median and range of one measured value over several rounds.
  *
- * @param median the middle one; the mean of both middle ones of an even number
- * @param min the lowest
- * @param max the highest
+ * @param median middle value, or the mean of the two middle values if the number of values is even
+ * @param min lowest value
+ * @param max highest value
  */
 record Spread(double median, double min, double max) {
-  /** Of figures in any order; there is at least one. */
-  static Spread of(List<Double> figures) {
-    List<Double> sorted = figures.stream().sorted().toList();
+  /**
+   * Returns the median and range of the values, which may be in any order. The list must not be
+   * empty.
+   */
+  static Spread of(List<Double> values) {
+    List<Double> sorted = values.stream().sorted().toList();
     int middle = sorted.size() / 2;
     double median =
         sorted.size() % 2 == 1
--- a/src/main/java/slateslip/standin/StandInServer.java
+++ b/src/main/java/slateslip/standin/StandInServer.java
@@ -9,7 +9,10 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import slateslip.routing.RouterInput.BackendLoad;
 
-/** What all backends have in common: headers, the check of the target instance, and health. */
+/**
+ * Base class of the stand-in backends. Sets the common response headers, checks the target instance
+ * of a request and responds to health checks.
+ */
 public abstract class StandInServer implements AutoCloseable {
   protected static final String ATTEMPT_ID = "X-Attempt-Id";
   static final String NOT_EXECUTED = "X-Not-Executed";
@@ -53,24 +56,27 @@
     server.put("/*", this::request);
   }
 
-  /** Answers a request that is meant for this instance. */
+  /** Responds to a request that is addressed to this instance. Called on a thread of the server. */
   protected abstract void serve(Context context);
 
   protected abstract BackendLoad load();
 
-  /** Answers a question for its report. */
+  /** Responds to a request for the backend's load report. */
   protected abstract void report(Context context);
 
   protected BackendDescription description() {
     return description;
   }
 
-  /** Listens. */
+  /** Binds the address of the backend and starts to accept connections. */
   public void start() {
     server.start();
   }
 
-  /** From now on it tells that it is leaving; it goes on serving. */
+  /**
+   * Marks the backend as draining: health checks fail from now on and responses close their
+   * connections, but the backend still serves requests.
+   */
   void drain() {
     draining = true;
   }
@@ -79,8 +85,11 @@
     return draining;
   }
 
-  /** Sets the headers of a response to a request that runs. */
-  protected HttpServletResponse responseHead(Context context, int status) {
+  /**
+   * Sets the status and the headers of the response to a request that is executed, and returns the
+   * response.
+   */
+  protected HttpServletResponse startResponse(Context context, int status) {
     HttpServletResponse response = context.res();
     response.setStatus(status);
     response.setHeader(STAMP, description.id() + "." + responses.incrementAndGet());
@@ -88,7 +97,7 @@
     return response;
   }
 
-  /** Rejects a request that has not run. */
+  /** Rejects a request that has not been executed. */
   protected void reject(Context context, int status, String reason) {
     context.header(NOT_EXECUTED, reason).header(LOAD, loadText()).status(status).result(reason);
   }
--- a/src/main/java/slateslip/standin/WakeUpCheckMain.java
+++ b/src/main/java/slateslip/standin/WakeUpCheckMain.java
@@ -10,9 +10,9 @@
 import slateslip.eventloop.WakeUpCause;
 
 /**
- * Checks that a data plane's event loop turns no more often than stated: in seconds without
- * requests, and for each request. Counts, not times: a machine that is busy makes it turn less
- * often.
+ * Checks that the number of event loop iterations of a data plane stays below a limit per idle
+ * second and below a limit per request. The check compares counts instead of times, because a busy
+ * machine only lowers the number of iterations.
  */
 public final class WakeUpCheckMain {
   private static final int USAGE_ERROR = 2;
@@ -21,22 +21,31 @@
   private static final int REQUESTS = 120;
   private static final double REQUESTS_PER_SECOND = 12;
 
-  /** Ten ticks a second, and some turns for control agents and probes. */
+  /**
+   * Limit for an idle second: ten timer ticks, and some iterations for control agents and health
+   * probes.
+   */
   private static final double MAX_IDLE_TURNS = 14;
 
   /**
-   * The request, its connection, and the head of the response with its first event, which may come
-   * apart; all later events come in the common turns.
+   * Limit for a request: the request, its backend connection, the head of the response and the
+   * first event, which can arrive separately from the head. All later events are read by the
+   * periodic polls of open streams, which this limit does not include.
    */
   private static final double MAX_REQUEST_TURNS = 4;
 
-  private static final List<WakeUpCause> OF_REQUESTS =
+  private static final List<WakeUpCause> REQUEST_CAUSES =
       List.of(WakeUpCause.CLIENT, WakeUpCause.BACKEND, WakeUpCause.BACKEND_CONNECT);
   private static final Logger ROOT_LOG = Logger.getLogger("");
 
   private WakeUpCheckMain() {}
 
-  /** Argument: the folder with the jars. */
+  /**
+   * Runs the check. Exits with status 0 if both limits hold, with status 1 if not, and with status
+   * 2 if the arguments are invalid.
+   *
+   * @param arguments the folder with the jars
+   */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     if (arguments.length != 1) {
       System.err.println("usage: WakeUpCheckMain JARS");
@@ -47,26 +56,30 @@
     FleetAddresses addresses = FleetAddresses.withFront(0);
     LocalFleet fleet = new LocalFleet(addresses, programs);
     FleetTraffic traffic = new FleetTraffic(addresses);
-    boolean withinBounds;
+    boolean withinLimits;
     try {
       if (fleet.start() instanceof LocalFleet.Outcome.Failed failed) {
         System.out.println(failed.reason());
         System.exit(FAILURE);
       }
-      withinBounds = SampleRequest.send(addresses.frontUrl(0), System.err) && check(traffic);
+      withinLimits = SampleRequest.send(addresses.frontUrl(0), System.err) && check(traffic);
     } finally {
       traffic.close();
       fleet.close();
     }
-    System.exit(withinBounds ? 0 : FAILURE);
+    System.exit(withinLimits ? 0 : FAILURE);
   }
 
-  /** The requests come first: at first a data plane reads what control agents send as it comes. */
+  /**
+   * Sends requests first and measures the idle seconds afterwards, because a data plane that has
+   * just started reads messages of the control agents immediately. Returns whether both limits hold
+   * and all requests succeeded.
+   */
   private static boolean check(FleetTraffic traffic) throws IOException, InterruptedException {
     Map<WakeUpCause, Long> before = traffic.eventLoopTurns();
     PacedTraffic.Result result =
         traffic
-            .paced()
+            .pacedTraffic()
             .run(
                 REQUESTS_PER_SECOND,
                 Duration.ofMillis((long) (1_000 * REQUESTS / REQUESTS_PER_SECOND)));
@@ -75,7 +88,7 @@
     Map<WakeUpCause, Long> idle = traffic.eventLoopTurns();
     double idleTurns = (double) (total(idle) - total(served)) / IDLE_SECONDS;
     long requestTurns = 0;
-    for (WakeUpCause cause : OF_REQUESTS) {
+    for (WakeUpCause cause : REQUEST_CAUSES) {
       requestTurns += served.get(cause) - before.get(cause);
     }
     double turnsPerRequest = (double) requestTurns / result.sent();
--- a/src/main/java/slateslip/standin/package-info.java
+++ b/src/main/java/slateslip/standin/package-info.java
@@ -1,2 +1,5 @@
-/** Stand-ins for what surrounds the fleet, and a whole fleet on the loopback interface. */
+/**
+ * Stand-in backends, clients and operators for tests and measurements, and a complete fleet on the
+ * loopback interface.
+ */
 package slateslip.standin;
--- a/src/test/java/slateslip/soak/SoakCheckerTest.java
+++ b/src/test/java/slateslip/soak/SoakCheckerTest.java
@@ -10,7 +10,10 @@
 import slateslip.soak.RequestRecord.Outcome;
 import slateslip.soak.SoakViolation.Rule;
 
-/** What the soak's ledger calls a violation, and what excuses a request. */
+/**
+ * Tests which records the soak checker reports as violations, and which process events excuse an
+ * incomplete request.
+ */
 class SoakCheckerTest {
   private static final long GRACE = 6_000;
   private static final long STOP = 10_000;
@@ -37,7 +40,7 @@
   }
 
   @Test
-  void moreUnitsInAWindowThanTheQuotaPermitsIsAViolation() {
+  void windowAboveQuotaIsReported() {
     long permitted = (long) SoakQuota.permittedUnits();
     List<TenantRun> within =
         List.of(new TenantRun(0, permitted), new TenantRun(SoakQuota.WINDOW_MILLIS, permitted));
@@ -48,14 +51,14 @@
   }
 
   @Test
-  void completeResponseIsNoViolation() {
+  void completeResponseIsNotReported() {
     assertThat(check(entry(0, 10, Outcome.COMPLETE, 200), 1), is(List.of()));
     assertThat(check(entry(0, 10, Outcome.COMPLETE, 503), 0), is(List.of()));
   }
 
   @Test
-  void earlyCloseAfterTheBackendRanIsLost() {
-    incarnation.stopped(STOP);
+  void incompleteResponseToExecutedRequestIsReportedAsLost() {
+    incarnation.recordStop(STOP);
     assertThat(
         check(entry(STOP + 500, STOP + 600, Outcome.NO_RESPONSE, 0), 1), is(List.of(Rule.LOST)));
     assertThat(
@@ -63,23 +66,23 @@
   }
 
   @Test
-  void requestThatCrossesACloseIsNotLostButOneThatWaitedIs() {
-    incarnation.stopped(STOP);
+  void unansweredRequestIsLostOnlyIfItWaitedOnOpenConnection() {
+    incarnation.recordStop(STOP);
     assertThat(check(entry(STOP, STOP + 5, Outcome.NO_RESPONSE, 0), 0), is(List.of()));
     assertThat(check(entry(STOP, STOP + 2_500, Outcome.NO_RESPONSE, 0), 0), is(List.of(Rule.LOST)));
   }
 
   @Test
-  void unplannedEndExcuses() {
-    incarnation.killed(STOP);
+  void killExcusesRequestsThatEndAfterIt() {
+    incarnation.recordKill(STOP);
     assertThat(check(entry(STOP - 100, STOP + 1, Outcome.TRUNCATED, 0), 1), is(List.of()));
     assertThat(
         check(entry(STOP - 900, STOP - 500, Outcome.TRUNCATED, 0), 1), is(List.of(Rule.LOST)));
   }
 
   @Test
-  void lastSixthOfTheGracePeriodExcusesWhatWasSentInTime() {
-    incarnation.stopped(STOP);
+  void lastSixthOfGracePeriodExcusesRequestsSentInTime() {
+    incarnation.recordStop(STOP);
     long late = STOP + GRACE * 5 / 6;
     assertThat(check(entry(STOP + 2_900, late, Outcome.TRUNCATED, 0), 1), is(List.of()));
     assertThat(check(entry(STOP + 3_100, late, Outcome.TRUNCATED, 0), 1), is(List.of(Rule.LOST)));
@@ -87,17 +90,17 @@
   }
 
   @Test
-  void killAfterTheGracePeriodExcusesNothingAndIsAViolationItself() {
-    incarnation.stopped(STOP);
-    incarnation.killed(STOP + GRACE);
+  void killAfterGracePeriodExcusesNothingAndIsReported() {
+    incarnation.recordStop(STOP);
+    incarnation.recordKill(STOP + GRACE);
     assertThat(
         check(entry(STOP + 3_100, STOP + GRACE + 1, Outcome.TRUNCATED, 0), 1),
         is(List.of(Rule.LOST, Rule.PROCESS)));
   }
 
   @Test
-  void requestsCrossedByACloseAreTold() {
-    incarnation.stopped(STOP);
+  void requestsCrossedByCloseAreListed() {
+    incarnation.recordStop(STOP);
     RequestRecord crossed = entry(STOP, STOP + 5, Outcome.NO_RESPONSE, 0);
     RequestRecord complete = entry(STOP, STOP + 5, Outcome.COMPLETE, 200);
     assertThat(
@@ -107,23 +110,23 @@
   }
 
   @Test
-  void processThatEndsByItselfIsAViolation() {
+  void unexpectedExitIsReported() {
     ProcessIncarnation crashed = new ProcessIncarnation("edge-1/1", GRACE);
-    crashed.ended(5);
+    crashed.recordExit(5);
     assertThat(
         SoakChecker.check(List.of(), Map.of("edge-1/1", crashed), Map.of(), List.of()).size(),
         is(1));
   }
 
   @Test
-  void secondRunAndBrokenPromiseAreSeen() {
+  void secondExecutionAndBrokenPromiseAreReported() {
     assertThat(check(entry(0, 10, Outcome.COMPLETE, 200), 2), is(List.of(Rule.RAN_TWICE)));
     assertThat(check(entry(0, 10, Outcome.COMPLETE, 503), 1), is(List.of(Rule.PROMISE)));
     assertThat(check(entry(0, 10, Outcome.WRONG, 200), 1), is(List.of(Rule.MIXED)));
   }
 
   @Test
-  void forgottenVersionIsSeen() {
+  void lostConfigurationIsReported() {
     String body = SoakConfiguration.document(2, true);
     ConfigurationRecord first =
         new ConfigurationRecord(0, 100, 1, SoakConfiguration.document(1, true), Kind.ACKNOWLEDGED);
--- a/src/test/java/slateslip/soak/SoakPlanTest.java
+++ b/src/test/java/slateslip/soak/SoakPlanTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What a seed draws. */
+/** Tests the events that are generated from a seed. */
 class SoakPlanTest {
   private static final int SEEDS = 50;
 
@@ -21,13 +21,13 @@
   }
 
   @Test
-  void seedRepeatsItsPlan() {
+  void sameSeedYieldsSamePlan() {
     assertThat(draw(7), equalTo(draw(7)));
     assertThat(draw(7), not(equalTo(draw(8))));
   }
 
   @Test
-  void everyKindIsDrawnForProcessesThatExist() {
+  void seedsYieldEveryKindOfEventForExistingProcesses() {
     Set<PlannedEvent.Kind> kinds = EnumSet.noneOf(PlannedEvent.Kind.class);
     for (long seed = 1; seed <= SEEDS; seed++) {
       List<PlannedEvent> plan = draw(seed);
--- a/src/test/java/slateslip/standin/SampleRequestTest.java
+++ b/src/test/java/slateslip/standin/SampleRequestTest.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** The first request of a local fleet. */
+/** Tests the request that shows that a local fleet serves requests. */
 final class SampleRequestTest {
   @Test
-  void isSentAgainWhileTheServiceHasNoBackendYet() throws InterruptedException {
+  void unavailableServiceIsRetriedUntilItServes() throws InterruptedException {
     AtomicInteger calls = new AtomicInteger();
     Javalin server = Javalin.create();
     server.post(
--- a/src/test/java/slateslip/standin/StandInServerTest.java
+++ b/src/test/java/slateslip/standin/StandInServerTest.java
@@ -21,7 +21,9 @@
 import org.junit.jupiter.api.Test;
 import slateslip.simulation.engine.EngineParameters;
 
-/** What stand-in backends say over real sockets; no test looks at a duration. */
+/**
+ * Tests the responses of the stand-in backends over real sockets. No test depends on a duration.
+ */
 class StandInServerTest {
   private final OkHttpClient client = new OkHttpClient();
   private EngineServer engine;
@@ -53,7 +55,7 @@
   }
 
   @Test
-  void streamGoesOnBehindTheLastEvent() throws IOException {
+  void resumedStreamStartsAfterLastEventId() throws IOException {
     Request.Builder resumed =
         request(engine).header("X-Token-Usage", "10,20").header("Last-Event-Id", "2");
     try (Response response = send(resumed)) {
@@ -62,7 +64,7 @@
   }
 
   @Test
-  void requestForAnotherInstanceDoesNotRun() throws IOException {
+  void requestForAnotherInstanceIsNotExecuted() throws IOException {
     Request.Builder other = request(engine).header("X-Target-Instance", "another");
     try (Response response = send(other)) {
       assertThat(response.code(), is(421));
@@ -71,16 +73,16 @@
   }
 
   @Test
-  void requestWithoutAnIdDoesNotRun() throws IOException {
-    Request.Builder nameless = request(engine).removeHeader("X-Attempt-Id");
-    try (Response response = send(nameless)) {
+  void requestWithoutAttemptIdIsNotExecuted() throws IOException {
+    Request.Builder withoutId = request(engine).removeHeader("X-Attempt-Id");
+    try (Response response = send(withoutId)) {
       assertThat(response.code(), is(400));
       assertThat(response.header("X-Not-Executed"), notNullValue());
     }
   }
 
   @Test
-  void requestLargerThanTheMemoryIsTurnedAwayUnseen() throws IOException {
+  void requestLargerThanMemoryIsRejectedWithoutExecution() throws IOException {
     Request.Builder large = request(engine).header("X-Prompt-Prefix", "1:600000");
     try (Response response = send(large)) {
       assertThat(response.code(), is(503));
@@ -90,7 +92,7 @@
   }
 
   @Test
-  void healthNamesTheInstanceUntilItDrains() throws IOException {
+  void healthCheckReturnsInstanceIdAndFailsWhileDraining() throws IOException {
     try (Response response = get(engine, "/health")) {
       assertThat(response.code(), is(200));
       assertThat(response.header("X-Instance-Id"), is(engine.description().id()));
@@ -107,14 +109,14 @@
   }
 
   @Test
-  void reportTellsTheEnginesMemory() throws IOException {
+  void reportContainsMemorySizeOfEngine() throws IOException {
     try (Response response = get(engine, "/report")) {
       assertThat(response.body().string(), containsString("\"kv_total\":577468"));
     }
   }
 
   @Test
-  void logNumbersItsEntries() throws IOException {
+  void appendLogNumbersEntriesConsecutively() throws IOException {
     try (Response response = send(request(appendLog))) {
       assertThat(response.body().string(), containsString("{\"entry\":1}"));
     }
