--- a/src/main/java/slateslip/simulation/dataplane/BackendCall.java
+++ b/src/main/java/slateslip/simulation/dataplane/BackendCall.java
@@ -2,7 +2,7 @@
 
 import slateslip.routing.RequestTransmission;
 
-/** One attempt on its way: what a data plane sends to a backend over one connection. */
+/** One attempt that a data plane sends to a backend over one connection. */
 final class BackendCall {
   private final DataPlaneHost host;
   private final ClientAttempt content;
@@ -55,7 +55,7 @@
     return attempt;
   }
 
-  /** The instance that it is meant for. */
+  /** Returns the id of the backend instance that the data plane addresses. */
   String backendId() {
     return backendId;
   }
@@ -68,7 +68,7 @@
     return priority;
   }
 
-  /** Id of the last event that the client has; 0 if none. */
+  /** Returns the id of the last event that the client has received, or 0 if there is none. */
   long resumeAfter() {
     return resumeAfter;
   }
@@ -77,12 +77,12 @@
     return deadlineMicros;
   }
 
-  /** How far its request has left the data plane. */
+  /** Returns how much of the request the data plane has sent. */
   RequestTransmission transmission() {
     return transmission;
   }
 
-  /** Whether the data plane has closed the connection, or has seen it end. */
+  /** Returns whether the data plane has closed the connection or has seen the connection end. */
   boolean closed() {
     return closed;
   }
--- a/src/main/java/slateslip/simulation/dataplane/BackendReply.java
+++ b/src/main/java/slateslip/simulation/dataplane/BackendReply.java
@@ -1,25 +1,25 @@
 package slateslip.simulation.dataplane;
 
-/** What a data plane sees on the connection of a {@link BackendCall}. */
+/** An event that a data plane observes on the connection of a {@link BackendCall}. */
 sealed interface BackendReply {
-  /** One whole event of a stream. */
+  /** One complete event of a stream. */
   record Event(long id, boolean last) implements BackendReply {}
 
-  /** A whole answer with success. */
+  /** A complete successful response. */
   record Success() implements BackendReply {}
 
-  /** A whole answer with a failure status; the request ran. */
+  /** A complete response with a failure status; the backend executed the request. */
   record Failure(int status) implements BackendReply {}
 
-  /** Rejected unseen. */
+  /** A rejection by a backend that did not execute the request. */
   record NotExecuted() implements BackendReply {}
 
-  /** Another instance has the address. */
+  /** A rejection because another backend instance now has the address. */
   record OtherInstance() implements BackendReply {}
 
-  /** No connection came up; nothing was sent. */
+  /** The connection could not be established; nothing was sent. */
   record NotConnected() implements BackendReply {}
 
-  /** The connection broke, or ended before the whole request had left. */
+  /** The connection broke, or ended before the complete request was sent. */
   record Reset() implements BackendReply {}
 }
--- a/src/main/java/slateslip/simulation/dataplane/ClientAttempt.java
+++ b/src/main/java/slateslip/simulation/dataplane/ClientAttempt.java
@@ -3,15 +3,16 @@
 import slateslip.routing.RequestAttributes;
 
 /**
- * One try of a client's request, as it is sent to a data plane.
+ * One attempt of a client's request, as the client sends the attempt to a data plane.
  *
- * @param client the request that it belongs to
- * @param requestClass its class
- * @param tenant name of the tenant that holds its key
- * @param tenantIndex number of that tenant
- * @param attributes its headers
- * @param workMicros time in a slot of a backend that is no engine
- * @param failsAtBackend whether such a backend answers it with 500
+ * @param client the request that the attempt belongs to
+ * @param requestClass class of the request
+ * @param tenant name of the tenant that owns the request's API key
+ * @param tenantIndex index of that tenant in the plan
+ * @param attributes headers of the request
+ * @param workMicros time in microseconds that the request occupies a slot of a backend without an
+ *     engine
+ * @param failsAtBackend whether a backend without an engine responds with status 500
  */
 record ClientAttempt(
     ClientRequest client,
@@ -25,7 +26,7 @@
     return attributes.attemptId();
   }
 
-  /** What it counts as in its tenant's quota. */
+  /** Returns the tokens that the attempt is charged to the quota of its tenant. */
   long tokens() {
     return attributes.promptTokens() < 0
         ? WorldPlans.UNCACHED_TOKENS
--- a/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
+++ b/src/main/java/slateslip/simulation/dataplane/ClientRequest.java
@@ -6,14 +6,14 @@
 import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
-/** A client's request over all of its tries; it retries as the protocol allows. */
-@SuppressWarnings("ReferenceEquality") // each attempt is an object of its own
+/** A client's request with all its attempts; the client retries as the protocol allows. */
+@SuppressWarnings("ReferenceEquality") // attempts are compared by identity
 final class ClientRequest {
   private static final long MIN_IDLE_TIMEOUT_MICROS = 2_000_000;
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
   private static final long BACKOFF_MICROS = 100_000;
 
-  /** How a request ended for its client. */
+  /** The result of a request as seen by its client. */
   enum Outcome {
     IN_TIME,
     LATE,
@@ -31,7 +31,7 @@
   private ClientAttempt current;
   private DataPlaneHost host;
   private long lastEventId = -1;
-  private long heardMicros;
+  private long lastActivityMicros;
   private long firstMicros = -1;
   private long longestGapMicros;
   private boolean done;
@@ -47,11 +47,11 @@
   }
 
   /**
-   * What was drawn for a request.
+   * The randomly drawn properties of a request.
    *
-   * @param zone of the client
+   * @param zone index of the client's zone
    * @param tenant index of the tenant
-   * @param patient whether the client waits as it is told
+   * @param patient whether the client waits before a retry as long as the response tells it to
    */
   record RequestDraw(
       int zone,
@@ -72,14 +72,14 @@
   }
 
   void begin() {
-    loop.at(deadlineMicros, this::deadline);
-    sendTry();
+    loop.at(deadlineMicros, this::deadlineReached);
+    sendAttempt();
   }
 
-  private void sendTry() {
+  private void sendAttempt() {
     host = world.ingress().pick(draw.zone(), host);
-    heardMicros = loop.nowMicros();
-    current = newTry();
+    lastActivityMicros = loop.nowMicros();
+    current = newAttempt();
     world.checker().sent(current);
     ClientAttempt sent = current;
     DataPlaneHost target = host;
@@ -89,7 +89,7 @@
     }
   }
 
-  private ClientAttempt newTry() {
+  private ClientAttempt newAttempt() {
     boolean engine = requestClass.kind() == RouteKind.STREAMING;
     long promptTokens =
         draw.prompt().stream().mapToLong(RequestAttributes.PromptPart::tokens).sum();
@@ -119,8 +119,8 @@
   private void connect(DataPlaneHost target, ClientAttempt sent) {
     switch (target.condition()) {
       case UP, FROZEN -> target.accept(sent);
-      case DOWN -> loop.after(world.plan().network().client(), () -> unread(sent));
-      case DARK -> loop.after(CONNECT_TIMEOUT_MICROS, () -> unread(sent));
+      case DOWN -> loop.after(world.plan().network().client(), () -> connectFailed(sent));
+      case DARK -> loop.after(CONNECT_TIMEOUT_MICROS, () -> connectFailed(sent));
       default -> throw new IllegalStateException("unknown condition");
     }
   }
@@ -132,90 +132,100 @@
             * Math.max(4 * requestClass.targetLatencyMillis(), 8 * requestClass.targetGapMillis()));
   }
 
-  private void checkIdleTimeout(ClientAttempt of) {
-    if (done || current != of) {
+  private void checkIdleTimeout(ClientAttempt attempt) {
+    if (done || current != attempt) {
       return;
     }
-    long due = heardMicros + idleTimeoutMicros();
+    long due = lastActivityMicros + idleTimeoutMicros();
     if (loop.nowMicros() < due) {
-      loop.at(due, () -> checkIdleTimeout(of));
+      loop.at(due, () -> checkIdleTimeout(attempt));
       return;
     }
-    leave();
+    closeConnection();
     retryOrEnd(requestClass.repeatable(), 0, Outcome.FAILED);
   }
 
-  private void leave() {
+  private void closeConnection() {
     ClientAttempt left = current;
     DataPlaneHost target = host;
     loop.after(world.plan().network().client(), () -> target.clientGone(left));
     current = null;
   }
 
-  private void deadline() {
+  private void deadlineReached() {
     if (!done) {
       if (current != null) {
-        leave();
+        closeConnection();
       }
       end(Outcome.FAILED);
     }
   }
 
-  /** The connection never came up. */
-  private void unread(ClientAttempt of) {
-    if (!done && current == of) {
+  /** Handles a connection to a data plane that could not be established. */
+  private void connectFailed(ClientAttempt attempt) {
+    if (!done && current == attempt) {
       current = null;
       retryOrEnd(true, 0, Outcome.FAILED);
     }
   }
 
-  /** An event has come. */
-  void event(ClientAttempt of, long id, boolean last) {
-    if (done || current != of) {
+  /** Handles an event of the response stream. */
+  void event(ClientAttempt attempt, long id, boolean last) {
+    if (done || current != attempt) {
       return;
     }
     long expected = lastEventId < 0 ? 1 : lastEventId + 1;
     if (id != expected) {
-      world.checker().broken(Rule.STREAM_ORDER, of.attemptId() + " had " + id + " for " + expected);
+      world
+          .checker()
+          .report(
+              Rule.STREAM_ORDER,
+              attempt.attemptId() + " received event " + id + " instead of " + expected);
     }
     if (last != (id == draw.totalEvents())) {
-      world.checker().broken(Rule.STREAM_ORDER, of.attemptId() + " ends at " + id);
+      world
+          .checker()
+          .report(
+              Rule.STREAM_ORDER,
+              attempt.attemptId() + " has a wrong end-of-stream flag at event " + id);
     }
     long now = loop.nowMicros();
     if (firstMicros < 0) {
       firstMicros = now;
     } else {
-      longestGapMicros = Math.max(longestGapMicros, now - heardMicros);
+      longestGapMicros = Math.max(longestGapMicros, now - lastActivityMicros);
     }
-    heardMicros = now;
+    lastActivityMicros = now;
     lastEventId = id;
     if (last) {
       endServed();
     }
   }
 
-  /** A whole answer with success has come. */
-  void whole(ClientAttempt of) {
-    if (!done && current == of) {
+  /** Handles a complete successful response. */
+  void responseCompleted(ClientAttempt attempt) {
+    if (!done && current == attempt) {
       firstMicros = loop.nowMicros();
       endServed();
     }
   }
 
-  /** A failure has come. */
-  void answered(ClientAttempt of, int status, long retryAfterMicros) {
-    if (done || current != of) {
+  /** Handles a response with a failure status. */
+  void failureReceived(ClientAttempt attempt, int status, long retryAfterMicros) {
+    if (done || current != attempt) {
       return;
     }
     current = null;
-    boolean promise = status == 408 || status == 421 || status == 429 || status == 503;
-    boolean mayRetry = promise || (status >= 500 && requestClass.repeatable());
-    retryOrEnd(mayRetry, retryAfterMicros, promise ? Outcome.REFUSED : Outcome.FAILED);
+    boolean guaranteedNotExecuted =
+        status == 408 || status == 421 || status == 429 || status == 503;
+    boolean mayRetry = guaranteedNotExecuted || (status >= 500 && requestClass.repeatable());
+    retryOrEnd(
+        mayRetry, retryAfterMicros, guaranteedNotExecuted ? Outcome.REFUSED : Outcome.FAILED);
   }
 
-  /** The connection has ended before the response was whole. */
-  void broken(ClientAttempt of) {
-    if (!done && current == of) {
+  /** Handles a connection that ended before the response was complete. */
+  void connectionBroken(ClientAttempt attempt) {
+    if (!done && current == attempt) {
       current = null;
       retryOrEnd(requestClass.repeatable(), 0, Outcome.FAILED);
     }
@@ -233,7 +243,7 @@
         draw.patient() ? wait : 0,
         () -> {
           if (!done) {
-            sendTry();
+            sendAttempt();
           }
         });
   }
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -16,16 +16,16 @@
 import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
-/** Stands for the sockets of one data plane: feeds its router and carries out what it asks for. */
-@SuppressWarnings("ReferenceEquality") // each attempt is an object of its own
+/** Simulates the sockets of one data plane and performs the outputs of its router. */
+@SuppressWarnings("ReferenceEquality") // attempts and calls are compared by identity
 final class DataPlaneHost {
-  /** How long after trouble rules with a time bound do not hold. */
-  private static final long CONTACT_MICROS = 3_000_000;
+  /** Time limits are not checked for this long after a start, stop, freeze or thaw. */
+  private static final long SUSPENSION_MICROS = 3_000_000;
 
-  /** How long a request may be held beyond its route's time-out. */
+  /** Time beyond the timeout for which a data plane may hold a request. */
   private static final long HELD_SLACK_MICROS = 250_000;
 
-  /** Whether the process runs. */
+  /** The state of the data plane process and its reachability. */
   enum Condition {
     UP,
     FROZEN,
@@ -47,7 +47,7 @@
   private Condition condition = Condition.DOWN;
   private int incarnation;
   private long nextRequest;
-  private long troubledMicros = -CONTACT_MICROS;
+  private long lastDisturbanceMicros = -SUSPENSION_MICROS;
   private boolean feeding;
 
   DataPlaneHost(DataPlaneWorld world, int index, int zone) {
@@ -76,17 +76,17 @@
     return exchanges.size();
   }
 
-  /** Whether rules with a time bound do not hold for it at present. */
-  boolean recentlyTroubled() {
-    return loop.nowMicros() - troubledMicros < CONTACT_MICROS;
+  /** Returns whether rules with a time limit are suspended after a recent fault. */
+  boolean rulesSuspended() {
+    return loop.nowMicros() - lastDisturbanceMicros < SUSPENSION_MICROS;
   }
 
-  /** Number of its present life. */
+  /** Returns the number of the current run of the process, counted from 1. */
   int incarnation() {
     return incarnation;
   }
 
-  /** How tenants' quotas stand in its present life. */
+  /** Returns the router's report on the quotas of the tenants since the process started. */
   QuotaReport quotaReport() {
     return router.quotaReport(loop.nowMicros());
   }
@@ -95,17 +95,17 @@
     router = newRouter;
     condition = Condition.UP;
     incarnation++;
-    troubledMicros = loop.nowMicros();
+    lastDisturbanceMicros = loop.nowMicros();
   }
 
   void stop(boolean dark) {
-    troubledMicros = loop.nowMicros();
+    lastDisturbanceMicros = loop.nowMicros();
     condition = dark ? Condition.DARK : Condition.DOWN;
     for (Exchange exchange : exchanges.values()) {
-      if (!dark && !exchange.over) {
-        toClient(() -> exchange.content.client().broken(exchange.content));
+      if (!dark && !exchange.finished) {
+        toClient(() -> exchange.content.client().connectionBroken(exchange.content));
       }
-      for (BackendCall call : exchange.live.values()) {
+      for (BackendCall call : exchange.activeCalls.values()) {
         call.close();
         if (!dark) {
           world.network().hostClosed(call, world.control().backend(call.backendId()));
@@ -119,59 +119,59 @@
 
   void freeze() {
     condition = Condition.FROZEN;
-    troubledMicros = loop.nowMicros();
+    lastDisturbanceMicros = loop.nowMicros();
   }
 
   void thaw() {
-    troubledMicros = loop.nowMicros();
+    lastDisturbanceMicros = loop.nowMicros();
     condition = Condition.UP;
     while (!pausedInbound.isEmpty()) {
       pausedInbound.poll().run();
     }
   }
 
-  /** A client's whole request has come. */
+  /** Receives the complete request of a client. */
   void accept(ClientAttempt content) {
     inbound(() -> read(content));
   }
 
-  /** A client has closed its connection. */
+  /** Handles a connection that the client has closed. */
   void clientGone(ClientAttempt content) {
     inbound(
         () -> {
           for (Exchange exchange : List.copyOf(exchanges.values())) {
-            if (exchange.content == content && !exchange.over) {
-              exchange.over = true;
+            if (exchange.content == content && !exchange.finished) {
+              exchange.finished = true;
               feed(new RouterInput.ClientGone(exchange.id));
-              forgetIfDone(exchange);
+              removeIfDone(exchange);
             }
           }
         });
   }
 
-  /** Something has come back on the connection of a call. */
+  /** Handles a reply on the connection of a call. */
   void replied(BackendCall call, BackendReply reply, BackendLoad load) {
     inbound(
         () -> {
           Exchange exchange = exchanges.get(call.request());
-          if (exchange != null && exchange.live.get(call.attempt()) == call) {
+          if (exchange != null && exchange.activeCalls.get(call.attempt()) == call) {
             handle(exchange, call, reply, load);
           }
         });
   }
 
-  /** Hands an input to the router, when the process runs. */
-  void tell(RouterInput input) {
+  /** Passes an input to the router; a frozen process delays the input, a stopped one drops it. */
+  void deliver(RouterInput input) {
     inbound(() -> feed(input));
   }
 
-  /** Does something that has come from outside, when the process runs. */
+  /** Runs an external action; a frozen process delays the action, a stopped one drops it. */
   void inbound(Runnable action) {
     switch (condition) {
       case UP -> action.run();
       case FROZEN -> pausedInbound.add(action);
       default -> {
-        // nobody is there
+        // the process is stopped and the input is lost
       }
     }
   }
@@ -181,27 +181,27 @@
     exchanges.put(exchange.id, exchange);
     long holdMillis =
         Math.min(content.requestClass().timeoutMillis(), content.attributes().deadlineMillis());
-    loop.after(holdMillis * 1_000 + HELD_SLACK_MICROS, () -> checkPendingRequests(exchange));
+    loop.after(holdMillis * 1_000 + HELD_SLACK_MICROS, () -> checkHoldTime(exchange));
     feed(new RouterInput.RequestArrived(exchange.id, content.attributes()));
   }
 
-  private void checkPendingRequests(Exchange exchange) {
-    boolean stillOpen = exchanges.get(exchange.id) == exchange && !exchange.over;
-    if (stillOpen && condition == Condition.UP && troubledMicros < exchange.acceptedMicros) {
-      world.checker().broken(Rule.HELD, exchange.content.attemptId());
+  private void checkHoldTime(Exchange exchange) {
+    boolean stillOpen = exchanges.get(exchange.id) == exchange && !exchange.finished;
+    if (stillOpen && condition == Condition.UP && lastDisturbanceMicros < exchange.acceptedMicros) {
+      world.checker().report(Rule.HELD, exchange.content.attemptId());
     }
   }
 
   private void handle(Exchange exchange, BackendCall call, BackendReply reply, BackendLoad load) {
     if (reply instanceof BackendReply.Event event) {
-      passEvent(exchange, call, event, load);
+      relayEvent(exchange, call, event, load);
     } else if (reply instanceof BackendReply.Success) {
-      begin(exchange, call);
-      exchange.over = true;
-      toClient(() -> exchange.content.client().whole(exchange.content));
+      responseStarted(exchange, call);
+      exchange.finished = true;
+      toClient(() -> exchange.content.client().responseCompleted(exchange.content));
       end(exchange, call, Kind.SUCCESS, 200, load);
     } else if (reply instanceof BackendReply.Failure failure) {
-      exchange.failures.put(call.attempt(), failure.status());
+      exchange.failureStatuses.put(call.attempt(), failure.status());
       end(exchange, call, Kind.ERROR_RESPONSE, failure.status(), load);
     } else if (reply instanceof BackendReply.NotExecuted) {
       end(exchange, call, Kind.NOT_EXECUTED, 503, load);
@@ -214,34 +214,34 @@
     }
   }
 
-  private void passEvent(
+  private void relayEvent(
       Exchange exchange, BackendCall call, BackendReply.Event event, BackendLoad load) {
-    if (exchange.over || !exchange.takesStream(call)) {
+    if (exchange.finished || !exchange.passesEventsOf(call)) {
       return;
     }
-    exchange.streaming = call.attempt();
-    begin(exchange, call);
+    exchange.streamingAttempt = call.attempt();
+    responseStarted(exchange, call);
     exchange.lastEventId = event.id();
-    idleTimers.heard(exchange, call);
-    exchange.over = event.last();
+    idleTimers.eventReceived(exchange, call);
+    exchange.finished = event.last();
     toClient(() -> exchange.content.client().event(exchange.content, event.id(), event.last()));
     if (event.last()) {
       end(exchange, call, Kind.SUCCESS, 200, load);
     }
   }
 
-  private void begin(Exchange exchange, BackendCall call) {
-    if (exchange.started.add(call.attempt()) || exchange.live.size() > 1) {
+  private void responseStarted(Exchange exchange, BackendCall call) {
+    if (exchange.startedAttempts.add(call.attempt()) || exchange.activeCalls.size() > 1) {
       feed(new RouterInput.AttemptStarted(exchange.id, call.attempt(), null));
     }
   }
 
   private void end(Exchange exchange, BackendCall call, Kind kind, int status, BackendLoad load) {
     call.close();
-    if (exchange.lastLeft != call) {
-      exchange.lastLeft = null; // ended by its backend or the network
+    if (exchange.lastClosedByDataPlane != call) {
+      exchange.lastClosedByDataPlane = null; // the backend or the network ended the call
     }
-    exchange.live.remove(call.attempt());
+    exchange.activeCalls.remove(call.attempt());
     feed(
         new RouterInput.AttemptEnded(
             exchange.id,
@@ -249,11 +249,11 @@
             new AttemptOutcome(kind, status),
             load,
             exchange.lastEventId));
-    forgetIfDone(exchange);
+    removeIfDone(exchange);
   }
 
-  private void forgetIfDone(Exchange exchange) {
-    if (exchange.over && exchange.live.isEmpty()) {
+  private void removeIfDone(Exchange exchange) {
+    if (exchange.finished && exchange.activeCalls.isEmpty()) {
       exchanges.remove(exchange.id);
     }
   }
@@ -278,11 +278,11 @@
       respond(response);
     } else if (output instanceof RouterOutput.RelayError relay) {
       relay(relay);
-    } else if (output instanceof RouterOutput.AbortConnection breakOff) {
-      Exchange exchange = finalResponse(breakOff.request());
+    } else if (output instanceof RouterOutput.AbortConnection abort) {
+      Exchange exchange = markFinished(abort.request());
       if (exchange != null) {
-        responseChecks.brokenOff(exchange, breakOff.reason());
-        toClient(() -> exchange.content.client().broken(exchange.content));
+        responseChecks.aborted(exchange, abort.reason());
+        toClient(() -> exchange.content.client().connectionBroken(exchange.content));
       }
     } else if (output instanceof RouterOutput.CancelAttempt cancel) {
       cancel(cancel);
@@ -296,14 +296,16 @@
 
   private void wake(int ofIncarnation) {
     if (ofIncarnation == incarnation) {
-      tell(new RouterInput.Wake());
+      deliver(new RouterInput.Wake());
     }
   }
 
   private void send(RouterOutput.SendAttempt send) {
     Exchange exchange = exchanges.get(send.request());
-    if (exchange == null || exchange.over || !exchange.numbers.add(send.attempt())) {
-      world.checker().broken(Rule.ATTEMPTS, "request " + send.request() + " is over");
+    if (exchange == null || exchange.finished || !exchange.attemptNumbers.add(send.attempt())) {
+      world
+          .checker()
+          .report(Rule.ATTEMPTS, "request " + send.request() + " had a late or duplicate attempt");
       return;
     }
     long deadlineMicros =
@@ -319,32 +321,32 @@
             exchange.resumeAfter(send),
             deadlineMicros,
             world.newTransmission());
-    exchange.live.put(send.attempt(), call);
-    exchange.idleMicros.put(send.attempt(), send.idleTimeoutMicros());
+    exchange.activeCalls.put(send.attempt(), call);
+    exchange.idleTimeoutMicros.put(send.attempt(), send.idleTimeoutMicros());
     SimulatedBackend backend = world.control().backend(send.backendId());
-    world.measurements().called(backend.zone() != zone);
+    world.measurements().attemptSent(backend.zone() != zone);
     world.network().send(call, backend);
     if (send.firstEventTimeoutMicros() > 0) {
-      loop.after(send.firstEventTimeoutMicros(), () -> inbound(() -> timeOut(exchange, call)));
+      loop.after(send.firstEventTimeoutMicros(), () -> inbound(() -> timeOutCall(exchange, call)));
     }
   }
 
-  /** Closes the connection to a backend that may still be at work. */
-  private void leave(Exchange exchange, BackendCall call, Kind kind) {
+  /** Closes the connection to a backend that may still execute the request. */
+  private void closeCall(Exchange exchange, BackendCall call, Kind kind) {
     world.network().hostClosed(call, world.control().backend(call.backendId()));
-    exchange.lastLeft = call;
+    exchange.lastClosedByDataPlane = call;
     end(exchange, call, kind, 0, null);
   }
 
-  private void timeOut(Exchange exchange, BackendCall call) {
-    boolean silent = !exchange.started.contains(call.attempt());
-    if (exchange.live.get(call.attempt()) == call && silent) {
-      leave(exchange, call, call.transmission().outcomeIfTimedOut());
+  private void timeOutCall(Exchange exchange, BackendCall call) {
+    boolean silent = !exchange.startedAttempts.contains(call.attempt());
+    if (exchange.activeCalls.get(call.attempt()) == call && silent) {
+      closeCall(exchange, call, call.transmission().outcomeIfTimedOut());
     }
   }
 
   private void respond(RouterOutput.Respond response) {
-    Exchange exchange = finalResponse(response.request());
+    Exchange exchange = markFinished(response.request());
     if (exchange == null) {
       return;
     }
@@ -354,41 +356,41 @@
             exchange
                 .content
                 .client()
-                .answered(exchange.content, response.status(), response.retryAfterMicros()));
+                .failureReceived(exchange.content, response.status(), response.retryAfterMicros()));
   }
 
   private void relay(RouterOutput.RelayError relay) {
-    Exchange exchange = finalResponse(relay.request());
+    Exchange exchange = markFinished(relay.request());
     if (exchange == null) {
       return;
     }
-    Integer status = exchange.failures.get(relay.attempt());
+    Integer status = exchange.failureStatuses.get(relay.attempt());
     if (status == null) {
-      world.checker().broken(Rule.ANSWERS, exchange.content.attemptId() + " has no such failure");
+      world.checker().report(Rule.ANSWERS, exchange.content.attemptId() + " relays unknown error");
       return;
     }
-    toClient(() -> exchange.content.client().answered(exchange.content, status, 0));
+    toClient(() -> exchange.content.client().failureReceived(exchange.content, status, 0));
   }
 
-  /** Marks a request as answered; null, with the rule noted, if it was already. */
-  private Exchange finalResponse(long request) {
+  /** Marks a request as finished; reports a violation and returns null if already finished. */
+  private Exchange markFinished(long request) {
     Exchange exchange = exchanges.get(request);
-    if (exchange == null || exchange.over) {
-      world.checker().broken(Rule.ANSWERS, "request " + request + " answered again");
+    if (exchange == null || exchange.finished) {
+      world.checker().report(Rule.ANSWERS, "request " + request + " ended twice");
       return null;
     }
-    exchange.over = true;
-    forgetIfDone(exchange);
+    exchange.finished = true;
+    removeIfDone(exchange);
     return exchange;
   }
 
   private void cancel(RouterOutput.CancelAttempt cancel) {
     Exchange exchange = exchanges.get(cancel.request());
-    BackendCall call = exchange == null ? null : exchange.live.get(cancel.attempt());
+    BackendCall call = exchange == null ? null : exchange.activeCalls.get(cancel.attempt());
     if (call == null) {
       return;
     }
-    leave(exchange, call, Kind.CANCELLED);
+    closeCall(exchange, call, Kind.CANCELLED);
   }
 
   private void toClient(Runnable action) {
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneWorld.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneWorld.java
@@ -12,12 +12,12 @@
 import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
-/** One run: real routers against emulated backends and clients, under a schedule of faults. */
+/** Runs the real routers against simulated backends and clients under a schedule of faults. */
 public final class DataPlaneWorld {
-  /** How long after the last request everything must have ended. */
+  /** Time after the last request by which all requests must have ended. */
   private static final long DRAIN_MICROS = 15_000_000;
 
-  private static final long RELEASE_SERVES_MICROS = 2_500_000;
+  private static final long RELEASE_DRAIN_MICROS = 2_500_000;
   private static final long RELEASE_CHECK_MICROS = 100_000;
 
   private final WorldPlan plan;
@@ -35,19 +35,19 @@
   private long attempts;
   private long digest;
 
-  /** Makes the router of a data plane. */
+  /** Creates the router of a data plane. */
   public interface RouterFactory {
-    /** A router that knows nothing yet. */
+    /** Returns a router without a routing table and backends. */
     RequestRouter create(RouterSettings settings);
   }
 
   /**
-   * What a run gave.
+   * The result of a run.
    *
-   * @param violations broken rules in the order in which they were seen
-   * @param measurements what clients and engines saw
-   * @param digest of all answers and their times; equal for equal plans
-   * @param requests how many requests clients began
+   * @param violations broken rules in the order of detection
+   * @param measurements figures recorded by clients and engines
+   * @param digest hash of all request outcomes and their times; equal plans give equal digests
+   * @param requests number of requests that clients began
    */
   public record Result(
       List<Violation> violations, Measurements measurements, long digest, int requests) {}
@@ -66,22 +66,23 @@
     this.measurements = new Measurements();
   }
 
-  /** Plays a plan to its end. */
+  /** Runs a plan to its end. */
   public static Result run(WorldPlan plan, RouterFactory factory) {
     return run(plan, factory, RequestTransmission::new);
   }
 
   /**
-   * Plays a plan to its end.
+   * Runs a plan to its end.
    *
-   * @param transmissions tell what attempts mean that end while their requests are sent
+   * @param transmissions creates the object that tracks how much of an attempt's request was sent
+   *     and that classifies an attempt whose connection ends meanwhile
    */
   static Result run(
       WorldPlan plan, RouterFactory factory, Supplier<RequestTransmission> transmissions) {
     DataPlaneWorld world = new DataPlaneWorld(plan, factory, transmissions);
     world.build();
     new Traffic(world, world.windows).begin();
-    plan.faults().forEach(fault -> world.loop.at(fault.atMicros(), () -> world.strike(fault)));
+    plan.faults().forEach(fault -> world.loop.at(fault.atMicros(), () -> world.injectFault(fault)));
     world.loop.runUntil(plan.durationMicros() + DRAIN_MICROS);
     world.checkEnd();
     return new Result(
@@ -97,7 +98,7 @@
     for (int i = 0; i < plan.dataPlanes(); i++) {
       addHost();
     }
-    control.beginSharing(plan.durationMicros() + DRAIN_MICROS);
+    control.startQuotaAllocation(plan.durationMicros() + DRAIN_MICROS);
   }
 
   private SimulatedBackend backend(WorldPlan.BackendGroup group, int index) {
@@ -129,7 +130,7 @@
     control.attach(host);
   }
 
-  private void strike(Fault fault) {
+  private void injectFault(Fault fault) {
     switch (fault.kind()) {
       case BACKEND_CRASH, BACKEND_DARK -> crashBackend(fault);
       case BACKEND_STALL -> backendOf(fault).stall(fault.forMicros());
@@ -154,13 +155,13 @@
       return;
     }
     backend.stop(fault.kind() == Fault.Kind.BACKEND_DARK);
-    control.silent(backend.id());
+    control.expireSession(backend.id());
     loop.after(fault.forMicros(), () -> restart(backend));
   }
 
   private void restart(SimulatedBackend backend) {
     backend.restart();
-    control.started(backend);
+    control.registerRestarted(backend);
   }
 
   private void release(SimulatedBackend backend) {
@@ -168,8 +169,8 @@
       return;
     }
     backend.drain();
-    control.draining(backend, backend::drainAcknowledged);
-    loop.after(RELEASE_SERVES_MICROS, () -> endRelease(backend));
+    control.announceDraining(backend, backend::drainAcknowledged);
+    loop.after(RELEASE_DRAIN_MICROS, () -> endRelease(backend));
   }
 
   private void endRelease(SimulatedBackend backend) {
@@ -177,7 +178,7 @@
       loop.after(RELEASE_CHECK_MICROS, () -> endRelease(backend));
       return;
     }
-    control.left(backend.id());
+    control.deregister(backend.id());
     backend.stop(false);
     loop.after(RELEASE_CHECK_MICROS, () -> restart(backend));
   }
@@ -188,12 +189,12 @@
       return;
     }
     host.stop(fault.kind() == Fault.Kind.DATA_PLANE_DARK);
-    ingress.changed(host);
+    ingress.conditionChanged(host);
     loop.after(
         fault.forMicros(),
         () -> {
           startHost(host);
-          ingress.changed(host);
+          ingress.conditionChanged(host);
         });
   }
 
@@ -203,26 +204,30 @@
       return;
     }
     host.freeze();
-    ingress.changed(host);
+    ingress.conditionChanged(host);
     loop.after(
         fault.forMicros(),
         () -> {
           host.thaw();
-          ingress.changed(host);
+          ingress.conditionChanged(host);
         });
   }
 
   private void checkEnd() {
     for (DataPlaneHost host : hosts) {
       if (host.openExchanges() > 0) {
-        checker.broken(
+        checker.report(
             Rule.ANSWERS,
-            host.openExchanges() + " requests without an end at data plane " + host.index());
+            host.openExchanges()
+                + " requests without a final response at data plane "
+                + host.index());
       }
     }
     for (ClientRequest request : requests) {
       if (!request.done()) {
-        checker.broken(Rule.ANSWERS, "a client still waits for " + request.requestClass().name());
+        checker.report(
+            Rule.ANSWERS,
+            "a client still waits for the response of class " + request.requestClass().name());
       }
     }
     checker.checkWindows();
--- a/src/main/java/slateslip/simulation/dataplane/EngineBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/EngineBackend.java
@@ -11,7 +11,7 @@
 import slateslip.simulation.engine.EngineParameters;
 import slateslip.simulation.engine.EngineRequest;
 
-/** A backend with a model engine. */
+/** A simulated backend that executes requests on an {@link EngineModel}. */
 final class EngineBackend extends SimulatedBackend {
   private final EngineParameters parameters;
   private final Measurements measurements;
@@ -104,12 +104,12 @@
 
   private void handle(EngineOutput output) {
     if (output instanceof EngineOutput.Started started) {
-      checker.ran(calls.get(started.request()), this);
+      checker.executionStarted(calls.get(started.request()), this);
     } else if (output instanceof EngineOutput.Event event) {
       BackendCall call = calls.get(event.request());
       streamed.put(event.request(), true);
       if (event.last()) {
-        forget(event.request());
+        remove(event.request());
       }
       event(call, event.eventId(), event.last());
     } else if (output instanceof EngineOutput.Admitted admitted) {
@@ -117,15 +117,15 @@
       measurements.admitted(
           call.content(), id(), loop.nowMicros(), admitted.cachedTokens(), admitted.readTokens());
     } else if (output instanceof EngineOutput.Rejected rejected) {
-      finish(forget(rejected.request()), new BackendReply.NotExecuted());
+      finish(remove(rejected.request()), new BackendReply.NotExecuted());
     } else if (output instanceof EngineOutput.DeadlineExceeded exceeded) {
       boolean started = streamed.containsKey(exceeded.request());
       BackendReply reply = started ? new BackendReply.Reset() : new BackendReply.Failure(504);
-      finish(forget(exceeded.request()), reply);
+      finish(remove(exceeded.request()), reply);
     }
   }
 
-  private BackendCall forget(long id) {
+  private BackendCall remove(long id) {
     streamed.remove(id);
     return calls.remove(id);
   }
--- a/src/main/java/slateslip/simulation/dataplane/Exchange.java
+++ b/src/main/java/slateslip/simulation/dataplane/Exchange.java
@@ -7,28 +7,30 @@
 import java.util.TreeMap;
 import slateslip.routing.RouterOutput;
 
-/** One client request inside the data plane. */
+/** The state of one client request inside a data plane. */
 final class Exchange {
   final long id;
   final ClientAttempt content;
   final long acceptedMicros;
-  final Map<Integer, BackendCall> live = new TreeMap<>();
-  final Set<Integer> numbers = new HashSet<>();
-  final Set<Integer> started = new HashSet<>();
-  final Map<Integer, Long> idleMicros = new HashMap<>();
-  final Map<Integer, Long> heardMicros = new HashMap<>();
-  final Map<Integer, Integer> failures = new HashMap<>();
+  final Map<Integer, BackendCall> activeCalls = new TreeMap<>();
+  final Set<Integer> attemptNumbers = new HashSet<>();
+  final Set<Integer> startedAttempts = new HashSet<>();
+  final Map<Integer, Long> idleTimeoutMicros = new HashMap<>();
+  final Map<Integer, Long> lastActivityMicros = new HashMap<>();
+  final Map<Integer, Integer> failureStatuses = new HashMap<>();
 
-  /** The attempt that ended last, if the data plane ended it. */
-  BackendCall lastLeft;
+  /** The attempt that ended last if the data plane closed its connection, otherwise null. */
+  BackendCall lastClosedByDataPlane;
 
   final Map<Integer, Long> lastEventWhenSent = new HashMap<>();
   long lastEventId = -1;
 
-  /** The attempt whose events the client gets; -1 before the first. */
-  int streaming = -1;
+  /**
+   * The number of the attempt whose events are passed to the client, or -1 before the first event.
+   */
+  int streamingAttempt = -1;
 
-  boolean over;
+  boolean finished;
 
   Exchange(long id, ClientAttempt content, long acceptedMicros) {
     this.id = id;
@@ -36,7 +38,10 @@
     this.acceptedMicros = acceptedMicros;
   }
 
-  /** Id of the last event that the client has had when an attempt is sent; 0 if none. */
+  /**
+   * Returns the id of the last event that the client has received when an attempt is sent, or 0 if
+   * there is none.
+   */
   long resumeAfter(RouterOutput.SendAttempt send) {
     boolean afterLast = send.resumeAfter() == RouterOutput.AFTER_LAST_EVENT;
     long routed = afterLast ? lastEventId : send.resumeAfter();
@@ -44,10 +49,13 @@
     return Math.max(0, routed == RouterOutput.AS_SENT ? clientHas : routed);
   }
 
-  /** Whether a call's events are those that the client gets; see the data plane's own rule. */
-  boolean takesStream(BackendCall call) {
-    return streaming == call.attempt()
-        || !live.containsKey(streaming)
+  /**
+   * Returns whether the events of a call are passed to the client; follows the rule of the real
+   * data plane.
+   */
+  boolean passesEventsOf(BackendCall call) {
+    return streamingAttempt == call.attempt()
+        || !activeCalls.containsKey(streamingAttempt)
         || lastEventId == lastEventWhenSent.get(call.attempt());
   }
 }
--- a/src/main/java/slateslip/simulation/dataplane/FaultWindows.java
+++ b/src/main/java/slateslip/simulation/dataplane/FaultWindows.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import slateslip.simulation.EventQueue;
 
-/** Faults that hold for a while, looked up at the present time. */
+/** Looks up which faults of a schedule are active at the current simulated time. */
 final class FaultWindows {
   private final List<Fault> faults;
   private final EventQueue loop;
@@ -13,7 +13,7 @@
     this.loop = loop;
   }
 
-  /** The greatest strength of a kind of fault now; 0 if there is none. */
+  /** Returns the greatest strength among the active faults of a kind, or 0 if there is none. */
   double strength(Fault.Kind kind) {
     double strength = 0;
     for (Fault fault : faults) {
@@ -24,7 +24,10 @@
     return strength;
   }
 
-  /** The same for faults that strike one target. */
+  /**
+   * Returns the greatest strength among the active faults of a kind that affect one target, or 0 if
+   * there is none.
+   */
   double strength(Fault.Kind kind, int target) {
     double strength = 0;
     for (Fault fault : faults) {
--- a/src/main/java/slateslip/simulation/dataplane/Ingress.java
+++ b/src/main/java/slateslip/simulation/dataplane/Ingress.java
@@ -5,9 +5,12 @@
 import java.util.SplittableRandom;
 import slateslip.simulation.EventQueue;
 
-/** Passes clients' connections to data planes, and notices late which of them are down. */
+/**
+ * Distributes the connections of clients among the data planes and detects stopped data planes with
+ * a delay.
+ */
 final class Ingress {
-  private static final long NOTICE_MICROS = 2_000_000;
+  private static final long DETECTION_MICROS = 2_000_000;
 
   private final EventQueue loop;
   private final SplittableRandom random;
@@ -18,25 +21,28 @@
     this.random = new SplittableRandom(plan.seed() ^ 0x494e_4752L);
   }
 
-  /** A data plane that takes connections from now on. */
+  /** Adds a data plane that accepts connections from now on. */
   void add(DataPlaneHost host) {
     entries.add(new Entry(host));
   }
 
-  /** A data plane's condition has changed; the platform sees it later. */
-  void changed(DataPlaneHost host) {
+  /** Handles a changed condition of a data plane; the ingress applies the change after a delay. */
+  void conditionChanged(DataPlaneHost host) {
     loop.after(
-        NOTICE_MICROS,
+        DETECTION_MICROS,
         () -> {
           for (Entry entry : entries) {
             if (entry.host == host) {
-              entry.in = host.condition() == DataPlaneHost.Condition.UP;
+              entry.inRotation = host.condition() == DataPlaneHost.Condition.UP;
             }
           }
         });
   }
 
-  /** The data plane for a new connection, another than the last one if there is one. */
+  /**
+   * Picks the data plane for a new connection; avoids the data plane of the previous attempt if
+   * there is another choice.
+   */
   DataPlaneHost pick(int zone, DataPlaneHost last) {
     List<DataPlaneHost> near = choices(zone);
     if (near.size() > 1) {
@@ -53,7 +59,7 @@
       all.add(entry.host);
       if (entry.host.zone() == zone) {
         ofZone.add(entry.host);
-        if (entry.in) {
+        if (entry.inRotation) {
           in.add(entry.host);
         }
       }
@@ -66,7 +72,7 @@
 
   private static final class Entry {
     private final DataPlaneHost host;
-    private boolean in = true;
+    private boolean inRotation = true;
 
     Entry(DataPlaneHost host) {
       this.host = host;
--- a/src/main/java/slateslip/simulation/dataplane/LongBodies.java
+++ b/src/main/java/slateslip/simulation/dataplane/LongBodies.java
@@ -4,19 +4,20 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * Requests with bodies that take long to send. A backend begins work once it has the head; the
- * connection of some ends after any number of bytes, none included.
+ * Simulates requests whose bodies take long to send. A backend starts to execute a request once it
+ * has received the head of the request. Some connections end after an arbitrary number of bytes,
+ * which may be zero.
  */
 final class LongBodies {
   private static final int HEAD_BYTES = 300;
   private static final int MAX_BODY_BYTES = 4 << 20;
 
-  /** Bytes that the buffers between the two hold, and take at once. */
+  /** Bytes that the buffers between the data plane and the backend accept immediately. */
   private static final int BUFFERED_BYTES = 256 << 10;
 
   private static final long MAX_TRANSFER_MICROS = 400_000;
 
-  /** Share of connections that end before the whole request is sent. */
+  /** Share of connections that end before the complete request is sent. */
   private static final double CUT_SHARE = 0.2;
 
   private final EventQueue loop;
@@ -24,18 +25,21 @@
   private final SplittableRandom random;
 
   /**
-   * How one request is sent.
+   * The course of sending one request.
    *
-   * @param totalBytes of head and body
-   * @param sentBytes that the connection takes before it ends; all if it does not end
-   * @param transferMicros until it has taken these
+   * @param totalBytes size of head and body together
+   * @param sentBytes bytes that the connection accepts before the connection ends; equal to the
+   *     total if the connection does not end
+   * @param transferMicros time in microseconds until these bytes are accepted
    */
   record Transfer(int totalBytes, int sentBytes, long transferMicros) {
     boolean isCut() {
       return sentBytes < totalBytes;
     }
 
-    /** Whether the backend has the head, and so begins. */
+    /**
+     * Returns whether the backend receives the complete head and so starts to execute the request.
+     */
     boolean includesHead() {
       return sentBytes >= HEAD_BYTES;
     }
@@ -47,7 +51,10 @@
     this.random = new SplittableRandom(plan.seed() ^ 0x424f_4459L);
   }
 
-  /** How a request that is sent now leaves; null if its connection takes it all at once. */
+  /**
+   * Draws how the next request is sent; returns null if the connection accepts the complete request
+   * immediately.
+   */
   Transfer next() {
     double share = windows.strength(Fault.Kind.LONG_BODIES);
     if (share == 0 || random.nextDouble() >= share) {
@@ -58,12 +65,19 @@
     return new Transfer(total, sent, random.nextLong(MAX_TRANSFER_MICROS));
   }
 
-  /** Evenly within the head, where each byte matters most, or anywhere. */
+  /**
+   * Draws where a connection ends: half of the draws are uniform over the first bytes, up to twice
+   * the size of the head, where the cut decides whether the backend starts; the others are uniform
+   * over the request.
+   */
   private int cutBytes(int total) {
     return random.nextInt(random.nextBoolean() ? 2 * HEAD_BYTES : total) % total;
   }
 
-  /** Lets the connection of a call take its bytes; then the rest, or its end. */
+  /**
+   * Sends the buffered bytes of a call immediately and the other bytes after the transfer time;
+   * runs {@code cut} then if the connection ends early.
+   */
   void send(BackendCall call, Transfer transfer, Runnable cut) {
     call.transmission().sent(Math.min(transfer.sentBytes(), BUFFERED_BYTES));
     loop.after(
--- a/src/main/java/slateslip/simulation/dataplane/Measurements.java
+++ b/src/main/java/slateslip/simulation/dataplane/Measurements.java
@@ -9,15 +9,18 @@
 import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.simulation.dataplane.ClientRequest.Outcome;
 
-/** What clients and engines saw, by class and tenant. */
+/** Figures recorded by clients and engines, grouped by request class and tenant. */
 public final class Measurements {
   private static final long HIGHEST_MICROS = 60_000_000;
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** A shared part that is read again within this time after its last use counts as read again. */
+  /**
+   * Limits the time since the last use of a shared prompt part within which a further prefill
+   * counts as avoidable.
+   */
   private static final long READ_AGAIN_MICROS = 10_000_000;
 
-  /** Worth of a request grows with its size, up to this factor. */
+  /** Limits the factor by which the value of a request grows with its size. */
   private static final double LARGEST_FACTOR = 4;
 
   private final Map<GroupKey, Group> groups = new TreeMap<>();
@@ -26,7 +29,7 @@
   private long calls;
   private long callsToOtherZones;
 
-  /** A class and a tenant. */
+  /** The request class and the tenant of a group. */
   public record GroupKey(String requestClass, String tenant) implements Comparable<GroupKey> {
     @Override
     public int compareTo(GroupKey other) {
@@ -35,65 +38,80 @@
     }
   }
 
-  /** Figures of one class and tenant, or of several together. */
+  /** The figures of one class and tenant, or the totals of several such groups. */
   public static final class Group {
-    private final Histogram firstMicros = new Histogram(HIGHEST_MICROS, DIGITS);
-    private final Histogram gapMicros = new Histogram(HIGHEST_MICROS, DIGITS);
+    private final Histogram firstMicros = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram gapMicros = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
     private long cachedTokens;
     private long readTokens;
     private long sharedTokensReadAgain;
-    private double valueOwed;
-    private double valueEarned;
+    private double maximumValue;
+    private double earnedValue;
 
-    /** Time to the first event or the whole answer, of requests that had one. */
+    /**
+     * Returns the time in microseconds to the first event or to the complete response, for requests
+     * that received one.
+     */
     public Histogram firstMicros() {
       return firstMicros;
     }
 
-    /** Longest pause between events of each stream that was served. */
+    /**
+     * Returns the longest gap between events of each stream, in microseconds; streams without a gap
+     * are left out.
+     */
     public Histogram gapMicros() {
       return gapMicros;
     }
 
-    /** Requests served within their objectives. */
+    /** Returns the number of requests that met their latency targets. */
     public long inTime() {
       return count(Outcome.IN_TIME);
     }
 
-    /** Requests served later. */
+    /** Returns the number of requests that were served but missed a latency target. */
     public long late() {
       return count(Outcome.LATE);
     }
 
-    /** Requests whose last response was a refusal. */
+    /**
+     * Returns the number of requests that ended with a response that guarantees that the request
+     * was not executed.
+     */
     public long refused() {
       return count(Outcome.REFUSED);
     }
 
-    /** Requests that ended otherwise. */
+    /** Returns the number of requests that were neither served nor refused. */
     public long failed() {
       return count(Outcome.FAILED);
     }
 
-    /** All requests that have ended. */
+    /** Returns the number of requests that have ended. */
     public long total() {
       return outcomes.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Fraction of prompt tokens that engines had kept; NaN if there were none. */
+    /**
+     * Returns the fraction of prompt tokens that engines found in their caches, or NaN if there
+     * were no prompt tokens.
+     */
     public double cachedFraction() {
       return (double) cachedTokens / (cachedTokens + readTokens);
     }
 
-    /** Shared tokens that were read although some engine had used them a moment before. */
+    /**
+     * Returns the tokens of shared prompt parts that an engine had to prefill although a prompt
+     * with the same part was admitted within the last 10 seconds.
+     */
     public long sharedTokensReadAgain() {
       return sharedTokensReadAgain;
     }
 
-    /** Worth earned by worth owed. */
+    /** Returns the earned value of the requests divided by their highest possible value. */
     public double valueFraction() {
-      return valueEarned / valueOwed;
+      return earnedValue / maximumValue;
     }
 
     private long count(Outcome outcome) {
@@ -107,17 +125,17 @@
       cachedTokens += other.cachedTokens;
       readTokens += other.readTokens;
       sharedTokensReadAgain += other.sharedTokensReadAgain;
-      valueOwed += other.valueOwed;
-      valueEarned += other.valueEarned;
+      maximumValue += other.maximumValue;
+      earnedValue += other.earnedValue;
     }
   }
 
-  /** All groups, by class and tenant. */
+  /** Returns all groups, ordered by class and tenant. */
   public Map<GroupKey, Group> groups() {
     return groups;
   }
 
-  /** The tenants of each class together. */
+  /** Returns the totals of each class over all tenants. */
   public Map<String, Group> byClass() {
     Map<String, Group> result = new TreeMap<>();
     groups.forEach(
@@ -125,7 +143,7 @@
     return result;
   }
 
-  /** The classes of each tenant together. */
+  /** Returns the totals of each tenant over all classes. */
   public Map<String, Group> byTenant() {
     Map<String, Group> result = new TreeMap<>();
     groups.forEach(
@@ -133,14 +151,14 @@
     return result;
   }
 
-  /** Everything together. */
+  /** Returns the totals over all classes and tenants. */
   public Group whole() {
     Group result = new Group();
     groups.values().forEach(result::add);
     return result;
   }
 
-  /** Takes over what another run gave. */
+  /** Adds the figures of another run to these figures. */
   public void add(Measurements other) {
     other.groups.forEach(
         (key, group) -> groups.computeIfAbsent(key, name -> new Group()).add(group));
@@ -149,22 +167,25 @@
     callsToOtherZones += other.callsToOtherZones;
   }
 
-  /** Fraction of calls that went to a backend of another zone. */
+  /**
+   * Returns the fraction of attempts that were sent to a backend in another zone, or 0 if there
+   * were no attempts.
+   */
   public double otherZoneShare() {
     return calls == 0 ? 0 : (double) callsToOtherZones / calls;
   }
 
-  void called(boolean otherZone) {
+  void attemptSent(boolean otherZone) {
     calls++;
     callsToOtherZones += otherZone ? 1 : 0;
   }
 
-  /** Health probes sent. */
+  /** Returns the number of health probes that were sent. */
   public long probes() {
     return probes;
   }
 
-  void probed() {
+  void probeSent() {
     probes++;
   }
 
@@ -190,11 +211,11 @@
     Group group = group(requestClass, request.draw().tenant());
     group.outcomes.merge(outcome, 1L, Long::sum);
     double value = requestClass.value() * sizeFactor(request);
-    group.valueOwed += value;
+    group.maximumValue += value;
     if (outcome == Outcome.IN_TIME) {
-      group.valueEarned += value;
+      group.earnedValue += value;
     } else if (outcome == Outcome.LATE) {
-      group.valueEarned += value * requestClass.lateValue() / requestClass.value();
+      group.earnedValue += value * requestClass.lateValue() / requestClass.value();
     }
     if (firstMicros >= 0) {
       group.firstMicros.recordValue(Math.min(HIGHEST_MICROS, firstMicros));
--- a/src/main/java/slateslip/simulation/dataplane/PlainBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/PlainBackend.java
@@ -7,7 +7,10 @@
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.simulation.EventQueue;
 
-/** A backend of an application: a few slots, a short queue, one answer for each request. */
+/**
+ * A simulated application backend with a fixed number of slots, a bounded queue and one response
+ * per request.
+ */
 final class PlainBackend extends SimulatedBackend {
   private final int slots;
   private final int queue;
@@ -68,7 +71,7 @@
         continue;
       }
       running.add(call);
-      checker.ran(call, this);
+      checker.executionStarted(call, this);
       loop.after(call.content().workMicros(), () -> done(call));
     }
   }
--- a/src/main/java/slateslip/simulation/dataplane/RequestClass.java
+++ b/src/main/java/slateslip/simulation/dataplane/RequestClass.java
@@ -4,27 +4,29 @@
 import slateslip.configuration.RouteKind;
 
 /**
- * One kind of request that clients send, and its route.
+ * A class of requests that clients send, and the route of these requests.
  *
- * @param name of the class; also of its route
- * @param service that serves it
- * @param kind what may be repeated
- * @param resumable whether a stream may be taken up at another backend
- * @param targetLatencyMillis until the first event or the whole answer
- * @param targetGapMillis longest pause between events that keeps a stream in time
- * @param deadlineMillis how long the client waits in all
- * @param timeoutMillis how long the route lets a request be held
- * @param priority rank, 0 highest
- * @param maxAttempts backends that one try may be sent to
- * @param retries further tries of a client
- * @param share of all requests, relative to the other classes
- * @param value of a response in time
- * @param lateValue of a later answer
- * @param sharedParts parts of prompts that requests share, in order
- * @param ownTokens the last part of a prompt, the request's own
- * @param outputEvents events of a response
- * @param workMillis time in a slot of a backend that is no engine
- * @param errorShare fraction of requests that such a backend answers with 500
+ * @param name name of the class and of its route
+ * @param service name of the service that serves the class
+ * @param kind kind of the route; decides whether attempts may be retried after an execution
+ * @param resumable whether a stream may be resumed at another backend
+ * @param targetLatencyMillis target time to the first event or to the complete response
+ * @param targetGapMillis longest gap between events with which a stream still counts as in time; 0
+ *     for no target
+ * @param deadlineMillis total time that the client waits
+ * @param timeoutMillis timeout of the route, the longest time that a data plane may hold a request
+ * @param priority priority of the route, 0 is the highest
+ * @param maxAttempts number of backends to which a data plane may send one attempt of a client
+ * @param retries number of retries of a client after the first attempt
+ * @param share weight of the class among all requests, relative to the other classes
+ * @param value value of a response in time
+ * @param lateValue value of a response that misses a target
+ * @param sharedParts parts of the prompt that requests share, in order
+ * @param ownTokens size in tokens of the last part of the prompt, which no other request shares
+ * @param outputEvents number of events of a response
+ * @param workMillis time that a request occupies a slot of a backend without an engine
+ * @param errorShare fraction of requests to which a backend without an engine responds with status
+ *     500
  */
 public record RequestClass(
     String name,
@@ -48,32 +50,32 @@
     double errorShare) {
 
   /**
-   * A part of prompts that several requests share.
+   * A part of a prompt that several requests share.
    *
-   * @param tokens its length; drawn once for each thing
-   * @param things how many different ones there are
-   * @param skew exponent of their popularity; 0 makes all equally popular
+   * @param tokens length of the part in tokens; drawn once for each distinct part
+   * @param things number of distinct parts
+   * @param skew exponent of the Zipf distribution of their popularity; 0 makes all equally popular
    */
   public record SharedPart(Size tokens, int things, double skew) {}
 
   /**
-   * A log-normal size.
+   * A size with a log-normal distribution and an upper limit.
    *
-   * @param mean its mean
-   * @param spread standard deviation of its logarithm
-   * @param max its upper end
+   * @param mean mean of the distribution without the limit
+   * @param spread standard deviation of the logarithm of the size
+   * @param max upper limit of the size
    */
   public record Size(double mean, double spread, double max) {
     /** A size that is always zero. */
     public static final Size NONE = new Size(0, 0, 0);
 
-    /** One draw, given a standard normal number. */
+    /** Returns the size that corresponds to a draw from the standard normal distribution. */
     double draw(double normal) {
       return Math.min(max, mean * Math.exp(spread * normal - spread * spread / 2));
     }
   }
 
-  /** Whether an attempt may run more than once. */
+  /** Returns whether backends may execute an attempt more than once. */
   public boolean repeatable() {
     return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAMING && resumable);
   }
--- a/src/main/java/slateslip/simulation/dataplane/ResponseChecks.java
+++ b/src/main/java/slateslip/simulation/dataplane/ResponseChecks.java
@@ -4,10 +4,10 @@
 import slateslip.routing.AbortReason;
 import slateslip.simulation.dataplane.Violation.Rule;
 
-/** Holds the final responses of a data plane against the rules. */
+/** Checks the final responses of a data plane against the rules. */
 final class ResponseChecks {
-  /** Statuses that promise that a request has not run. */
-  private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+  /** Statuses that guarantee that no backend has executed the request. */
+  private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
   private final DataPlaneWorld world;
 
@@ -15,23 +15,34 @@
     this.world = world;
   }
 
-  /** A response of the data plane's own is given. */
+  /** Checks a response that the data plane itself generates. */
   void responded(Exchange exchange, int status) {
-    if (!exchange.started.isEmpty()) {
-      world.checker().broken(Rule.ANSWERS, exchange.content.attemptId() + " was begun");
+    if (!exchange.startedAttempts.isEmpty()) {
+      world
+          .checker()
+          .report(
+              Rule.ANSWERS,
+              exchange.content.attemptId() + " already had a response from a backend");
     }
-    if (PROMISES.contains(status)) {
-      world.checker().promised(exchange.content.attemptId());
+    if (NOT_EXECUTED_STATUSES.contains(status)) {
+      world.checker().guaranteedNotExecuted(exchange.content.attemptId());
     }
   }
 
-  /** A response is cut: a backend's silence is no reason for that before its time is up. */
-  void brokenOff(Exchange exchange, AbortReason reason) {
-    BackendCall left = exchange.lastLeft;
+  /**
+   * Checks an aborted response: before the deadline, a data plane must not abort a response that a
+   * running backend only delays.
+   */
+  void aborted(Exchange exchange, AbortReason reason) {
+    BackendCall left = exchange.lastClosedByDataPlane;
     boolean backendRuns =
         left != null && world.control().backend(left.backendId()).runs(left.backendId());
     if (reason != AbortReason.DEADLINE && backendRuns) {
-      world.checker().broken(Rule.BROKEN_OFF, exchange.content.attemptId() + " for " + reason);
+      world
+          .checker()
+          .report(
+              Rule.BROKEN_OFF,
+              exchange.content.attemptId() + " was aborted before its deadline: " + reason);
     }
   }
 }
--- a/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
+++ b/src/main/java/slateslip/simulation/dataplane/RuleChecker.java
@@ -10,15 +10,18 @@
 import slateslip.simulation.EventQueue;
 import slateslip.simulation.dataplane.Violation.Rule;
 
-/** Watches what backends, clients and hosts see, and collects the rules that are broken. */
+/**
+ * Checks the rules against the events of backends, clients and data planes, and collects the
+ * violations.
+ */
 final class RuleChecker {
   private final WorldPlan plan;
   private final EventQueue loop;
   private final List<Violation> violations = new ArrayList<>();
-  private final Map<String, TryRecord> attempts = new HashMap<>();
+  private final Map<String, AttemptRecord> attempts = new HashMap<>();
   private final Map<String, Series> runTokensByTenant = new TreeMap<>();
   private final Map<String, Series> requestsByService = new TreeMap<>();
-  private final Map<String, Series> repeatsByService = new TreeMap<>();
+  private final Map<String, Series> retriesByService = new TreeMap<>();
 
   RuleChecker(WorldPlan plan, EventQueue loop) {
     this.plan = plan;
@@ -29,74 +32,79 @@
     return violations;
   }
 
-  void broken(Rule rule, String detail) {
+  void report(Rule rule, String detail) {
     violations.add(new Violation(rule, loop.nowMicros(), detail));
   }
 
-  /** A client has sent an attempt. */
+  /** Records an attempt that a client sends. */
   void sent(ClientAttempt sent) {
     attempts.put(
-        sent.attemptId(), new TryRecord(sent.requestClass(), sent.tenant(), sent.tokens()));
+        sent.attemptId(), new AttemptRecord(sent.requestClass(), sent.tenant(), sent.tokens()));
     series(requestsByService, sent.requestClass().service()).add(loop.nowMicros(), 1);
   }
 
-  /** A try has reached a backend, which may yet reject it. */
+  /** Records an attempt that reached a backend; the backend may still reject the attempt. */
   void reached(BackendCall call, SimulatedBackend backend) {
-    TryRecord record = attempts.get(call.attemptId());
+    AttemptRecord record = attempts.get(call.attemptId());
     record.arrivals++;
     if (record.arrivals > 1) {
-      series(repeatsByService, backend.service()).add(loop.nowMicros(), 1);
+      series(retriesByService, backend.service()).add(loop.nowMicros(), 1);
     }
-    boolean exempt = !call.backendId().equals(backend.id()) || call.host().recentlyTroubled();
+    boolean exempt = !call.backendId().equals(backend.id()) || call.host().rulesSuspended();
     if (!exempt
         && backend.drainAcknowledgedMicros() >= 0
         && loop.nowMicros()
             > backend.drainAcknowledgedMicros() + plan.bounds().drainTimeoutMicros()) {
-      broken(Rule.DRAIN, call.attemptId() + " reached " + backend.id());
+      report(Rule.DRAIN, call.attemptId() + " reached draining backend " + backend.id());
     }
   }
 
-  /** A backend has begun to work on an attempt. */
-  void ran(BackendCall call, SimulatedBackend backend) {
-    TryRecord record = attempts.get(call.attemptId());
+  /** Records that a backend starts to execute an attempt. */
+  void executionStarted(BackendCall call, SimulatedBackend backend) {
+    AttemptRecord record = attempts.get(call.attemptId());
     record.runs++;
-    record.ranAt.add(backend.id());
+    record.executedAt.add(backend.id());
     if (record.runs == 1) {
       series(runTokensByTenant, record.tenant).add(loop.nowMicros(), (double) record.tokens);
     }
     if (!record.requestClass.repeatable() && record.runs > 1) {
-      broken(Rule.RAN_TWICE, call.attemptId() + " at " + record.ranAt);
+      report(Rule.RAN_TWICE, call.attemptId() + " at " + record.executedAt);
     }
-    if (!record.requestClass.repeatable() && record.promised) {
-      broken(Rule.PROMISE_BROKEN, call.attemptId() + " ran after its refusal");
+    if (!record.requestClass.repeatable() && record.guaranteedNotExecuted) {
+      report(Rule.PROMISE_BROKEN, call.attemptId() + " was executed after its refusal");
     }
     if (!backend.service().equals(record.requestClass.service())) {
-      broken(Rule.WRONG_SERVICE, call.attemptId() + " at " + backend.id());
+      report(Rule.WRONG_SERVICE, call.attemptId() + " at " + backend.id());
     }
     if (!record.tenant.equals(call.tenant())) {
-      broken(Rule.WRONG_TENANT, call.attemptId() + " as " + call.tenant());
+      report(Rule.WRONG_TENANT, call.attemptId() + " as " + call.tenant());
     }
-    record.ranAt.removeAll(record.crashed);
-    if (record.ranAt.size() > record.requestClass.maxAttempts()) {
-      broken(Rule.MAX_ATTEMPTS, call.attemptId() + " at " + record.ranAt);
+    record.executedAt.removeAll(record.crashed);
+    if (record.executedAt.size() > record.requestClass.maxAttempts()) {
+      report(Rule.MAX_ATTEMPTS, call.attemptId() + " at " + record.executedAt);
     }
   }
 
-  /** A backend crashed while it worked on an attempt: it does not count as one of its backends. */
+  /**
+   * Records that a backend crashed while executing an attempt; the backend does not count toward
+   * the attempt limit.
+   */
   void crashedDuring(BackendCall call, SimulatedBackend backend) {
     attempts.get(call.attemptId()).crashed.add(backend.id());
   }
 
-  /** A data plane has promised that an attempt has not run. */
-  void promised(String attemptId) {
-    TryRecord record = attempts.get(attemptId);
-    record.promised = true;
+  /** Records a response that guarantees that no backend has executed the attempt. */
+  void guaranteedNotExecuted(String attemptId) {
+    AttemptRecord record = attempts.get(attemptId);
+    record.guaranteedNotExecuted = true;
     if (!record.requestClass.repeatable() && record.runs > 0) {
-      broken(Rule.PROMISE_BROKEN, attemptId + " had run at " + record.ranAt);
+      report(
+          Rule.PROMISE_BROKEN,
+          attemptId + " was refused after its execution at " + record.executedAt);
     }
   }
 
-  /** The rules over sliding windows; called once, at the end. */
+  /** Checks the rules over sliding windows; called once at the end of a run. */
   void checkWindows() {
     WorldPlan.Bounds bounds = plan.bounds();
     for (int i = 0; i < plan.tenants().size(); i++) {
@@ -108,14 +116,14 @@
         checkQuota(WorldPlans.tenantName(i), runs, limit, bounds.quotaWindowMicros());
       }
     }
-    repeatsByService.forEach(this::checkRetryBudget);
+    retriesByService.forEach(this::checkRetryBudget);
   }
 
   private void checkQuota(String tenant, Series runs, double limit, long windowMicros) {
     for (int i = 0; i < runs.size(); i++) {
       double sum = runs.sum(runs.time(i) - windowMicros, runs.time(i));
       if (sum > limit) {
-        broken(Rule.QUOTA, tenant + " ran " + sum + " tokens, limit " + limit);
+        report(Rule.QUOTA, tenant + " executed " + sum + " tokens, limit " + limit);
         return;
       }
     }
@@ -136,7 +144,7 @@
       double limit = bounds.retryBudgetRatio() * max + bounds.retryBudgetSlack();
       double sum = repeats.sum(end - window, end);
       if (sum > limit) {
-        broken(Rule.RETRY_BUDGET, service + " had " + sum + " repeats, limit " + limit);
+        report(Rule.RETRY_BUDGET, service + " received " + sum + " retries, limit " + limit);
         return;
       }
     }
@@ -146,17 +154,17 @@
     return all.computeIfAbsent(name, key -> new Series());
   }
 
-  private static final class TryRecord {
+  private static final class AttemptRecord {
     private final RequestClass requestClass;
     private final String tenant;
     private final long tokens;
-    private final Set<String> ranAt = new HashSet<>();
+    private final Set<String> executedAt = new HashSet<>();
     private final Set<String> crashed = new HashSet<>();
     private int arrivals;
     private int runs;
-    private boolean promised;
+    private boolean guaranteedNotExecuted;
 
-    TryRecord(RequestClass requestClass, String tenant, long tokens) {
+    AttemptRecord(RequestClass requestClass, String tenant, long tokens) {
       this.requestClass = requestClass;
       this.tenant = tenant;
       this.tokens = tokens;
--- a/src/main/java/slateslip/simulation/dataplane/ScheduleShrinker.java
+++ b/src/main/java/slateslip/simulation/dataplane/ScheduleShrinker.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Shortens a schedule of faults while it still breaks a rule. */
+/** Reduces a schedule of faults to a small schedule that still breaks a rule. */
 public final class ScheduleShrinker {
   private ScheduleShrinker() {}
 
   /**
-   * Leaves out ever smaller runs of faults, as long as the plan still fails.
+   * Removes ever shorter sequences of consecutive faults as long as the plan still fails.
    *
    * @param failing a plan that fails
-   * @param fails plays a plan and tells whether it fails
-   * @return a plan that fails and from which no single fault can be left out
+   * @param fails runs a plan and returns whether the plan fails
+   * @return a failing plan that does not fail any more when any single fault is removed
    */
   public static WorldPlan shrink(WorldPlan failing, Predicate<WorldPlan> fails) {
     WorldPlan best = failing;
--- a/src/main/java/slateslip/simulation/dataplane/Series.java
+++ b/src/main/java/slateslip/simulation/dataplane/Series.java
@@ -2,13 +2,13 @@
 
 import java.util.Arrays;
 
-/** Amounts at rising times, summed over any window in logarithmic time. */
+/** A time series of amounts with sums over arbitrary windows in logarithmic time. */
 final class Series {
   private long[] times = new long[64];
   private double[] totals = new double[64];
   private int size;
 
-  /** Adds an amount at a time that is not before the last one. */
+  /** Adds an amount; {@code atMicros} must not be before the time of the previous amount. */
   void add(long atMicros, double amount) {
     if (size == times.length) {
       times = Arrays.copyOf(times, 2 * size);
@@ -27,7 +27,9 @@
     return times[index];
   }
 
-  /** Sum of the amounts after {@code fromMicros} and up to {@code toMicros}. */
+  /**
+   * Returns the sum of the amounts after {@code fromMicros} up to and including {@code toMicros}.
+   */
   double sum(long fromMicros, long toMicros) {
     return totalUpTo(toMicros) - totalUpTo(fromMicros);
   }
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedBackend.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedBackend.java
@@ -10,15 +10,18 @@
 import slateslip.routing.RouterInput.ProbeOutcome;
 import slateslip.simulation.EventQueue;
 
-/** A backend's machine; each start of its program is a new incarnation with a new id. */
+/**
+ * The machine of a simulated backend; each start of the backend process is a new incarnation with a
+ * new id.
+ */
 abstract class SimulatedBackend {
-  /** Whether the backend's program runs and can be reached. */
+  /** The state of the backend process and its reachability. */
   enum Condition {
     UP,
     DRAINING,
-    /** Nothing listens: connections are refused. */
+    /** No process listens; connections are refused. */
     DOWN,
-    /** Nothing answers at all. */
+    /** The machine does not respond at all; connections time out. */
     DARK
   }
 
@@ -54,25 +57,25 @@
     this.slots = slots;
   }
 
-  /** Takes a call that is meant for this incarnation. */
+  /** Accepts a call that is addressed to the current incarnation. */
   abstract void accept(BackendCall call);
 
-  /** Drops what is known of a call whose connection has gone. */
+  /** Cancels a call whose connection was closed. */
   abstract void abandon(BackendCall call);
 
-  /** Starts empty. */
+  /** Discards all calls and caches, as at a start of the process. */
   abstract void reset();
 
   abstract BackendLoad load();
 
-  /** Whether a probe would find neither a slot nor a place to wait. */
+  /** Returns whether the queue is full, so that a probe reports an overloaded backend. */
   abstract boolean full();
 
   String id() {
     return service + "-" + index + "-" + incarnation;
   }
 
-  /** Whether this incarnation runs and can be reached. */
+  /** Returns whether the given incarnation is running and reachable. */
   boolean runs(String incarnationId) {
     boolean reachable = condition == Condition.UP || condition == Condition.DRAINING;
     return reachable && id().equals(incarnationId);
@@ -90,7 +93,10 @@
     return condition;
   }
 
-  /** When its draining was acknowledged; -1 if it was not. */
+  /**
+   * Returns the time at which the control plane acknowledged the draining, or -1 if there was no
+   * acknowledgement.
+   */
   long drainAcknowledgedMicros() {
     return drainAcknowledgedMicros;
   }
@@ -116,7 +122,7 @@
         incarnation);
   }
 
-  /** A call has come in. */
+  /** Handles an incoming call; rejects a call that is addressed to another incarnation. */
   void arrive(BackendCall call) {
     checker.reached(call, this);
     if (!call.backendId().equals(id())) {
@@ -127,14 +133,14 @@
     accept(call);
   }
 
-  /** The data plane has closed the connection of a call. */
+  /** Handles a connection that the data plane has closed. */
   void connectionClosed(BackendCall call) {
     if (open.remove(call)) {
       abandon(call);
     }
   }
 
-  /** Sends an event; the call stays open. */
+  /** Sends an event of a stream; the last event ends the call. */
   void event(BackendCall call, long eventId, boolean last) {
     reply(call, new BackendReply.Event(eventId, last));
     if (last) {
@@ -142,7 +148,10 @@
     }
   }
 
-  /** Nothing leaves it for this long; it works on meanwhile. */
+  /**
+   * Holds back all replies until this time has passed; the backend continues to execute requests
+   * meanwhile.
+   */
   void stall(long forMicros) {
     stalledUntilMicros = Math.max(stalledUntilMicros, loop.nowMicros() + forMicros);
     loop.at(stalledUntilMicros, this::release);
@@ -166,13 +175,13 @@
     }
   }
 
-  /** Sends a whole answer or the end of a stream. */
+  /** Sends a complete response or a failure and ends the call. */
   void finish(BackendCall call, BackendReply reply) {
     open.remove(call);
     reply(call, reply);
   }
 
-  /** What a probe would see now. */
+  /** Returns the outcome of a health probe at the current time. */
   ProbeOutcome probe() {
     if (stalled()) {
       return ProbeOutcome.TIMEOUT;
@@ -189,7 +198,7 @@
     condition = Condition.DRAINING;
   }
 
-  /** Ends: loudly, with its connections reset, or without a word. */
+  /** Stops the process; resets its connections unless {@code dark} is true. */
   void stop(boolean dark) {
     condition = dark ? Condition.DARK : Condition.DOWN;
     for (BackendCall call : List.copyOf(open)) {
@@ -203,7 +212,7 @@
     reset();
   }
 
-  /** Starts again as a new incarnation. */
+  /** Starts the process as a new incarnation. */
   void restart() {
     stalledUntilMicros = 0;
     condition = Condition.UP;
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedControl.java
@@ -15,15 +15,18 @@
 import slateslip.routing.RouterInput;
 import slateslip.simulation.EventQueue;
 
-/** Stands for the control plane: tells data planes the table, the backends and their shares. */
+/**
+ * Simulates the control plane: sends the routing table, the backends and the quota allocations to
+ * the data planes.
+ */
 final class SimulatedControl {
-  private static final long SHORTEST_DELAY_MICROS = 2_000;
-  private static final long LONGEST_DELAY_MICROS = 50_000;
+  private static final long MIN_DELAY_MICROS = 2_000;
+  private static final long MAX_DELAY_MICROS = 50_000;
   private static final long ALLOCATOR_EPOCH = 1;
-  private static final long SHARE_PERIOD_MICROS = 200_000;
-  private static final long LONGEST_ACKNOWLEDGE_MICROS = 400_000;
+  private static final long ALLOCATION_PERIOD_MICROS = 200_000;
+  private static final long MAX_ACKNOWLEDGEMENT_MICROS = 400_000;
 
-  /** A backend that says nothing is withdrawn after three heartbeats. */
+  /** Session timeout of a backend: three missed heartbeats. */
   private static final long SESSION_TIMEOUT_MICROS = 3_600_000;
 
   private final EventQueue loop;
@@ -54,7 +57,7 @@
     return backends;
   }
 
-  /** The machine on which an instance runs or ran. */
+  /** Returns the machine on which a backend instance runs or ran. */
   SimulatedBackend backend(String id) {
     return byId.get(id);
   }
@@ -64,7 +67,7 @@
     sessions.put(backend.id(), backend.session());
   }
 
-  /** Tells a data plane that has just started everything. */
+  /** Sends the complete state to a data plane that has just started. */
   void attach(DataPlaneHost host) {
     if (!hosts.contains(host)) {
       hosts.add(host);
@@ -73,14 +76,16 @@
     deliver(host, new RouterInput.BackendsChanged(List.copyOf(sessions.values())), none -> {});
   }
 
-  /** Divides quotas among the data planes that report, until the world ends. */
-  void beginSharing(long endMicros) {
+  /**
+   * Allocates the quotas periodically among the data planes that report, until {@code endMicros}.
+   */
+  void startQuotaAllocation(long endMicros) {
     for (DataPlaneHost host : hosts) {
       report(host);
     }
-    loop.after(LONGEST_DELAY_MICROS, this::allocate);
+    loop.after(MAX_DELAY_MICROS, this::allocate);
     if (loop.nowMicros() < endMicros) {
-      loop.after(SHARE_PERIOD_MICROS, () -> beginSharing(endMicros));
+      loop.after(ALLOCATION_PERIOD_MICROS, () -> startQuotaAllocation(endMicros));
     }
   }
 
@@ -91,7 +96,7 @@
     QuotaReport report = host.quotaReport();
     int incarnation = host.incarnation();
     loop.after(
-        random.nextLong(SHORTEST_DELAY_MICROS, LONGEST_DELAY_MICROS),
+        random.nextLong(MIN_DELAY_MICROS, MAX_DELAY_MICROS),
         () ->
             allocator
                 .report(loop.nowMicros(), name(host), incarnation, report)
@@ -111,13 +116,16 @@
     }
   }
 
-  /** As a data plane does, one that has started anew ignores what was for the one before. */
+  /**
+   * Delivers an allocation; like a real data plane, a restarted data plane ignores an allocation
+   * that was made for its previous incarnation.
+   */
   private void deliver(DataPlaneHost host, QuotaAllocation allocation) {
     deliver(
         host,
         () -> {
           if (allocation.lease().incarnation() == host.incarnation()) {
-            host.tell(new RouterInput.QuotaAllocationChanged(allocation));
+            host.deliver(new RouterInput.QuotaAllocationChanged(allocation));
           }
         });
   }
@@ -126,14 +134,17 @@
     return "data-plane-" + host.index();
   }
 
-  /** A backend has started as a new incarnation. */
-  void started(SimulatedBackend backend) {
+  /** Registers the new incarnation of a backend. */
+  void registerRestarted(SimulatedBackend backend) {
     register(backend);
-    tellAll(done -> {});
+    deliverToAll(done -> {});
   }
 
-  /** A backend has said that it drains; it is acknowledged once the data planes know. */
-  void draining(SimulatedBackend backend, Runnable acknowledge) {
+  /**
+   * Announces a draining backend; acknowledges the draining once all data planes have received the
+   * announcement, or after a timeout.
+   */
+  void announceDraining(SimulatedBackend backend, Runnable acknowledge) {
     sessions.put(backend.id(), backend.session());
     boolean[] acknowledged = {false};
     Runnable once =
@@ -144,28 +155,31 @@
           }
         };
     int[] missing = {hosts.size()};
-    tellAll(
+    deliverToAll(
         done -> {
           missing[0]--;
           if (missing[0] == 0) {
             once.run();
           }
         });
-    loop.after(LONGEST_ACKNOWLEDGE_MICROS, once);
+    loop.after(MAX_ACKNOWLEDGEMENT_MICROS, once);
   }
 
-  /** A backend has left with a word. */
-  void left(String id) {
+  /** Removes the session of a backend instance. */
+  void deregister(String id) {
     sessions.remove(id);
-    tellAll(done -> {});
+    deliverToAll(done -> {});
   }
 
-  /** A backend has stopped without a word. */
-  void silent(String id) {
-    loop.after(SESSION_TIMEOUT_MICROS, () -> left(id));
+  /**
+   * Removes the session of a backend instance after the session timeout, because the backend
+   * stopped without deregistering.
+   */
+  void expireSession(String id) {
+    loop.after(SESSION_TIMEOUT_MICROS, () -> deregister(id));
   }
 
-  private void tellAll(Consumer<DataPlaneHost> delivered) {
+  private void deliverToAll(Consumer<DataPlaneHost> delivered) {
     List<BackendSession> all = List.copyOf(sessions.values());
     for (DataPlaneHost host : List.copyOf(hosts)) {
       deliver(host, new RouterInput.BackendsChanged(all), delivered);
@@ -176,13 +190,13 @@
     deliver(
         host,
         () -> {
-          host.tell(input);
+          host.deliver(input);
           delivered.accept(host);
         });
   }
 
   private void deliver(DataPlaneHost host, Runnable delivery) {
-    long delay = random.nextLong(SHORTEST_DELAY_MICROS, LONGEST_DELAY_MICROS);
+    long delay = random.nextLong(MIN_DELAY_MICROS, MAX_DELAY_MICROS);
     long atMicros = Math.max(loop.nowMicros() + delay, lastDelivery.getOrDefault(host, 0L));
     lastDelivery.put(host, atMicros);
     loop.at(atMicros, delivery);
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedNetwork.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedNetwork.java
@@ -4,12 +4,12 @@
 import slateslip.routing.RouterInput.BackendLoad;
 import slateslip.simulation.EventQueue;
 
-/** Connections between data planes and backends: delays, refused and broken connections. */
+/** Simulates connections between data planes and backends with delays, refusals and resets. */
 final class SimulatedNetwork {
   private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
   private static final long LATEST_RESET_MICROS = 150_000;
 
-  /** Share of calls that find no idle connection. */
+  /** Share of calls that need a new connection because no idle connection is available. */
   private static final double NEW_CONNECTION_SHARE = 0.5;
 
   private final WorldPlan plan;
@@ -26,7 +26,7 @@
     this.longBodies = new LongBodies(plan, loop, windows);
   }
 
-  /** Carries a call to a backend. */
+  /** Sends a call to a backend. */
   void send(BackendCall call, SimulatedBackend backend) {
     boolean newConnection = random.nextDouble() < NEW_CONNECTION_SHARE;
     LongBodies.Transfer transfer = longBodies.next();
@@ -75,17 +75,20 @@
     hostClosed(call, backend);
   }
 
-  /** Carries what a backend says back to the data plane, in order. */
+  /**
+   * Delivers a backend's reply to the data plane; replies arrive in the order in which they were
+   * sent.
+   */
   void reply(BackendCall call, SimulatedBackend backend, BackendReply reply, BackendLoad load) {
     loop.after(delay(call.host(), backend), () -> call.host().replied(call, reply, load));
   }
 
-  /** Tells a backend that the data plane has closed a connection. */
+  /** Notifies a backend that the data plane has closed the connection of a call. */
   void hostClosed(BackendCall call, SimulatedBackend backend) {
     loop.after(delay(call.host(), backend), () -> backend.connectionClosed(call));
   }
 
-  /** One way between a data plane and a backend. */
+  /** Returns the one-way delay between a data plane and a backend, in microseconds. */
   long delay(DataPlaneHost host, SimulatedBackend backend) {
     return host.zone() == backend.zone() ? plan.network().inZone() : plan.network().crossZone();
   }
--- a/src/main/java/slateslip/simulation/dataplane/SimulatedProbes.java
+++ b/src/main/java/slateslip/simulation/dataplane/SimulatedProbes.java
@@ -5,7 +5,10 @@
 import slateslip.routing.RouterInput.ProbeOutcome;
 import slateslip.simulation.EventQueue;
 
-/** The health checks of one data plane: sends them over the network and tells how they ended. */
+/**
+ * Sends the health probes of one data plane over the simulated network and passes the outcomes to
+ * its router.
+ */
 final class SimulatedProbes {
   private static final long PROBE_TIMEOUT_MICROS = 1_000_000;
 
@@ -19,9 +22,9 @@
     this.host = host;
   }
 
-  /** Sends one. */
+  /** Sends one health probe to a backend instance. */
   void probe(String backendId) {
-    world.measurements().probed();
+    world.measurements().probeSent();
     SimulatedBackend backend = world.control().backend(backendId);
     long delay = world.network().delay(host, backend);
     int current = host.incarnation();
@@ -39,7 +42,7 @@
         silent ? PROBE_TIMEOUT_MICROS : delay,
         () -> {
           if (ofIncarnation == host.incarnation()) {
-            host.tell(new RouterInput.ProbeEnded(id, outcome, load));
+            host.deliver(new RouterInput.ProbeEnded(id, outcome, load));
           }
         });
   }
--- a/src/main/java/slateslip/simulation/dataplane/SmallRequestClasses.java
+++ b/src/main/java/slateslip/simulation/dataplane/SmallRequestClasses.java
@@ -5,11 +5,11 @@
 import slateslip.simulation.dataplane.RequestClass.SharedPart;
 import slateslip.simulation.dataplane.RequestClass.Size;
 
-/** Kinds of requests of the small random worlds: one of each kind of route. */
+/** The request classes of the small random plans; they cover each kind of route. */
 final class SmallRequestClasses {
   private SmallRequestClasses() {}
 
-  /** All of them, for these services. */
+  /** Returns all classes; {@code engines} and {@code ledger} name the services that serve them. */
   static List<RequestClass> of(String engines, String ledger) {
     return List.of(diagnosis(engines), report(engines), entry(ledger), lookup(ledger));
   }
--- a/src/main/java/slateslip/simulation/dataplane/Traffic.java
+++ b/src/main/java/slateslip/simulation/dataplane/Traffic.java
@@ -7,9 +7,9 @@
 import slateslip.routing.RequestAttributes.PromptPart;
 import slateslip.simulation.dataplane.ClientRequest.RequestDraw;
 
-/** Draws the clients' requests: when they come, of which class and tenant, and how large. */
+/** Generates the requests of the clients: draws arrival times, classes, tenants and sizes. */
 final class Traffic {
-  /** Share of clients that retry at once whatever they are told. */
+  /** Share of clients that retry immediately, whatever delay a response asks for. */
   private static final double IMPATIENT_SHARE = 0.04;
 
   private final DataPlaneWorld world;
@@ -118,7 +118,7 @@
     List<PromptPart> prompt = new ArrayList<>();
     List<RequestClass.SharedPart> shared = requestClass.sharedParts();
     if (!shared.isEmpty()) {
-      int thing = drawThing(classIndex, shared.get(shared.size() - 1));
+      int thing = drawSharedVariant(classIndex, shared.get(shared.size() - 1));
       for (int level = 0; level < shared.size(); level++) {
         prompt.add(sharedPart(classIndex, level, thing % shared.get(level).things(), shared));
       }
@@ -128,7 +128,7 @@
     return prompt;
   }
 
-  private int drawThing(int classIndex, RequestClass.SharedPart part) {
+  private int drawSharedVariant(int classIndex, RequestClass.SharedPart part) {
     if (random.nextDouble() < windows.strength(Fault.Kind.HOT_KEY, classIndex)) {
       return 0;
     }
@@ -146,7 +146,7 @@
     return part.things() - 1;
   }
 
-  /** A shared part; its length depends on nothing but the plan's seed and its place. */
+  /** Returns a shared part; its length depends only on the plan's seed and the part's id. */
   private PromptPart sharedPart(
       int classIndex, int level, int thing, List<RequestClass.SharedPart> shared) {
     long id = ((classIndex + 1L) << 40) | ((long) level << 32) | thing;
--- a/src/main/java/slateslip/simulation/dataplane/WorldPlan.java
+++ b/src/main/java/slateslip/simulation/dataplane/WorldPlan.java
@@ -4,19 +4,19 @@
 import slateslip.simulation.engine.EngineParameters;
 
 /**
- * Everything that a run of the world follows from.
+ * The input of a simulated run; equal plans give equal runs.
  *
- * @param seed of all random choices
- * @param durationMicros how long clients send
- * @param zones number of zones; data planes and backends are spread over them in turn
- * @param dataPlanes that run from the start
- * @param requestsPerSecond first attempts of all clients together
- * @param classes of requests
+ * @param seed seed of all random choices
+ * @param durationMicros time during which clients send requests, in microseconds
+ * @param zones number of zones; data planes and backends are assigned to zones in round-robin order
+ * @param dataPlanes number of data planes that run from the start
+ * @param requestsPerSecond rate of new requests of all clients together, without retries
+ * @param classes classes of requests
  * @param backends groups of backends, one for each service
- * @param tenants who sends
- * @param network delays
- * @param bounds of the rules that are checked
- * @param faults troubles, in any order
+ * @param tenants tenants that send requests
+ * @param network delays of the network
+ * @param bounds limits of the rules that are checked
+ * @param faults schedule of faults, in any order
  */
 public record WorldPlan(
     long seed,
@@ -32,22 +32,23 @@
     List<Fault> faults) {
 
   /**
-   * Backends of one service.
+   * The backends of one service.
    *
-   * @param service its name
-   * @param count how many
-   * @param engine of a model service; null for others
-   * @param slots requests that one backend that is no engine works on at once
-   * @param queue requests that wait there at most
+   * @param service name of the service
+   * @param count number of backends
+   * @param engine parameters of the engines of a model service, or null for other services
+   * @param slots number of requests that one backend without an engine executes concurrently
+   * @param queue capacity of the queue of a backend without an engine, in requests
    */
   public record BackendGroup(
       String service, int count, EngineParameters engine, int slots, int queue) {}
 
   /**
-   * A tenant.
+   * A tenant and its load.
    *
-   * @param share of all requests, relative to the other tenants
-   * @param tokensPerSecond its quota, also its burst; 0 for no limit
+   * @param share weight of the tenant among all requests, relative to the other tenants
+   * @param tokensPerSecond quota of the tenant in tokens per second, and its burst in tokens; 0 for
+   *     no limit
    */
   public record TenantPlan(double share, double tokensPerSecond) {}
 
@@ -55,16 +56,16 @@
   public record NetworkPlan(long inZone, long crossZone, long client) {}
 
   /**
-   * Bounds of the rules.
+   * The limits of the rules that are checked.
    *
-   * @param drainTimeoutMicros how long requests may reach a backend after its draining is
-   *     acknowledged
-   * @param retryBudgetRatio repeats for each request of a service
-   * @param retryWindowMicros sliding window of the retry budget
-   * @param retryBudgetSlack repeats beyond that ratio
-   * @param quotaWindowMicros sliding window of quotas
+   * @param drainTimeoutMicros time during which requests may still reach a backend after its
+   *     draining was acknowledged
+   * @param retryBudgetRatio permitted retries per request of a service
+   * @param retryWindowMicros length of the sliding window of the retry budget
+   * @param retryBudgetSlack number of retries permitted in addition to that ratio
+   * @param quotaWindowMicros length of the sliding window of quotas
    * @param quotaOvershoot fraction by which a quota may be exceeded
-   * @param quotaSlack tokens beyond that
+   * @param quotaSlack number of tokens permitted in addition to that fraction
    */
   public record Bounds(
       long drainTimeoutMicros,
@@ -74,12 +75,12 @@
       long quotaWindowMicros,
       double quotaOvershoot,
       double quotaSlack) {
-    /** Figures of the deployment pv-slateslip. */
+    /** The limits of the deployment pv-slateslip. */
     public static final Bounds STANDARD =
         new Bounds(2_000_000, 0.2, 10_000_000, 52, 8_000_000, 0.1, 190_000);
   }
 
-  /** The same plan with other faults. */
+  /** Returns a copy of this plan with other faults. */
   public WorldPlan withFaults(List<Fault> other) {
     return new WorldPlan(
         seed,
--- a/src/main/java/slateslip/simulation/dataplane/WorldPlans.java
+++ b/src/main/java/slateslip/simulation/dataplane/WorldPlans.java
@@ -16,7 +16,7 @@
 import slateslip.simulation.dataplane.WorldPlan.TenantPlan;
 import slateslip.simulation.engine.EngineParameters;
 
-/** Names used in a world, its configuration, and random plans. */
+/** Names and fleet configuration of simulated runs, and generators of random plans. */
 public final class WorldPlans {
   static final String HOST = "world.example";
   static final long UNCACHED_TOKENS = 200;
@@ -27,7 +27,10 @@
   private static final long DURATION_MICROS = 10 * SECOND;
   private static final int MAX_FAULTS = 8;
 
-  /** Kinds that random schedules draw from. */
+  /**
+   * Kinds of faults from which every random schedule draws; stalls and long bodies have their own
+   * plans.
+   */
   private static final List<Fault.Kind> KINDS =
       Stream.of(Fault.Kind.values())
           .filter(kind -> kind != Fault.Kind.BACKEND_STALL && kind != Fault.Kind.LONG_BODIES)
@@ -51,7 +54,7 @@
     return "/" + requestClass.name() + "/ask";
   }
 
-  /** The operator's configuration of a plan. */
+  /** Returns the fleet configuration that corresponds to a plan. */
   static FleetConfiguration configuration(WorldPlan plan) {
     List<Route> routes = plan.classes().stream().map(WorldPlans::route).toList();
     List<Service> services = plan.backends().stream().map(WorldPlans::service).toList();
@@ -92,7 +95,7 @@
             : new Service.Engine(engine.slots(), engine.memoryTokens(), engine.tokensPerEvent()));
   }
 
-  /** A small world with random faults: everything follows from the seed. */
+  /** Returns a small plan with random faults; the seed determines the complete plan. */
   public static WorldPlan random(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     int dataPlanes = 1 + random.nextInt(4);
@@ -117,7 +120,7 @@
         faults);
   }
 
-  /** A small world in which backends stall again and again, beside random faults. */
+  /** Returns a small plan in which backends stall repeatedly, in addition to random faults. */
   public static WorldPlan randomStalls(long seed) {
     SplittableRandom random = new SplittableRandom(~seed);
     WorldPlan plan = random(seed);
@@ -129,7 +132,10 @@
     return plan.withFaults(faults);
   }
 
-  /** A small world with bodies that take long to send, and backends that crash meanwhile. */
+  /**
+   * Returns a small plan with request bodies that take long to send, and with backend crashes in
+   * addition to random faults.
+   */
   public static WorldPlan randomLongBodies(long seed) {
     SplittableRandom random = new SplittableRandom(seed ^ 0x4c4f_4e47L);
     WorldPlan plan = random(seed);
--- a/src/main/java/slateslip/simulation/dataplane/package-info.java
+++ b/src/main/java/slateslip/simulation/dataplane/package-info.java
@@ -1,2 +1,5 @@
-/** A deterministic world for data planes: their routers, backends, clients, network and faults. */
+/**
+ * A deterministic simulation of data planes with their routers, backends, clients, network and
+ * faults.
+ */
 package slateslip.simulation.dataplane;
--- a/src/test/java/slateslip/simulation/dataplane/DataPlaneWorldTest.java
+++ b/src/test/java/slateslip/simulation/dataplane/DataPlaneWorldTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Test;
 import slateslip.routing.FleetRouter;
 
-/** Plays random schedules of faults against the routers, unchanged. */
+/**
+ * Runs the production routers under random schedules of faults and checks that they break no rule.
+ */
 class DataPlaneWorldTest {
   private static final long SCHEDULES = 200;
 
@@ -24,7 +26,7 @@
   }
 
   @Test
-  void stalledBackendsBreakNoStreamOff() {
+  void stalledBackendsBreakNoRule() {
     for (long seed = 1; seed <= SCHEDULES; seed++) {
       WorldPlan plan = WorldPlans.randomStalls(seed);
       if (!DataPlaneWorld.run(plan, FleetRouter::new).violations().isEmpty()) {
@@ -33,9 +35,13 @@
     }
   }
 
-  /** TWICE: a request ran twice when its backend crashed with a part of a long body. */
+  /**
+   * Guards against a double execution: a backend crashed after a part of a long body had been sent,
+   * and the request was retried although the backend had already started to execute the request
+   * (fault TWICE).
+   */
   @Test
-  void bodiesThatArePartlySentBreakNoRule() {
+  void partlySentBodiesBreakNoRule() {
     for (long seed = 1; seed <= SCHEDULES; seed++) {
       WorldPlan plan = WorldPlans.randomLongBodies(seed);
       if (!DataPlaneWorld.run(plan, FleetRouter::new).violations().isEmpty()) {
@@ -45,7 +51,7 @@
   }
 
   @Test
-  void seedRepeatsARunExactly() {
+  void equalSeedsGiveEqualRuns() {
     for (long seed = 1; seed <= 5; seed++) {
       DataPlaneWorld.Result first = DataPlaneWorld.run(WorldPlans.random(seed), FleetRouter::new);
       DataPlaneWorld.Result again = DataPlaneWorld.run(WorldPlans.random(seed), FleetRouter::new);
@@ -55,7 +61,10 @@
     }
   }
 
-  /** The seed, the shortest schedule found and what it breaks. */
+  /**
+   * Returns a message with the seed, up to three violations and the shortest failing schedule
+   * found.
+   */
   static String report(WorldPlan failing) {
     WorldPlan shortest =
         ScheduleShrinker.shrink(
--- a/src/test/java/slateslip/simulation/dataplane/Mutants.java
+++ b/src/test/java/slateslip/simulation/dataplane/Mutants.java
@@ -17,14 +17,18 @@
 import slateslip.routing.RouterInput.AttemptOutcome.Kind;
 import slateslip.routing.RouterOutput;
 
-/** Routers with one fault each, made by changing what the real one is told or what it asks for. */
+/**
+ * Faulty routers, each with one fault that is made by altering the inputs, outputs or quota reports
+ * of the real router.
+ */
 final class Mutants {
   private Mutants() {}
 
   /**
-   * Takes a connection that broke after sending for a rejection, so that the request is repeated.
+   * Returns routers that treat a connection that broke after sending as a rejection, so that they
+   * retry the request.
    */
-  static DataPlaneWorld.RouterFactory repeatsAfterReset() {
+  static DataPlaneWorld.RouterFactory retriesAfterReset() {
     return withInputs(
         input ->
             input instanceof RouterInput.AttemptEnded ended && ended.outcome().kind() == Kind.BROKEN
@@ -37,15 +41,20 @@
                 : input);
   }
 
-  /** Takes a request for not sent until its last byte has left, as once was done (TWICE). */
-  static final class NotSentBeforeTheLastByte extends RequestTransmission {
+  /**
+   * Treats a request as not sent until its last byte is sent, which was the cause of the earlier
+   * fault TWICE.
+   */
+  static final class TreatsPartlySentAsNotSent extends RequestTransmission {
     @Override
     public boolean mayHaveRun() {
       return isComplete() || hasResponse();
     }
   }
 
-  /** Resumes a stream one event too far on. */
+  /**
+   * Returns routers that resume a stream one event too late, so that the client misses an event.
+   */
   static DataPlaneWorld.RouterFactory resumesFromTheWrongEvent() {
     return withOutputs(
         output ->
@@ -64,8 +73,11 @@
                 : Stream.of(output));
   }
 
-  /** Starts a broken stream anew instead of resuming it. */
-  static DataPlaneWorld.RouterFactory startsBrokenStreamsAnew() {
+  /**
+   * Returns routers that restart a broken stream from the first event instead of resuming the
+   * stream.
+   */
+  static DataPlaneWorld.RouterFactory restartsBrokenStreams() {
     return withOutputs(
         output ->
             output instanceof RouterOutput.SendAttempt send && send.resumeAfter() >= 0
@@ -83,18 +95,18 @@
                 : Stream.of(output));
   }
 
-  /** Goes on sending to backends that drain. */
+  /** Returns routers that continue to send requests to draining backends. */
   static DataPlaneWorld.RouterFactory ignoresDraining() {
     return withInputs(
         input ->
             input instanceof RouterInput.BackendsChanged changed
                 ? new RouterInput.BackendsChanged(
-                    changed.backends().stream().map(Mutants::ready).toList())
+                    changed.backends().stream().map(Mutants::withoutDraining).toList())
                 : input);
   }
 
-  /** Says that it has spent nothing of any quota. */
-  static DataPlaneWorld.RouterFactory hidesItsSpending() {
+  /** Returns routers whose quota reports state that no units were spent. */
+  static DataPlaneWorld.RouterFactory reportsNoSpending() {
     return settings -> {
       RequestRouter router = new FleetRouter(settings);
       return new RequestRouter() {
@@ -115,15 +127,15 @@
     List<TenantDemand> tenants =
         report.tenants().stream()
             .map(
-                told ->
+                demand ->
                     new TenantDemand(
-                        told.tenant(),
-                        told.wantedUnits(),
-                        told.admittedUnits(),
-                        told.allowed(),
+                        demand.tenant(),
+                        demand.wantedUnits(),
+                        demand.admittedUnits(),
+                        demand.allowed(),
                         Spending.NONE,
-                        told.needed() - told.spent(),
-                        told.desired() - told.spent()))
+                        demand.needed() - demand.spent(),
+                        demand.desired() - demand.spent()))
             .toList();
     return new QuotaReport(
         report.epoch(),
@@ -135,8 +147,8 @@
         tenants);
   }
 
-  /** Takes the quotas of the whole fleet for its own. */
-  static DataPlaneWorld.RouterFactory takesFullQuotas() {
+  /** Returns routers that use the complete quotas of the fleet instead of their shares. */
+  static DataPlaneWorld.RouterFactory usesFullQuotas() {
     return withInputs(
         input ->
             input instanceof RouterInput.QuotaAllocationChanged notified
@@ -150,8 +162,8 @@
                 : input);
   }
 
-  /** Takes the retry budget of the whole fleet for its own. */
-  static DataPlaneWorld.RouterFactory takesFullRetryBudget() {
+  /** Returns routers that use the complete retry budget of the fleet instead of their shares. */
+  static DataPlaneWorld.RouterFactory usesFullRetryBudget() {
     return withInputs(
         input ->
             input instanceof RouterInput.QuotaAllocationChanged notified
@@ -161,15 +173,18 @@
                 : input);
   }
 
-  /** Gives each of its own answers twice. */
+  /** Returns routers that send each response that they generate twice. */
   static DataPlaneWorld.RouterFactory respondsTwice() {
     return withOutputs(
         output ->
             output instanceof RouterOutput.Respond ? Stream.of(output, output) : Stream.of(output));
   }
 
-  /** Refuses with a promise whatever it would have failed without one. */
-  static DataPlaneWorld.RouterFactory promisesWhatMayHaveRun() {
+  /**
+   * Returns routers that respond with 503 instead of 502, and so guarantee that the request was not
+   * executed although a backend may have executed the request.
+   */
+  static DataPlaneWorld.RouterFactory guaranteesNonExecutionWrongly() {
     return withOutputs(
         output ->
             output instanceof RouterOutput.Respond response && response.status() == 502
@@ -177,8 +192,11 @@
                 : Stream.of(output));
   }
 
-  /** Says nothing when a request's time is over. */
-  static DataPlaneWorld.RouterFactory idleAtTimeout() {
+  /**
+   * Returns routers that neither respond with 504 nor abort the connection when a request times
+   * out.
+   */
+  static DataPlaneWorld.RouterFactory omitsTimeoutResponse() {
     return withOutputs(
         output -> {
           boolean timedOut =
@@ -188,7 +206,7 @@
         });
   }
 
-  private static BackendSession ready(BackendSession session) {
+  private static BackendSession withoutDraining(BackendSession session) {
     return new BackendSession(
         session.id(),
         session.service(),
--- a/src/test/java/slateslip/simulation/dataplane/MutationTest.java
+++ b/src/test/java/slateslip/simulation/dataplane/MutationTest.java
@@ -13,78 +13,81 @@
 import slateslip.routing.FleetRouter;
 import slateslip.simulation.dataplane.Violation.Rule;
 
-/** The world can fail: each fault put into the router is caught within the random schedules. */
+/**
+ * Checks the simulation itself: the random schedules must detect each fault that is put into the
+ * router.
+ */
 class MutationTest {
   private static final long SCHEDULES = 200;
 
   @Test
-  void repeatAfterResetIsCaught() {
-    assertThat(caught(Mutants.repeatsAfterReset(), Rule.RAN_TWICE), is(true));
+  void retryAfterResetIsDetected() {
+    assertThat(isDetected(Mutants.retriesAfterReset(), Rule.RAN_TWICE), is(true));
   }
 
   @Test
-  void takingAPartOfARequestForNothingIsCaught() {
-    assertThat(caughtWithPartlySent(Rule.RAN_TWICE), is(true));
-    assertThat(caughtWithPartlySent(Rule.PROMISE_BROKEN), is(true));
+  void treatingPartlySentRequestsAsNotSentIsDetected() {
+    assertThat(isDetectedWithLongBodies(Rule.RAN_TWICE), is(true));
+    assertThat(isDetectedWithLongBodies(Rule.PROMISE_BROKEN), is(true));
   }
 
-  private static boolean caughtWithPartlySent(Rule rule) {
+  private static boolean isDetectedWithLongBodies(Rule rule) {
     return LongStream.rangeClosed(1, SCHEDULES)
         .mapToObj(WorldPlans::randomLongBodies)
         .map(
             plan ->
-                DataPlaneWorld.run(plan, FleetRouter::new, Mutants.NotSentBeforeTheLastByte::new))
+                DataPlaneWorld.run(plan, FleetRouter::new, Mutants.TreatsPartlySentAsNotSent::new))
         .flatMap(result -> result.violations().stream())
         .anyMatch(violation -> violation.rule() == rule);
   }
 
   @Test
-  void resumingFromTheWrongEventIsCaught() {
-    assertThat(caught(Mutants.resumesFromTheWrongEvent(), Rule.STREAM_ORDER), is(true));
+  void resumingFromTheWrongEventIsDetected() {
+    assertThat(isDetected(Mutants.resumesFromTheWrongEvent(), Rule.STREAM_ORDER), is(true));
   }
 
   @Test
-  void startingBrokenStreamsAnewIsCaught() {
-    assertThat(caught(Mutants.startsBrokenStreamsAnew(), Rule.STREAM_ORDER), is(true));
+  void restartingBrokenStreamsIsDetected() {
+    assertThat(isDetected(Mutants.restartsBrokenStreams(), Rule.STREAM_ORDER), is(true));
   }
 
   @Test
-  void sendingToDrainingBackendsIsCaught() {
-    assertThat(caught(Mutants.ignoresDraining(), Rule.DRAIN), is(true));
+  void sendingToDrainingBackendsIsDetected() {
+    assertThat(isDetected(Mutants.ignoresDraining(), Rule.DRAIN), is(true));
   }
 
   @Test
-  void answeringTwiceIsCaught() {
-    assertThat(caught(Mutants.respondsTwice(), Rule.ANSWERS), is(true));
+  void respondingTwiceIsDetected() {
+    assertThat(isDetected(Mutants.respondsTwice(), Rule.ANSWERS), is(true));
   }
 
   @Test
-  void promisingWhatMayHaveRunIsCaught() {
-    assertThat(caught(Mutants.promisesWhatMayHaveRun(), Rule.PROMISE_BROKEN), is(true));
+  void guaranteeingNonExecutionAfterAPossibleExecutionIsDetected() {
+    assertThat(isDetected(Mutants.guaranteesNonExecutionWrongly(), Rule.PROMISE_BROKEN), is(true));
   }
 
   @Test
-  void idleAtTimeoutIsCaught() {
-    assertThat(caught(Mutants.idleAtTimeout(), Rule.HELD), is(true));
+  void missingResponseAtTimeoutIsDetected() {
+    assertThat(isDetected(Mutants.omitsTimeoutResponse(), Rule.HELD), is(true));
   }
 
   @Test
-  void hidingWhatWasSpentIsCaught() {
-    assertThat(caught(Mutants.hidesItsSpending(), Rule.QUOTA), is(true));
+  void hidingSpentUnitsIsDetected() {
+    assertThat(isDetected(Mutants.reportsNoSpending(), Rule.QUOTA), is(true));
   }
 
   @Test
-  void takingFullQuotasIsCaught() {
-    assertThat(caught(Mutants.takesFullQuotas(), Rule.QUOTA), is(true));
+  void takingFullQuotasIsDetected() {
+    assertThat(isDetected(Mutants.usesFullQuotas(), Rule.QUOTA), is(true));
   }
 
   @Test
-  void takingTheWholeRetryBudgetIsCaught() {
-    assertThat(caught(Mutants.takesFullRetryBudget(), Rule.RETRY_BUDGET), is(true));
+  void takingTheWholeRetryBudgetIsDetected() {
+    assertThat(isDetected(Mutants.usesFullRetryBudget(), Rule.RETRY_BUDGET), is(true));
   }
 
   @Test
-  void shortenedScheduleStillFailsAndNoFaultCanBeLeftOut() {
+  void shrunkScheduleStillFailsWithASingleFault() {
     DataPlaneWorld.RouterFactory mutant = Mutants.ignoresDraining();
     long seed = 1;
     while (!rules(WorldPlans.random(seed), mutant).contains(Rule.DRAIN)) {
@@ -98,7 +101,7 @@
     assertThat(shortest.faults().size(), lessThanOrEqualTo(failing.faults().size()));
   }
 
-  private static boolean caught(DataPlaneWorld.RouterFactory mutant, Rule rule) {
+  private static boolean isDetected(DataPlaneWorld.RouterFactory mutant, Rule rule) {
     for (long seed = 1; seed <= SCHEDULES; seed++) {
       if (rules(WorldPlans.random(seed), mutant).contains(rule)) {
         return true;
