--- a/src/main/java/slateslip/simulation/EventQueue.java
+++ b/src/main/java/slateslip/simulation/EventQueue.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time: actions in the order of their times, those of one time in the order given. */
+/**
+ * The clock and the event queue of a simulation: runs actions in order of time, and actions with
+ * the same time in order of insertion.
+ */
 public final class EventQueue {
   private static final long DIGEST_FACTOR = 1_000_003;
 
@@ -19,27 +22,32 @@
   private long number;
   private long digest;
 
-  /** Simulated time in microseconds. */
+  /** Returns the simulated time in microseconds. */
   public long nowMicros() {
     return now;
   }
 
-  /** Hash of the times of all events that have run; equal for equal runs. */
+  /** Returns a hash of the times of all events that have run; equal runs have equal hashes. */
   public long digest() {
     return digest;
   }
 
-  /** Runs an action at a time, or now if that has passed. */
+  /**
+   * Schedules an action at a time in microseconds, or at the current time if that time has passed.
+   */
   public void at(long micros, Runnable action) {
     events.add(new Event(Math.max(now, micros), number++, action));
   }
 
-  /** Runs an action after some time. */
+  /** Schedules an action after a delay in microseconds. */
   public void after(long micros, Runnable action) {
     at(now + micros, action);
   }
 
-  /** Runs what is due until a time; the clock then shows that time. */
+  /**
+   * Runs all actions that are due up to and including a time in microseconds, then sets the clock
+   * to that time.
+   */
   public void runUntil(long micros) {
     while (!events.isEmpty() && events.peek().atMicros() <= micros) {
       Event event = events.poll();
--- a/src/main/java/slateslip/simulation/engine/EngineInput.java
+++ b/src/main/java/slateslip/simulation/engine/EngineInput.java
@@ -1,13 +1,13 @@
 package slateslip.simulation.engine;
 
-/** What can happen to an {@link EngineModel}. */
+/** An input of an {@link EngineModel}. */
 public sealed interface EngineInput {
-  /** A request has arrived. */
+  /** A new request. */
   record Submit(EngineRequest request) implements EngineInput {}
 
-  /** The caller of a request has gone; unknown ids change nothing. */
+  /** Cancels a request because its caller has disconnected; an unknown id has no effect. */
   record Cancel(long request) implements EngineInput {}
 
-  /** The time named by {@link EngineOutput.WakeAt} has come. */
+  /** Signals that the time of the last {@link EngineOutput.WakeAt} has come. */
   record Wake() implements EngineInput {}
 }
--- a/src/main/java/slateslip/simulation/engine/EngineJob.java
+++ b/src/main/java/slateslip/simulation/engine/EngineJob.java
@@ -3,9 +3,15 @@
 import java.util.Comparator;
 import slateslip.routing.RequestAttributes.PromptPart;
 
-/** One request inside an engine: how far it was read and put out, and the memory that it holds. */
+/**
+ * One request inside an engine: the progress of its prefill and output, and the memory that the
+ * request holds.
+ */
 final class EngineJob {
-  /** The most urgent first, then the oldest. */
+  /**
+   * Orders jobs by priority, the most urgent first, and jobs of the same priority by arrival, the
+   * oldest first.
+   */
   static final Comparator<EngineJob> URGENCY =
       Comparator.comparingInt((EngineJob job) -> job.request.priority())
           .thenComparingLong(job -> job.arrival);
@@ -16,8 +22,8 @@
   private long outputTokens;
   private boolean started;
   private int cachedParts;
-  private long readTokens;
-  private long tokensToRead;
+  private long prefilledTokens;
+  private long tokensToPrefill;
   private long contextTokens;
   private long reservedTokens;
   private long generatedReserved;
@@ -37,27 +43,33 @@
     return arrival;
   }
 
-  /** Whether it has put out a token since it was submitted; before that it has not run. */
+  /**
+   * Returns whether the engine has generated a token for the request; until then the request counts
+   * as not executed.
+   */
   boolean started() {
     return started;
   }
 
-  boolean reading() {
-    return tokensToRead > 0;
+  boolean isPrefilling() {
+    return tokensToPrefill > 0;
   }
 
-  long tokensToRead() {
-    return tokensToRead;
+  long tokensToPrefill() {
+    return tokensToPrefill;
   }
 
-  /** Tokens that its next token attends to. */
+  /** Returns the number of tokens to which the next generated token attends. */
   long contextTokens() {
     return contextTokens;
   }
 
-  /** Takes the memory that the prompt needs; false changes nothing. */
+  /**
+   * Reserves the memory that the request needs to start; returns false, without any change, if
+   * there is not enough memory.
+   */
   boolean admit(PrefixCache memory) {
-    int retained = memory.cachedPrefixTokens(request.prompt());
+    int retained = memory.cachedPrefixLength(request.prompt());
     request.prompt().subList(0, retained).forEach(memory::pin);
     long missingInBlocks = 0;
     long missing = 0;
@@ -71,46 +83,52 @@
       return false;
     }
     cachedParts = retained;
-    readTokens = 0;
+    prefilledTokens = 0;
     reservedTokens = missingInBlocks + generated;
     generatedReserved = generated;
-    tokensToRead = Math.max(1, missing + outputTokens);
+    tokensToPrefill = Math.max(1, missing + outputTokens);
     contextTokens = request.promptTokens() - missing;
     return true;
   }
 
-  /** Prompt tokens that were kept when it was admitted and not yet extended by reading. */
+  /**
+   * Returns the prompt tokens in cached parts: after admission those found in the cache, later also
+   * those that this request has prefilled.
+   */
   long cachedTokens() {
     return request.prompt().subList(0, cachedParts).stream().mapToLong(PromptPart::tokens).sum();
   }
 
-  /** Reads on; parts that are whole are kept for others. */
-  void read(long tokens, PrefixCache memory) {
-    tokensToRead -= tokens;
+  /** Prefills a number of tokens; adds each completed prompt part to the cache. */
+  void prefill(long tokens, PrefixCache memory) {
+    tokensToPrefill -= tokens;
     contextTokens += tokens;
-    readTokens += tokens;
+    prefilledTokens += tokens;
     while (cachedParts < request.prompt().size()
-        && readTokens >= request.prompt().get(cachedParts).tokens()) {
+        && prefilledTokens >= request.prompt().get(cachedParts).tokens()) {
       PromptPart part = request.prompt().get(cachedParts);
-      readTokens -= part.tokens();
+      prefilledTokens -= part.tokens();
       reservedTokens -= memory.inBlocks(part.tokens());
       memory.publish(part);
       cachedParts++;
     }
   }
 
-  /** Memory missing for one more token; 0 if it has capacity. */
+  /**
+   * Returns the memory in tokens that must be reserved before the next output token, or 0 if the
+   * reserved memory suffices.
+   */
   long tokensNeededForNext(PrefixCache memory) {
     return memory.inBlocks(outputTokens + 1) - generatedReserved;
   }
 
-  void reserved(long tokens) {
+  void addReserved(long tokens) {
     reservedTokens += tokens;
     generatedReserved += tokens;
   }
 
-  /** Puts out a token; returns whether it completes an event. */
-  boolean putOut() {
+  /** Generates a token; returns whether the token completes an event. */
+  boolean generateToken() {
     started = true;
     outputTokens++;
     contextTokens++;
@@ -121,19 +139,19 @@
     return outputTokens >= request.outputTokens();
   }
 
-  /** Id of the event that the newest token belongs to, counted from 1. */
+  /** Returns the id of the event that contains the newest token, counted from 1. */
   long eventId() {
     return (outputTokens + tokensPerEvent - 1) / tokensPerEvent;
   }
 
-  /** Gives back all memory; what was put out stays known. */
-  void leave(PrefixCache memory) {
+  /** Releases all memory of the request; the number of generated tokens is kept. */
+  void releaseMemory(PrefixCache memory) {
     request.prompt().subList(0, cachedParts).forEach(memory::unpin);
     memory.release(reservedTokens);
     cachedParts = 0;
     reservedTokens = 0;
     generatedReserved = 0;
-    tokensToRead = 0;
+    tokensToPrefill = 0;
     contextTokens = 0;
   }
 }
--- a/src/main/java/slateslip/simulation/engine/EngineModel.java
+++ b/src/main/java/slateslip/simulation/engine/EngineModel.java
@@ -8,11 +8,13 @@
 import java.util.TreeSet;
 
 /**
- * A model engine: batches with chunked prefill, a cache of prompt parts, priorities, preemption.
+ * Simulates an inference engine with continuous batching, chunked prefill, a prefix cache,
+ * priorities and preemption.
  *
- * <p>A state machine in simulated time. It works in iterations: an iteration reads up to one chunk
- * of prompts, the most urgent first, and then puts out one token of every request whose prompt was
- * read. Requests join, leave and give way between iterations.
+ * <p>The engine is a state machine in simulated time and works in iterations. An iteration prefills
+ * up to one chunk of prompt tokens, in order of priority, and then generates one token for every
+ * request whose prefill is complete. Requests are admitted, removed and preempted between
+ * iterations.
  */
 public final class EngineModel {
   private static final long IDLE = Long.MAX_VALUE;
@@ -27,24 +29,24 @@
   private final Map<Long, EngineJob> jobs = new HashMap<>();
   private final TreeSet<EngineJob> waiting = new TreeSet<>(EngineJob.URGENCY);
   private final TreeSet<EngineJob> running = new TreeSet<>(EngineJob.URGENCY);
-  private final List<PlannedRead> plannedReads = new ArrayList<>();
+  private final List<PlannedPrefill> plannedPrefills = new ArrayList<>();
   private final List<EngineJob> plannedTokens = new ArrayList<>();
   private List<EngineOutput> outputs = new ArrayList<>();
   private long iterationEndMicros = IDLE;
   private long arrivals;
 
-  /** An idle engine with an empty cache. */
+  /** Creates an idle engine with an empty cache. */
   public EngineModel(EngineParameters parameters) {
     this.parameters = parameters;
     this.memory = new PrefixCache(parameters.memoryTokens(), parameters.blockTokens());
   }
 
   /**
-   * Takes one input.
+   * Handles one input.
    *
-   * @param nowMicros simulated time, never earlier than that of the call before
-   * @param input what has happened
-   * @return what the engine tells, in order
+   * @param nowMicros simulated time in microseconds, not earlier than the time of the previous call
+   * @param input the input
+   * @return the outputs of the engine in order
    */
   public List<EngineOutput> handle(long nowMicros, EngineInput input) {
     outputs = new ArrayList<>();
@@ -67,28 +69,28 @@
     return outputs;
   }
 
-  /** Requests that hold a slot. */
+  /** Returns the number of requests that occupy a slot. */
   public int runningCount() {
     return running.size();
   }
 
-  /** Requests that wait for a slot. */
+  /** Returns the number of requests that wait for a slot. */
   public int waitingCount() {
     return waiting.size();
   }
 
-  /** Tokens of memory that cannot give way. */
+  /** Returns the memory that cannot be evicted, in tokens. */
   public long lockedTokens() {
     return memory.lockedTokens();
   }
 
-  /** Whether a prompt part is kept at present. */
-  public boolean keeps(long partId) {
-    return memory.keeps(partId);
+  /** Returns whether the cache holds a prompt part. */
+  public boolean isCached(long partId) {
+    return memory.isCached(partId);
   }
 
   private void submit(EngineRequest request) {
-    boolean tooLarge = totalNeed(request) > parameters.memoryTokens();
+    boolean tooLarge = totalMemoryTokens(request) > parameters.memoryTokens();
     if (tooLarge || waiting.size() >= parameters.queueLimit() + freeSlots()) {
       outputs.add(new EngineOutput.Rejected(request.id(), EngineOutput.Reason.FULL));
       return;
@@ -102,7 +104,7 @@
     return parameters.slots() - running.size();
   }
 
-  private long totalNeed(EngineRequest request) {
+  private long totalMemoryTokens(EngineRequest request) {
     long need = memory.inBlocks(request.outputTokens());
     for (var part : request.prompt()) {
       need += memory.inBlocks(part.tokens());
@@ -117,17 +119,17 @@
     jobs.remove(job.request().id());
     waiting.remove(job);
     if (running.remove(job)) {
-      job.leave(memory);
+      job.releaseMemory(memory);
     }
   }
 
   private void startIteration(long nowMicros) {
-    plannedReads.clear();
+    plannedPrefills.clear();
     plannedTokens.clear();
     expire(nowMicros);
     admit();
-    double millis = planReads() + planTokens();
-    boolean nothingToDo = plannedReads.isEmpty() && plannedTokens.isEmpty();
+    double millis = planPrefills() + planTokens();
+    boolean nothingToDo = plannedPrefills.isEmpty() && plannedTokens.isEmpty();
     iterationEndMicros =
         nothingToDo ? IDLE : nowMicros + Math.max(1, Math.round(millis * MICROS_PER_MILLI));
   }
@@ -154,7 +156,7 @@
         running.add(next);
         outputs.add(
             new EngineOutput.Admitted(
-                next.request().id(), next.cachedTokens(), next.tokensToRead()));
+                next.request().id(), next.cachedTokens(), next.tokensToPrefill()));
         continue;
       }
       EngineJob victim = running.isEmpty() ? null : running.last();
@@ -167,34 +169,34 @@
 
   private void preempt(EngineJob victim) {
     running.remove(victim);
-    victim.leave(memory);
+    victim.releaseMemory(memory);
     waiting.add(victim);
     outputs.add(new EngineOutput.Preempted(victim.request().id()));
   }
 
-  private double planReads() {
+  private double planPrefills() {
     long budget = parameters.prefillChunkTokens();
     double millis = 0;
-    boolean someEnd = false;
+    boolean someComplete = false;
     for (EngineJob job : running) {
-      if (!job.reading() || budget == 0) {
+      if (!job.isPrefilling() || budget == 0) {
         continue;
       }
-      long tokens = Math.min(budget, job.tokensToRead());
+      long tokens = Math.min(budget, job.tokensToPrefill());
       budget -= tokens;
-      plannedReads.add(new PlannedRead(job, tokens));
+      plannedPrefills.add(new PlannedPrefill(job, tokens));
       double pairs = tokens * (job.contextTokens() + tokens / 2.0);
       millis += tokens / parameters.prefillTokensPerMilli();
       millis += pairs / 1e6 * parameters.pairsMillisPerMillion();
-      someEnd |= tokens == job.tokensToRead();
+      someComplete |= tokens == job.tokensToPrefill();
     }
-    return someEnd ? millis + parameters.firstTokenMillis() : millis;
+    return someComplete ? millis + parameters.firstTokenMillis() : millis;
   }
 
   private double planTokens() {
     long context = 0;
     for (EngineJob job : running) {
-      if (!job.reading()) {
+      if (!job.isPrefilling()) {
         plannedTokens.add(job);
         context += job.contextTokens();
       }
@@ -208,30 +210,30 @@
   }
 
   private void finishIteration() {
-    for (PlannedRead planned : List.copyOf(plannedReads)) {
+    for (PlannedPrefill planned : List.copyOf(plannedPrefills)) {
       if (!running.contains(planned.job())) {
         continue;
       }
-      planned.job().read(planned.tokens(), memory);
-      if (!planned.job().reading()) {
-        putOutToken(planned.job());
+      planned.job().prefill(planned.tokens(), memory);
+      if (!planned.job().isPrefilling()) {
+        emitToken(planned.job());
       }
     }
     for (EngineJob job : List.copyOf(plannedTokens)) {
-      if (running.contains(job) && !job.reading()) {
-        putOutToken(job);
+      if (running.contains(job) && !job.isPrefilling()) {
+        emitToken(job);
       }
     }
   }
 
-  private void putOutToken(EngineJob job) {
-    if (!evictForCapacity(job)) {
+  private void emitToken(EngineJob job) {
+    if (!reserveForNextToken(job)) {
       return;
     }
     if (!job.started()) {
       outputs.add(new EngineOutput.Started(job.request().id()));
     }
-    boolean eventDone = job.putOut();
+    boolean eventDone = job.generateToken();
     if (eventDone) {
       outputs.add(new EngineOutput.Event(job.request().id(), job.eventId(), job.complete()));
     }
@@ -240,8 +242,11 @@
     }
   }
 
-  /** Takes a block if the next token needs one; false if the request itself had to give way. */
-  private boolean evictForCapacity(EngineJob job) {
+  /**
+   * Reserves the memory for the next token and preempts other requests if necessary; returns false
+   * if the request itself was preempted.
+   */
+  private boolean reserveForNextToken(EngineJob job) {
     long tokens = job.tokensNeededForNext(memory);
     while (tokens > 0 && !memory.reserve(tokens)) {
       EngineJob victim = running.stream().max(NEWEST_LOWEST_PRIORITY).orElseThrow();
@@ -251,10 +256,10 @@
       }
     }
     if (tokens > 0) {
-      job.reserved(tokens);
+      job.addReserved(tokens);
     }
     return true;
   }
 
-  private record PlannedRead(EngineJob job, long tokens) {}
+  private record PlannedPrefill(EngineJob job, long tokens) {}
 }
--- a/src/main/java/slateslip/simulation/engine/PrefixCache.java
+++ b/src/main/java/slateslip/simulation/engine/PrefixCache.java
@@ -7,9 +7,10 @@
 import slateslip.routing.RequestAttributes.PromptPart;
 
 /**
- * An engine's memory in blocks, shared by running requests and kept prompt parts.
+ * The memory of an engine in blocks, shared by running requests and cached prompt parts.
  *
- * <p>A kept part that no running request uses gives way to others, the one unused longest first.
+ * <p>Cached parts that no running request uses are evicted when memory is needed, the least
+ * recently used part first.
  */
 final class PrefixCache {
   private final long capacityTokens;
@@ -24,13 +25,16 @@
     this.blockTokens = blockTokens;
   }
 
-  /** Tokens as whole blocks. */
+  /** Rounds a number of tokens up to whole blocks. */
   long inBlocks(long tokens) {
     return (tokens + blockTokens - 1) / blockTokens * blockTokens;
   }
 
-  /** How many parts from the start of a prompt are kept without a gap; each counts as used now. */
-  int cachedPrefixTokens(List<PromptPart> prompt) {
+  /**
+   * Returns the number of leading parts of a prompt that are cached without a gap, and marks these
+   * parts as recently used.
+   */
+  int cachedPrefixLength(List<PromptPart> prompt) {
     int count = 0;
     for (PromptPart part : prompt) {
       if (cachedParts.get(part.id()) == null) {
@@ -41,12 +45,12 @@
     return count;
   }
 
-  /** Whether a part is kept; does not count as a use. */
-  boolean keeps(long partId) {
+  /** Returns whether a part is cached; does not mark the part as recently used. */
+  boolean isCached(long partId) {
     return cachedParts.containsKey(partId);
   }
 
-  /** Protects a kept part while a running request uses it. */
+  /** Protects a cached part from eviction while a running request uses the part. */
   void pin(PromptPart part) {
     CachedPart retained = cachedParts.get(part.id());
     if (retained.pins == 0) {
@@ -55,7 +59,7 @@
     retained.pins++;
   }
 
-  /** Ends one {@link #pin}. */
+  /** Reverts one call of {@link #pin}. */
   void unpin(PromptPart part) {
     CachedPart retained = cachedParts.get(part.id());
     retained.pins--;
@@ -64,7 +68,10 @@
     }
   }
 
-  /** Takes memory for one request alone, evicting unused parts; false changes nothing. */
+  /**
+   * Reserves private memory for one request and evicts unused parts if necessary; returns false,
+   * without any change, if the memory does not suffice.
+   */
   boolean reserve(long tokens) {
     if (lockedTokens + privateTokens + tokens > capacityTokens) {
       return false;
@@ -82,13 +89,16 @@
     return true;
   }
 
-  /** Gives back what {@link #reserve} took. */
+  /** Releases memory that {@link #reserve} reserved. */
   void release(long tokens) {
     usedTokens -= tokens;
     privateTokens -= tokens;
   }
 
-  /** Keeps a part that was read into reserved memory and pins it; a second copy is freed. */
+  /**
+   * Moves a prefilled part from reserved memory to the cache and pins the part; frees the reserved
+   * memory if the part is already cached.
+   */
   void publish(PromptPart part) {
     long tokens = inBlocks(part.tokens());
     release(tokens);
@@ -100,7 +110,10 @@
     pin(part);
   }
 
-  /** Tokens that cannot give way. */
+  /**
+   * Returns the memory of running requests, pinned parts included, in tokens; this memory cannot be
+   * evicted.
+   */
   long lockedTokens() {
     return lockedTokens + privateTokens;
   }
--- a/src/main/java/slateslip/simulation/engine/package-info.java
+++ b/src/main/java/slateslip/simulation/engine/package-info.java
@@ -1,2 +1,5 @@
-/** A model engine in simulated time: batches, chunked prefill, prompt cache and preemption. */
+/**
+ * An inference engine in simulated time with continuous batching, chunked prefill, a prefix cache
+ * and preemption.
+ */
 package slateslip.simulation.engine;
--- a/src/main/java/slateslip/simulation/package-info.java
+++ b/src/main/java/slateslip/simulation/package-info.java
@@ -1,2 +1,2 @@
-/** What all simulated worlds share: simulated time and the shortening of schedules. */
+/** The event queue with simulated time that all simulations share. */
 package slateslip.simulation;
