--- a/src/test/java/slateslip/simulation/quota/QuotaFault.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaFault.java
@@ -3,37 +3,41 @@
 /**
  * One fault of a schedule.
  *
- * @param kind what happens
- * @param atMicros when it begins
- * @param forMicros how long it lasts
- * @param share of the data planes that it strikes
+ * @param kind kind of the fault
+ * @param atMicros start of the fault, in microseconds of simulated time
+ * @param forMicros duration in microseconds
+ * @param share share of the affected data planes, or of the requests for {@link
+ *     Kind#FURTHER_ATTEMPTS}
  */
 record QuotaFault(Kind kind, long atMicros, long forMicros, double share) {
-  /** What can happen. */
+  /** The kinds of faults. */
   enum Kind {
-    /** The primary ends; another one begins after the time. */
+    /** The primary stops; a new primary starts after the duration. */
     PRIMARY_CHANGE,
-    /** Another primary begins at once; the former one goes on for the time. */
+    /** A new primary starts immediately; the previous primary continues for the duration. */
     PRIMARY_OVERLAP,
-    /** Data planes neither reach the primary nor are reached by it. */
+    /** Messages between the affected data planes and the primary are lost in both directions. */
     CONTROL_PARTITION,
-    /** Messages between data planes and the primary take up to the time. */
+    /** Messages between data planes and the primary are delayed by up to the duration. */
     CONTROL_SLOW,
-    /** Data planes end and start again at once. */
+    /** Data planes stop and restart immediately. */
     RESTART,
-    /** All data planes and the primary end and start again; the primary after the time. */
+    /**
+     * All data planes and the primary stop; the data planes restart immediately, and a new primary
+     * starts after the duration, at most two seconds.
+     */
     RESTART_OF_EVERYTHING,
-    /** Data planes stand still; what arrives meanwhile is handled afterwards. */
+    /** Data planes are paused and handle inputs that arrive meanwhile when the fault ends. */
     FREEZE,
-    /** The tenant is taken out of the configuration and put back. */
+    /** The tenant is removed from the configuration and added again after the duration. */
     TENANT_REMOVED,
-    /** The tenant has no limit. */
+    /** The tenant has no limit during the fault. */
     LIMIT_LIFTED,
-    /** Backends begin nothing; what was sent to them begins afterwards. */
+    /** Backends execute no requests; they start all received requests when the fault ends. */
     BACKLOG,
-    /** A share of the requests that run is sent to a second backend as well. */
+    /** A share of the executed requests is also sent to a second backend. */
     FURTHER_ATTEMPTS,
-    /** The tenant's requests go to other data planes. */
+    /** The distribution of the tenant's requests among the data planes changes. */
     DEMAND_SHIFT
   }
 
--- a/src/test/java/slateslip/simulation/quota/QuotaMutation.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaMutation.java
@@ -6,29 +6,34 @@
 import slateslip.distribution.Spending;
 import slateslip.distribution.TenantDemand;
 
-/** A fault put into data planes or allocators; the world has to notice each. */
+/** A fault that is put into data planes or allocators; the simulation must detect each of them. */
 enum QuotaMutation {
   /** No fault. */
   NONE,
-  /** A request passes if half of its units fit. */
+  /** Quotas charge only half of the units of a request. */
   COUNTS_HALF_OF_A_REQUEST,
-  /** A new allocator is taken for the first one there ever was. */
+  /** A new allocator assumes that there was no allocator before. */
   ALLOCATOR_WITHOUT_MEMORY,
-  /** What is spent is not demand, so that units given up count at once as free. */
+  /**
+   * Data planes do not report spent units as demand, so that the units count as free immediately.
+   */
   SPENDING_NOT_REPORTED,
-  /** Neither data planes nor allocators look at epochs. */
+  /** Neither data planes nor allocators check epochs. */
   EPOCH_NOT_CHECKED,
-  /** A process that starts anew is not demand apart from the one before. */
+  /**
+   * A restarted process keeps its incarnation, so that its demand is not separated from the demand
+   * of the previous process.
+   */
   RESTART_NOT_REPORTED,
-  /** A tenant that is taken out and put back begins with nothing spent. */
+  /** A tenant that is removed and added again starts without spent units. */
   FORGETS_REMOVED_TENANTS,
-  /** Units count from the admission, not from the run. */
+  /** Units are charged from the admission of a request instead of from its execution. */
   SETTLES_AT_ADMISSION,
-  /** Further attempts take nothing. */
+  /** Further attempts are not charged to the quota. */
   REPEATS_FOR_FREE,
-  /** A fraction that was lowered stays in force. */
+  /** A data plane keeps using the largest fraction of the quota that it was ever allocated. */
   KEEPS_LARGEST_FRACTION,
-  /** What is allotted never ends by itself. */
+  /** The lease of an allocation never expires. */
   LEASE_WITHOUT_END;
 
   private static final long FAR_FUTURE_MICROS = Long.MAX_VALUE / 2;
@@ -57,8 +62,8 @@
     return this == REPEATS_FOR_FREE;
   }
 
-  /** A report as the allocator of an epoch takes it. */
-  QuotaReport taken(QuotaReport report, long epoch) {
+  /** Returns the report as the allocator of an epoch receives it. */
+  QuotaReport received(QuotaReport report, long epoch) {
     return this == EPOCH_NOT_CHECKED
         ? new QuotaReport(
             epoch,
@@ -71,7 +76,7 @@
         : report;
   }
 
-  /** A report as it is sent. */
+  /** Returns the report as the data plane sends it. */
   QuotaReport changed(QuotaReport report) {
     if (this != SPENDING_NOT_REPORTED) {
       return report;
@@ -100,10 +105,10 @@
   }
 
   /**
-   * An allocation as it is applied.
+   * Returns the allocation as the data plane applies it.
    *
-   * @param obeyedEpoch the newest epoch that the data plane obeys
-   * @param largestFraction that it was allotted so far
+   * @param obeyedEpoch newest allocator epoch that the data plane has accepted
+   * @param largestFraction largest fraction of the quota that the data plane was allocated so far
    */
   QuotaAllocation changed(
       QuotaAllocation allocation, long nowMicros, long obeyedEpoch, double largestFraction) {
--- a/src/test/java/slateslip/simulation/quota/QuotaMutationTest.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaMutationTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The world can fail: each fault is noticed within the schedules that CI plays. */
+/**
+ * Checks the simulation itself: the schedules that run in CI must detect each fault that is put
+ * into data planes or allocators.
+ */
 class QuotaMutationTest {
   static EnumSet<QuotaMutation> faults() {
     return EnumSet.complementOf(EnumSet.of(QuotaMutation.NONE));
@@ -15,11 +18,11 @@
 
   @ParameterizedTest
   @MethodSource("faults")
-  void faultIsNoticed(QuotaMutation mutation) {
-    assertThat(mutation.toString(), isNoticed(mutation), is(true));
+  void faultIsDetected(QuotaMutation mutation) {
+    assertThat(mutation.toString(), isDetected(mutation), is(true));
   }
 
-  private static boolean isNoticed(QuotaMutation mutation) {
+  private static boolean isDetected(QuotaMutation mutation) {
     for (QuotaPlan plan : QuotaWorldTest.directedPlans()) {
       if (QuotaWorld.run(plan, mutation).worstWindow() > 1) {
         return true;
--- a/src/test/java/slateslip/simulation/quota/QuotaPlan.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaPlan.java
@@ -5,14 +5,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Everything that a run follows from.
+ * The input of a simulated run; equal plans give equal runs.
  *
- * @param seed of all random choices
- * @param dataPlanes how many there are
- * @param ratePerSecond the tenant's limit, also its burst
- * @param demand what the tenant asks for, as a part of its limit
- * @param durationMicros how long it asks
- * @param faults in any order
+ * @param seed seed of all random choices
+ * @param dataPlanes number of data planes
+ * @param ratePerSecond limit of the tenant in units per second, and its burst in units
+ * @param demand rate that the tenant requests, as a multiple of its limit
+ * @param durationMicros duration of the run in microseconds
+ * @param faults schedule of faults, in any order
  */
 record QuotaPlan(
     long seed,
@@ -24,7 +24,7 @@
   private static final long SECOND = 1_000_000;
   private static final int MAX_FAULTS = 8;
 
-  /** One fault in so many may outlast a lease. */
+  /** One of this many faults, on average, may last up to 30 seconds and so outlast a lease. */
   private static final int LASTING_FAULTS = 5;
 
   private static final int[] FLEET_SIZES = {6, 24, 94};
@@ -34,7 +34,10 @@
     return new QuotaPlan(seed, dataPlanes, ratePerSecond, demand, durationMicros, other);
   }
 
-  /** A fleet of 6, 24 or 94 data planes, a small or a large tenant over its limit, and faults. */
+  /**
+   * Returns a random plan with 6, 24 or 94 data planes, one tenant that exceeds its limit, and
+   * faults.
+   */
   static QuotaPlan random(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     int dataPlanes = FLEET_SIZES[random.nextInt(FLEET_SIZES.length)];
--- a/src/test/java/slateslip/simulation/quota/QuotaWorld.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaWorld.java
@@ -7,7 +7,10 @@
 import slateslip.routing.quota.QuotaBounds;
 import slateslip.simulation.EventQueue;
 
-/** One run: the quotas of many data planes, the primary that divides them, and one tenant. */
+/**
+ * Simulates the quotas of many data planes, the primary that allocates the quotas, and the requests
+ * of one tenant.
+ */
 final class QuotaWorld {
   static final QuotaBounds BOUNDS = QuotaBounds.DEFAULT;
   static final long SECOND = 1_000_000;
@@ -18,20 +21,24 @@
   private static final double MEAN_START_MICROS = 300_000;
   private static final long MAX_START_MICROS = 3_000_000;
 
-  /** Part of the requests of a data plane that ended which a backend still runs, if it is soon. */
-  private static final double RUN_AFTER_END = 0.5;
+  /**
+   * Share of the requests of a stopped data plane that a backend still executes shortly after the
+   * stop.
+   */
+  private static final double EXECUTED_AFTER_STOP_SHARE = 0.5;
 
-  private static final long RUN_AFTER_END_MICROS = 1_000_000;
+  private static final long EXECUTED_AFTER_STOP_MICROS = 1_000_000;
 
   /**
-   * What a run gave.
+   * The result of a run.
    *
-   * @param worstWindow most units that ran in a window, as a part of what the rule permits
-   * @param requests that reached a data plane that was up
-   * @param refused of these
+   * @param worstWindow largest number of units executed in a window, as a fraction of the units
+   *     that the rule permits
+   * @param requests number of requests that a data plane admitted or refused
+   * @param refused number of refused requests among these requests
    */
   record Result(double worstWindow, long requests, long refused) {
-    double refusedPart() {
+    double refusedFraction() {
       return (double) refused / Math.max(1, requests);
     }
   }
@@ -72,7 +79,7 @@
   private Result run() {
     primaries.begin();
     dataPlanes.forEach(SimulatedDataPlane::start);
-    plan.faults().forEach(fault -> loop.at(fault.atMicros(), () -> strike(fault)));
+    plan.faults().forEach(fault -> loop.at(fault.atMicros(), () -> injectFault(fault)));
     loop.at(SECOND, this::arrive);
     loop.runUntil(plan.durationMicros());
     double permitted =
@@ -90,7 +97,10 @@
     }
   }
 
-  /** A part of the data planes gets most of the requests. */
+  /**
+   * Changes the distribution of requests so that a share of the data planes receives most of the
+   * requests.
+   */
   private void shiftDemand(double share) {
     drawWeights();
     for (int i = 0; i < weights.length; i++) {
@@ -124,18 +134,18 @@
     return REQUEST_UNITS[index];
   }
 
-  private void strike(QuotaFault fault) {
+  private void injectFault(QuotaFault fault) {
     switch (fault.kind()) {
       case PRIMARY_CHANGE -> primaries.change(fault.forMicros());
       case PRIMARY_OVERLAP -> primaries.overlap(fault.forMicros());
-      case CONTROL_PARTITION -> some(fault).forEach(one -> one.partition(fault.forMicros()));
+      case CONTROL_PARTITION -> affected(fault).forEach(one -> one.partition(fault.forMicros()));
       case CONTROL_SLOW -> primaries.slow(fault.forMicros());
-      case RESTART -> some(fault).forEach(SimulatedDataPlane::restart);
+      case RESTART -> affected(fault).forEach(SimulatedDataPlane::restart);
       case RESTART_OF_EVERYTHING -> {
         primaries.change(Math.min(fault.forMicros(), 2 * SECOND));
         dataPlanes.forEach(SimulatedDataPlane::restart);
       }
-      case FREEZE -> some(fault).forEach(one -> one.freeze(fault.forMicros()));
+      case FREEZE -> affected(fault).forEach(one -> one.freeze(fault.forMicros()));
       case TENANT_REMOVED -> configure(fault, List.of());
       case LIMIT_LIFTED -> configure(fault, List.of(tenant(0)));
       case FURTHER_ATTEMPTS -> {
@@ -147,7 +157,10 @@
     }
   }
 
-  /** While the limit is lifted the rule does not hold, so that nothing arrives then. */
+  /**
+   * Replaces the tenants for the duration of a fault. Data planes ignore requests while the tenant
+   * has no limit, because the quota rule does not apply then.
+   */
   private void configure(QuotaFault fault, List<Tenant> tenants) {
     dataPlanes.forEach(one -> one.configure(tenants));
     loop.after(
@@ -155,7 +168,7 @@
         () -> dataPlanes.forEach(one -> one.configure(List.of(tenant(plan.ratePerSecond())))));
   }
 
-  private List<SimulatedDataPlane> some(QuotaFault fault) {
+  private List<SimulatedDataPlane> affected(QuotaFault fault) {
     return dataPlanes.stream().filter(one -> random.nextDouble() < fault.share()).toList();
   }
 
@@ -167,7 +180,10 @@
     return List.of(tenant(plan.ratePerSecond()));
   }
 
-  /** A data plane has let a request in: a backend begins with it after a while. */
+  /**
+   * Sends an admitted request to a backend, which starts to execute the request after a random
+   * delay.
+   */
   void sent(SimulatedDataPlane from, long units, Runnable started) {
     long delay =
         Math.min(MAX_START_MICROS, (long) (-Math.log(1 - random.nextDouble()) * MEAN_START_MICROS));
@@ -181,8 +197,8 @@
       return;
     }
     boolean alive = from.restarts() == restart;
-    boolean soon = loop.nowMicros() - from.startedMicros() <= RUN_AFTER_END_MICROS;
-    if (alive || (soon && random.nextDouble() < RUN_AFTER_END)) {
+    boolean soon = loop.nowMicros() - from.startedMicros() <= EXECUTED_AFTER_STOP_MICROS;
+    if (alive || (soon && random.nextDouble() < EXECUTED_AFTER_STOP_SHARE)) {
       runs.add(loop.nowMicros(), units);
     }
     if (alive) {
@@ -190,12 +206,15 @@
     }
   }
 
-  /** Whether a request is sent to a second backend after the first has begun with it. */
+  /**
+   * Draws whether a request is also sent to a second backend after the first backend has started to
+   * execute the request.
+   */
   boolean drawFurtherAttempt() {
     return random.nextDouble() < furtherAttempts;
   }
 
-  void counted(boolean wasRefused) {
+  void countDecision(boolean wasRefused) {
     requests++;
     refused += wasRefused ? 1 : 0;
   }
--- a/src/test/java/slateslip/simulation/quota/QuotaWorldReport.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaWorldReport.java
@@ -4,8 +4,9 @@
 import java.util.Locale;
 
 /**
- * Prints, by size of the fleet, what is refused below the limit and the worst window above it, and
- * how many of the random schedules break the rule. Argument: number of schedules.
+ * Prints the share of refused requests and the worst window for several limits, fleet sizes and
+ * demands, and the number of random schedules that break the quota rule. The argument is the number
+ * of schedules.
  */
 public final class QuotaWorldReport {
   private static final int[] FLEET_SIZES = {6, 24, 94};
@@ -17,7 +18,7 @@
 
   private QuotaWorldReport() {}
 
-  /** Prints the tables. */
+  /** Runs the simulations and prints the results. */
   public static void main(String[] arguments) {
     for (double rate : RATES) {
       for (int dataPlanes : FLEET_SIZES) {
@@ -48,7 +49,7 @@
       QuotaPlan plan = new QuotaPlan(seed, dataPlanes, rate, demand, DURATION_MICROS, List.of());
       QuotaWorld.Result result = QuotaWorld.run(plan);
       worst = Math.max(worst, result.worstWindow());
-      refused += result.refusedPart() / SEEDS;
+      refused += result.refusedFraction() / SEEDS;
     }
     print(
         "limit %.0f, %d data planes, demand %.2f of it: refused %.2f in 100, worst window %.3f",
--- a/src/test/java/slateslip/simulation/quota/QuotaWorldTest.java
+++ b/src/test/java/slateslip/simulation/quota/QuotaWorldTest.java
@@ -13,12 +13,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a tenant's requests run in a window, over all data planes, stays within its quota. */
+/**
+ * Checks that the units that a tenant's requests execute in any window, over all data planes, stay
+ * within the tenant's quota.
+ */
 class QuotaWorldTest {
   static final long SCHEDULES = 60;
   private static final long SECOND = QuotaWorld.SECOND;
 
-  /** Two allocators meet soon after a restart of everything. */
+  /**
+   * Seeds of random plans in which two allocators are active soon after a restart of all data
+   * planes and the primary.
+   */
   private static final long[] SEEDS_WITH_TWO_EPOCHS = {260, 287, 478};
 
   private static final double OVER_THE_LIMIT = 4.6;
@@ -130,7 +136,7 @@
     "94, 200000",
     "94, 800000"
   })
-  void usualDemandIsHardlyEverRefused(int dataPlanes, double rate) {
+  void usualDemandIsRarelyRefused(int dataPlanes, double rate) {
     long requests = 0;
     long refused = 0;
     for (long seed = 1; seed <= 3; seed++) {
@@ -149,7 +155,10 @@
     assertThat(result.worstWindow(), greaterThan(0.8));
   }
 
-  /** Schedules that random ones seldom hit: long cuts, and two primaries at once for long. */
+  /**
+   * Returns plans for cases that random schedules rarely produce: long partitions, and two
+   * primaries that are active for a long time.
+   */
   static List<QuotaPlan> directedPlans() {
     List<QuotaPlan> plans = new ArrayList<>();
     for (int dataPlanes : new int[] {6, 94}) {
@@ -175,7 +184,7 @@
   }
 
   @Test
-  void longCutsAndTwoPrimariesAtOnceStayWithinTheQuota() {
+  void longPartitionsAndOverlappingPrimariesStayWithinTheQuota() {
     directedPlans().forEach(QuotaWorldTest::assertWithinQuota);
   }
 
@@ -187,7 +196,8 @@
       if (worst > 1) {
         throw new AssertionError(
             String.format(
-                "seed %d: %.3f of the quota with %d data planes, %.0f units a second, under %s",
+                "seed %d: worst window is %.3f of the quota with %d data planes, "
+                    + "%.0f units per second, faults: %s",
                 seed,
                 worst,
                 plan.dataPlanes(),
--- a/src/test/java/slateslip/simulation/quota/SimulatedDataPlane.java
+++ b/src/test/java/slateslip/simulation/quota/SimulatedDataPlane.java
@@ -12,7 +12,7 @@
 import slateslip.routing.quota.QuotaWait;
 import slateslip.routing.quota.TenantQuotas;
 
-/** The quotas of one data plane. */
+/** Simulates the quotas of one data plane. */
 final class SimulatedDataPlane {
   private static final long TICK_MICROS = 100_000;
   private static final long REPORT_MICROS = 250_000;
@@ -30,7 +30,7 @@
   private long partitionedUntilMicros;
   private long frozenUntilMicros;
   private long reportedMicros;
-  private double largest;
+  private double largestFraction;
 
   SimulatedDataPlane(QuotaWorld world, int index) {
     this.world = world;
@@ -116,15 +116,17 @@
 
   private void apply(QuotaAllocation allocation) {
     if (allocation.lease().incarnation() == incarnation) {
-      allocation.tenants().forEach(share -> largest = Math.max(largest, share.fraction()));
+      allocation
+          .tenants()
+          .forEach(share -> largestFraction = Math.max(largestFraction, share.fraction()));
       long obeyedEpoch = quotas.allocatorEpoch();
       quotas.applyAllocation(
-          world.mutation().changed(allocation, now(), obeyedEpoch, largest), now());
+          world.mutation().changed(allocation, now(), obeyedEpoch, largestFraction), now());
       decideWaiting();
     }
   }
 
-  /** A request has come. */
+  /** Handles an arriving request; the request is ignored while the tenant has no limit. */
   void arrived(long units) {
     inbound(() -> admit(units));
   }
@@ -133,7 +135,8 @@
     if (!isLimited()) {
       return;
     }
-    decided(quotas.request(tenants.get(0), world.mutation().countedUnits(units), now()), units);
+    handleDecision(
+        quotas.request(tenants.get(0), world.mutation().countedUnits(units), now()), units);
   }
 
   private void decideWaiting() {
@@ -141,12 +144,12 @@
       QuotaDecision decision = quotas.reconsider(wait, now());
       if (!(decision instanceof QuotaDecision.Waiting)) {
         waiting.remove(wait);
-        decided(decision, wait.units());
+        handleDecision(decision, wait.units());
       }
     }
   }
 
-  private void decided(QuotaDecision decision, long units) {
+  private void handleDecision(QuotaDecision decision, long units) {
     if (decision instanceof QuotaDecision.Waiting waits) {
       waiting.add(waits.quotaWait());
       return;
@@ -154,14 +157,17 @@
     if (decision instanceof QuotaDecision.Admitted admitted) {
       admitted(units, admitted.charge());
     } else {
-      world.counted(true);
+      world.countDecision(true);
     }
   }
 
-  /** What waited while the limit was taken away is not sent: the rule does not hold for it. */
+  /**
+   * Sends an admitted request. A request that was admitted while the tenant had no limit is
+   * dropped, because the quota rule does not apply to that request.
+   */
   private void admitted(long units, QuotaCharge charge) {
     if (isLimited()) {
-      world.counted(false);
+      world.countDecision(false);
       send(units, charge);
     } else {
       charge.release();
@@ -198,7 +204,7 @@
     return index;
   }
 
-  /** How often its process has started anew. */
+  /** Returns how often the process has restarted. */
   int restarts() {
     return restarts;
   }
--- a/src/test/java/slateslip/simulation/quota/SimulatedPrimaries.java
+++ b/src/test/java/slateslip/simulation/quota/SimulatedPrimaries.java
@@ -5,10 +5,10 @@
 import slateslip.distribution.QuotaReport;
 import slateslip.distribution.quota.QuotaAllocator;
 
-/** The control agents that divide the quotas, one after the other. */
+/** Simulates the succession of control agents that are primary and allocate the quotas. */
 final class SimulatedPrimaries {
   private static final long ALLOCATION_MICROS = 250_000;
-  private static final long SIDE_MICROS = 1_500_000;
+  private static final long PRIMARY_SWITCH_MICROS = 1_500_000;
   private static final long WAITING_BATCH_MICROS = 20_000;
   private static final long MIN_DELAY_MICROS = 2_000;
   private static final long MAX_DELAY_MICROS = 120_000;
@@ -80,7 +80,7 @@
     slowUntilMicros = world.loop().nowMicros() + micros;
   }
 
-  /** A data plane's report is on its way to one of those that serve. */
+  /** Sends a data plane's report to one of the active primaries. */
   void report(SimulatedDataPlane from, QuotaReport report) {
     int incarnation = from.incarnation();
     world.loop().after(delay(), () -> arrived(from, incarnation, report));
@@ -94,7 +94,7 @@
     String name = Integer.toString(from.index());
     long now = world.loop().nowMicros();
     to.allocator
-        .report(now, name, incarnation, world.mutation().taken(report, to.epoch))
+        .report(now, name, incarnation, world.mutation().received(report, to.epoch))
         .ifPresent(this::send);
     if (report.waiting() && !to.batchScheduled) {
       to.batchScheduled = true;
@@ -102,10 +102,14 @@
     }
   }
 
-  /** Where two serve, each data plane is at one of their sides for a while. */
+  /**
+   * Returns the primary that a data plane uses at present; if several primaries are active, each
+   * data plane changes between them from time to time.
+   */
   private Primary primaryOf(SimulatedDataPlane dataPlane) {
     long side =
-        dataPlane.index() + world.loop().nowMicros() / SIDE_MICROS / (1 + dataPlane.index() % 3);
+        dataPlane.index()
+            + world.loop().nowMicros() / PRIMARY_SWITCH_MICROS / (1 + dataPlane.index() % 3);
     return serving.get((int) (side % serving.size()));
   }
 
--- a/src/test/java/slateslip/simulation/quota/UnitsByTime.java
+++ b/src/test/java/slateslip/simulation/quota/UnitsByTime.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Units at rising times, and the most of them in one window. */
+/** Records units with ascending times and finds the window with the most units. */
 final class UnitsByTime {
   private record Entry(long atMicros, long units) {}
 
@@ -13,7 +13,7 @@
     entries.addLast(new Entry(atMicros, units));
   }
 
-  /** Most units in a window of this length. */
+  /** Returns the largest number of units in any window of this length. */
   long worstWindow(long windowMicros) {
     Deque<Entry> window = new ArrayDeque<>();
     long sum = 0;
--- a/src/test/java/slateslip/simulation/quota/package-info.java
+++ b/src/test/java/slateslip/simulation/quota/package-info.java
@@ -1,2 +1,2 @@
-/** Many data planes and the allocators of their quotas under random schedules of faults. */
+/** A simulation of many data planes and their quota allocators under random schedules of faults. */
 package slateslip.simulation.quota;
