--- a/src/test/java/slateslip/simulation/FaultyFolder.java
+++ b/src/test/java/slateslip/simulation/FaultyFolder.java
@@ -11,25 +11,28 @@
 import slateslip.storage.StorageFile;
 import slateslip.storage.StorageFolder;
 
-/** A folder in memory that can refuse writes, and whose unsynced writes a loss of power harms. */
+/**
+ * An in-memory folder that can fail writes and syncs and that can lose or tear unsynced writes at a
+ * power failure.
+ */
 public final class FaultyFolder implements StorageFolder {
-  /** What a write or sync does. */
+  /** The behaviour of writes and syncs. */
   public enum Mode {
-    /** Works. */
+    /** Writes and syncs succeed. */
     WORKING,
-    /** Each write is refused for want of space. */
+    /** Each write fails because no space is left, and syncs fail. */
     FULL,
-    /** Writes reach the file, syncs fail. */
+    /** Writes succeed, but syncs fail. */
     SYNC_FAILS,
-    /** Writes and syncs fail. */
+    /** Writes fail with an input/output error, and syncs fail. */
     FAILING
   }
 
-  /** What becomes of the writes after the last sync when power is lost. */
+  /** The effect of a power failure on the writes after the last sync. */
   public enum Loss {
-    /** All are gone. */
+    /** All unsynced writes are lost. */
     ALL_GONE,
-    /** Each is present, missing or torn. */
+    /** Each unsynced write is at random complete, lost or torn. */
     EACH_AT_RANDOM
   }
 
@@ -40,41 +43,45 @@
   private static final class Content {
     byte[] durable = new byte[0];
     byte[] current = new byte[0];
-    boolean lasts;
+    boolean creationDurable;
     final List<UnsyncedWrite> unsynced = new ArrayList<>();
   }
 
   private final Map<String, Content> contents = new TreeMap<>();
   private Mode mode = Mode.WORKING;
 
-  /** Sets what writes and syncs do from now on. */
+  /** Sets the behaviour of writes and syncs from now on. */
   public void setMode(Mode newMode) {
     mode = newMode;
   }
 
-  /** Empties the folder, as a new disk is. */
+  /** Deletes all files, as if the disk were replaced. */
   public void wipe() {
     contents.clear();
   }
 
-  /** Loses power. */
+  /**
+   * Simulates a power failure with the given effect on unsynced writes; new files whose creation
+   * was not synced may vanish.
+   */
   public void losePower(SplittableRandom random, Loss loss) {
-    contents.values().removeIf(content -> !content.lasts && random.nextBoolean());
+    contents.values().removeIf(content -> !content.creationDurable && random.nextBoolean());
     for (Content content : contents.values()) {
       byte[] left = content.durable.clone();
       if (loss == Loss.EACH_AT_RANDOM) {
         for (UnsyncedWrite write : content.unsynced) {
-          left = harmed(left, write, random);
+          left = afterPowerFailure(left, write, random);
         }
       }
       content.durable = left;
       content.current = left.clone();
       content.unsynced.clear();
-      content.lasts = true;
+      content.creationDurable = true;
     }
   }
 
-  private static byte[] harmed(byte[] image, UnsyncedWrite write, SplittableRandom random) {
+  private static byte[] afterPowerFailure(
+      byte[] image, UnsyncedWrite write, SplittableRandom random) {
     int outcome = random.nextInt(OUTCOMES);
     if (outcome == 0 || write.bytes().length == 0) {
       return image;
@@ -95,7 +102,7 @@
     return result;
   }
 
-  /** Cuts a file, as if it had never been longer. */
+  /** Truncates a file durably to a length in bytes. */
   public void truncate(String name, int length) {
     Content content = contents.get(name);
     content.current = Arrays.copyOf(content.current, length);
@@ -103,19 +110,19 @@
     content.unsynced.clear();
   }
 
-  /** Changes one byte of a file. */
+  /** Corrupts one byte of a file durably. */
   public void corrupt(String name, int position) {
     Content content = contents.get(name);
     content.current[position] ^= 0x55;
     content.durable = content.current.clone();
   }
 
-  /** Length of a file. */
+  /** Returns the length of a file in bytes. */
   public int length(String name) {
     return contents.get(name).current.length;
   }
 
-  /** A copy of the folder as it is now. */
+  /** Returns a copy of the folder with its current contents. */
   public FaultyFolder copy() {
     FaultyFolder copy = new FaultyFolder();
     contents.forEach(
@@ -123,7 +130,7 @@
           Content other = new Content();
           other.durable = content.durable.clone();
           other.current = content.current.clone();
-          other.lasts = content.lasts;
+          other.creationDurable = content.creationDurable;
           other.unsynced.addAll(content.unsynced);
           copy.contents.put(name, other);
         });
@@ -145,7 +152,7 @@
     if (mode != Mode.WORKING) {
       throw new IOException("sync of the folder failed");
     }
-    contents.values().forEach(content -> content.lasts = true);
+    contents.values().forEach(content -> content.creationDurable = true);
   }
 
   private final class OpenFile implements StorageFile {
@@ -190,7 +197,7 @@
       }
       content.durable = content.current.clone();
       content.unsynced.clear();
-      content.lasts = true;
+      content.creationDurable = true;
     }
 
     @Override
--- a/src/test/java/slateslip/simulation/RuleViolation.java
+++ b/src/test/java/slateslip/simulation/RuleViolation.java
@@ -1,10 +1,10 @@
 package slateslip.simulation;
 
-/** A rule was broken in a simulated run. */
+/** Signals that a simulated run broke a rule. */
 public final class RuleViolation extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Says which. */
+  /** Creates an exception whose message names the broken rule. */
   public RuleViolation(String message) {
     super(message);
   }
--- a/src/test/java/slateslip/simulation/ShortestSchedule.java
+++ b/src/test/java/slateslip/simulation/ShortestSchedule.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Shortens a schedule of faults that breaks a rule. */
+/** Reduces a schedule of faults that breaks a rule to a minimal schedule. */
 public final class ShortestSchedule {
   private ShortestSchedule() {}
 
   /**
-   * Leaves out one fault after the other as long as the schedule still fails.
+   * Removes each fault in turn if the schedule still fails without the fault.
    *
-   * @param fails whether a schedule breaks a rule
+   * @param fails returns whether a schedule breaks a rule
    */
   public static <F> List<F> of(List<F> schedule, Predicate<List<F>> fails) {
     List<F> faults = new ArrayList<>(schedule);
--- a/src/test/java/slateslip/simulation/SimulatedDisk.java
+++ b/src/test/java/slateslip/simulation/SimulatedDisk.java
@@ -17,7 +17,7 @@
 import slateslip.storage.RingStorage;
 import slateslip.storage.StorageOutcome;
 
-/** One machine's disk and the thread that writes to it. */
+/** Simulates the disk of one machine and the thread that writes to the disk. */
 public final class SimulatedDisk {
   private static final RingOptions SMALL = new RingOptions(3, 0);
   private static final long MIN_WRITE = 500;
@@ -39,15 +39,16 @@
   private long fullUntil;
   private boolean lies;
 
-  /** An empty disk that works. */
+  /** Creates an empty disk without faults. */
   public SimulatedDisk(EventQueue events, SplittableRandom random) {
     this(events, random, SMALL, UnaryOperator.identity());
   }
 
   /**
-   * An empty disk that works.
+   * Creates an empty disk without faults.
    *
-   * @param readBack what a record has become when it is read back; mutations change it
+   * @param readBack applied to each record that is read back; mutations use this function to alter
+   *     records
    */
   public SimulatedDisk(
       EventQueue events,
@@ -60,15 +61,15 @@
     this.readBack = readBack;
   }
 
-  /** A mutation: says that writes are durable at once. */
+  /** Enables a mutation: the disk reports every write as durable immediately. */
   public void lie() {
     lies = true;
   }
 
   /**
-   * Recovers at the start of a process.
+   * Recovers the stored records at the start of a process.
    *
-   * @param writeListener told of each token whether its write is on disk
+   * @param writeListener called with the token of each write and whether the write is durable
    */
   public List<DurableRecord> open(BiConsumer<Long, Boolean> writeListener) {
     listener = writeListener;
@@ -89,7 +90,7 @@
     throw new RuleViolation("unreadable record on disk: " + decoded);
   }
 
-  /** Starts a write, behind those started before. */
+  /** Queues a write behind the writes that were started before. */
   public void start(Effects.DurableWrite write) {
     queue.addLast(write);
     if (lies) {
@@ -145,7 +146,10 @@
         : ring.append(List.of(payload));
   }
 
-  /** The process is killed: what was written stays, what was under way may be there in part. */
+  /**
+   * Simulates a kill of the process: completed writes are kept, and the write in progress may be
+   * kept.
+   */
   public void processKilled() {
     if (busy && random.nextBoolean()) {
       folder.setMode(
@@ -157,7 +161,7 @@
     queue.clear();
   }
 
-  /** Power is lost: writes that were not synced are there, missing or torn. */
+  /** Simulates a power failure: writes that were not synced are kept, lost or torn. */
   public void powerLost() {
     if (busy && random.nextBoolean()) {
       folder.setMode(FaultyFolder.Mode.SYNC_FAILS);
@@ -172,33 +176,33 @@
     queue.clear();
   }
 
-  /** Holds a record from now on, whatever it held before. */
+  /** Replaces the contents of the disk with one record. */
   public void put(DurableRecord record) {
     ring.beginFile(DurableRecordCodec.encode(record));
   }
 
-  /** Loses everything, as a new disk. */
+  /** Deletes all data, as if the disk were replaced. */
   public void wipe() {
     folder.wipe();
   }
 
-  /** Writes take longer by a factor for some time. */
+  /** Makes writes slower by a factor for a time in microseconds. */
   public void slow(long micros, long factor) {
     slowUntil = events.nowMicros() + micros;
     slowFactor = factor;
   }
 
-  /** Writes do not end before some time has passed. */
+  /** Blocks the completion of writes for a time in microseconds. */
   public void hang(long micros) {
     hungUntil = events.nowMicros() + micros;
   }
 
-  /** Writes are refused for some time for want of space. */
+  /** Makes writes fail for a time in microseconds because no space is left. */
   public void fill(long micros) {
     fullUntil = events.nowMicros() + micros;
   }
 
-  /** Works again. */
+  /** Ends all slow, blocked and full states of the disk. */
   public void heal() {
     slowUntil = 0;
     hungUntil = 0;
--- a/src/test/java/slateslip/simulation/SimulationDigests.java
+++ b/src/test/java/slateslip/simulation/SimulationDigests.java
@@ -8,10 +8,12 @@
 import slateslip.simulation.dataplane.WorldPlans;
 
 /**
- * Prints a digest of the history of each seed of the three simulated worlds.
+ * Prints a digest of the history of each seed for the three simulations: agents, control and
+ * dataplane.
  *
- * <p>A change that must not alter behaviour, such as a rename or a move, leaves the output as it
- * was to the letter: compare the output of the commit before with that of the commit after.
+ * <p>A change that must not alter behaviour, such as a rename or a move, must leave the output
+ * identical: compare the output of the commit before the change with the output of the commit after
+ * the change.
  */
 public final class SimulationDigests {
   private static final long DEFAULT_SEEDS = 100;
@@ -19,9 +21,9 @@
   private SimulationDigests() {}
 
   /**
-   * Plays the seeds from 1 on.
+   * Runs the seeds from 1 on.
    *
-   * @param arguments how many seeds of each world; 100 if left out
+   * @param arguments number of seeds of each simulation; 100 if omitted
    */
   public static void main(String[] arguments) {
     long seeds = arguments.length > 0 ? Long.parseLong(arguments[0]) : DEFAULT_SEEDS;
--- a/src/test/java/slateslip/simulation/ToleratedLosses.java
+++ b/src/test/java/slateslip/simulation/ToleratedLosses.java
@@ -6,8 +6,10 @@
 import java.util.Set;
 
 /**
- * Which machines count as lost: those in trouble and for a time after it, and those whose disk was
- * lost until all has been calm for that time. Disks are only lost within the tolerance.
+ * Tracks which machines count as lost. A machine with a fault counts as lost until a stable period
+ * after the end of the fault. A machine whose disk was wiped counts as lost until no machine has
+ * had a fault for that period. A simulation wipes disks only while the number of lost machines
+ * stays within the fault tolerance.
  */
 public final class ToleratedLosses {
   private static final long STABLE_MICROS = 4_000_000;
@@ -16,35 +18,40 @@
   private final Map<Object, Long> lostUntil = new HashMap<>();
   private final Set<Object> wiped = new HashSet<>();
 
-  /** Nothing is lost yet. */
+  /** Creates a tracker without lost machines. */
   public ToleratedLosses(EventQueue events) {
     this.events = events;
   }
 
-  /** A machine is in trouble until a time. */
+  /** Records that a machine has a fault until a time in microseconds. */
   public void troubled(Object machine, long untilMicros) {
     lostUntil.merge(machine, untilMicros + STABLE_MICROS, Math::max);
   }
 
-  /** A machine is down for good. */
+  /** Records that a machine is down permanently. */
   public void lost(Object machine) {
     lostUntil.put(machine, Long.MAX_VALUE);
   }
 
-  /** A machine lost its disk and starts again at a time. */
+  /**
+   * Records that the disk of a machine was wiped and that the machine restarts at a time in
+   * microseconds.
+   */
   public void wiped(Object machine, long startsAtMicros) {
     wiped.add(machine);
     troubled(machine, startsAtMicros);
   }
 
-  /** Whether one more machine may lose its disk. */
+  /**
+   * Returns whether the disk of this machine may be wiped without exceeding the fault tolerance.
+   */
   public boolean mayLose(Object machine, int faultTolerance) {
     Set<Object> lost = lost();
     lost.add(machine);
     return lost.size() <= faultTolerance;
   }
 
-  /** Machines that count as lost now. */
+  /** Returns the machines that count as lost at present. */
   public Set<Object> lost() {
     Set<Object> lost = new HashSet<>();
     lostUntil.forEach(
