--- a/src/test/java/slateslip/simulation/agents/AgentFault.java
+++ b/src/test/java/slateslip/simulation/agents/AgentFault.java
@@ -8,13 +8,17 @@
 /**
  * One fault of a schedule.
  *
- * @param atMicros when
- * @param kind what
- * @param target number of a machine, or a seed for a choice
- * @param micros how long
+ * @param atMicros the time in microseconds after the start of the fault period
+ * @param kind the kind of the fault
+ * @param target a number that selects a machine
+ * @param durationMicros the duration of the fault in microseconds
  */
-record AgentFault(long atMicros, Kind kind, int target, long micros) {
-  /** What happens. Core machines, unless it says otherwise. */
+record AgentFault(long atMicros, Kind kind, int target, long durationMicros) {
+  /**
+   * The kind of a fault. {@link #KILL_DATA_PLANE} and {@link #FREEZE_DATA_PLANE} affect a data
+   * plane; all other kinds affect the machines of control agents. A kind whose name contains {@code
+   * PRIMARY} affects the serving primary.
+   */
   enum Kind {
     KILL,
     KILL_PRIMARY,
@@ -22,32 +26,32 @@
     LOSE_POWER_PRIMARY,
     WIPE,
     WIPE_PRIMARY,
-    /** A machine is gone for good; an empty one comes at another address. */
+    /** A machine fails permanently, and an empty machine with another address replaces it. */
     REPLACE,
     REPLACE_PRIMARY,
-    /** The empty machine comes first, then the other one gets SIGTERM. */
+    /** An empty replacement starts first; then the replaced machine's process receives SIGTERM. */
     REPLACE_PLANNED,
     REPLACE_PRIMARY_PLANNED,
-    /** SIGTERM, and a start at once. */
+    /** The process receives SIGTERM and is started again shortly after it has ended. */
     RESTART,
     RESTART_PRIMARY,
     FREEZE,
     FREEZE_PRIMARY,
-    /** From the other core machines. */
+    /** A machine is partitioned from all other control agents. */
     ISOLATE,
     ISOLATE_PRIMARY,
-    /** From the other core machines and all data planes. */
+    /** A machine is partitioned from all other control agents and from all data planes. */
     PARTITION_FROM_ALL,
     PARTITION_PRIMARY_FROM_ALL,
     PARTITION_FROM_DATA_PLANES,
-    /** Nothing that it sends arrives. */
+    /** No message from the machine arrives at another control agent. */
     PARTITION_OUTBOUND,
-    /** Nothing arrives at it. */
+    /** No message from another control agent arrives at the machine. */
     PARTITION_INBOUND,
     PARTITION_PRIMARY_OUTBOUND,
     PARTITION_PRIMARY_INBOUND,
     PARTITION_IN_HALVES,
-    /** New seeds begin with a machine that is cut off, and a data plane is started again. */
+    /** A machine is isolated, becomes the first seed in all settings, and a data plane restarts. */
     ISOLATE_WITH_SEEDS,
     RESET,
     SLOW_LINKS,
@@ -65,32 +69,36 @@
   }
 
   private static final int MAX_FAULTS = 6;
-  private static final int CHOICES = 1_000;
-  private static final long MIN_MICROS = 20_000;
-  private static final long SHORT_MICROS = 400_000;
-  private static final long MAX_MICROS = 4_000_000;
-  private static final int LONG_EVERY = 6;
-  private static final long LONG_MICROS = 24_000_000;
+  private static final int MAX_TARGET = 1_000;
+  private static final long MIN_DURATION_MICROS = 20_000;
+  private static final long SHORT_DURATION_MICROS = 400_000;
+  private static final long LONG_DURATION_MICROS = 4_000_000;
+  private static final int LONG_FAULT_ODDS = 6;
+  private static final long MAX_DURATION_MICROS = 24_000_000;
 
-  /** A random schedule over some time, in order. */
-  static List<AgentFault> schedule(SplittableRandom random, long micros, List<Kind> kinds) {
+  /** Returns a random schedule of faults over a period in microseconds, ordered by time. */
+  static List<AgentFault> schedule(SplittableRandom random, long periodMicros, List<Kind> kinds) {
     List<AgentFault> faults = new ArrayList<>();
     int count = 1 + random.nextInt(MAX_FAULTS);
-    long clustered = random.nextLong(micros);
+    long clusterMicros = random.nextLong(periodMicros);
     for (int i = 0; i < count; i++) {
-      boolean near = random.nextInt(3) == 0;
-      long at = near ? clustered + random.nextLong(SHORT_MICROS) : random.nextLong(micros);
+      boolean inCluster = random.nextInt(3) == 0;
+      long at =
+          inCluster
+              ? clusterMicros + random.nextLong(SHORT_DURATION_MICROS)
+              : random.nextLong(periodMicros);
       Kind kind = kinds.get(random.nextInt(kinds.size()));
-      faults.add(new AgentFault(at, kind, random.nextInt(CHOICES), length(random)));
+      faults.add(new AgentFault(at, kind, random.nextInt(MAX_TARGET), randomDuration(random)));
     }
     faults.sort(Comparator.comparingLong(AgentFault::atMicros));
     return faults;
   }
 
-  private static long length(SplittableRandom random) {
-    if (random.nextInt(LONG_EVERY) == 0) {
-      return random.nextLong(MAX_MICROS, LONG_MICROS);
+  private static long randomDuration(SplittableRandom random) {
+    if (random.nextInt(LONG_FAULT_ODDS) == 0) {
+      return random.nextLong(LONG_DURATION_MICROS, MAX_DURATION_MICROS);
     }
-    return random.nextLong(MIN_MICROS, random.nextBoolean() ? SHORT_MICROS : MAX_MICROS);
+    return random.nextLong(
+        MIN_DURATION_MICROS, random.nextBoolean() ? SHORT_DURATION_MICROS : LONG_DURATION_MICROS);
   }
 }
--- a/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
+++ b/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Makes faults happen to the machines of a world, and end. */
+/** Starts the faults of a schedule and ends each fault after its duration. */
 final class AgentFaultInjector {
-  private static final long MIN_DOWNTIME = 50_000;
-  private static final long RESTART_SPREAD = 1_000_000;
-  private static final long SLOW_LINK = 60_000;
-  private static final long SLOW_DISK = 40;
-  private static final long TERMINATION_TIMEOUT = 3_000_000;
+  private static final long MIN_DOWNTIME_MICROS = 50_000;
+  private static final long RESTART_SPREAD_MICROS = 1_000_000;
+  private static final long SLOW_LINK_DELAY_MICROS = 60_000;
+  private static final long SLOW_DISK_FACTOR = 40;
+  private static final long TERMINATION_TIMEOUT_MICROS = 3_000_000;
 
   private final AgentWorld world;
   private final SplittableRandom random;
@@ -21,7 +21,7 @@
     this.random = random;
   }
 
-  /** Nothing more happens. */
+  /** Stops the injection of further faults. */
   void stop() {
     stopped = true;
   }
@@ -30,22 +30,24 @@
     if (stopped) {
       return;
     }
-    world.rules().troubled(now());
+    world.rules().faultActiveUntil(now());
     ControlMachine machine = target(fault);
     switch (fault.kind()) {
-      case KILL, KILL_PRIMARY -> kill(machine, fault.micros());
-      case LOSE_POWER, LOSE_POWER_PRIMARY -> losePower(machine, fault.micros());
-      case WIPE, WIPE_PRIMARY -> wipe(machine, fault.micros());
-      case REPLACE, REPLACE_PRIMARY -> replace(machine, fault.micros());
-      case REPLACE_PLANNED, REPLACE_PRIMARY_PLANNED -> replacePlanned(machine, fault.micros());
+      case KILL, KILL_PRIMARY -> kill(machine, fault.durationMicros());
+      case LOSE_POWER, LOSE_POWER_PRIMARY -> losePower(machine, fault.durationMicros());
+      case WIPE, WIPE_PRIMARY -> wipe(machine, fault.durationMicros());
+      case REPLACE, REPLACE_PRIMARY -> replace(machine, fault.durationMicros());
+      case REPLACE_PLANNED, REPLACE_PRIMARY_PLANNED ->
+          replacePlanned(machine, fault.durationMicros());
       case RESTART, RESTART_PRIMARY -> restart(machine);
-      case FREEZE, FREEZE_PRIMARY -> freeze(machine, fault.micros());
+      case FREEZE, FREEZE_PRIMARY -> freeze(machine, fault.durationMicros());
       case RESET -> world.network().resetAll(machine);
-      case KILL_ALL -> List.copyOf(world.controlMachines()).forEach(this::killShortly);
-      case LOSE_POWER_ALL -> List.copyOf(world.controlMachines()).forEach(this::losePowerShortly);
+      case KILL_ALL -> List.copyOf(world.controlMachines()).forEach(this::killForRandomTime);
+      case LOSE_POWER_ALL ->
+          List.copyOf(world.controlMachines()).forEach(this::losePowerForRandomTime);
       case LOSE_POWER_ALL_AND_WIPE -> losePowerAllAndWipe(fault);
-      case KILL_DATA_PLANE -> killDataPlane(dataPlane(fault), fault.micros());
-      case FREEZE_DATA_PLANE -> freezeDataPlane(dataPlane(fault), fault.micros());
+      case KILL_DATA_PLANE -> killDataPlane(dataPlane(fault), fault.durationMicros());
+      case FREEZE_DATA_PLANE -> freezeDataPlane(dataPlane(fault), fault.durationMicros());
       case SLOW_LINKS,
           DISK_SLOW,
           DISK_SLOW_PRIMARY,
@@ -53,7 +55,7 @@
           DISK_HUNG_PRIMARY,
           DISK_FULL,
           DISK_FULL_PRIMARY ->
-          hinder(fault, machine);
+          injectLasting(fault, machine);
       default -> partition(fault, machine);
     }
   }
@@ -75,21 +77,21 @@
     return world.dataPlanes().get(fault.target() % world.dataPlanes().size());
   }
 
-  /** Does something later, which is another trouble at that time. */
-  private void later(long micros, Runnable action) {
+  /** Runs an action after a delay and records that a fault is active at that time. */
+  private void schedule(long micros, Runnable action) {
     world
         .events()
         .after(
             micros,
             () -> {
               if (!stopped) {
-                world.rules().troubled(now());
+                world.rules().faultActiveUntil(now());
                 action.run();
               }
             });
   }
 
-  private void troubled(ControlMachine machine, long micros) {
+  private void recordFault(ControlMachine machine, long micros) {
     world.losses().troubled(machine, now() + micros);
   }
 
@@ -97,38 +99,38 @@
 
   private void kill(ControlMachine machine, long micros) {
     machine.kill();
-    startLater(machine, micros);
+    restartIn(machine, micros);
   }
 
-  private void killShortly(ControlMachine machine) {
-    kill(machine, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
+  private void killForRandomTime(ControlMachine machine) {
+    kill(machine, MIN_DOWNTIME_MICROS + random.nextLong(RESTART_SPREAD_MICROS));
   }
 
   private void losePower(ControlMachine machine, long micros) {
     machine.losePower();
-    startLater(machine, micros);
+    restartIn(machine, micros);
   }
 
-  private void losePowerShortly(ControlMachine machine) {
-    losePower(machine, MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
+  private void losePowerForRandomTime(ControlMachine machine) {
+    losePower(machine, MIN_DOWNTIME_MICROS + random.nextLong(RESTART_SPREAD_MICROS));
   }
 
-  private void startLater(ControlMachine machine, long micros) {
-    troubled(machine, micros);
-    later(micros, () -> world.start(machine, false));
+  private void restartIn(ControlMachine machine, long micros) {
+    recordFault(machine, micros);
+    schedule(micros, () -> world.start(machine, false));
   }
 
   private void restart(ControlMachine machine) {
-    troubled(machine, TERMINATION_TIMEOUT);
-    machine.terminate(TERMINATION_TIMEOUT, () -> startLater(machine, MIN_DOWNTIME));
+    recordFault(machine, TERMINATION_TIMEOUT_MICROS);
+    machine.terminate(TERMINATION_TIMEOUT_MICROS, () -> restartIn(machine, MIN_DOWNTIME_MICROS));
   }
 
   private void freeze(ControlMachine machine, long micros) {
-    if (machine.isWell()) {
+    if (machine.isResponsive()) {
       SimulatedProcess frozen = machine.process();
       frozen.freeze();
-      troubled(machine, micros);
-      later(micros, () -> thaw(machine, frozen));
+      recordFault(machine, micros);
+      schedule(micros, () -> thaw(machine, frozen));
     }
   }
 
@@ -147,7 +149,7 @@
     machine.losePower();
     machine.wipe();
     world.losses().wiped(machine, now() + micros);
-    later(micros, () -> world.start(machine, false));
+    schedule(micros, () -> world.start(machine, false));
     return true;
   }
 
@@ -155,9 +157,11 @@
     List<ControlMachine> all = List.copyOf(world.controlMachines());
     int first = fault.target() % all.size();
     for (int i = 0; i < world.shape().tolerance(); i++) {
-      wipe(all.get((first + i) % all.size()), MIN_DOWNTIME + random.nextLong(RESTART_SPREAD));
+      wipe(
+          all.get((first + i) % all.size()),
+          MIN_DOWNTIME_MICROS + random.nextLong(RESTART_SPREAD_MICROS));
     }
-    all.stream().filter(SimulatedMachine::isRunning).forEach(this::losePowerShortly);
+    all.stream().filter(SimulatedMachine::isRunning).forEach(this::losePowerForRandomTime);
   }
 
   private void replace(ControlMachine machine, long micros) {
@@ -166,77 +170,81 @@
       ControlMachine other = world.replacement(machine);
       world.remove(machine);
       world.losses().wiped(machine, now() + micros);
-      later(micros, () -> world.start(other, false));
+      schedule(micros, () -> world.start(other, false));
     }
   }
 
-  /** The new machine starts at once; the old one gets SIGTERM a while later. */
+  /** Starts a replacement at once and sends SIGTERM to the replaced machine after a delay. */
   private void replacePlanned(ControlMachine machine, long micros) {
     if (world.losses().mayLose(machine, world.shape().tolerance())) {
       ControlMachine other = world.replacement(machine);
       world.start(other, false);
       world.losses().wiped(machine, now() + micros);
-      later(micros, () -> machine.terminate(TERMINATION_TIMEOUT, () -> gone(machine)));
+      schedule(
+          micros,
+          () -> machine.terminate(TERMINATION_TIMEOUT_MICROS, () -> removeStopped(machine)));
     }
   }
 
-  private void gone(ControlMachine machine) {
-    world.rules().troubled(now());
+  private void removeStopped(ControlMachine machine) {
+    world.rules().faultActiveUntil(now());
     world.remove(machine);
-    troubled(machine, 0);
+    recordFault(machine, 0);
   }
 
-  private void hinder(AgentFault fault, ControlMachine machine) {
-    long micros = fault.micros();
-    troubled(machine, micros);
-    world.rules().troubled(now() + micros);
+  private void injectLasting(AgentFault fault, ControlMachine machine) {
+    long micros = fault.durationMicros();
+    recordFault(machine, micros);
+    world.rules().faultActiveUntil(now() + micros);
     switch (fault.kind()) {
       case SLOW_LINKS -> {
-        world.network().slow(machine.address(), SLOW_LINK);
-        later(micros, () -> world.network().slow(machine.address(), 0));
+        world.network().slow(machine.address(), SLOW_LINK_DELAY_MICROS);
+        schedule(micros, () -> world.network().slow(machine.address(), 0));
       }
-      case DISK_SLOW, DISK_SLOW_PRIMARY -> machine.disk().slow(micros, SLOW_DISK);
+      case DISK_SLOW, DISK_SLOW_PRIMARY -> machine.disk().slow(micros, SLOW_DISK_FACTOR);
       case DISK_HUNG, DISK_HUNG_PRIMARY -> machine.disk().hang(micros);
       default -> machine.disk().fill(micros);
     }
   }
 
-  // ---- links ----
+  // ---- partitions ----
 
   private void partition(AgentFault fault, ControlMachine machine) {
-    troubled(machine, fault.micros());
+    recordFault(machine, fault.durationMicros());
     String own = machine.address();
-    List<String> core = otherCore(machine);
-    List<String> edge = world.dataPlanes().stream().map(SimulatedMachine::address).toList();
+    List<String> otherAgents = otherAgentAddresses(machine);
+    List<String> dataPlaneAddresses =
+        world.dataPlanes().stream().map(SimulatedMachine::address).toList();
     switch (fault.kind()) {
-      case ISOLATE, ISOLATE_PRIMARY -> partitionBothWays(own, core, fault.micros());
+      case ISOLATE, ISOLATE_PRIMARY -> partitionBothWays(own, otherAgents, fault.durationMicros());
       case PARTITION_FROM_ALL, PARTITION_PRIMARY_FROM_ALL -> {
-        partitionBothWays(own, core, fault.micros());
-        partitionBothWays(own, edge, fault.micros());
+        partitionBothWays(own, otherAgents, fault.durationMicros());
+        partitionBothWays(own, dataPlaneAddresses, fault.durationMicros());
       }
-      case PARTITION_FROM_DATA_PLANES -> partitionBothWays(own, edge, fault.micros());
+      case PARTITION_FROM_DATA_PLANES ->
+          partitionBothWays(own, dataPlaneAddresses, fault.durationMicros());
       case PARTITION_OUTBOUND, PARTITION_PRIMARY_OUTBOUND ->
-          core.forEach(other -> partition(own, other, fault.micros()));
+          otherAgents.forEach(other -> partition(own, other, fault.durationMicros()));
       case PARTITION_INBOUND, PARTITION_PRIMARY_INBOUND ->
-          core.forEach(other -> partition(other, own, fault.micros()));
-      case ISOLATE_WITH_SEEDS -> isolateWithSeeds(fault, own, core);
+          otherAgents.forEach(other -> partition(other, own, fault.durationMicros()));
+      case ISOLATE_WITH_SEEDS -> isolateWithSeeds(fault, own, otherAgents);
       default -> partitionInHalves(fault);
     }
   }
 
-  private List<String> otherCore(ControlMachine machine) {
+  private List<String> otherAgentAddresses(ControlMachine machine) {
     return world.controlMachines().stream()
         .filter(other -> other != machine)
         .map(SimulatedMachine::address)
         .toList();
   }
 
-  private void isolateWithSeeds(AgentFault fault, String own, List<String> core) {
-    partitionBothWays(own, core, fault.micros());
+  private void isolateWithSeeds(AgentFault fault, String own, List<String> otherAgents) {
+    partitionBothWays(own, otherAgents, fault.durationMicros());
     List<String> seeds = new ArrayList<>(List.of(own));
-    core.stream().limit(2).forEach(seeds::add);
+    otherAgents.stream().limit(2).forEach(seeds::add);
     world.changeSeeds(seeds);
-    killDataPlane(dataPlane(fault), MIN_DOWNTIME);
+    killDataPlane(dataPlane(fault), MIN_DOWNTIME_MICROS);
   }
 
   private void partitionInHalves(AgentFault fault) {
@@ -244,9 +252,9 @@
     List<String> right = new ArrayList<>();
     for (ControlMachine machine : world.controlMachines()) {
       (random.nextBoolean() ? left : right).add(machine.address());
-      troubled(machine, fault.micros());
+      recordFault(machine, fault.durationMicros());
     }
-    left.forEach(one -> partitionBothWays(one, right, fault.micros()));
+    left.forEach(one -> partitionBothWays(one, right, fault.durationMicros()));
   }
 
   private void partitionBothWays(String one, List<String> others, long micros) {
@@ -258,28 +266,28 @@
 
   private void partition(String from, String to, long micros) {
     world.network().partition(from, to);
-    later(micros, () -> world.network().join(from, to));
+    schedule(micros, () -> world.network().endPartition(from, to));
   }
 
   // ---- data planes ----
 
   private void killDataPlane(DataPlaneMachine machine, long micros) {
     machine.kill();
-    machine.troubled(now() + micros);
-    later(
+    machine.faultActiveUntil(now() + micros);
+    schedule(
         micros,
         () -> {
           world.start(machine);
-          machine.troubled(now());
+          machine.faultActiveUntil(now());
         });
   }
 
   private void freezeDataPlane(DataPlaneMachine machine, long micros) {
-    if (machine.isWell()) {
+    if (machine.isResponsive()) {
       SimulatedProcess frozen = machine.process();
       frozen.freeze();
-      machine.troubled(now() + micros);
-      later(micros, () -> thaw(machine, frozen));
+      machine.faultActiveUntil(now() + micros);
+      schedule(micros, () -> thaw(machine, frozen));
     }
   }
 }
--- a/src/test/java/slateslip/simulation/agents/AgentMutation.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutation.java
@@ -26,64 +26,65 @@
 import slateslip.simulation.SimulatedDisk;
 
 /**
- * A fault put into the control side, to see that the checks find it: in what agents and data planes
- * say to each other, or in what a disk does.
+ * A deliberate defect of the control plane, which the checks of the simulation must detect. A
+ * defect alters the messages between control agents and data planes, the behavior of a disk, or the
+ * behavior of a process.
  */
 enum AgentMutation {
-  /** As it is. */
+  /** The control plane without a defect. */
   NONE,
-  /** A primary takes a majority's confirmation for granted. */
-  SERVES_UNCONFIRMED,
-  /** An agent tells data planes that it is up to date, whatever it hears. */
-  ALWAYS_CURRENT,
-  /** A data plane keeps a stream on which nothing comes. */
+  /** A primary serves without waiting until a majority has confirmed its heartbeat. */
+  SERVES_WITHOUT_MAJORITY,
+  /** An agent always reports to data planes that its configuration is current. */
+  ALWAYS_REPORTS_CURRENT,
+  /** A data plane keeps a stream on which no heartbeats arrive. */
   KEEPS_DEAD_STREAMS,
-  /** Snapshots do not hold the changes by which a repeated call is known. */
-  FORGETS_TAKEN_CHANGES,
-  /** One life of an agent cannot be told from another by its incarnation. */
+  /** Snapshots omit the accepted changes, which an agent needs to recognize a repeated change. */
+  OMITS_ACCEPTED_CHANGES,
+  /** All incarnations of an agent have the same incarnation number. */
   SAME_INCARNATION_NUMBERS,
-  /** A change is acknowledged without waiting for the data planes of other agents. */
+  /** A change is acknowledged before the data planes of other agents have applied the change. */
   IGNORES_DELIVERY,
-  /** A change of sessions counts as stored at another agent once it is sent. */
-  IGNORES_STORED,
-  /** An agent does not tell others which backends have departed. */
-  HIDES_DEPARTURES,
-  /** A member says that it has a record on disk when it is on its way there. */
+  /** An agent treats session changes as stored by a peer as soon as the changes are sent. */
+  IGNORES_STORAGE_ACKNOWLEDGEMENT,
+  /** An agent does not report deregistered backends to its peers. */
+  HIDES_DEREGISTRATIONS,
+  /** The disk reports writes as durable before the writes are synced. */
   ACKNOWLEDGES_BEFORE_SYNC,
-  /** A disk that was lost leaves the node its identity and its vote. */
+  /** A node that loses its disk keeps its identity and its vote. */
   KEEPS_IDENTITY_WITHOUT_STATE,
-  /** Every node counts as one that has all records. */
-  COUNTS_EMPTY_COPIES,
-  /** A missing suffix is sent from one record too far. */
-  SKIPS_A_RECORD,
-  /** A data plane's question for the newest version is answered without asking the primary. */
+  /** Every node is treated as a replica that has all records. */
+  COUNTS_EMPTY_REPLICAS,
+  /** The first record is missing from each suffix that is sent to a lagging replica. */
+  SKIPS_RECORD,
+  /** An agent answers a data plane's ping without confirmation from the primary. */
   LEASES_UNCONFIRMED,
-  /** Any heartbeat extends a data plane's lease. */
+  /** Any heartbeat extends a data plane's key lease. */
   LEASES_BY_HEARTBEAT,
-  /** A lease does not end. */
-  LEASES_FOR_EVER;
+  /** A key lease never expires. */
+  LEASES_NEVER_EXPIRE;
 
   // ---- disks ----
 
-  void apply(SimulatedDisk disk) {
+  void alterDisk(SimulatedDisk disk) {
     if (this == ACKNOWLEDGES_BEFORE_SYNC) {
       disk.lie();
     }
   }
 
-  /** What a record has become when it is read back. */
-  DurableRecord recovered(DurableRecord record) {
-    if (this == FORGETS_TAKEN_CHANGES && record instanceof DurableRecord.Snapshot snapshot) {
+  /** Returns the record as the defective control plane recovers it from disk. */
+  DurableRecord alterRecoveredRecord(DurableRecord record) {
+    if (this == OMITS_ACCEPTED_CHANGES && record instanceof DurableRecord.Snapshot snapshot) {
       return new DurableRecord.Snapshot(
           snapshot.self(),
           snapshot.witness(),
           snapshot.installedTerm(),
-          forgetful(snapshot.state()));
+          withoutAcceptedChanges(snapshot.state()));
     }
     return record;
   }
 
-  private static StateTransfer forgetful(StateTransfer state) {
+  private static StateTransfer withoutAcceptedChanges(StateTransfer state) {
     if (!state.complete() || state.base().length == 0) {
       return state;
     }
@@ -96,8 +97,11 @@
         state.baseSequence(), true, base, state.records(), state.committedSequence());
   }
 
-  /** What a disk holds after it was lost; nothing, unless the mutation keeps the identity. */
-  Optional<DurableRecord> leftAfterLoss(List<DurableRecord> before) {
+  /**
+   * Returns the record that a disk contains after the loss of its contents, or empty unless the
+   * defect keeps the node's identity.
+   */
+  Optional<DurableRecord> recordAfterLoss(List<DurableRecord> before) {
     if (this != KEEPS_IDENTITY_WITHOUT_STATE
         || before.isEmpty()
         || !(before.get(0) instanceof DurableRecord.Snapshot snapshot)) {
@@ -134,15 +138,19 @@
     return this == LEASES_BY_HEARTBEAT;
   }
 
-  boolean leasesForEver() {
-    return this == LEASES_FOR_EVER;
+  boolean leasesNeverExpire() {
+    return this == LEASES_NEVER_EXPIRE;
   }
 
   // ---- messages ----
 
-  /** What becomes of a message to a data plane, or of a greeting. */
-  byte[] toDataPlane(byte[] message) {
-    if (this != ALWAYS_CURRENT || MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID) {
+  /**
+   * Returns a message to a data plane as the defective control plane sends it. A hello message to a
+   * peer is returned unchanged.
+   */
+  byte[] alterMessageToDataPlane(byte[] message) {
+    if (this != ALWAYS_REPORTS_CURRENT
+        || MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID) {
       return message;
     }
     DistributionCodec codec = new DistributionCodec();
@@ -158,9 +166,12 @@
     return message;
   }
 
-  /** What an agent takes for the response to a message of its own, before any has come. */
-  Optional<ReplicaFrame> expectedResponse(String to, byte[] message) {
-    if (this == SERVES_UNCONFIRMED
+  /**
+   * Returns a response that the sender of a message processes although the peer has not responded,
+   * or empty if the defect forges no response.
+   */
+  Optional<ReplicaFrame> forgedResponse(String to, byte[] message) {
+    if (this == SERVES_WITHOUT_MAJORITY
         && MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
         && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame
         && frame.value().message() instanceof ReplicaMessage.Heartbeat heartbeat) {
@@ -176,9 +187,12 @@
     return Optional.empty();
   }
 
-  /** The number of a change that its sender takes for stored at the receiver at once. */
-  OptionalLong supposedlyStored(byte[] message) {
-    if (this == IGNORES_STORED
+  /**
+   * Returns the number of the session changes that the sender treats as stored by the peer as soon
+   * as the message is sent, or empty if the defect does not apply to the message.
+   */
+  OptionalLong prematureAcknowledgement(byte[] message) {
+    if (this == IGNORES_STORAGE_ACKNOWLEDGEMENT
         && MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID
         && new ControlPeerCodec().decode(message)
             instanceof Decoded.Message<ControlPeerMessage> known
@@ -189,50 +203,50 @@
     return OptionalLong.empty();
   }
 
-  /** What becomes of a message from agent to agent. */
-  List<byte[]> betweenAgents(byte[] message) {
+  /** Returns the messages that the defective control plane sends to a peer instead of a message. */
+  List<byte[]> alterMessageToPeer(byte[] message) {
     return switch (this) {
-      case IGNORES_DELIVERY, HIDES_DEPARTURES -> List.of(exchange(message));
-      case SKIPS_A_RECORD, COUNTS_EMPTY_COPIES -> List.of(replication(message));
+      case IGNORES_DELIVERY, HIDES_DEREGISTRATIONS -> List.of(alterControlPeerMessage(message));
+      case SKIPS_RECORD, COUNTS_EMPTY_REPLICAS -> List.of(alterReplicaMessage(message));
       default -> List.of(message);
     };
   }
 
-  private byte[] exchange(byte[] message) {
+  private byte[] alterControlPeerMessage(byte[] message) {
     ControlPeerCodec codec = new ControlPeerCodec();
     if (MessageReader.schemaOf(message) == ControlPeerCodec.SCHEMA_ID
         && codec.decode(message) instanceof Decoded.Message<ControlPeerMessage> known) {
-      return codec.encode(changed(known.value()));
+      return codec.encode(alter(known.value()));
     }
     return message;
   }
 
-  private ControlPeerMessage changed(ControlPeerMessage message) {
+  private ControlPeerMessage alter(ControlPeerMessage message) {
     if (this == IGNORES_DELIVERY && message instanceof ControlPeerMessage.DeliveryReport) {
       return new ControlPeerMessage.DeliveryReport(DeliveryProgress.NO_SUBSCRIBERS);
     }
     if (message instanceof ControlPeerMessage.SessionChanges changes) {
       List<String> deregistered =
-          this == HIDES_DEPARTURES ? new ArrayList<>() : changes.deregistered();
+          this == HIDES_DEREGISTRATIONS ? new ArrayList<>() : changes.deregistered();
       return new ControlPeerMessage.SessionChanges(
           changes.number(), changes.fullTable(), changes.entries(), deregistered);
     }
     return message;
   }
 
-  private byte[] replication(byte[] message) {
+  private byte[] alterReplicaMessage(byte[] message) {
     if (MessageReader.schemaOf(message) != ControlPeerCodec.SCHEMA_ID
         && ReplicaMessageCodec.decode(message) instanceof Decoded.Message<ReplicaFrame> frame) {
-      return ReplicaMessageCodec.encode(frame.value().from(), changed(frame.value().message()));
+      return ReplicaMessageCodec.encode(frame.value().from(), alter(frame.value().message()));
     }
     return message;
   }
 
-  private ReplicaMessage changed(ReplicaMessage message) {
-    if (this == SKIPS_A_RECORD && message instanceof ReplicaMessage.Install install) {
-      return new ReplicaMessage.Install(install.term(), skipping(install.state()));
+  private ReplicaMessage alter(ReplicaMessage message) {
+    if (this == SKIPS_RECORD && message instanceof ReplicaMessage.Install install) {
+      return new ReplicaMessage.Install(install.term(), withoutFirstRecord(install.state()));
     }
-    if (this == COUNTS_EMPTY_COPIES && message instanceof ReplicaMessage.HeartbeatReply reply) {
+    if (this == COUNTS_EMPTY_REPLICAS && message instanceof ReplicaMessage.HeartbeatReply reply) {
       ReplicaStatus status = reply.status();
       ReplicaStatus complete =
           new ReplicaStatus(
@@ -249,7 +263,7 @@
     return message;
   }
 
-  private static StateTransfer skipping(StateTransfer state) {
+  private static StateTransfer withoutFirstRecord(StateTransfer state) {
     if (state.complete() || state.records().size() < 2) {
       return state;
     }
--- a/src/test/java/slateslip/simulation/agents/AgentMutationTest.java
+++ b/src/test/java/slateslip/simulation/agents/AgentMutationTest.java
@@ -10,8 +10,8 @@
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /**
- * Each fault put into the control side breaks a rule in some schedule of the usual kinds; those of
- * the key lease are caught in {@link KeyLeaseTest}.
+ * Tests that the checks detect each deliberate defect of the control plane: at least one random
+ * schedule must violate an invariant. {@link KeyLeaseTest} tests the defects of the key lease.
  */
 final class AgentMutationTest {
   private static final long SEEDS = 300;
@@ -20,21 +20,21 @@
   @EnumSource(
       mode = EnumSource.Mode.MATCH_NONE,
       names = {"NONE", "LEASES_.*"})
-  void isCaught(AgentMutation mutation) {
+  void mutationViolatesInvariant(AgentMutation mutation) {
     AgentScheduleRunner runner = new AgentScheduleRunner(mutation, kinds(mutation));
-    Optional<String> caught = Optional.empty();
-    for (long seed = 1; seed <= SEEDS && caught.isEmpty(); seed++) {
-      caught = runner.play(seed).violation();
+    Optional<String> violation = Optional.empty();
+    for (long seed = 1; seed <= SEEDS && violation.isEmpty(); seed++) {
+      violation = runner.run(seed).violation();
     }
-    assertThat(mutation + " is caught", caught.isPresent(), is(true));
+    assertThat(mutation + " is detected", violation.isPresent(), is(true));
   }
 
-  /** The kinds of faults that bring it to light soonest. */
+  /** Returns the kinds of faults that reveal the defect with the fewest schedules. */
   private static List<Kind> kinds(AgentMutation mutation) {
     return switch (mutation) {
-      case SERVES_UNCONFIRMED, ALWAYS_CURRENT, KEEPS_DEAD_STREAMS ->
+      case SERVES_WITHOUT_MAJORITY, ALWAYS_REPORTS_CURRENT, KEEPS_DEAD_STREAMS ->
           List.of(Kind.ISOLATE_PRIMARY, Kind.ISOLATE, Kind.PARTITION_PRIMARY_FROM_ALL);
-      case IGNORES_DELIVERY, IGNORES_STORED -> List.of(Kind.KILL_DATA_PLANE);
+      case IGNORES_DELIVERY, IGNORES_STORAGE_ACKNOWLEDGEMENT -> List.of(Kind.KILL_DATA_PLANE);
       default -> List.of(Kind.values());
     };
   }
--- a/src/test/java/slateslip/simulation/agents/AgentWorld.java
+++ b/src/test/java/slateslip/simulation/agents/AgentWorld.java
@@ -16,17 +16,18 @@
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.ToleratedLosses;
 
-/** Core machines, edge machines, operators and backends: one seeded run. */
+/** One seeded run with simulated control agents, data planes, operators and backends. */
 final class AgentWorld {
   /**
-   * Size of a world.
+   * The size of a simulated fleet.
    *
-   * @param agents core machines
-   * @param seeds of them, those that every process is told of at first
-   * @param tolerance core machines that may be lost at once
-   * @param dataPlanes edge machines
-   * @param backends addresses of backends
-   * @param clockSpread steady clocks run faster or slower by up to this factor; 1 for right ones
+   * @param agents the number of control agents
+   * @param seeds the number of control agents whose addresses every process has in its settings
+   * @param tolerance the number of control agents that may be lost at the same time
+   * @param dataPlanes the number of data planes
+   * @param backends the number of backend addresses
+   * @param clockSpread the largest factor by which a steady clock is too fast or too slow; 1 for
+   *     accurate clocks
    */
   record Shape(
       int agents, int seeds, int tolerance, int dataPlanes, int backends, double clockSpread) {
@@ -35,16 +36,20 @@
     }
   }
 
-  /** Thousands of runs would log more than they do; kept here, as unused loggers are forgotten. */
+  /**
+   * The logger of the control agents. Logging is off because thousands of runs would log too much.
+   * The constant holds a strong reference because an unreferenced logger loses its level when it is
+   * garbage-collected.
+   */
   private static final Logger AGENT_LOG = Logger.getLogger("slateslip.controlplane.agent");
 
   static {
     AGENT_LOG.setLevel(Level.OFF);
   }
 
-  private static final long START_SPREAD = 300_000;
+  private static final long START_SPREAD_MICROS = 300_000;
   private static final long HEARTBEAT_MILLIS = 1_200;
-  private static final long CHECK_EVERY = 200_000;
+  private static final long CHECK_INTERVAL_MICROS = 200_000;
   private static final int AGENT_ZONES = 3;
 
   private final Shape shape;
@@ -148,15 +153,15 @@
     return incarnations;
   }
 
-  // ---- life ----
+  // ---- processes and settings ----
 
-  /** Starts all machines for the first time, the backends and the operators. */
+  /** Starts all machines for the first time, and starts the backends and the operators. */
   void begin(int operatorCount) {
     for (ControlMachine machine : controlMachines) {
-      events.after(random.nextLong(START_SPREAD), () -> start(machine, true));
+      events.after(random.nextLong(START_SPREAD_MICROS), () -> start(machine, true));
     }
     for (DataPlaneMachine machine : dataPlanes) {
-      events.after(random.nextLong(START_SPREAD), () -> machine.start(List.copyOf(seeds)));
+      events.after(random.nextLong(START_SPREAD_MICROS), () -> machine.start(List.copyOf(seeds)));
     }
     for (SimulatedBackend backend : backends) {
       events.after(random.nextLong(2 * SimulatedBackend.HEARTBEAT), backend::start);
@@ -164,18 +169,18 @@
     for (int i = 0; i < operatorCount; i++) {
       addOperator("abcdefgh".substring(i, i + 1));
     }
-    events.after(CHECK_EVERY, this::check);
+    events.after(CHECK_INTERVAL_MICROS, this::check);
   }
 
   private void addOperator(String name) {
     SimulatedOperator operator = new SimulatedOperator(this, events, random.split(), history, name);
     operators.add(operator);
-    events.after(START_SPREAD, operator::start);
+    events.after(START_SPREAD_MICROS, operator::start);
   }
 
   private void check() {
     rules.check();
-    events.after(CHECK_EVERY, this::check);
+    events.after(CHECK_INTERVAL_MICROS, this::check);
   }
 
   void start(ControlMachine machine, boolean bootstrap) {
@@ -188,19 +193,22 @@
     machine.start(List.copyOf(seeds));
   }
 
-  /** An empty machine comes at a new address; the settings name it where they named the other. */
+  /**
+   * Returns an empty machine with a new address and replaces the address of the given machine in
+   * the seed list.
+   */
   ControlMachine replacement(ControlMachine machine) {
     ControlMachine other = newControlMachine();
     seeds.replaceAll(seed -> seed.equals(machine.address()) ? other.address() : seed);
     return other;
   }
 
-  /** A machine is gone for good. */
+  /** Removes a machine permanently. */
   void remove(ControlMachine machine) {
     controlMachines.remove(machine);
   }
 
-  /** The settings of all processes name these control agents. */
+  /** Changes the seed addresses in the settings of all processes. */
   void changeSeeds(List<String> changed) {
     seeds.clear();
     seeds.addAll(changed);
@@ -218,7 +226,7 @@
     events.runUntil(micros);
   }
 
-  // ---- calls ----
+  // ---- requests ----
 
   void call(ControlMachine machine, OperatorRequest call, Consumer<OperatorResponse> response) {
     network.request(
@@ -244,19 +252,19 @@
       ControlMachine machine, String id, Consumer<Boolean> acknowledged, Runnable refused) {
     network.request(
         machine,
-        once("departure", (Consumer<Boolean> back) -> machine.deregister(id, back)),
+        once("deregistration", (Consumer<Boolean> back) -> machine.deregister(id, back)),
         acknowledged,
         refused);
   }
 
-  /** A call that must be answered once at most. */
+  /** Returns a handler that reports a violation if a call receives more than one response. */
   private static <T> Consumer<Consumer<T>> once(String what, Consumer<Consumer<T>> handle) {
     return back -> {
       boolean[] responded = {false};
       handle.accept(
           result -> {
             if (responded[0]) {
-              throw new RuleViolation("answered twice: " + what);
+              throw new RuleViolation("more than one response to a call: " + what);
             }
             responded[0] = true;
             back.accept(result);
@@ -264,15 +272,18 @@
     };
   }
 
-  // ---- the end ----
+  // ---- end of the run ----
 
-  /** Ends all troubles, but some machines may stay down; operators stop and backends stay. */
+  /**
+   * Ends all faults and stops the operators. The current backends do not shut down any more. Up to
+   * the given number of control agents stay down.
+   */
   void heal(int staysDown) {
     operators.forEach(SimulatedOperator::stop);
     backends.forEach(SimulatedBackend::stay);
     injector.stop();
     network.heal();
-    rules.troubled(events.nowMicros());
+    rules.faultActiveUntil(events.nowMicros());
     int down = 0;
     for (ControlMachine machine : List.copyOf(controlMachines)) {
       machine.disk().heal();
@@ -295,13 +306,19 @@
     }
   }
 
-  /** Time until an operator that begins now has a change acknowledged; -1 if the bound passed. */
-  long timeToTakeChange(long timeoutMicros) {
-    return timeToTakeChange(timeoutMicros, () -> controlMachines);
+  /**
+   * Returns the time in microseconds until a change of an operator that starts now is acknowledged,
+   * or -1 if the time limit passed.
+   */
+  long timeToAcceptChange(long timeoutMicros) {
+    return timeToAcceptChange(timeoutMicros, () -> controlMachines);
   }
 
-  /** The same for an operator that calls only these agents. */
-  long timeToTakeChange(long timeoutMicros, Supplier<List<ControlMachine>> called) {
+  /**
+   * Returns the time in microseconds until a change of an operator that starts now and calls only
+   * the given agents is acknowledged, or -1 if the time limit passed.
+   */
+  long timeToAcceptChange(long timeoutMicros, Supplier<List<ControlMachine>> called) {
     ProbingOperator prober = new ProbingOperator(this, "probe" + events.nowMicros() + "-", called);
     long begin = events.nowMicros();
     prober.start();
@@ -312,15 +329,18 @@
     return prober.isDone() ? events.nowMicros() - begin : -1;
   }
 
-  /** What its machines are at, for the search of causes. */
+  /** Returns a description of the state of all machines, to help find the cause of a failure. */
   String describe() {
     StringBuilder text = new StringBuilder("at " + events.nowMicros() / 1_000 + " ms");
     for (ControlMachine machine : controlMachines) {
-      String state = machine.isWell() ? machine.status().toString() : "down or frozen";
+      String state = machine.isResponsive() ? machine.status().toString() : "down or frozen";
       text.append("\n  agent ").append(machine).append(": ").append(state);
     }
     for (DataPlaneMachine machine : dataPlanes) {
-      text.append("\n  data plane ").append(machine).append(" on ").append(machine.version());
+      text.append("\n  data plane ")
+          .append(machine)
+          .append(" has version ")
+          .append(machine.version());
       text.append(", streams to ").append(machine.connectedAgents());
       text.append(", backends ").append(machine.backends().keySet());
     }
@@ -330,11 +350,11 @@
     return text.toString();
   }
 
-  /** Addresses of the agents that serve, and the version that each has. */
+  /** Returns the configuration version of each responsive control agent, by address. */
   Map<String, Long> versions() {
     Map<String, Long> versions = new TreeMap<>();
     for (ControlMachine machine : controlMachines) {
-      if (machine.isWell()) {
+      if (machine.isResponsive()) {
         versions.put(machine.address(), machine.status().configurationVersion());
       }
     }
--- a/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
+++ b/src/test/java/slateslip/simulation/agents/ConfigurationChange.java
@@ -7,23 +7,23 @@
 import slateslip.distribution.peer.OperatorRequest;
 
 /**
- * A change that an operator wants. Its configuration can be told from every other one: a service's
- * health path names its author and number.
+ * A configuration change that an operator sends. The health path of a service contains the marker
+ * of the change, so that every configuration can be traced to the change that produced it.
  *
- * @param base version that it builds on
- * @param version its own
- * @param marker unlike that of every other order
- * @param valid whether the configuration is one
- * @param call as it is sent
+ * @param base the version on which the change is based
+ * @param version the version after the change
+ * @param marker a text that differs from the marker of every other change
+ * @param valid whether the configuration after the change is valid
+ * @param call the request that an operator sends
  */
 record ConfigurationChange(
     long base, long version, String marker, boolean valid, OperatorRequest call) {
   private static final String SERVICE = "pool";
 
-  /** Where there are keys, data planes need a lease to serve them. */
+  /** A tenant with an API key, because a data plane needs a key lease only to serve API keys. */
   private static final String TENANT = "{\"name\":\"t\",\"api_keys\":[\"k\"]}";
 
-  /** A complete configuration. */
+  /** Returns a change that replaces the complete configuration. */
   static ConfigurationChange complete(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[%s],\"tenants\":[%s]}"
@@ -31,7 +31,7 @@
     return change(OperatorRequest.Method.PUT, base, version, marker, true, body);
   }
 
-  /** A change of the service and one more route. */
+  /** Returns a change that replaces the service and adds one route. */
   static ConfigurationChange patch(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"upsert\":{\"services\":[%s],\"routes\":[%s]}}"
@@ -39,7 +39,10 @@
     return change(OperatorRequest.Method.PATCH, base, version, marker, true, body);
   }
 
-  /** A complete configuration with routes of about this many bytes in all. */
+  /**
+   * Returns a change that replaces the complete configuration; its routes have about the given
+   * size.
+   */
   static ConfigurationChange large(long base, long version, String marker, int bytes) {
     StringBuilder routes = new StringBuilder(route("first", "/first/"));
     for (int number = 0; routes.length() < bytes; number++) {
@@ -51,7 +54,7 @@
     return change(OperatorRequest.Method.PUT, base, version, marker, true, body);
   }
 
-  /** A configuration whose route names a service that is not there. */
+  /** Returns an invalid change, whose route refers to a service that does not exist. */
   static ConfigurationChange invalid(long base, long version, String marker) {
     String body =
         "{\"version\":%d,\"routes\":[%s],\"services\":[]}"
@@ -81,7 +84,7 @@
         .formatted(name, prefix, SERVICE);
   }
 
-  /** The marker of the order that made a configuration. */
+  /** Returns the marker of the change that produced a configuration. */
   static String markerOf(FleetConfiguration configuration) {
     List<Service> services = configuration.services();
     return services.get(0).healthPath().substring(1);
--- a/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
+++ b/src/test/java/slateslip/simulation/agents/ConnectivityRules.java
@@ -6,92 +6,114 @@
 import slateslip.simulation.RuleViolation;
 
 /**
- * What must hold at data planes that are in touch: nothing has happened to them or to the core for
- * some time, no more machines are lost than the deployment tolerates, most of the core runs and is
- * connected, and they have a path to all of that part.
+ * Invariants of the data planes that are connected to the control plane. A data plane is connected
+ * if neither the data plane nor the control agents had a fault for some time, no more machines are
+ * lost than the deployment tolerates, a majority of the control agents runs and is connected, and
+ * the data plane reaches every agent of that majority. The invariant of key leases holds for all
+ * data planes.
  */
 final class ConnectivityRules {
-  private static final long CONTACT = 3_000_000;
-  private static final long CONFIG_APPLY = 2_000_000;
-  private static final long TURNED = 1_000_000;
+  private static final long CONTACT_TIMEOUT_MICROS = 3_000_000;
+  private static final long CONFIG_APPLY_TIMEOUT_MICROS = 2_000_000;
+  private static final long AGENT_SWITCH_MICROS = 1_000_000;
   private static final long DRAIN_TIMEOUT = 2_000_000;
 
-  /** A live backend is listed, and one that ended without a word is not, after this of calm. */
+  /**
+   * The time in microseconds without faults after which data planes list every live backend and no
+   * backend that has crashed.
+   */
   private static final long STABLE_MICROS = 9_000_000;
 
   private final AgentWorld world;
-  private long troubledAt;
-  private long slowestApply;
+  private long lastFaultMicros;
+  private long longestApplyMicros;
 
   ConnectivityRules(AgentWorld world) {
     this.world = world;
   }
 
-  /** Something begins or ends at this time, or goes on until then. */
-  void troubled(long micros) {
-    troubledAt = Math.max(troubledAt, micros);
+  /**
+   * Records that a fault starts or ends at the given time, or lasts until then (in microseconds).
+   */
+  void faultActiveUntil(long micros) {
+    lastFaultMicros = Math.max(lastFaultMicros, micros);
   }
 
   /**
-   * A data plane that may send requests with keys, in touch or not, has every configuration that
-   * was acknowledged so long ago that a key which it took away must not be served any more.
+   * Checks that a data plane with a key lease, whether connected or not, has every configuration
+   * that was acknowledged at least the revocation timeout ago. The data plane would otherwise serve
+   * API keys that such a configuration revokes.
    */
   private void checkKeyLease(DataPlaneMachine dataPlane) {
-    if (!dataPlane.isWell() || !dataPlane.hasRightClock() || !dataPlane.holdsKeyLease()) {
+    if (!dataPlane.isResponsive() || !dataPlane.hasAccurateClock() || !dataPlane.holdsKeyLease()) {
       return;
     }
     long oldest = now() - DataPlaneMachine.REVOKE_TIMEOUT_MICROS;
     for (Map.Entry<Long, Long> acknowledged : world.history().acknowledgements().entrySet()) {
       if (acknowledged.getKey() > dataPlane.version() && acknowledged.getValue() <= oldest) {
         throw new RuleViolation(
-            "%s serves keys at %d, %d was acknowledged at %d"
+            "data plane %s serves API keys at %d us without version %d, acknowledged at %d us"
                 .formatted(dataPlane, now(), acknowledged.getKey(), acknowledged.getValue()));
       }
     }
   }
 
-  /** Longest time seen between an acknowledgement and the last data plane in touch. */
-  long slowestApply() {
-    return slowestApply;
+  /**
+   * Returns the longest time in microseconds after an acknowledgement at which a connected data
+   * plane did not have the acknowledged version.
+   */
+  long longestApplyMicros() {
+    return longestApplyMicros;
   }
 
-  /** An operator or a backend has been told something at a time when nothing was amiss. */
-  private boolean isCalm() {
-    return world.shape().clockSpread() == 1 && now() >= troubledAt + CONTACT;
+  /**
+   * Returns whether all clocks are accurate and the fleet had no fault within the last {@link
+   * #CONTACT_TIMEOUT_MICROS}.
+   */
+  private boolean isFaultFree() {
+    return world.shape().clockSpread() == 1 && now() >= lastFaultMicros + CONTACT_TIMEOUT_MICROS;
   }
 
-  /** A change has just been acknowledged: it is in force, unless somebody is in trouble. */
+  /** Checks at an acknowledgement that all data planes without a recent fault have the version. */
   void acknowledged(long version) {
-    if (!isCalm()) {
+    if (!isFaultFree()) {
       return;
     }
     for (DataPlaneMachine dataPlane : world.dataPlanes()) {
       if (isStable(dataPlane) && dataPlane.version() < version) {
         throw new RuleViolation(
-            "%d was acknowledged before %s had it".formatted(version, dataPlane));
+            "version %d was acknowledged before data plane %s had the version"
+                .formatted(version, dataPlane));
       }
     }
   }
 
-  /** It has just been acknowledged that a backend leaves. */
+  /**
+   * Checks, when the draining or the deregistration of a backend is acknowledged, that no data
+   * plane without a recent fault lists the backend as available.
+   */
   void drainAcknowledged(String id) {
-    if (!isCalm()) {
+    if (!isFaultFree()) {
       return;
     }
     for (DataPlaneMachine dataPlane : world.dataPlanes()) {
       BackendSession listed = dataPlane.backends().get(id);
       if (isStable(dataPlane) && listed != null && !listed.draining()) {
         throw new RuleViolation(
-            "that %s leaves was acknowledged before %s had it".formatted(id, dataPlane));
+            "draining of backend %s was acknowledged before data plane %s had the change"
+                .formatted(id, dataPlane));
       }
     }
   }
 
-  /** While it turns to another agent, neither of the two waits for it. */
+  /**
+   * Returns whether a data plane had no recent fault and did not recently switch to another agent.
+   * During a switch, neither the previous agent nor the new agent waits for the data plane.
+   */
   private boolean isStable(DataPlaneMachine dataPlane) {
-    return dataPlane.isWell()
-        && now() >= dataPlane.troubledUntil() + CONTACT
-        && now() >= dataPlane.reportedAt() + TURNED;
+    return dataPlane.isResponsive()
+        && now() >= dataPlane.faultyUntilMicros() + CONTACT_TIMEOUT_MICROS
+        && now() >= dataPlane.lastLogLineMicros() + AGENT_SWITCH_MICROS;
   }
 
   void check() {
@@ -99,16 +121,18 @@
       return;
     }
     if (world.losses().lost().size() > world.shape().tolerance()) {
-      troubled(now());
+      faultActiveUntil(now());
     }
     world.dataPlanes().forEach(this::checkKeyLease);
     for (DataPlaneMachine dataPlane : world.dataPlanes()) {
-      long calmSince = Math.max(troubledAt, dataPlane.troubledUntil());
-      if (now() >= calmSince + CONTACT && dataPlane.isWell() && reachesCore(dataPlane)) {
+      long lastFaultAt = Math.max(lastFaultMicros, dataPlane.faultyUntilMicros());
+      if (now() >= lastFaultAt + CONTACT_TIMEOUT_MICROS
+          && dataPlane.isResponsive()
+          && reachesCore(dataPlane)) {
         checkVersion(dataPlane);
         checkDraining(dataPlane);
-        if (now() >= calmSince + STABLE_MICROS && !world.network().hasCuts()) {
-          checkList(dataPlane);
+        if (now() >= lastFaultAt + STABLE_MICROS && !world.network().hasPartitions()) {
+          checkBackendList(dataPlane);
         }
       }
     }
@@ -118,25 +142,30 @@
     return world.events().nowMicros();
   }
 
-  /** Whether most of the core is connected, and this machine has a path to all of that part. */
+  /**
+   * Returns whether a majority of the control agents is connected and the data plane reaches every
+   * agent that reaches such a majority.
+   */
   private boolean reachesCore(DataPlaneMachine dataPlane) {
     List<ControlMachine> connected =
         world.controlMachines().stream().filter(this::reachesMajorityOfCore).toList();
     return !connected.isEmpty()
         && connected.stream()
-            .allMatch(agent -> world.network().passes(dataPlane.address(), agent.address()));
+            .allMatch(
+                agent -> world.network().reachesBothWays(dataPlane.address(), agent.address()));
   }
 
   private boolean reachesMajorityOfCore(ControlMachine machine) {
-    if (!machine.isWell()) {
+    if (!machine.isResponsive()) {
       return false;
     }
     long reached =
         world.controlMachines().stream()
-            .filter(SimulatedMachine::isWell)
+            .filter(SimulatedMachine::isResponsive)
             .filter(
                 other ->
-                    other == machine || world.network().passes(machine.address(), other.address()))
+                    other == machine
+                        || world.network().reachesBothWays(machine.address(), other.address()))
             .count();
     return 2 * reached > world.controlMachines().size();
   }
@@ -145,12 +174,12 @@
     for (Map.Entry<Long, Long> acknowledged :
         world.history().acknowledgements().tailMap(dataPlane.version(), false).entrySet()) {
       long age = now() - acknowledged.getValue();
-      if (age >= CONFIG_APPLY) {
+      if (age >= CONFIG_APPLY_TIMEOUT_MICROS) {
         throw new RuleViolation(
-            "data plane %s in touch is on %d, %d ms after %d was acknowledged"
+            "connected data plane %s has version %d, %d ms after version %d was acknowledged"
                 .formatted(dataPlane, dataPlane.version(), age / 1_000, acknowledged.getKey()));
       }
-      slowestApply = Math.max(slowestApply, age);
+      longestApplyMicros = Math.max(longestApplyMicros, age);
     }
   }
 
@@ -162,24 +191,26 @@
       BackendSession listed = dataPlane.backends().get(backend.id());
       if (late && listed != null && !listed.draining()) {
         throw new RuleViolation(
-            "data plane %s in touch routes to %s, which leaves".formatted(dataPlane, backend.id()));
+            "connected data plane %s routes to backend %s, which is draining"
+                .formatted(dataPlane, backend.id()));
       }
     }
   }
 
-  private void checkList(DataPlaneMachine dataPlane) {
+  private void checkBackendList(DataPlaneMachine dataPlane) {
     for (SimulatedBackend.Incarnation backend : world.incarnations()) {
       boolean listed = dataPlane.backends().containsKey(backend.id());
       boolean stable = now() - backend.startedAt() >= STABLE_MICROS;
       if (backend.isReady() && stable && !listed) {
         throw new RuleViolation(
-            "data plane %s in touch does not know %s".formatted(dataPlane, backend.id()));
+            "connected data plane %s does not list backend %s".formatted(dataPlane, backend.id()));
       }
-      boolean longGone =
+      boolean endedLongAgo =
           backend.endedAt() != Long.MAX_VALUE && now() - backend.endedAt() >= STABLE_MICROS;
-      if (longGone && listed) {
+      if (endedLongAgo && listed) {
         throw new RuleViolation(
-            "data plane %s in touch still lists %s".formatted(dataPlane, backend.id()));
+            "connected data plane %s still lists backend %s, which has ended"
+                .formatted(dataPlane, backend.id()));
       }
     }
   }
--- a/src/test/java/slateslip/simulation/agents/ControlMachine.java
+++ b/src/test/java/slateslip/simulation/agents/ControlMachine.java
@@ -25,7 +25,7 @@
 import slateslip.simulation.SimulatedDisk;
 import slateslip.storage.RingOptions;
 
-/** One core machine: its disk, and a whole control agent while its process runs. */
+/** A machine with a disk that runs an unmodified control agent while its process is alive. */
 final class ControlMachine extends SimulatedMachine {
   private static final boolean LEASED_KEYS = true;
   private static final long QUOTA_WINDOW = 8_000_000;
@@ -54,15 +54,15 @@
     this.network = network;
     this.mutation = mutation;
     this.clockRate = clockRate;
-    disk = new SimulatedDisk(events, random.split(), RING, mutation::recovered);
-    mutation.apply(disk);
+    disk = new SimulatedDisk(events, random.split(), RING, mutation::alterRecoveredRecord);
+    mutation.alterDisk(disk);
   }
 
   SimulatedDisk disk() {
     return disk;
   }
 
-  /** Starts the process on what the disk holds. */
+  /** Starts the process, which recovers its state from the disk; does nothing if it runs. */
   void start(List<String> seeds, boolean bootstrap, int tolerance, long heartbeatMillis) {
     if (isRunning()) {
       return;
@@ -89,7 +89,7 @@
             identity,
             new DiskLog(process),
             broken -> {
-              throw new RuleViolation("a broken invariant: " + broken);
+              throw new RuleViolation("a control agent detected a violated invariant: " + broken);
             });
     agent.start();
   }
@@ -116,7 +116,7 @@
         new ControlPeerMessage.SessionChangesAcknowledged(number));
   }
 
-  /** Other control agents are named by its settings. */
+  /** Applies new seed addresses to the settings of the running control agent. */
   void seedsChanged(List<String> seeds, int tolerance, long heartbeatMillis) {
     if (isRunning()) {
       AgentSettings settings =
@@ -160,7 +160,7 @@
   }
 
   boolean isServing() {
-    return isWell() && agent.status().serving();
+    return isResponsive() && agent.status().serving();
   }
 
   void call(OperatorRequest call, Consumer<OperatorResponse> response) {
@@ -175,7 +175,10 @@
     agent.deregister(id, acknowledged);
   }
 
-  /** SIGTERM: the process ends once the view does not count on its copy, or after a bound. */
+  /**
+   * Sends SIGTERM. The process ends when the view no longer depends on its replica, or after the
+   * timeout.
+   */
   void terminate(long timeoutMicros, Runnable ended) {
     if (!isRunning()) {
       ended.run();
@@ -209,14 +212,14 @@
     }
   }
 
-  /** Its disk is lost while no process runs. */
+  /** Deletes the contents of the disk while no process runs. */
   void wipe() {
     List<DurableRecord> before = disk.open((token, durable) -> {});
     disk.wipe();
-    mutation.leftAfterLoss(before).ifPresent(disk::put);
+    mutation.recordAfterLoss(before).ifPresent(disk::put);
   }
 
-  /** A stream on a socket. */
+  /** A stream to a data plane over a simulated socket. */
   private record SocketStream(SimulatedSocket socket, AgentMutation mutation)
       implements DataPlaneStream {
     @Override
@@ -226,7 +229,7 @@
 
     @Override
     public void write(byte[] message) {
-      socket.send(mutation.toDataPlane(message));
+      socket.send(mutation.alterMessageToDataPlane(message));
     }
 
     @Override
@@ -238,7 +241,7 @@
     }
   }
 
-  /** The records on the simulated disk. */
+  /** A write-ahead log on the simulated disk. */
   private final class DiskLog implements WriteAheadLog {
     private final SimulatedProcess process;
     private final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -20,13 +20,13 @@
 import slateslip.protocol.distribution.DistributionCodec;
 import slateslip.simulation.EventQueue;
 
-/** One edge machine: a whole subscription, and what it has put into force. */
+/** A data plane with an unmodified subscription and the configuration that it has applied. */
 final class DataPlaneMachine extends SimulatedMachine {
   private static final long TICK_MICROS = 100_000;
   private static final long CONNECT_MICROS = 1_000_000;
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** A key that was taken away is refused this long after the acknowledgement. */
+  /** The time in microseconds after an acknowledgement from which a revoked API key is rejected. */
   static final long REVOKE_TIMEOUT_MICROS = 2_000_000;
 
   private static final long LEASE_MILLIS = 1_800;
@@ -45,7 +45,7 @@
   private FleetConfiguration configuration;
   private Map<String, BackendSession> backends = new TreeMap<>();
   private boolean listed;
-  private long reportedAt;
+  private long lastLogLineMicros;
   private long leaseUntilMillis;
 
   DataPlaneMachine(
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Version in force; 0 if none. */
+  /** Returns the version of the applied configuration, or 0 before the first configuration. */
   long version() {
     return configuration == null ? 0 : configuration.version();
   }
@@ -101,23 +101,26 @@
     return configuration;
   }
 
-  /** When it has last reported that it turned to another agent. */
-  long reportedAt() {
-    return reportedAt;
+  /**
+   * Returns the simulated time in microseconds of the last log line. The subscription logs each
+   * switch to another control agent.
+   */
+  long lastLogLineMicros() {
+    return lastLogLineMicros;
   }
 
-  /** Whether it may send requests with keys now. */
+  /** Returns whether the data plane may serve requests with API keys now. */
   boolean holdsKeyLease() {
     return process().nowMicros() < leaseUntilMillis * MICROS_PER_MILLI
-        || (leaseUntilMillis > 0 && mutation.leasesForEver());
+        || (leaseUntilMillis > 0 && mutation.leasesNeverExpire());
   }
 
-  boolean hasRightClock() {
+  boolean hasAccurateClock() {
     return clockRate == 1;
   }
 
-  /** Whether it has been told of backends at all. */
-  boolean hasList() {
+  /** Returns whether the data plane has received a list of backends. */
+  boolean hasReceivedBackends() {
     return listed;
   }
 
@@ -138,7 +141,7 @@
 
   @Override
   SimulatedSocket.Listener accept(SimulatedSocket socket) {
-    throw new IllegalStateException("nobody calls a data plane here");
+    throw new IllegalStateException("a data plane accepts no connections in this simulation");
   }
 
   private void tick() {
@@ -158,11 +161,11 @@
   private void feed(SubscriptionInput input) {
     long nowMillis = process().nowMicros() / MICROS_PER_MILLI;
     for (SubscriptionOutput output : subscription.handle(nowMillis, input)) {
-      carryOut(output);
+      execute(output);
     }
   }
 
-  private void carryOut(SubscriptionOutput output) {
+  private void execute(SubscriptionOutput output) {
     if (output instanceof SubscriptionOutput.Dial dial) {
       dial(dial.agent());
     } else if (output instanceof SubscriptionOutput.Close close) {
@@ -183,7 +186,7 @@
     } else if (output instanceof SubscriptionOutput.ExtendKeyLease lease) {
       leaseUntilMillis = Math.max(leaseUntilMillis, lease.untilMillis());
     } else if (output instanceof SubscriptionOutput.LogLine) {
-      reportedAt = events.nowMicros();
+      lastLogLineMicros = events.nowMicros();
     } else if (output instanceof SubscriptionOutput.ReplaceBackends list) {
       listed = true;
       backends = new TreeMap<>();
@@ -202,7 +205,7 @@
   private void dial(String agent) {
     Object attempt = new Object();
     dialled.put(agent, attempt);
-    network.connect(this, agent, CONNECT_MICROS, new Dialling(agent, attempt));
+    network.connect(this, agent, CONNECT_MICROS, new AgentConnectListener(agent, attempt));
   }
 
   private void ended(String agent, SimulatedSocket socket) {
@@ -211,11 +214,11 @@
     }
   }
 
-  private final class Dialling implements SimulatedNetwork.Connecting {
+  private final class AgentConnectListener implements SimulatedNetwork.ConnectListener {
     private final String agent;
     private final Object attempt;
 
-    private Dialling(String agent, Object attempt) {
+    private AgentConnectListener(String agent, Object attempt) {
       this.agent = agent;
       this.attempt = attempt;
     }
@@ -228,7 +231,7 @@
       } else {
         socket.reset(true);
       }
-      return new Messages(agent, socket);
+      return new MessageListener(agent, socket);
     }
 
     @Override
@@ -239,11 +242,11 @@
     }
   }
 
-  private final class Messages implements SimulatedSocket.Listener {
+  private final class MessageListener implements SimulatedSocket.Listener {
     private final String agent;
     private final SimulatedSocket socket;
 
-    private Messages(String agent, SimulatedSocket socket) {
+    private MessageListener(String agent, SimulatedSocket socket) {
       this.agent = agent;
       this.socket = socket;
     }
--- a/src/test/java/slateslip/simulation/agents/DirectedRun.java
+++ b/src/test/java/slateslip/simulation/agents/DirectedRun.java
@@ -7,29 +7,29 @@
 import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.RuleViolation;
 
-/** A run whose steps a test gives one by one; all rules are checked along the way. */
+/** A run whose steps are chosen by a test. The run checks all invariants. */
 final class DirectedRun {
   static final long SECOND = 1_000_000;
-  private static final long STEP = 10_000;
-  private static final long START = 2_500_000;
-  private static final long CALL_PATIENCE = 1_000_000;
+  private static final long STEP_MICROS = 10_000;
+  private static final long START_MICROS = 2_500_000;
+  private static final long CALL_TIMEOUT = 1_000_000;
 
   private final AgentWorld world;
 
   /**
-   * All machines run, and nobody calls yet but backends.
+   * Starts all machines and backends.
    *
-   * @param operators that read and change the configuration all along
+   * @param operators the number of operators that read and change the configuration during the run
    */
   DirectedRun(AgentWorld.Shape shape, long seed, int operators) {
     this(shape, seed, operators, AgentMutation.NONE);
   }
 
-  /** The same with a fault put into the control side. */
+  /** Starts all machines and backends with a deliberate defect of the control plane. */
   DirectedRun(AgentWorld.Shape shape, long seed, int operators, AgentMutation mutation) {
     world = new AgentWorld(shape, seed, mutation);
     world.begin(operators);
-    world.runUntil(START);
+    world.runUntil(START_MICROS);
   }
 
   AgentWorld world() {
@@ -40,11 +40,11 @@
     return world.events().nowMicros();
   }
 
-  void pass(long micros) {
+  void advance(long micros) {
     world.runUntil(now() + micros);
   }
 
-  /** A fault begins now. */
+  /** Injects a fault now; the duration is in microseconds. */
   void fault(AgentFault.Kind kind, int target, long micros) {
     world.at(now(), new AgentFault(now(), kind, target, micros));
     world.runUntil(now());
@@ -54,14 +54,14 @@
     return world.controlMachines().stream()
         .filter(ControlMachine::isServing)
         .findFirst()
-        .orElseThrow(() -> new RuleViolation("nobody serves"));
+        .orElseThrow(() -> new RuleViolation("no control agent serves as primary"));
   }
 
-  List<ControlMachine> allBut(ControlMachine machine) {
+  List<ControlMachine> allExcept(ControlMachine machine) {
     return world.controlMachines().stream().filter(other -> other != machine).toList();
   }
 
-  /** Sends an order to one agent once; null without a response in time. */
+  /** Sends a change to one agent once and returns the response, or null after a timeout. */
   OperatorResponse send(ControlMachine machine, ConfigurationChange change) {
     world.history().sent(change);
     long newestAtCall = world.history().newestAcknowledged();
@@ -72,19 +72,22 @@
     return response;
   }
 
-  /** Makes a call once; null without a response in time. */
+  /** Sends a request to one agent once and returns the response, or null after a timeout. */
   OperatorResponse call(ControlMachine machine, OperatorRequest call) {
     OperatorResponse[] got = {null};
     world.call(machine, call, response -> got[0] = response);
-    long timeoutMicros = now() + CALL_PATIENCE;
+    long timeoutMicros = now() + CALL_TIMEOUT;
     while (got[0] == null && now() < timeoutMicros) {
-      world.runUntil(now() + STEP / 10);
+      world.runUntil(now() + STEP_MICROS / 10);
     }
     return got[0];
   }
 
-  /** Sends an order to one agent after the other until it is acknowledged. */
-  void take(ConfigurationChange change) {
+  /**
+   * Sends a change to one agent after another until the change is acknowledged. Throws {@link
+   * RuleViolation} if the change is rejected or not acknowledged after 100 attempts.
+   */
+  void submit(ConfigurationChange change) {
     int turn = 0;
     OperatorResponse response = null;
     while (response == null || response.status() == OperatorResponse.UNAVAILABLE) {
@@ -92,19 +95,20 @@
       response = send(machines.get(turn % machines.size()), change);
       turn++;
       if (turn > 100) {
-        throw new RuleViolation("never taken: " + change);
+        throw new RuleViolation("a change was never accepted: " + change);
       }
     }
     if (response.status() != OperatorResponse.OK) {
-      throw new RuleViolation("refused with " + response.status() + ": " + change);
+      throw new RuleViolation(
+          "a change was rejected with status " + response.status() + ": " + change);
     }
   }
 
-  /** Takes a number of changes one after the other, each on top of the one before. */
-  void takeMany(int changes, int bytes, String marker) {
+  /** Submits a number of consecutive changes; each change is based on the previous change. */
+  void submitMany(int changes, int bytes, String marker) {
     for (int number = 1; number <= changes; number++) {
       long base = newest();
-      take(ConfigurationChange.large(base, base + 1, marker + number, bytes));
+      submit(ConfigurationChange.large(base, base + 1, marker + number, bytes));
     }
   }
 
@@ -113,25 +117,27 @@
     return acknowledged.isEmpty() ? 0 : acknowledged.lastKey();
   }
 
-  /** Time until an agent has a version. */
+  /** Returns the time in microseconds until an agent has a version, or -1 after the timeout. */
   long timeUntilAgentHas(ControlMachine machine, long version, long timeoutMicros) {
     return timeUntil(
-        () -> machine.isWell() && machine.status().configurationVersion() >= version,
+        () -> machine.isResponsive() && machine.status().configurationVersion() >= version,
         timeoutMicros);
   }
 
-  /** Time until all data planes that run have a version. */
-  long timeUntilInForce(long version, long timeoutMicros) {
+  /**
+   * Returns the time in microseconds until all data planes have a version, or -1 after the timeout.
+   */
+  long timeUntilApplied(long version, long timeoutMicros) {
     return timeUntil(
         () -> world.dataPlanes().stream().allMatch(each -> each.version() >= version),
         timeoutMicros);
   }
 
-  /** Time until something holds; -1 if the bound passed. */
+  /** Returns the time in microseconds until a condition is true, or -1 after the timeout. */
   long timeUntil(BooleanSupplier condition, long timeoutMicros) {
     long begin = now();
     while (!condition.getAsBoolean() && now() < begin + timeoutMicros) {
-      world.runUntil(now() + STEP);
+      world.runUntil(now() + STEP_MICROS);
     }
     return condition.getAsBoolean() ? now() - begin : -1;
   }
--- a/src/test/java/slateslip/simulation/agents/FleetHistory.java
+++ b/src/test/java/slateslip/simulation/agents/FleetHistory.java
@@ -12,88 +12,107 @@
 import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.RuleViolation;
 
-/** What operators, backends and data planes have seen, and what must never be among it. */
+/**
+ * The changes, responses and configurations that operators and data planes observe in a run. The
+ * history checks the safety invariants at each step.
+ */
 final class FleetHistory {
   private final Map<String, ConfigurationChange> sent = new HashMap<>();
-  private final Map<Long, ConfigurationChange> takenByBase = new HashMap<>();
-  private final Map<Long, ConfigurationChange> takenByVersion = new HashMap<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Map<Long, ConfigurationChange> acceptedByBase = new HashMap<>();
+  private final Map<Long, ConfigurationChange> acceptedByVersion = new HashMap<>();
+  private final Set<String> rejected = new HashSet<>();
   private final NavigableMap<Long, Long> acknowledgedAt = new TreeMap<>();
   private final Map<Long, Integer> sentOnBase = new HashMap<>();
 
-  /** An operator is about to send an order, maybe again. */
+  /** Records that an operator sends a change, for the first time or again. */
   void sent(ConfigurationChange change) {
     if (sent.putIfAbsent(change.marker(), change) == null) {
       sentOnBase.merge(change.base(), 1, Integer::sum);
     }
   }
 
-  /** Newest version that was acknowledged; 0 before the first. */
+  /** Returns the newest acknowledged version, or 0 before the first acknowledgement. */
   long newestAcknowledged() {
     return acknowledgedAt.isEmpty() ? 0 : acknowledgedAt.lastKey();
   }
 
-  /** Versions that were acknowledged, and when. */
+  /** Returns the simulated time in microseconds of the first acknowledgement of each version. */
   NavigableMap<Long, Long> acknowledgements() {
     return acknowledgedAt;
   }
 
-  int changesTaken() {
+  int acknowledgedChanges() {
     return acknowledgedAt.size();
   }
 
-  /** An operator has a response to an order. */
+  /**
+   * Checks a response to a change. An acknowledged change must be valid and have the acknowledged
+   * version. An accepted change must not be rejected, nor a valid change that is based on the
+   * newest acknowledged version and whose base version no other change has.
+   */
   void responded(
       long now, ConfigurationChange change, long newestAtCall, OperatorResponse response) {
     if (response.status() == OperatorResponse.OK) {
       if (!change.valid()) {
-        throw new RuleViolation("acknowledged, though invalid: " + change);
+        throw new RuleViolation("an invalid change was acknowledged: " + change);
       }
       if (response.version() != change.version()) {
-        throw new RuleViolation("version " + response.version() + " acknowledged for " + change);
+        throw new RuleViolation(
+            "version " + response.version() + " was acknowledged for change " + change);
       }
-      taken(change);
+      accepted(change);
       acknowledgedAt.putIfAbsent(change.version(), now);
     } else if (response.status() != OperatorResponse.UNAVAILABLE) {
-      refused(change, newestAtCall, response);
+      rejected(change, newestAtCall, response);
     }
   }
 
-  private void refused(ConfigurationChange change, long newestAtCall, OperatorResponse response) {
-    if (change.equals(takenByBase.get(change.base()))) {
-      throw new RuleViolation("refused with " + response.status() + ", though taken: " + change);
+  private void rejected(ConfigurationChange change, long newestAtCall, OperatorResponse response) {
+    if (change.equals(acceptedByBase.get(change.base()))) {
+      throw new RuleViolation(
+          "status " + response.status() + " rejected an accepted change: " + change);
     }
-    refused.add(change.marker());
+    rejected.add(change.marker());
     boolean alone = sentOnBase.get(change.base()) == 1 && change.base() == newestAtCall;
     if (change.valid() && alone && newestAtCall == newestAcknowledged()) {
-      throw new RuleViolation("refused with " + response.status() + ", though proper: " + change);
+      throw new RuleViolation(
+          "status " + response.status() + " rejected a valid change without a conflict: " + change);
     }
   }
 
-  /** There is a sign that an order is in force. */
-  private void taken(ConfigurationChange change) {
-    if (refused.contains(change.marker())) {
-      throw new RuleViolation("in force, though refused: " + change);
+  /**
+   * Records that a change was accepted. The change must not have been rejected, and no other
+   * accepted change has the same base version or the same version.
+   */
+  private void accepted(ConfigurationChange change) {
+    if (rejected.contains(change.marker())) {
+      throw new RuleViolation("a rejected change was applied: " + change);
     }
-    ConfigurationChange rival = takenByBase.putIfAbsent(change.base(), change);
-    if (rival != null && !rival.equals(change)) {
-      throw new RuleViolation("two on one version: " + rival + " and " + change);
+    ConfigurationChange sameBase = acceptedByBase.putIfAbsent(change.base(), change);
+    if (sameBase != null && !sameBase.equals(change)) {
+      throw new RuleViolation(
+          "two accepted changes have the same base version: " + sameBase + " and " + change);
     }
-    ConfigurationChange other = takenByVersion.putIfAbsent(change.version(), change);
-    if (other != null && !other.equals(change)) {
-      throw new RuleViolation("two under one number: " + other + " and " + change);
+    ConfigurationChange sameVersion = acceptedByVersion.putIfAbsent(change.version(), change);
+    if (sameVersion != null && !sameVersion.equals(change)) {
+      throw new RuleViolation(
+          "two accepted changes have the same version: " + sameVersion + " and " + change);
     }
   }
 
-  private void taken(FleetConfiguration configuration) {
+  private void accepted(FleetConfiguration configuration) {
     ConfigurationChange change = sent.get(ConfigurationChange.markerOf(configuration));
     if (change == null || change.version() != configuration.version()) {
-      throw new RuleViolation("in force, but never sent: " + configuration.version());
+      throw new RuleViolation(
+          "an applied configuration was never sent: version " + configuration.version());
     }
-    taken(change);
+    accepted(change);
   }
 
-  /** A read of the configuration has been answered; returns the version that was read. */
+  /**
+   * Returns the version in the response to a read, or 0 if no configuration exists. The version
+   * must not be older than the newest version that was acknowledged before the read.
+   */
   long read(long newestAtCall, OperatorResponse response) {
     if (response.status() == OperatorResponse.NOT_FOUND) {
       checkRead(newestAtCall, 0);
@@ -101,24 +120,30 @@
     }
     if (!(ConfigurationDocument.parse(response.body())
         instanceof ConfigurationOutcome.Parsed read)) {
-      throw new RuleViolation("a configuration that cannot be read");
+      throw new RuleViolation("a read returned a configuration that cannot be parsed");
     }
-    taken(read.document().configuration());
+    accepted(read.document().configuration());
     checkRead(newestAtCall, read.document().version());
     return read.document().version();
   }
 
   private static void checkRead(long newestAtCall, long version) {
     if (version < newestAtCall) {
-      throw new RuleViolation("read " + version + " after " + newestAtCall + " was acknowledged");
+      throw new RuleViolation(
+          "a read returned version "
+              + version
+              + " after version "
+              + newestAtCall
+              + " was acknowledged");
     }
   }
 
-  /** A data plane puts a configuration into force. */
+  /** Checks that a data plane applies only accepted configurations, in increasing version order. */
   void inForce(DataPlaneMachine where, FleetConfiguration before, FleetConfiguration after) {
-    taken(after);
+    accepted(after);
     if (before != null && after.version() <= before.version()) {
-      throw new RuleViolation(where + " went from " + before.version() + " to " + after.version());
+      throw new RuleViolation(
+          where + " (data plane) went from version " + before.version() + " to " + after.version());
     }
   }
 }
--- a/src/test/java/slateslip/simulation/agents/KeyLeaseTest.java
+++ b/src/test/java/slateslip/simulation/agents/KeyLeaseTest.java
@@ -13,50 +13,53 @@
 import slateslip.simulation.RuleViolation;
 
 /**
- * Where the fleet is closed, a data plane serves keys only as long as it is sure to know every
- * configuration that may have taken one away.
+ * Tests that a data plane of a closed fleet serves API keys only while the data plane has every
+ * configuration that may have revoked an API key.
  */
 final class KeyLeaseTest {
   private static final long SECOND = DirectedRun.SECOND;
   private static final long STEP = SECOND / 20;
   private static final AgentWorld.Shape SHAPE = AgentWorld.Shape.of(5, 2);
-  private static final int SMALLER_SIDE = 2;
+  private static final int MINORITY_SIZE = 2;
 
-  /** The rules for machines in touch do not hold for so long; that of leases does. */
-  private static final long TROUBLED_MICROS = 30 * SECOND;
+  /**
+   * Suspends the invariants of connected data planes during the partition; the invariant of key
+   * leases remains active.
+   */
+  private static final long PARTITION_MICROS = 30 * SECOND;
 
-  /** The agents at the end of the list and the first data plane, cut off from all others. */
-  private static void cutOff(DirectedRun run, DataPlaneMachine dataPlane) {
-    run.world().rules().troubled(run.now() + TROUBLED_MICROS);
+  /** Partitions a data plane and the last agents of the list from all other machines. */
+  private static void partitionMinorityWith(DirectedRun run, DataPlaneMachine dataPlane) {
+    run.world().rules().faultActiveUntil(run.now() + PARTITION_MICROS);
     List<ControlMachine> agents = run.world().controlMachines();
-    List<ControlMachine> smaller = agents.subList(agents.size() - SMALLER_SIDE, agents.size());
-    List<String> inside =
-        Stream.concat(smaller.stream(), Stream.of(dataPlane))
+    List<ControlMachine> minority = agents.subList(agents.size() - MINORITY_SIZE, agents.size());
+    List<String> partitioned =
+        Stream.concat(minority.stream(), Stream.of(dataPlane))
             .map(SimulatedMachine::address)
             .toList();
     Stream.concat(agents.stream(), run.world().dataPlanes().stream())
         .map(SimulatedMachine::address)
-        .filter(address -> !inside.contains(address))
+        .filter(address -> !partitioned.contains(address))
         .forEach(
             address ->
-                inside.forEach(
+                partitioned.forEach(
                     own -> {
                       run.world().network().partition(own, address);
                       run.world().network().partition(address, own);
                     }));
   }
 
-  /** A change is taken at the larger side while a data plane is with the smaller one. */
-  private static void playCut(long seed, AgentMutation mutation) {
+  /** Submits a change to the majority while a data plane is partitioned with the minority. */
+  private static void runPartition(long seed, AgentMutation mutation) {
     DirectedRun run = new DirectedRun(SHAPE, seed, 0, mutation);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
     DataPlaneMachine dataPlane = run.world().dataPlanes().get(0);
     run.timeUntil(dataPlane::holdsKeyLease, 2 * SECOND);
-    cutOff(run, dataPlane);
-    run.pass(SECOND / 2);
-    run.take(ConfigurationChange.complete(3, 4, "key taken away"));
-    run.pass(DataPlaneMachine.REVOKE_TIMEOUT_MICROS + 4 * SECOND);
-    assertThat("the change did not come through", dataPlane.version(), is(3L));
+    partitionMinorityWith(run, dataPlane);
+    run.advance(SECOND / 2);
+    run.submit(ConfigurationChange.complete(3, 4, "key taken away"));
+    run.advance(DataPlaneMachine.REVOKE_TIMEOUT_MICROS + 4 * SECOND);
+    assertThat("version of the partitioned data plane", dataPlane.version(), is(3L));
     assertThat(dataPlane.holdsKeyLease(), is(false));
     run.world().network().heal();
     assertThat(run.timeUntil(dataPlane::holdsKeyLease, 5 * SECOND) >= 0, is(true));
@@ -65,24 +68,24 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void dataPlaneThatIsCutOffStopsServingKeysInTime(long seed) {
-    playCut(seed, AgentMutation.NONE);
+  void partitionedDataPlaneLosesKeyLeaseInTime(long seed) {
+    runPartition(seed, AgentMutation.NONE);
   }
 
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.MATCH_ANY, names = "LEASES_.*")
-  void mutationIsCaught(AgentMutation mutation) {
-    assertThrows(RuleViolation.class, () -> playCut(1, mutation));
+  void leaseMutationViolatesSafetyInvariant(AgentMutation mutation) {
+    assertThrows(RuleViolation.class, () -> runPartition(1, mutation));
   }
 
   @Test
-  void dataPlaneInTouchNeverLosesItsLease() {
+  void connectedDataPlaneNeverLosesKeyLease() {
     DirectedRun run = new DirectedRun(SHAPE, 11, 2);
     for (DataPlaneMachine dataPlane : run.world().dataPlanes()) {
       assertThat(run.timeUntil(dataPlane::holdsKeyLease, 3 * SECOND) >= 0, is(true));
     }
     for (long end = run.now() + 20 * SECOND; run.now() < end; ) {
-      run.pass(STEP);
+      run.advance(STEP);
       for (DataPlaneMachine dataPlane : run.world().dataPlanes()) {
         assertThat(dataPlane.holdsKeyLease(), is(true));
       }
@@ -90,26 +93,26 @@
   }
 
   @Test
-  void leaseOutlastsTheLossOfThePrimary() {
+  void keyLeaseSurvivesPrimaryFailure() {
     DirectedRun run = new DirectedRun(SHAPE, 12, 0);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
     DataPlaneMachine dataPlane = run.world().dataPlanes().get(0);
     run.timeUntil(dataPlane::holdsKeyLease, 2 * SECOND);
     run.fault(AgentFault.Kind.KILL_PRIMARY, 0, SECOND);
     for (long end = run.now() + 5 * SECOND; run.now() < end; ) {
-      run.pass(STEP);
+      run.advance(STEP);
       assertThat(dataPlane.holdsKeyLease(), is(true));
     }
   }
 
   @Test
-  void dataPlaneThatWasFrozenHoldsNoLease() {
+  void frozenDataPlaneLosesKeyLease() {
     DirectedRun run = new DirectedRun(SHAPE, 13, 0);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
     DataPlaneMachine dataPlane = run.world().dataPlanes().get(0);
     run.timeUntil(dataPlane::holdsKeyLease, 2 * SECOND);
     run.fault(AgentFault.Kind.FREEZE_DATA_PLANE, 0, 4 * SECOND);
-    run.pass(4 * SECOND - STEP);
+    run.advance(4 * SECOND - STEP);
     assertThat(dataPlane.holdsKeyLease(), is(false));
     assertThat(run.timeUntil(dataPlane::holdsKeyLease, 5 * SECOND) >= 0, is(true));
   }
--- a/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
+++ b/src/test/java/slateslip/simulation/agents/PartitionedAgentTest.java
@@ -18,15 +18,15 @@
 import slateslip.simulation.agents.AgentFault.Kind;
 
 /**
- * A control agent is cut off for 5 to 40 s while operators read and change the configuration: what
- * it answers, and what the other side does meanwhile.
+ * Tests a control agent that is partitioned for 5 to 40 s while operators read and change the
+ * configuration: the majority accepts changes, and the partitioned agent returns no stale state.
  */
 final class PartitionedAgentTest {
   private static final long SECOND = DirectedRun.SECOND;
-  private static final long TAKEN_WITHIN = 2 * SECOND;
-  private static final long DOWN_MICROS = SECOND;
+  private static final long ACCEPT_TIMEOUT_MICROS = 2 * SECOND;
+  private static final long DETECTION_MICROS = SECOND;
 
-  static Stream<Arguments> cuts() {
+  static Stream<Arguments> partitions() {
     List<Kind> kinds =
         List.of(
             Kind.ISOLATE,
@@ -47,45 +47,49 @@
   }
 
   @ParameterizedTest
-  @MethodSource("cuts")
-  void theOtherSideTakesChangesAndNothingOldIsServed(Kind kind, int seconds, int size) {
+  @MethodSource("partitions")
+  void majorityAcceptsChangesAndNoStaleReadIsServed(Kind kind, int seconds, int size) {
     AgentWorld.Shape shape = AgentWorld.Shape.of(size, size > 3 ? 2 : 1);
     DirectedRun run = new DirectedRun(shape, seconds * 100L + size, 2);
     boolean atPrimary = kind.name().contains("PRIMARY");
-    ControlMachine partition =
+    ControlMachine partitioned =
         atPrimary ? run.primary() : run.world().controlMachines().get(size - 1);
     run.fault(kind, size - 1, seconds * SECOND);
-    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> run.allBut(partition));
+    long accepted =
+        run.world().timeToAcceptChange(ACCEPT_TIMEOUT_MICROS, () -> run.allExcept(partitioned));
     assertThat(
-        "taken in time", taken, allOf(greaterThanOrEqualTo(0L), lessThanOrEqualTo(TAKEN_WITHIN)));
-    run.pass(seconds * SECOND);
+        "time in microseconds until a change is accepted",
+        accepted,
+        allOf(greaterThanOrEqualTo(0L), lessThanOrEqualTo(ACCEPT_TIMEOUT_MICROS)));
+    run.advance(seconds * SECOND);
     run.world().heal(0);
     long newest = run.newest();
-    assertThat(run.timeUntilInForce(newest, 2 * SECOND), greaterThanOrEqualTo(0L));
-    assertThat(run.timeUntilAgentHas(partition, newest, 2 * SECOND), greaterThanOrEqualTo(0L));
+    assertThat(run.timeUntilApplied(newest, 2 * SECOND), greaterThanOrEqualTo(0L));
+    assertThat(run.timeUntilAgentHas(partitioned, newest, 2 * SECOND), greaterThanOrEqualTo(0L));
   }
 
   @Test
   void partitionedPrimaryServesNoReads() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 7, 0);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
-    ControlMachine partition = run.primary();
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
+    ControlMachine partitioned = run.primary();
     run.fault(Kind.ISOLATE_PRIMARY, 0, 20 * SECOND);
-    ConfigurationChange taken = ConfigurationChange.complete(0, 3, "first");
+    ConfigurationChange accepted = ConfigurationChange.complete(0, 3, "first");
     ConfigurationChange invalid = ConfigurationChange.invalid(3, 4, "invalid");
     ConfigurationChange stale = ConfigurationChange.complete(0, 2, "stale");
     for (int second = 0; second < 18; second++) {
-      assertUnclear(
-          run.call(partition, new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0])));
-      assertUnclear(run.send(partition, taken));
-      assertUnclear(run.send(partition, invalid));
-      assertUnclear(run.send(partition, stale));
-      assertUnclear(run.send(partition, ConfigurationChange.complete(3, 5, "new" + second)));
-      run.pass(SECOND / 4);
+      assertUnavailableOrTimedOut(
+          run.call(partitioned, new OperatorRequest(OperatorRequest.Method.GET, 0, new byte[0])));
+      assertUnavailableOrTimedOut(run.send(partitioned, accepted));
+      assertUnavailableOrTimedOut(run.send(partitioned, invalid));
+      assertUnavailableOrTimedOut(run.send(partitioned, stale));
+      assertUnavailableOrTimedOut(
+          run.send(partitioned, ConfigurationChange.complete(3, 5, "new" + second)));
+      run.advance(SECOND / 4);
     }
   }
 
-  private static void assertUnclear(OperatorResponse response) {
+  private static void assertUnavailableOrTimedOut(OperatorResponse response) {
     if (response != null) {
       assertThat(response.status(), is(OperatorResponse.UNAVAILABLE));
     }
@@ -94,21 +98,22 @@
   @Test
   void dataPlanesLeavePartitionedAgent() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 11, 0);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
-    ControlMachine partition = run.primary();
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
+    ControlMachine partitioned = run.primary();
     run.fault(Kind.ISOLATE_PRIMARY, 0, 20 * SECOND);
-    run.pass(DOWN_MICROS);
-    assertThat(partition.status().current(), is(false));
-    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> run.allBut(partition));
-    assertThat(taken, greaterThanOrEqualTo(0L));
-    assertThat(run.timeUntilInForce(run.newest(), SECOND), greaterThanOrEqualTo(0L));
+    run.advance(DETECTION_MICROS);
+    assertThat(partitioned.status().current(), is(false));
+    long accepted =
+        run.world().timeToAcceptChange(ACCEPT_TIMEOUT_MICROS, () -> run.allExcept(partitioned));
+    assertThat(accepted, greaterThanOrEqualTo(0L));
+    assertThat(run.timeUntilApplied(run.newest(), SECOND), greaterThanOrEqualTo(0L));
   }
 
   @Test
-  void dataPlaneWhoseAgentsAreAllCutOffFollowsTheMajority() {
+  void dataPlaneConnectedOnlyToMinorityFollowsMajority() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(8, 2), 13, 0);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
-    run.pass(SECOND);
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
+    run.advance(SECOND);
     Set<String> minority = run.world().dataPlanes().get(0).connectedAgents();
     assertThat(minority.size(), is(3));
     List<ControlMachine> majority =
@@ -121,9 +126,9 @@
         run.world().network().partition(other.address(), one);
       }
     }
-    run.pass(DOWN_MICROS);
-    long taken = run.world().timeToTakeChange(TAKEN_WITHIN, () -> majority);
-    assertThat(taken, greaterThanOrEqualTo(0L));
-    assertThat(run.timeUntilInForce(run.newest(), TAKEN_WITHIN), greaterThanOrEqualTo(0L));
+    run.advance(DETECTION_MICROS);
+    long accepted = run.world().timeToAcceptChange(ACCEPT_TIMEOUT_MICROS, () -> majority);
+    assertThat(accepted, greaterThanOrEqualTo(0L));
+    assertThat(run.timeUntilApplied(run.newest(), ACCEPT_TIMEOUT_MICROS), greaterThanOrEqualTo(0L));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/ProbingOperator.java
+++ b/src/test/java/slateslip/simulation/agents/ProbingOperator.java
@@ -5,9 +5,9 @@
 import slateslip.distribution.peer.OperatorRequest;
 import slateslip.distribution.peer.OperatorResponse;
 
-/** Reads the configuration and has one change taken, at one agent after the other. */
+/** Reads the configuration and sends one change to one agent after another until it is accepted. */
 final class ProbingOperator {
-  private static final long PATIENCE = 1_000_000;
+  private static final long CALL_TIMEOUT = 1_000_000;
   private static final long DELAY = 20_000;
 
   private final AgentWorld world;
@@ -45,10 +45,10 @@
     } else {
       send(current, machine);
     }
-    world.events().after(PATIENCE, () -> goOn(current));
+    world.events().after(CALL_TIMEOUT, () -> scheduleNextCall(current));
   }
 
-  private void goOn(int current) {
+  private void scheduleNextCall(int current) {
     if (current == calls) {
       calls++;
       world.events().after(DELAY, this::start);
@@ -66,7 +66,7 @@
             long version = world.history().read(newestAtCall, response);
             change = ConfigurationChange.complete(version, version + 1, marker + current);
           }
-          goOn(current);
+          scheduleNextCall(current);
         });
   }
 
@@ -81,9 +81,9 @@
           world.history().responded(world.events().nowMicros(), sent, newestAtCall, response);
           done |= response.status() == OperatorResponse.OK;
           if (response.status() != OperatorResponse.UNAVAILABLE && sent.equals(change)) {
-            change = null; // taken, or an earlier change has come into force since the read
+            change = null; // accepted, or another change was applied since the read
           }
-          goOn(current);
+          scheduleNextCall(current);
         });
   }
 }
--- a/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
+++ b/src/test/java/slateslip/simulation/agents/RepeatedChangeTest.java
@@ -12,16 +12,16 @@
 import slateslip.distribution.peer.OperatorResponse;
 import slateslip.simulation.agents.AgentFault.Kind;
 
-/** Two operators under one number, and orders that are sent again after a lost answer. */
+/** Tests competing changes with the same version, and changes that are sent more than once. */
 final class RepeatedChangeTest {
   private static final long SECOND = DirectedRun.SECOND;
 
   @ParameterizedTest
   @ValueSource(ints = {3, 5, 9})
-  void ofTwoOrdersUnderOneNumberOneIsTaken(int size) {
+  void onlyOneOfTwoChangesWithSameVersionIsAccepted(int size) {
     for (long seed = 1; seed <= 10; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(size, 1), seed, 0);
-      run.take(ConfigurationChange.complete(0, 3, "first"));
+      run.submit(ConfigurationChange.complete(0, 3, "first"));
       List<ConfigurationChange> rivals =
           List.of(ConfigurationChange.complete(3, 5, "a"), ConfigurationChange.complete(3, 5, "b"));
       List<OperatorResponse> responses = new ArrayList<>();
@@ -38,13 +38,14 @@
                   });
         }
       }
-      run.pass(2 * SECOND);
+      run.advance(2 * SECOND);
       assertThat(responses, hasSize(2 * size));
-      long taken = responses.stream().filter(each -> each.status() == OperatorResponse.OK).count();
-      long refused =
+      long accepted =
+          responses.stream().filter(each -> each.status() == OperatorResponse.OK).count();
+      long rejected =
           responses.stream().filter(each -> each.status() == OperatorResponse.CONFLICT).count();
-      assertThat(taken, is((long) size));
-      assertThat(refused, is((long) size));
+      assertThat(accepted, is((long) size));
+      assertThat(rejected, is((long) size));
     }
   }
 
@@ -52,7 +53,7 @@
   void inFlightChangeSurvivesPrimaryCrash() {
     for (long seed = 1; seed <= 60; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
-      run.take(ConfigurationChange.complete(0, 3, "first"));
+      run.submit(ConfigurationChange.complete(0, 3, "first"));
       ConfigurationChange change = ConfigurationChange.patch(3, 4, "in-flight");
       ControlMachine primary = run.primary();
       run.world().history().sent(change);
@@ -63,10 +64,10 @@
                 change.call(),
                 response -> run.world().history().responded(run.now(), change, 3, response));
       }
-      run.pass(seed * 250);
+      run.advance(seed * 250);
       run.fault(Kind.KILL_PRIMARY, 0, 100_000);
-      run.take(change);
-      assertThat(run.send(run.allBut(primary).get(0), change).status(), is(OperatorResponse.OK));
+      run.submit(change);
+      assertThat(run.send(run.allExcept(primary).get(0), change).status(), is(OperatorResponse.OK));
     }
   }
 
@@ -74,20 +75,21 @@
   void repeatedChangeIsRecognizedAfterSnapshotAndLoss() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 5, 0);
     ConfigurationChange first = ConfigurationChange.complete(0, 1, "first");
-    run.take(first);
+    run.submit(first);
     ConfigurationChange second = ConfigurationChange.patch(1, 2, "second");
-    run.take(second);
-    run.takeMany(500, 400, "m");
-    assertKnownEverywhere(run, first, second);
+    run.submit(second);
+    run.submitMany(500, 400, "m");
+    assertAcknowledgedByEveryAgent(run, first, second);
     run.fault(Kind.WIPE_PRIMARY, 0, SECOND);
-    run.pass(8 * SECOND);
-    assertKnownEverywhere(run, first, second);
+    run.advance(8 * SECOND);
+    assertAcknowledgedByEveryAgent(run, first, second);
     run.fault(Kind.KILL_ALL, 0, SECOND);
-    run.pass(4 * SECOND);
-    assertKnownEverywhere(run, first, second);
+    run.advance(4 * SECOND);
+    assertAcknowledgedByEveryAgent(run, first, second);
   }
 
-  private static void assertKnownEverywhere(DirectedRun run, ConfigurationChange... changes) {
+  private static void assertAcknowledgedByEveryAgent(
+      DirectedRun run, ConfigurationChange... changes) {
     for (ConfigurationChange change : changes) {
       for (ControlMachine machine : run.world().controlMachines()) {
         OperatorResponse response = run.send(machine, change);
@@ -100,9 +102,9 @@
   @Test
   void oneByteDifferenceIsAnotherChange() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 6, 0);
-    run.take(ConfigurationChange.complete(0, 3, "base"));
-    run.take(ConfigurationChange.complete(3, 4, "one"));
-    ControlMachine any = run.allBut(run.primary()).get(0);
+    run.submit(ConfigurationChange.complete(0, 3, "base"));
+    run.submit(ConfigurationChange.complete(3, 4, "one"));
+    ControlMachine any = run.allExcept(run.primary()).get(0);
     assertThat(
         run.send(any, ConfigurationChange.complete(3, 4, "onf")).status(),
         is(OperatorResponse.CONFLICT));
--- a/src/test/java/slateslip/simulation/agents/SecondLossTest.java
+++ b/src/test/java/slateslip/simulation/agents/SecondLossTest.java
@@ -13,12 +13,12 @@
 import slateslip.simulation.RuleViolation;
 import slateslip.simulation.agents.AgentFault.Kind;
 
-/** A second loss right after a repair or a replacement, and members that leave. */
+/** Tests a second loss shortly after a first loss or a replacement, and members that shut down. */
 final class SecondLossTest {
   private static final long SECOND = DirectedRun.SECOND;
-  private static final long SYNC = 4 * SECOND;
-  private static final long TAKEN_WITHIN = 3 * SECOND;
-  private static final long DOWN = 300_000;
+  private static final long SYNC_MICROS = 4 * SECOND;
+  private static final long ACCEPT_TIMEOUT_MICROS = 3 * SECOND;
+  private static final long DOWNTIME = 300_000;
 
   private static final List<Kind> FIRST =
       List.of(
@@ -38,7 +38,7 @@
 
   @ParameterizedTest
   @CsvSource({"3,1", "4,1", "5,2", "9,2"})
-  void majorityAndCompleteCopyRemainAfterEveryPair(int size, int tolerance) {
+  void changesAreAcceptedAfterEveryPairOfLosses(int size, int tolerance) {
     List<String> failures = new ArrayList<>();
     long seed = 0;
     for (Kind first : FIRST) {
@@ -46,7 +46,7 @@
         for (long gap : GAPS) {
           seed++;
           try {
-            play(
+            runPair(
                 new DirectedRun(AgentWorld.Shape.of(size, tolerance), seed, 1), first, second, gap);
           } catch (RuleViolation violation) {
             failures.add(first + ", " + second + " after " + gap + ": " + violation.getMessage());
@@ -57,18 +57,18 @@
     assertThat(failures, empty());
   }
 
-  private static void play(DirectedRun run, Kind first, Kind second, long gap) {
-    run.fault(first, 1, DOWN);
-    run.pass(gap);
-    run.fault(second, 2, DOWN);
-    run.pass(DOWN + SYNC);
-    if (run.world().timeToTakeChange(TAKEN_WITHIN) < 0) {
-      throw new RuleViolation("no change is taken");
+  private static void runPair(DirectedRun run, Kind first, Kind second, long gap) {
+    run.fault(first, 1, DOWNTIME);
+    run.advance(gap);
+    run.fault(second, 2, DOWNTIME);
+    run.advance(DOWNTIME + SYNC_MICROS);
+    if (run.world().timeToAcceptChange(ACCEPT_TIMEOUT_MICROS) < 0) {
+      throw new RuleViolation("no change was accepted after both losses");
     }
-    run.pass(SYNC);
+    run.advance(SYNC_MICROS);
     run.world().heal(0);
-    if (run.world().timeToTakeChange(TAKEN_WITHIN) < 0) {
-      throw new RuleViolation("no change is taken at the end");
+    if (run.world().timeToAcceptChange(ACCEPT_TIMEOUT_MICROS) < 0) {
+      throw new RuleViolation("no change was accepted after all faults ended");
     }
   }
 
@@ -76,39 +76,41 @@
   void stoppingMemberStaysUntilStateIsCopied() {
     for (long seed = 1; seed <= 20; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(4, 1), seed, 0);
-      run.take(ConfigurationChange.complete(0, 3, "first"));
-      run.fault(Kind.RESTART_PRIMARY, 0, DOWN);
-      run.pass(30_000);
+      run.submit(ConfigurationChange.complete(0, 3, "first"));
+      run.fault(Kind.RESTART_PRIMARY, 0, DOWNTIME);
+      run.advance(30_000);
       run.fault(Kind.LOSE_POWER, 1, 20 * SECOND);
-      long taken = run.world().timeToTakeChange(SYNC);
-      assertThat("seed " + seed, taken, greaterThanOrEqualTo(0L));
+      long accepted = run.world().timeToAcceptChange(SYNC_MICROS);
+      assertThat("seed " + seed, accepted, greaterThanOrEqualTo(0L));
     }
   }
 
   @Test
   void stoppingPrimaryHandsOverWithoutGap() {
     DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), 3, 0);
-    run.take(ConfigurationChange.complete(0, 3, "first"));
+    run.submit(ConfigurationChange.complete(0, 3, "first"));
     ControlMachine draining = run.primary();
-    run.fault(Kind.RESTART_PRIMARY, 0, DOWN);
+    run.fault(Kind.RESTART_PRIMARY, 0, DOWNTIME);
     long handedOver =
         run.timeUntil(
-            () -> run.allBut(draining).stream().anyMatch(ControlMachine::isServing), SECOND / 4);
+            () -> run.allExcept(draining).stream().anyMatch(ControlMachine::isServing), SECOND / 4);
     assertThat(handedOver, greaterThanOrEqualTo(0L));
-    assertThat(run.world().timeToTakeChange(SECOND) >= 0, is(true));
+    assertThat(run.world().timeToAcceptChange(SECOND) >= 0, is(true));
   }
 
   @Test
   void joiningNodeMayCrashWhileCopying() {
     for (long seed = 1; seed <= 40; seed++) {
       DirectedRun run = new DirectedRun(AgentWorld.Shape.of(3, 1), seed, 0);
-      run.takeMany(20, 30_000, "m");
+      run.submitMany(20, 30_000, "m");
       run.fault(Kind.REPLACE, 2, 50_000);
-      run.pass(50_000 + seed * 10_000);
-      run.fault(Kind.LOSE_POWER, 2, DOWN);
-      run.pass(DOWN + SYNC);
+      run.advance(50_000 + seed * 10_000);
+      run.fault(Kind.LOSE_POWER, 2, DOWNTIME);
+      run.advance(DOWNTIME + SYNC_MICROS);
       assertThat(
-          "seed " + seed, run.world().timeToTakeChange(TAKEN_WITHIN), greaterThanOrEqualTo(0L));
+          "seed " + seed,
+          run.world().timeToAcceptChange(ACCEPT_TIMEOUT_MICROS),
+          greaterThanOrEqualTo(0L));
     }
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedBackend.java
@@ -6,30 +6,31 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * The backends at one address, one incarnation after the other: each calls an agent at regular
- * times, and leaves by draining, by DELETE alone, or without a word.
+ * The consecutive incarnations of a backend at one address. Each incarnation sends heartbeats to a
+ * control agent at regular intervals. An incarnation ends after draining, with a deregistration
+ * without draining, or with a crash.
  */
 final class SimulatedBackend {
   static final long HEARTBEAT = 1_200_000;
-  private static final long PATIENCE = 1_000_000;
+  private static final long CALL_TIMEOUT = 1_000_000;
   private static final long MIN_LIFETIME = 2_000_000;
   private static final long MAX_LIFETIME = 14_000_000;
   private static final long DRAIN = 2_300_000;
   private static final long UNACKNOWLEDGED_DRAIN = 4_000_000;
-  private static final long REUSE = 2_000_000;
-  private static final long MAX_LATE = 4_000_000;
-  private static final int LATE_EVERY = 25;
+  private static final long ADDRESS_REUSE_DELAY = 2_000_000;
+  private static final long MAX_SEND_DELAY = 4_000_000;
+  private static final int SEND_DELAY_ODDS = 25;
   private static final int ATTEMPTS = 6;
   private static final int SERVICES = 2;
 
-  /** How an incarnation ends. */
+  /** The way in which an incarnation ends. */
   enum ShutdownMode {
     DRAINS_FIRST,
     DELETES_FIRST,
     CRASHES
   }
 
-  /** One life of a backend. */
+  /** The lifetime of one backend process. */
   final class Incarnation {
     private final String id;
     private final long startedAt;
@@ -37,8 +38,8 @@
     private long sequence;
     private boolean draining;
     private boolean ended;
-    private boolean departing;
-    private boolean departureAcknowledged;
+    private boolean deregistering;
+    private boolean deregistrationAcknowledged;
     private long drainAcknowledgedAt = Long.MAX_VALUE;
     private long endedAt = Long.MAX_VALUE;
     private long acknowledgedAt;
@@ -53,12 +54,19 @@
       return id;
     }
 
-    /** Since when it must not get new requests from data planes in touch. */
+    /**
+     * Returns the simulated time in microseconds at which draining or deregistration was
+     * acknowledged, or {@link Long#MAX_VALUE}. Connected data planes must send no new requests
+     * afterwards.
+     */
     long drainAcknowledgedAt() {
       return drainAcknowledgedAt;
     }
 
-    /** When it ended; never yet if it lives. */
+    /**
+     * Returns the simulated time of the end in microseconds, or {@link Long#MAX_VALUE} before the
+     * end.
+     */
     long endedAt() {
       return endedAt;
     }
@@ -67,9 +75,9 @@
       return startedAt;
     }
 
-    /** Whether it is up and wants requests. */
+    /** Returns whether the backend runs and accepts requests. */
     boolean isReady() {
-      return !ended && !draining && !departing;
+      return !ended && !draining && !deregistering;
     }
 
     long acknowledgedAt() {
@@ -78,7 +86,7 @@
 
     @Override
     public String toString() {
-      return "%s %s, started %d, acknowledged %d, leaving acknowledged %d, ended %d"
+      return "%s %s, started %d, acknowledged %d, draining acknowledged %d, ended %d"
           .formatted(
               id,
               isReady() ? "ready" : "not ready",
@@ -101,13 +109,13 @@
   private final List<Incarnation> all;
   private Incarnation current;
   private ControlMachine agent;
-  private boolean endless;
+  private boolean staysUp;
   private int incarnations;
 
   /**
-   * Backends at an address.
+   * Creates the backend of an address without starting its first incarnation.
    *
-   * @param all takes each incarnation that is started
+   * @param all the list to which each started incarnation is added
    */
   SimulatedBackend(
       AgentWorld world,
@@ -129,12 +137,12 @@
     current = started;
     all.add(started);
     sendHeartbeat(started);
-    events.after(random.nextLong(MIN_LIFETIME, MAX_LIFETIME), () -> leave(started));
+    events.after(random.nextLong(MIN_LIFETIME, MAX_LIFETIME), () -> shutDown(started));
   }
 
-  /** The incarnation that lives now stays until the end. */
+  /** Prevents the current and later incarnations from starting a shutdown. */
   void stay() {
-    endless = true;
+    staysUp = true;
   }
 
   private void sendHeartbeat(Incarnation own) {
@@ -149,11 +157,11 @@
     if (attemptsLeft == 0 || own.ended) {
       return;
     }
-    long late = random.nextInt(LATE_EVERY) == 0 ? random.nextLong(MAX_LATE) : 0;
+    long sendDelay = random.nextInt(SEND_DELAY_ODDS) == 0 ? random.nextLong(MAX_SEND_DELAY) : 0;
     ControlMachine called = calledAgent();
-    boolean[] over = {false};
+    boolean[] finished = {false};
     events.after(
-        late,
+        sendDelay,
         () ->
             world.heartbeat(
                 called,
@@ -162,10 +170,10 @@
                   if (acknowledged) {
                     acknowledged(own, session);
                   }
-                  tryNext(own, attemptsLeft, session, over, acknowledged);
+                  tryNext(own, attemptsLeft, session, finished, acknowledged);
                 },
-                () -> tryNext(own, attemptsLeft, session, over, false)));
-    events.after(PATIENCE, () -> tryNext(own, attemptsLeft, session, over, false));
+                () -> tryNext(own, attemptsLeft, session, finished, false)));
+    events.after(CALL_TIMEOUT, () -> tryNext(own, attemptsLeft, session, finished, false));
   }
 
   private ControlMachine calledAgent() {
@@ -179,12 +187,12 @@
       Incarnation own,
       int attemptsLeft,
       BackendSession session,
-      boolean[] over,
+      boolean[] finished,
       boolean acknowledged) {
-    if (over[0]) {
+    if (finished[0]) {
       return;
     }
-    over[0] = true;
+    finished[0] = true;
     if (!acknowledged && own == current) {
       agent = null;
       call(own, attemptsLeft - 1, session);
@@ -200,8 +208,8 @@
     }
   }
 
-  private void leave(Incarnation own) {
-    if (endless) {
+  private void shutDown(Incarnation own) {
+    if (staysUp) {
       return;
     }
     ShutdownMode shutdownMode = ShutdownMode.values()[random.nextInt(ShutdownMode.values().length)];
@@ -224,15 +232,15 @@
   }
 
   private void deregister(Incarnation own, int attemptsLeft) {
-    if (own.departureAcknowledged || attemptsLeft == 0) {
+    if (own.deregistrationAcknowledged || attemptsLeft == 0) {
       return;
     }
-    own.departing = true;
-    boolean[] over = {false};
+    own.deregistering = true;
+    boolean[] finished = {false};
     Runnable again =
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!finished[0]) {
+            finished[0] = true;
             agent = null;
             deregister(own, attemptsLeft - 1);
           }
@@ -242,8 +250,8 @@
         own.id,
         acknowledged -> {
           if (acknowledged) {
-            over[0] = true;
-            own.departureAcknowledged = true;
+            finished[0] = true;
+            own.deregistrationAcknowledged = true;
             world.rules().drainAcknowledged(own.id);
             own.drainAcknowledgedAt = Math.min(own.drainAcknowledgedAt, events.nowMicros());
           } else {
@@ -251,7 +259,7 @@
           }
         },
         again);
-    events.after(PATIENCE, again);
+    events.after(CALL_TIMEOUT, again);
   }
 
   private void end(Incarnation own) {
@@ -260,6 +268,6 @@
     }
     own.ended = true;
     own.endedAt = events.nowMicros();
-    events.after(REUSE + random.nextLong(REUSE), this::start);
+    events.after(ADDRESS_REUSE_DELAY + random.nextLong(ADDRESS_REUSE_DELAY), this::start);
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedMachine.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedMachine.java
@@ -1,11 +1,11 @@
 package slateslip.simulation.agents;
 
-/** A machine with an address and, while it has power and is started, a process. */
+/** A machine with an address, which has a process while the machine is powered and started. */
 abstract class SimulatedMachine {
   private final String address;
   private SimulatedProcess process;
   private boolean powered = true;
-  private long troubledUntil;
+  private long faultyUntilMicros;
 
   SimulatedMachine(String address) {
     this.address = address;
@@ -15,7 +15,7 @@
     return address;
   }
 
-  /** Its process; null while none runs. */
+  /** Returns the process, or null if no process runs. */
   SimulatedProcess process() {
     return process;
   }
@@ -24,8 +24,8 @@
     return process != null;
   }
 
-  /** Whether its process runs and is not frozen. */
-  boolean isWell() {
+  /** Returns whether the process runs and is not frozen. */
+  boolean isResponsive() {
     return process != null && !process.isFrozen();
   }
 
@@ -38,23 +38,23 @@
     powered = true;
   }
 
-  /** Its process is gone, with all of its sockets. */
+  /** Ends the process; the machine keeps its power or loses it. */
   void ended(boolean withPower) {
     process.end();
     process = null;
     powered = withPower;
   }
 
-  /** Something happens to this machine until a time. */
-  void troubled(long untilMicros) {
-    troubledUntil = Math.max(troubledUntil, untilMicros);
+  /** Records that a fault affects the machine until the given time in microseconds. */
+  void faultActiveUntil(long untilMicros) {
+    faultyUntilMicros = Math.max(faultyUntilMicros, untilMicros);
   }
 
-  long troubledUntil() {
-    return troubledUntil;
+  long faultyUntilMicros() {
+    return faultyUntilMicros;
   }
 
-  /** Takes a connection that came in, on its process's event loop. */
+  /** Accepts an incoming connection; called on the event loop of the machine's process. */
   abstract SimulatedSocket.Listener accept(SimulatedSocket socket);
 
   @Override
--- a/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedNetwork.java
@@ -11,13 +11,14 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * Machines and the TCP connections between them: in order on each, with delay and bandwidth; cut
- * one way or both, silently or with resets, and joined again.
+ * Simulated machines and the TCP connections between them. Messages of one connection arrive in
+ * order, after a delay that depends on the bandwidth. Links can be partitioned in one or both
+ * directions; the end of a partition delivers the delayed messages or resets their connections.
  */
 final class SimulatedNetwork {
   private record Link(String from, String to) {}
 
-  private record HeldUp(SimulatedSocket sender, Runnable arrival) {}
+  private record HeldDelivery(SimulatedSocket sender, Runnable arrival) {}
 
   private static final long MIN_DELAY = 300;
   private static final long MAX_DELAY = 3_000;
@@ -27,7 +28,7 @@
   private final EventQueue events;
   private final SplittableRandom random;
   private final Map<String, SimulatedMachine> machines = new HashMap<>();
-  private final Map<Link, Deque<HeldUp>> cuts = new HashMap<>();
+  private final Map<Link, Deque<HeldDelivery>> partitions = new HashMap<>();
   private final Map<Link, Integer> partitionCounts = new HashMap<>();
   private final Map<String, Long> extraDelay = new HashMap<>();
   private final List<SimulatedSocket> sockets = new ArrayList<>();
@@ -42,7 +43,7 @@
     machines.put(machine.address(), machine);
   }
 
-  /** Bandwidth of each connection. */
+  /** Sets the bandwidth of each connection in bytes per millisecond. */
   void limitBandwidth(long newBytesPerMilli) {
     bytesPerMilli = newBytesPerMilli;
   }
@@ -53,47 +54,48 @@
 
   // ---- connections ----
 
-  /** How an attempt to connect ends, told on the event loop of the one who connects. */
-  interface Connecting {
-    /** The connection is up. */
+  /** Receives the result of a connection attempt on the event loop of the connecting process. */
+  interface ConnectListener {
+    /** Returns the listener of a connection that was established. */
     SimulatedSocket.Listener connected(SimulatedSocket socket);
 
-    /** It did not come up in time, or was refused. */
+    /** Handles a connection attempt that timed out or was refused. */
     void failed();
   }
 
-  /** An attempt that has not ended. */
+  /** A connection attempt. */
   private static final class Attempt {
     private final SimulatedMachine from;
     private final SimulatedProcess process;
     private final String to;
-    private final Connecting connecting;
-    private boolean over;
+    private final ConnectListener connectListener;
+    private boolean finished;
 
-    private Attempt(SimulatedMachine from, String to, Connecting connecting) {
+    private Attempt(SimulatedMachine from, String to, ConnectListener connectListener) {
       this.from = from;
       process = from.process();
       this.to = to;
-      this.connecting = connecting;
+      this.connectListener = connectListener;
     }
 
     private void fail() {
-      if (!over) {
-        over = true;
-        process.execute(this, connecting::failed);
+      if (!finished) {
+        finished = true;
+        process.execute(this, connectListener::failed);
       }
     }
   }
 
-  /** Opens a connection. */
-  void connect(SimulatedMachine from, String to, long timeoutMicros, Connecting connecting) {
-    Attempt attempt = new Attempt(from, to, connecting);
+  /** Opens a connection; the attempt fails after the timeout in microseconds. */
+  void connect(
+      SimulatedMachine from, String to, long timeoutMicros, ConnectListener connectListener) {
+    Attempt attempt = new Attempt(from, to, connectListener);
     events.after(timeoutMicros, attempt::fail);
     events.after(delay(), () -> handshake(attempt));
   }
 
   private void handshake(Attempt attempt) {
-    if (attempt.over || !attempt.process.isAlive()) {
+    if (attempt.finished || !attempt.process.isAlive()) {
       return;
     }
     SimulatedMachine target = machines.get(attempt.to);
@@ -109,72 +111,73 @@
   }
 
   private boolean isPartitioned(String one, String other) {
-    return cuts.containsKey(new Link(one, other)) || cuts.containsKey(new Link(other, one));
+    return partitions.containsKey(new Link(one, other))
+        || partitions.containsKey(new Link(other, one));
   }
 
   private void establish(Attempt attempt, SimulatedMachine target) {
     SimulatedSocket client = new SimulatedSocket(this, attempt.from);
     SimulatedSocket server = new SimulatedSocket(this, target);
-    SimulatedSocket.join(client, server);
-    remember(client);
-    remember(server);
+    SimulatedSocket.connect(client, server);
+    retain(client);
+    retain(server);
     server.process().execute(server, () -> server.listen(target.accept(server)));
     events.after(delay(), () -> established(attempt, client));
   }
 
   private void established(Attempt attempt, SimulatedSocket client) {
-    if (attempt.over || !attempt.process.isAlive()) {
+    if (attempt.finished || !attempt.process.isAlive()) {
       client.reset(true);
       return;
     }
-    attempt.over = true;
-    attempt.process.execute(client, () -> client.listen(attempt.connecting.connected(client)));
+    attempt.finished = true;
+    attempt.process.execute(client, () -> client.listen(attempt.connectListener.connected(client)));
   }
 
-  private void remember(SimulatedSocket socket) {
+  private void retain(SimulatedSocket socket) {
     if (sockets.size() > RETAINED_CLOSED_SOCKETS) {
       sockets.removeIf(each -> !each.isOpen());
     }
     sockets.add(socket);
   }
 
-  /** Brings something from a socket to its peer, behind all that it has sent before. */
+  /** Runs an arrival at the peer of a socket, after the arrivals of everything sent before. */
   void transmit(SimulatedSocket sender, long bytes, Runnable arrival) {
     Link link = new Link(sender.machine().address(), sender.peerMachine().address());
     long slow = Math.max(extra(link.from()), extra(link.to()));
     long delay = delay() + slow + bytes * 1_000 / bytesPerMilli;
     long at =
         Math.max(sender.lastArrival() + bytes * 1_000 / bytesPerMilli, events.nowMicros() + delay);
-    sender.arrivesAt(at);
-    events.at(at, () -> pass(link, sender, arrival));
+    sender.setLastArrival(at);
+    events.at(at, () -> deliverOrHold(link, sender, arrival));
   }
 
   private long extra(String machine) {
     return extraDelay.getOrDefault(machine, 0L);
   }
 
-  private void pass(Link link, SimulatedSocket sender, Runnable arrival) {
-    Deque<HeldUp> stalled = cuts.get(link);
-    if (stalled == null) {
+  private void deliverOrHold(Link link, SimulatedSocket sender, Runnable arrival) {
+    Deque<HeldDelivery> held = partitions.get(link);
+    if (held == null) {
       arrival.run();
     } else {
-      stalled.addLast(new HeldUp(sender, arrival));
+      held.addLast(new HeldDelivery(sender, arrival));
     }
   }
 
-  // ---- troubles ----
+  // ---- faults ----
 
-  /** A process has been killed: its machine resets its connections. */
+  /** Resets the connections of a machine whose process was killed. */
   void processKilled(SimulatedMachine machine) {
     socketsOf(machine).forEach(socket -> socket.reset(random.nextBoolean()));
   }
 
-  /** A machine has lost power: nobody is told. */
+  /** Ends the connections of a machine that lost power, without notice to the peers. */
   void powerLost(SimulatedMachine machine) {
-    socketsOf(machine).forEach(SimulatedSocket::vanish);
+    socketsOf(machine).forEach(SimulatedSocket::closeSilently);
   }
 
-  /** All connections of a machine are reset at both ends. */
+  /** Resets all connections of a machine at both ends. */
   void resetAll(SimulatedMachine machine) {
     for (SimulatedSocket socket : socketsOf(machine)) {
       socket.closedByPeer();
@@ -188,57 +191,57 @@
         .toList();
   }
 
-  /** Nothing passes from one to the other any more. */
+  /** Holds all messages from one machine to another until the partition ends. */
   void partition(String from, String to) {
     Link link = new Link(from, to);
     partitionCounts.merge(link, 1, Integer::sum);
-    cuts.putIfAbsent(link, new ArrayDeque<>());
+    partitions.putIfAbsent(link, new ArrayDeque<>());
   }
 
-  /** One cut of a link has ended; it passes again once all have. */
-  void join(String from, String to) {
+  /** Ends one partition of a link; the link is restored when all its partitions have ended. */
+  void endPartition(String from, String to) {
     Link link = new Link(from, to);
     if (partitionCounts.merge(link, -1, Integer::sum) == 0) {
-      join(link);
+      endPartition(link);
     }
   }
 
-  /** What was held up comes now, or is lost with its connection. */
-  private void join(Link link) {
+  /** Restores a link: delivers the held messages, or resets the connections of these messages. */
+  private void endPartition(Link link) {
     partitionCounts.remove(link);
-    Deque<HeldUp> stalled = cuts.remove(link);
+    Deque<HeldDelivery> held = partitions.remove(link);
     boolean reset = random.nextBoolean();
-    for (HeldUp each : stalled) {
+    for (HeldDelivery each : held) {
       if (reset) {
         each.sender().closedByPeer();
         each.sender().reset(true);
-      } else if (!each.sender().losesWhatIsUnderWay()) {
+      } else if (!each.sender().losesMessagesInFlight()) {
         events.after(0, each.arrival());
       }
     }
   }
 
-  /** Whether any link is cut. */
-  boolean hasCuts() {
-    return !cuts.isEmpty();
+  /** Returns whether any link is partitioned. */
+  boolean hasPartitions() {
+    return !partitions.isEmpty();
   }
 
-  /** Whether messages pass both ways. */
-  boolean passes(String one, String other) {
+  /** Returns whether messages pass between two machines in both directions. */
+  boolean reachesBothWays(String one, String other) {
     return !isPartitioned(one, other);
   }
 
-  /** Slows all links of a machine; 0 makes them fast again. */
+  /** Sets the additional delay of all links of a machine in microseconds. */
   void slow(String machine, long extraMicros) {
     extraDelay.put(machine, extraMicros);
   }
 
   void heal() {
-    List.copyOf(cuts.keySet()).forEach(this::join);
+    List.copyOf(partitions.keySet()).forEach(this::endPartition);
     extraDelay.clear();
   }
 
-  /** A request over HTTP, and its response: each takes a moment. */
+  /** Sends an HTTP request; the request and the response each arrive after a random delay. */
   <T> void request(
       SimulatedMachine target,
       Consumer<Consumer<T>> handle,
--- a/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedOperator.java
@@ -9,17 +9,18 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * Reads the configuration, changes it, and sends a change without a clear response again,
- * unchanged, to any agent; at times to several at once, and at times long after it was taken.
+ * Reads and changes the configuration. The operator sends a change again, unchanged and to any
+ * agent, if the response is missing or reports that the agent is unavailable. Some changes are sent
+ * several times at once, and some again after they were accepted.
  */
 final class SimulatedOperator {
-  private static final long PATIENCE = 1_000_000;
+  private static final long CALL_TIMEOUT = 1_000_000;
   private static final long LONG_DELAY = 250_000;
   private static final long SHORT_DELAY = 20_000;
-  private static final int RESPONSE_LOST_EVERY = 6;
-  private static final int SEVERAL_AT_ONCE_EVERY = 5;
-  private static final int REPEATED_EVERY = 4;
-  private static final int INVALID_EVERY = 9;
+  private static final int RESPONSE_LOSS_ODDS = 6;
+  private static final int DUPLICATE_SEND_ODDS = 5;
+  private static final int REPEAT_ODDS = 4;
+  private static final int INVALID_CHANGE_ODDS = 9;
 
   private final AgentWorld world;
   private final EventQueue events;
@@ -65,11 +66,11 @@
     } else {
       send(current);
     }
-    events.after(PATIENCE, () -> goOn(current, SHORT_DELAY));
+    events.after(CALL_TIMEOUT, () -> scheduleNextCall(current, SHORT_DELAY));
   }
 
-  /** The call is over, or given up; the next one follows after a pause. */
-  private void goOn(long current, long maxDelay) {
+  /** Schedules the next call after a random delay, if the given call is still the current call. */
+  private void scheduleNextCall(long current, long maxDelay) {
     if (current == call) {
       call++;
       events.after(random.nextLong(maxDelay), this::next);
@@ -88,24 +89,24 @@
   }
 
   private void readResponse(long current, long newestAtCall, OperatorResponse response) {
-    boolean clear = response.status() != OperatorResponse.UNAVAILABLE;
-    if (clear) {
+    boolean definite = response.status() != OperatorResponse.UNAVAILABLE;
+    if (definite) {
       knownVersion = history.read(newestAtCall, response);
     }
     if (current != call) {
       return;
     }
-    if (clear) {
+    if (definite) {
       change = newChange();
     }
-    goOn(current, clear ? LONG_DELAY : SHORT_DELAY);
+    scheduleNextCall(current, definite ? LONG_DELAY : SHORT_DELAY);
   }
 
   private ConfigurationChange newChange() {
     changes++;
     String marker = name + changes;
     long version = knownVersion + 1 + random.nextInt(2);
-    if (random.nextInt(INVALID_EVERY) == 0) {
+    if (random.nextInt(INVALID_CHANGE_ODDS) == 0) {
       return ConfigurationChange.invalid(knownVersion, version, marker);
     }
     return knownVersion > 0 && random.nextBoolean()
@@ -114,7 +115,7 @@
   }
 
   private void send(long current) {
-    int copies = random.nextInt(SEVERAL_AT_ONCE_EVERY) == 0 ? world.controlMachines().size() : 1;
+    int copies = random.nextInt(DUPLICATE_SEND_ODDS) == 0 ? world.controlMachines().size() : 1;
     for (int copy = 0; copy < copies; copy++) {
       ConfigurationChange sent = change;
       sendOnce(sent, response -> responded(current, sent, response));
@@ -128,7 +129,7 @@
         anyAgent(),
         sent.call(),
         response -> {
-          boolean lost = random.nextInt(RESPONSE_LOST_EVERY) == 0;
+          boolean lost = random.nextInt(RESPONSE_LOSS_ODDS) == 0;
           if (!lost) {
             history.responded(events.nowMicros(), sent, newestAtCall, response);
             if (response.status() == OperatorResponse.OK) {
@@ -143,21 +144,21 @@
     if (current != call || !sent.equals(change)) {
       return;
     }
-    boolean clear = response.status() != OperatorResponse.UNAVAILABLE;
+    boolean definite = response.status() != OperatorResponse.UNAVAILABLE;
     if (response.status() == OperatorResponse.OK) {
       knownVersion = sent.version();
       committedChanges.add(sent);
-      change = random.nextInt(REPEATED_EVERY) == 0 ? null : newChange();
-      repeatOne();
-    } else if (clear) {
+      change = random.nextInt(REPEAT_ODDS) == 0 ? null : newChange();
+      repeatAcceptedChange();
+    } else if (definite) {
       change = null;
     }
-    goOn(current, clear ? LONG_DELAY : SHORT_DELAY);
+    scheduleNextCall(current, definite ? LONG_DELAY : SHORT_DELAY);
   }
 
-  /** Sends an order again that was taken before, as if its response had been lost. */
-  private void repeatOne() {
-    if (random.nextInt(REPEATED_EVERY) == 0) {
+  /** Sends an accepted change again at random, as if its response had been lost. */
+  private void repeatAcceptedChange() {
+    if (random.nextInt(REPEAT_ODDS) == 0) {
       ConfigurationChange old = committedChanges.get(random.nextInt(committedChanges.size()));
       sendOnce(old, response -> {});
     }
--- a/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedPeerConnection.java
@@ -5,7 +5,7 @@
 import slateslip.controlplane.agent.PeerConnector;
 import slateslip.protocol.coordination.ReplicaFrame;
 
-/** A control agent's connection to a peer, dialled anew whenever it breaks, as in service. */
+/** A control agent's connection to a peer, which reconnects with a backoff after each failure. */
 final class SimulatedPeerConnection implements PeerConnector.PeerConnection {
   private static final long CONNECT_MICROS = 500_000;
   private static final long INITIAL_BACKOFF = 30_000;
@@ -19,10 +19,10 @@
   private final String address;
   private final byte[] hello;
   private final PeerConnector.Listener listener;
-  private final Consumer<ReplicaFrame> expectedResponses;
-  private final LongConsumer supposedlyStored;
+  private final Consumer<ReplicaFrame> forgedResponses;
+  private final LongConsumer prematureAcknowledgement;
   private SimulatedSocket socket;
-  private boolean greeted;
+  private boolean helloReceived;
   private boolean closed;
   private long backoff = INITIAL_BACKOFF;
 
@@ -33,10 +33,10 @@
       byte[] hello,
       PeerConnector.Listener listener,
       AgentMutation mutation,
-      Consumer<ReplicaFrame> expectedResponses,
-      LongConsumer supposedlyStored) {
-    this.supposedlyStored = supposedlyStored;
-    this.expectedResponses = expectedResponses;
+      Consumer<ReplicaFrame> forgedResponses,
+      LongConsumer prematureAcknowledgement) {
+    this.prematureAcknowledgement = prematureAcknowledgement;
+    this.forgedResponses = forgedResponses;
     this.mutation = mutation;
     this.network = network;
     this.machine = machine;
@@ -48,7 +48,7 @@
 
   void dial() {
     if (!closed) {
-      network.connect(machine, address, CONNECT_MICROS, new Dialling());
+      network.connect(machine, address, CONNECT_MICROS, new PeerConnectListener());
     }
   }
 
@@ -62,18 +62,18 @@
   @Override
   public void send(byte[] message) {
     mutation
-        .expectedResponse(address, message)
-        .ifPresent(response -> process.schedule(1, () -> expectedResponses.accept(response)));
+        .forgedResponse(address, message)
+        .ifPresent(response -> process.schedule(1, () -> forgedResponses.accept(response)));
     mutation
-        .supposedlyStored(message)
-        .ifPresent(number -> process.schedule(1, () -> supposedlyStored.accept(number)));
+        .prematureAcknowledgement(message)
+        .ifPresent(number -> process.schedule(1, () -> prematureAcknowledgement.accept(number)));
     if (socket == null) {
       return;
     }
-    if (socket.underWayBytes() > MAX_UNSENT_BYTES) {
+    if (socket.bytesInFlight() > MAX_UNSENT_BYTES) {
       reset();
     } else {
-      mutation.betweenAgents(message).forEach(changed -> socket.send(changed));
+      mutation.alterMessageToPeer(message).forEach(changed -> socket.send(changed));
     }
   }
 
@@ -81,7 +81,7 @@
   public void reset() {
     if (socket != null) {
       socket.reset(true);
-      broken();
+      connectionLost();
     }
   }
 
@@ -91,17 +91,17 @@
     reset();
   }
 
-  private void broken() {
-    boolean wasUp = greeted;
+  private void connectionLost() {
+    boolean wasUp = helloReceived;
     socket = null;
-    greeted = false;
+    helloReceived = false;
     if (wasUp) {
       listener.disconnected();
     }
     dialLater();
   }
 
-  private final class Dialling implements SimulatedNetwork.Connecting {
+  private final class PeerConnectListener implements SimulatedNetwork.ConnectListener {
     @Override
     public SimulatedSocket.Listener connected(SimulatedSocket connected) {
       if (closed) {
@@ -110,7 +110,7 @@
         socket = connected;
         socket.send(hello);
       }
-      return new Answers(connected);
+      return new HelloListener(connected);
     }
 
     @Override
@@ -119,18 +119,18 @@
     }
   }
 
-  /** The peer's greeting is all that comes back. */
-  private final class Answers implements SimulatedSocket.Listener {
+  /** Receives the hello message of the peer; the peer sends no other message on the connection. */
+  private final class HelloListener implements SimulatedSocket.Listener {
     private final SimulatedSocket own;
 
-    private Answers(SimulatedSocket own) {
+    private HelloListener(SimulatedSocket own) {
       this.own = own;
     }
 
     @Override
     public void received(byte[] message) {
-      if (socket == own && !greeted) {
-        greeted = true;
+      if (socket == own && !helloReceived) {
+        helloReceived = true;
         backoff = INITIAL_BACKOFF;
         listener.connected(message);
       }
@@ -139,7 +139,7 @@
     @Override
     public void closed() {
       if (socket == own) {
-        broken();
+        connectionLost();
       }
     }
   }
--- a/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedProcess.java
@@ -11,27 +11,27 @@
 import slateslip.simulation.EventQueue;
 
 /**
- * One life of a process: its event loop and steady clock. While it is frozen everything that
- * happens to it waits; what came from different sources is then handled in any order. Once it has
- * ended nothing happens to it any more.
+ * One run of a process with its event loop and its steady clock. A frozen process queues all its
+ * tasks; after the process thaws, the tasks of different sources run in random order. A process
+ * that has ended runs no tasks.
  */
 final class SimulatedProcess implements Scheduler {
   private static final long FIRST_MICROS = 1_000_000;
 
-  private record Held(Object source, Runnable task) {}
+  private record QueuedTask(Object source, Runnable task) {}
 
   private final EventQueue events;
   private final SplittableRandom random;
   private final double clockRate;
   private final long startedAt;
-  private final List<Held> paused = new ArrayList<>();
+  private final List<QueuedTask> queuedTasks = new ArrayList<>();
   private boolean alive = true;
   private boolean frozen;
 
   /**
-   * A process that starts now.
+   * Creates a process that starts now.
    *
-   * @param clockRate how fast its steady clock runs; 1 is right
+   * @param clockRate the speed of the steady clock relative to simulated time; 1 is accurate
    */
   SimulatedProcess(EventQueue events, SplittableRandom random, double clockRate) {
     this.events = events;
@@ -50,33 +50,34 @@
 
   void end() {
     alive = false;
-    paused.clear();
+    queuedTasks.clear();
   }
 
   void freeze() {
     frozen = true;
   }
 
-  /** Goes on, with what has waited; tasks of one source stay in their order. */
+  /** Continues the process and runs the queued tasks; tasks of one source keep their order. */
   void thaw() {
     frozen = false;
-    List<Object> sources = new ArrayList<>(paused.stream().map(Held::source).distinct().toList());
+    List<Object> sources =
+        new ArrayList<>(queuedTasks.stream().map(QueuedTask::source).distinct().toList());
     Collections.shuffle(sources, new Random(random.nextLong()));
-    Map<Object, Integer> change = new HashMap<>();
-    sources.forEach(source -> change.put(source, change.size()));
-    List<Held> waited = new ArrayList<>(paused);
-    paused.clear();
-    waited.sort((one, other) -> change.get(one.source()) - change.get(other.source()));
+    Map<Object, Integer> sourceOrder = new HashMap<>();
+    sources.forEach(source -> sourceOrder.put(source, sourceOrder.size()));
+    List<QueuedTask> waited = new ArrayList<>(queuedTasks);
+    queuedTasks.clear();
+    waited.sort((one, other) -> sourceOrder.get(one.source()) - sourceOrder.get(other.source()));
     waited.forEach(each -> execute(each.source(), each.task()));
   }
 
-  /** Runs a task on the event loop. */
+  /** Runs a task on the event loop; a process that has ended discards the task. */
   void execute(Object source, Runnable task) {
     if (!alive) {
       return;
     }
     if (frozen) {
-      paused.add(new Held(source, task));
+      queuedTasks.add(new QueuedTask(source, task));
     } else {
       task.run();
     }
@@ -90,19 +91,19 @@
   @Override
   public Timer schedule(long delayMicros, Runnable task) {
     boolean[] cancelled = {false};
-    Runnable unlessCancelled =
+    Runnable taskUnlessCancelled =
         () -> {
           if (!cancelled[0]) {
             task.run();
           }
         };
-    events.after(toWorld(delayMicros), () -> execute(this, unlessCancelled));
+    events.after(toSimulatedMicros(delayMicros), () -> execute(this, taskUnlessCancelled));
     return () -> cancelled[0] = true;
   }
 
   @Override
   public void scheduleAtFixedRate(long periodMicros, Runnable task) {
-    events.after(toWorld(periodMicros), () -> repeatNow(periodMicros, task));
+    events.after(toSimulatedMicros(periodMicros), () -> repeatNow(periodMicros, task));
   }
 
   private void repeatNow(long periodMicros, Runnable task) {
@@ -112,7 +113,7 @@
     }
   }
 
-  private long toWorld(long ownMicros) {
+  private long toSimulatedMicros(long ownMicros) {
     return Math.max(0, (long) Math.ceil(ownMicros / clockRate));
   }
 }
--- a/src/test/java/slateslip/simulation/agents/SimulatedSocket.java
+++ b/src/test/java/slateslip/simulation/agents/SimulatedSocket.java
@@ -2,19 +2,19 @@
 
 /** One end of a TCP connection. */
 final class SimulatedSocket {
-  /** Takes what comes in; called on the event loop of the end's process. */
+  /** Receives the events of a socket on the event loop of the socket's process. */
   interface Listener {
-    /** A complete message has come. */
+    /** Handles a complete message. */
     void received(byte[] message);
 
-    /** The connection has ended, and not by this end. */
+    /** Handles the end of a connection that the peer or the network has ended. */
     void closed();
 
-    /** The connection takes more again. */
+    /** Handles that the socket accepts further messages again. */
     default void writable() {}
   }
 
-  /** More than this may not be on its way. */
+  /** The number of bytes in flight above which a socket is not writable. */
   static final long WINDOW_BYTES = 256 * 1024;
 
   private final SimulatedNetwork network;
@@ -23,14 +23,14 @@
   private SimulatedSocket peer;
   private Listener listener;
   private boolean open = true;
-  private boolean losesWhatIsUnderWay;
+  private boolean losesMessagesInFlight;
   private boolean full;
 
-  /** The other end has gone before this one was listened to. */
+  /** Whether the connection ended before a listener was set. */
   private boolean closedEarly;
 
   private long lastArrival;
-  private long underWayBytes;
+  private long bytesInFlight;
 
   SimulatedSocket(SimulatedNetwork network, SimulatedMachine machine) {
     this.network = network;
@@ -38,7 +38,7 @@
     process = machine.process();
   }
 
-  static void join(SimulatedSocket one, SimulatedSocket other) {
+  static void connect(SimulatedSocket one, SimulatedSocket other) {
     one.peer = other;
     other.peer = one;
   }
@@ -71,36 +71,41 @@
     return !full;
   }
 
-  long underWayBytes() {
-    return underWayBytes;
+  long bytesInFlight() {
+    return bytesInFlight;
   }
 
-  /** Whether what this end has sent and is not handled yet is lost. */
-  boolean losesWhatIsUnderWay() {
-    return losesWhatIsUnderWay;
+  /**
+   * Returns whether the messages that the socket has sent and the peer has not handled are lost.
+   */
+  boolean losesMessagesInFlight() {
+    return losesMessagesInFlight;
   }
 
-  /** Time before which nothing that is sent now may arrive: messages keep their order. */
+  /**
+   * Returns the arrival time of the last sent message in microseconds. Later messages arrive no
+   * earlier, so that messages keep their order.
+   */
   long lastArrival() {
     return lastArrival;
   }
 
-  void arrivesAt(long micros) {
+  void setLastArrival(long micros) {
     lastArrival = micros;
   }
 
-  /** Sends a message; it may be lost with the connection. */
+  /** Sends a message, which is lost if the connection ends before the message is handled. */
   void send(byte[] message) {
     if (!open) {
       return;
     }
-    underWayBytes += message.length;
-    full |= underWayBytes > WINDOW_BYTES;
+    bytesInFlight += message.length;
+    full |= bytesInFlight > WINDOW_BYTES;
     network.transmit(this, message.length, () -> peer.arrived(message));
   }
 
   private void arrived(byte[] message) {
-    if (peer.losesWhatIsUnderWay) {
+    if (peer.losesMessagesInFlight) {
       return;
     }
     if (!open) {
@@ -110,29 +115,29 @@
     process.execute(
         this,
         () -> {
-          peer.handled(message.length);
+          peer.messageHandled(message.length);
           if (open) {
             listener.received(message);
           }
         });
   }
 
-  /** A machine that runs answers what comes for a connection that it does not know. */
+  /** Resets the connection of the peer if this machine, which has closed the socket, has power. */
   private void resetPeer() {
     if (machine.isPowered()) {
       network.transmit(this, 0, () -> peer.closedByPeer());
     }
   }
 
-  private void handled(long bytes) {
-    underWayBytes -= bytes;
-    if (full && underWayBytes <= WINDOW_BYTES / 2) {
+  private void messageHandled(long bytes) {
+    bytesInFlight -= bytes;
+    if (full && bytesInFlight <= WINDOW_BYTES / 2) {
       full = false;
-      process.execute(this, this::tellWritable);
+      process.execute(this, this::notifyWritable);
     }
   }
 
-  private void tellWritable() {
+  private void notifyWritable() {
     if (open) {
       listener.writable();
     }
@@ -141,24 +146,24 @@
   /**
    * Resets the connection from this end.
    *
-   * @param lossy whether what is under way is lost
+   * @param lossy whether the messages in flight are lost
    */
   void reset(boolean lossy) {
     if (!open) {
       return;
     }
     open = false;
-    losesWhatIsUnderWay = lossy;
+    losesMessagesInFlight = lossy;
     network.transmit(this, 0, () -> peer.closedByPeer());
   }
 
-  /** The machine has lost power: the other end hears nothing. */
-  void vanish() {
+  /** Closes the socket of a machine that lost power; the peer receives no notice. */
+  void closeSilently() {
     open = false;
-    losesWhatIsUnderWay = true;
+    losesMessagesInFlight = true;
   }
 
-  /** The other end has ended the connection, or the network has. */
+  /** Handles the end of the connection by the peer or by the network. */
   void closedByPeer() {
     if (!open) {
       return;
