--- a/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/DefaultLoadBalancerTest.java
@@ -14,95 +14,97 @@
 import slateslip.loadbalancer.LoadBalancer.Scope;
 import slateslip.loadbalancer.LoadBalancer.Semantics;
 
-/** The four rules, with their awkward cases. */
+/**
+ * Tests the rules on final responses, repeated effects and draining servers, with their edge cases.
+ */
 class DefaultLoadBalancerTest {
   private static final long SECOND = FakeHost.SECOND;
 
-  private static FakeHost two(Semantics semantics, Scope scope) {
+  private static FakeHost threeServers(Semantics semantics, Scope scope) {
     return new FakeHost(FakeHost.settings(semantics, scope))
-        .full(FakeHost.server(1, 0), FakeHost.server(2, 0), FakeHost.server(3, 1));
+        .fullList(FakeHost.server(1, 0), FakeHost.server(2, 0), FakeHost.server(3, 1));
   }
 
-  // ---- one final answer, in time ----
+  // ---- one final response by the deadline ----
 
   @Test
-  void endlessAttemptGetsFinalResponse() {
-    FakeHost host = two(Semantics.SAFE, Scope.ALL);
+  void requestWithEndlessAttemptGetsOneFinalResponse() {
+    FakeHost host = threeServers(Semantics.SAFE, Scope.ALL);
     long id = host.request();
-    host.pass(2 * SECOND);
-    assertEquals(1, host.of("refuse", id).size() + host.of("fail", id).size());
-    host.pass(2 * SECOND);
-    assertEquals(1, host.of("refuse", id).size() + host.of("fail", id).size());
+    host.advance(2 * SECOND);
+    assertEquals(1, host.actions("refuse", id).size() + host.actions("fail", id).size());
+    host.advance(2 * SECOND);
+    assertEquals(1, host.actions("refuse", id).size() + host.actions("fail", id).size());
     assertEquals(1, host.sends(id).size());
   }
 
   @Test
-  void theDeadlineIsTheRequestsOwn() {
-    FakeHost host = two(Semantics.UNSAFE, Scope.ALL);
+  void deadlineOfRequestOverridesClassTimeout() {
+    FakeHost host = threeServers(Semantics.UNSAFE, Scope.ALL);
     host.balancer.request(
         host.now, new LoadBalancer.Request(99, 0, 0, 0, 0, host.now + 200_000, false, false));
-    host.pass(215_000);
-    assertEquals(1, host.of("fail", 99).size());
+    host.advance(215_000);
+    assertEquals(1, host.actions("fail", 99).size());
   }
 
   @Test
-  void withoutAnyServerARequestIsRefusedInTime() {
-    FakeHost host = new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL)).full();
+  void requestWithoutAnyServerIsRefusedByItsDeadline() {
+    FakeHost host = new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL)).fullList();
     long id = host.request();
-    host.pass(SECOND + 10_000);
-    assertEquals(1, host.of("refuse", id).size());
+    host.advance(SECOND + 10_000);
+    assertEquals(1, host.actions("refuse", id).size());
     assertTrue(host.sends(id).isEmpty());
   }
 
   @Test
   void eventsOfClosedRequestsAreIgnored() {
-    FakeHost host = two(Semantics.SAFE, Scope.ALL);
+    FakeHost host = threeServers(Semantics.SAFE, Scope.ALL);
     long id = host.request();
-    host.end(id, 0, Outcome.OK, 1000);
-    int before = host.acts.size();
-    host.end(id, 0, Outcome.OK, 1000);
+    host.complete(id, 0, Outcome.OK, 1000);
+    int before = host.actions.size();
+    host.complete(id, 0, Outcome.OK, 1000);
     host.balancer.clientLeft(host.now, id);
     host.balancer.timer(host.now, 0);
-    assertEquals(before, host.acts.size());
+    assertEquals(before, host.actions.size());
   }
 
   /**
-   * Failed before: those that had left counted among the waiting, and the refused were told to stay
-   * away longer.
+   * Guards against counting requests of disconnected clients as queued, which made the retry delay
+   * of refused clients too long.
    */
   @Test
   void departedClientLeavesQueue() {
-    long[] notified = new long[2];
+    long[] retryDelays = new long[2];
     for (int leaving = 0; leaving < 2; leaving++) {
-      FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+      FakeHost host = new FakeHost(FakeHost.safeSettings()).fullList(FakeHost.server(1, 0));
       for (int i = 0; i < 100; i++) {
         host.serve(25_000);
       }
-      host.full(FakeHost.server(1, 0, Phase.DRAINING, 0));
+      host.fullList(FakeHost.server(1, 0, Phase.DRAINING, 0));
       long first = host.request();
       long[] between = new long[20 * leaving];
       Arrays.setAll(between, i -> host.request());
-      host.request(); // behind which they would wait for their turn
+      host.request(); // the requests in between would be queued behind this request
       Arrays.stream(between).forEach(each -> host.balancer.clientLeft(host.now, each));
-      host.pass(SECOND);
-      notified[leaving] = host.of("refuse", first).get(0).value();
+      host.advance(SECOND);
+      retryDelays[leaving] = host.actions("refuse", first).get(0).value();
     }
-    assertEquals(notified[0], notified[1]);
+    assertEquals(retryDelays[0], retryDelays[1]);
   }
 
   @Test
-  void nothingIsSentForARequestWhoseClientLeft() {
-    FakeHost host = two(Semantics.SAFE, Scope.ALL);
+  void disconnectedClientGetsNoRetryOrResponse() {
+    FakeHost host = threeServers(Semantics.SAFE, Scope.ALL);
     long id = host.request();
     host.balancer.clientLeft(host.now, id);
-    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-    host.pass(3 * SECOND);
+    host.complete(id, 0, Outcome.CONNECT_FAILED, 1000);
+    host.advance(3 * SECOND);
     assertEquals(1, host.sends(id).size());
-    assertTrue(host.of("refuse", id).isEmpty() && host.of("fail", id).isEmpty());
+    assertTrue(host.actions("refuse", id).isEmpty() && host.actions("fail", id).isEmpty());
   }
 
   @Test
-  void aStartedStreamHasNoDeadline() {
+  void startedStreamHasNoDeadline() {
     var streamed =
         new LoadBalancer.RequestClass(
             SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
@@ -110,205 +112,213 @@
         new FakeHost(
                 FakeHost.settings(
                     List.of(streamed), new Permits(3, false, true, true, false, 0), 1, 1))
-            .full(FakeHost.server(1, 0));
+            .fullList(FakeHost.server(1, 0));
     long id = host.request();
     host.balancer.streamStarted(host.now, id, 0, 1, 100);
-    host.pass(10 * SECOND);
-    assertTrue(host.of("fail", id).isEmpty() && host.of("refuse", id).isEmpty());
+    host.advance(10 * SECOND);
+    assertTrue(host.actions("fail", id).isEmpty() && host.actions("refuse", id).isEmpty());
   }
 
-  // ---- no effect twice ----
+  // ---- no repeated effect ----
 
   @Test
-  void unsafeGoesAgainOnlyAfterAProofThatItNeverRan() {
+  void unsafeRequestIsRetriedOnlyAfterProofThatItNeverRan() {
     for (Outcome outcome : Outcome.values()) {
       if (outcome == Outcome.OK || outcome == Outcome.NEVER_SENT) {
         continue;
       }
-      FakeHost host = two(Semantics.UNSAFE, Scope.ALL);
+      FakeHost host = threeServers(Semantics.UNSAFE, Scope.ALL);
       long id = host.request();
-      host.end(id, 0, outcome, 1000);
-      boolean proven = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
-      host.pass(50_000);
-      if (proven) {
-        host.end(id, 1, Outcome.OK, 1000);
+      host.complete(id, 0, outcome, 1000);
+      boolean provenNotRun = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
+      host.advance(50_000);
+      if (provenNotRun) {
+        host.complete(id, 1, Outcome.OK, 1000);
       }
-      host.pass(SECOND);
-      assertEquals(proven ? 2 : 1, host.sends(id).size(), outcome.toString());
-      assertEquals(proven ? 0 : 1, host.of("fail", id).size(), outcome.toString());
-      assertTrue(host.of("refuse", id).isEmpty(), outcome.toString());
+      host.advance(SECOND);
+      assertEquals(provenNotRun ? 2 : 1, host.sends(id).size(), outcome.toString());
+      assertEquals(provenNotRun ? 0 : 1, host.actions("fail", id).size(), outcome.toString());
+      assertTrue(host.actions("refuse", id).isEmpty(), outcome.toString());
     }
   }
 
   /**
-   * Failed before: with no server left that it had not been to it was held to its last moment, then
-   * refused.
+   * Guards against a request that is queued until its deadline and then refused because it has been
+   * sent to all servers, although no attempt reached one.
    */
   @Test
-  void aRequestThatReachedNoServerGoesToOneOfThemAgain() {
+  void requestThatReachedNoServerIsRetriedOnTriedServer() {
     FakeHost host =
         new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL))
-            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+            .fullList(FakeHost.server(1, 0), FakeHost.server(2, 1));
     long id = host.request();
-    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-    host.pass(SECOND / 4); // to the other zone after its price
-    assertEquals(2, host.sends(id).stream().map(FakeHost.Act::server).distinct().count());
-    host.end(id, 1, Outcome.CONNECT_FAILED, 1000);
-    host.pass(SECOND / 4);
+    host.complete(id, 0, Outcome.CONNECT_FAILED, 1000);
+    // The request crosses to the other zone once its wait exceeds the price.
+    host.advance(SECOND / 4);
+    assertEquals(
+        2, host.sends(id).stream().map(FakeHost.RecordedAction::server).distinct().count());
+    host.complete(id, 1, Outcome.CONNECT_FAILED, 1000);
+    host.advance(SECOND / 4);
     assertEquals(3, host.sends(id).size());
-    host.end(id, 2, Outcome.RESET, 1000);
-    host.pass(SECOND);
-    assertEquals(3, host.sends(id).size(), "it may have run");
+    host.complete(id, 2, Outcome.RESET, 1000);
+    host.advance(SECOND);
+    assertEquals(3, host.sends(id).size(), "a request that may have run is not retried");
   }
 
-  /** Guards against more work for servers that all have too much. */
+  /** Guards against retries that add work when all servers are overloaded. */
   @Test
   void rejectedEverywhereIsNotResentThere() {
     FakeHost host =
         new FakeHost(FakeHost.settings(Semantics.UNSAFE, Scope.ALL))
-            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+            .fullList(FakeHost.server(1, 0), FakeHost.server(2, 1));
     long id = host.request();
-    host.end(id, 0, Outcome.FULL, 1000);
-    host.pass(SECOND / 4);
-    host.end(id, 1, Outcome.FULL, 1000);
-    host.pass(SECOND / 4);
+    host.complete(id, 0, Outcome.FULL, 1000);
+    host.advance(SECOND / 4);
+    host.complete(id, 1, Outcome.FULL, 1000);
+    host.advance(SECOND / 4);
     assertEquals(2, host.sends(id).size());
   }
 
-  /** Guards against the same server being tried over and over while another has only no room. */
+  /**
+   * Guards against retrying the same server repeatedly while another server is only at its limit.
+   */
   @Test
   void untriedServerIsPreferredToUnreached() {
     FakeHost host =
-        new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+        new FakeHost(FakeHost.safeSettings())
+            .fullList(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request();
-    long here = host.target(id);
-    List<Long> filling = new ArrayList<>();
+    long unreachedServer = host.target(id);
+    List<Long> fillingRequests = new ArrayList<>();
     long last = host.request();
     while (host.target(last) >= 0) {
-      filling.add(last);
+      fillingRequests.add(last);
       last = host.request();
     }
     host.balancer.clientLeft(host.now, last);
-    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-    filling.stream()
-        .filter(each -> host.target(each) == here)
-        .forEach(each -> host.end(each, 0, Outcome.OK, 1000));
-    host.pass(SECOND / 2);
+    host.complete(id, 0, Outcome.CONNECT_FAILED, 1000);
+    fillingRequests.stream()
+        .filter(each -> host.target(each) == unreachedServer)
+        .forEach(each -> host.complete(each, 0, Outcome.OK, 1000));
+    host.advance(SECOND / 2);
     assertEquals(1, host.sends(id).size());
-    filling.stream()
-        .filter(each -> host.target(each) != here)
-        .forEach(each -> host.end(each, 0, Outcome.OK, 1000));
+    fillingRequests.stream()
+        .filter(each -> host.target(each) != unreachedServer)
+        .forEach(each -> host.complete(each, 0, Outcome.OK, 1000));
     assertEquals(2, host.sends(id).size());
-    assertTrue(host.target(id) != here);
+    assertTrue(host.target(id) != unreachedServer);
   }
 
   @Test
-  void keyedByZoneGoesAgainOnlyInsideTheZone() {
+  void zoneScopedRequestIsRetriedOnlyInItsZone() {
     for (long seed = 0; seed < 20; seed++) {
       FakeHost host =
           new FakeHost(FakeHost.settings(Semantics.KEYED, Scope.ZONE), seed)
-              .full(
+              .fullList(
                   FakeHost.server(1, 0),
                   FakeHost.server(2, 0),
                   FakeHost.server(3, 1),
                   FakeHost.server(4, 1));
       long id = host.request();
-      host.end(id, 0, Outcome.RESET, 1000);
-      host.pass(10_000);
+      host.complete(id, 0, Outcome.RESET, 1000);
+      host.advance(10_000);
       assertEquals(2, host.sends(id).size());
       assertTrue(host.sends(id).get(1).server() <= 2);
-      host.end(id, 1, Outcome.ERROR, 1000);
-      host.pass(2 * SECOND);
-      assertEquals(2, host.sends(id).size(), "the only two servers of the group have been tried");
-      assertTrue(host.of("refuse", id).isEmpty());
-      assertEquals(1, host.of("fail", id).size());
+      host.complete(id, 1, Outcome.ERROR, 1000);
+      host.advance(2 * SECOND);
+      assertEquals(2, host.sends(id).size(), "both servers of the scope have been tried");
+      assertTrue(host.actions("refuse", id).isEmpty());
+      assertEquals(1, host.actions("fail", id).size());
     }
   }
 
   @Test
-  void keyedByCellStaysInTheCellEvenWhenTheZoneHasMore() {
+  void cellScopedRequestIsRetriedOnlyInItsCell() {
     FakeHost host =
         new FakeHost(FakeHost.settings(Semantics.KEYED, Scope.CELL))
-            .full(
+            .fullList(
                 new LoadBalancer.Server(1, 0, 10, 0, Phase.READY, 1, 0),
                 new LoadBalancer.Server(2, 0, 11, 0, Phase.READY, 1, 0));
     long id = host.request();
-    host.end(id, 0, Outcome.ERROR, 1000);
-    host.pass(2 * SECOND);
+    host.complete(id, 0, Outcome.ERROR, 1000);
+    host.advance(2 * SECOND);
     assertEquals(1, host.sends(id).size());
-    assertEquals(1, host.of("fail", id).size());
+    assertEquals(1, host.actions("fail", id).size());
   }
 
   @Test
-  void keyedIsNotSentAfterTheWindow() {
+  void keyedRequestIsNotRetriedAfterItsWindow() {
     var late =
         new LoadBalancer.RequestClass(
             3 * SECOND, 0, 4 * SECOND, Semantics.KEYED, Scope.ALL, SECOND, 1, 0, false);
     FakeHost host =
         new FakeHost(
                 FakeHost.settings(List.of(late), new Permits(4, false, true, true, false, 0), 1, 1))
-            .full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+            .fullList(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request();
-    host.pass(900_000);
-    host.end(id, 0, Outcome.RESET, 900_000);
-    host.pass(3 * SECOND);
+    host.advance(900_000);
+    host.complete(id, 0, Outcome.RESET, 900_000);
+    host.advance(3 * SECOND);
     assertEquals(1, host.sends(id).size());
-    assertEquals(1, host.of("refuse", id).size(), "the group is all, so a refusal is harmless");
+    assertEquals(
+        1,
+        host.actions("refuse", id).size(),
+        "the scope is all servers, so a retry by the client is harmless");
   }
 
   @Test
-  void neverTwoAttemptsOutWhereTheHostForbidsIt() {
-    FakeHost host = two(Semantics.SAFE, Scope.ALL);
+  void secondAttemptIsNotSentWhileDuplicatesAreForbidden() {
+    FakeHost host = threeServers(Semantics.SAFE, Scope.ALL);
     long id = host.request();
-    host.pass(900_000);
+    host.advance(900_000);
     assertEquals(1, host.sends(id).size());
   }
 
   @Test
-  void theAttemptsCapHolds() {
+  void attemptLimitIsKept() {
     FakeHost host =
         new FakeHost(
                 FakeHost.settings(
-                    List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
+                    List.of(FakeHost.requestClass(Semantics.SAFE, Scope.ALL)),
                     new Permits(2, false, true, true, false, 0),
                     1,
                     1))
-            .full(
+            .fullList(
                 FakeHost.server(1, 0),
                 FakeHost.server(2, 0),
                 FakeHost.server(3, 0),
                 FakeHost.server(4, 0));
     long id = host.request();
-    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
-    host.end(id, 1, Outcome.CONNECT_FAILED, 1000);
-    host.pass(2 * SECOND);
+    host.complete(id, 0, Outcome.CONNECT_FAILED, 1000);
+    host.complete(id, 1, Outcome.CONNECT_FAILED, 1000);
+    host.advance(2 * SECOND);
     assertEquals(2, host.sends(id).size());
-    assertEquals(1, host.of("refuse", id).size());
+    assertEquals(1, host.actions("refuse", id).size());
   }
 
-  // ---- drains ----
+  // ---- draining servers ----
 
   @Test
   void drainingServerGetsNothingEvenIfAlone() {
     for (Phase phase : List.of(Phase.DRAINING, Phase.GONE)) {
-      FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+      FakeHost host = new FakeHost(FakeHost.safeSettings()).fullList(FakeHost.server(1, 0));
       host.list(ListKind.DELTA, FakeHost.server(1, 0, phase, 0));
       long id = host.request();
-      host.pass(2 * SECOND);
+      host.advance(2 * SECOND);
       assertTrue(host.sends(id).isEmpty());
     }
   }
 
   @Test
   void fullListRemovesMissingAndRestoresReady() {
-    FakeHost host = two(Semantics.SAFE, Scope.ALL);
-    host.full(FakeHost.server(2, 0));
+    FakeHost host = threeServers(Semantics.SAFE, Scope.ALL);
+    host.fullList(FakeHost.server(2, 0));
     for (int i = 0; i < 6; i++) {
       long id = host.request();
       assertEquals(2, host.target(id));
-      host.end(id, 0, Outcome.OK, 1000);
+      host.complete(id, 0, Outcome.OK, 1000);
     }
-    host.full(FakeHost.server(2, 0, Phase.DRAINING, 0), FakeHost.server(1, 0));
+    host.fullList(FakeHost.server(2, 0, Phase.DRAINING, 0), FakeHost.server(1, 0));
     assertEquals(1, host.target(host.request()));
     host.list(ListKind.DELTA, FakeHost.server(2, 0), FakeHost.server(1, 0, Phase.GONE, 0));
     assertEquals(2, host.target(host.request()));
@@ -316,7 +326,7 @@
 
   @Test
   void staleEntriesChangeNothing() {
-    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+    FakeHost host = new FakeHost(FakeHost.safeSettings()).fullList(FakeHost.server(1, 0));
     host.list(ListKind.DELTA, FakeHost.server(9, 0, Phase.GONE, 0));
     host.list(
         ListKind.DELTA,
--- a/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
+++ b/src/test/java/slateslip/loadbalancer/DiscoveryPollingTest.java
@@ -13,27 +13,28 @@
 import slateslip.loadbalancer.LoadBalancer.Scope;
 import slateslip.loadbalancer.LoadBalancer.Semantics;
 
-/** When discovery is asked where it must be: in time, and not by all at once. */
+/** Tests when agents that poll discovery call it: soon enough, and not all at once. */
 class DiscoveryPollingTest {
   private static final long SECOND = FakeHost.SECOND;
 
   /**
-   * What the protocol leaves from a change, or the return of discovery, until it counts as told.
+   * Time limit of the protocol for an agent to receive a change, from the change or from the return
+   * of discovery.
    */
-  private static final long TOLD = 6 * SECOND;
+  private static final long NOTIFICATION_LIMIT = 6 * SECOND;
 
   /**
-   * By the settings of {@link FakeHost}, 10 s: a quarter of the time within which an agent has to
-   * ask.
+   * Longest delay of the first call: a quarter of the 10 s within which an agent must call
+   * discovery by the settings of {@link FakeHost}.
    */
-  private static final long SPREAD = 10 * SECOND / 4;
+  private static final long FIRST_CALL_SPREAD = 10 * SECOND / 4;
 
   private static final int AGENTS = 20;
 
   private static FakeHost agent(long seed) {
     return new FakeHost(
         FakeHost.settings(
-            List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
+            List.of(FakeHost.requestClass(Semantics.SAFE, Scope.ALL)),
             new Permits(3, false, true, true, false, 0),
             1,
             AGENTS,
@@ -44,53 +45,68 @@
   }
 
   private static int calls(FakeHost host) {
-    return host.all("watch").size();
+    return host.actions("watch").size();
   }
 
-  /** Moves the clock on until the next call, and returns how long that took. */
+  /**
+   * Advances the clock until the next call of discovery and returns the time until then in
+   * microseconds.
+   */
   private static long untilCall(FakeHost host) {
     int before = calls(host);
     long from = host.now;
     while (calls(host) == before) {
-      assertTrue(host.now - from < TOLD, "no call for 6 s");
-      host.pass(FakeHost.TICK);
+      assertTrue(host.now - from < NOTIFICATION_LIMIT, "discovery was not called for 6 s");
+      host.advance(FakeHost.TICK);
     }
     return host.now - from;
   }
 
   @Test
-  void theFirstCallsOfAgentsThatStartTogetherAreSpread() {
-    List<Long> firsts = new ArrayList<>();
+  void firstCallsOfAgentsThatStartTogetherAreSpread() {
+    List<Long> firstCalls = new ArrayList<>();
     for (long seed = 1; seed <= 100; seed++) {
       FakeHost host = agent(seed);
       assertEquals(0, calls(host));
-      firsts.add(untilCall(host));
-      host.pass(TOLD);
-      assertEquals(1, calls(host), "one call is enough where it is answered");
+      firstCalls.add(untilCall(host));
+      host.advance(NOTIFICATION_LIMIT);
+      assertEquals(1, calls(host), "the agent calls once if discovery responds");
     }
-    assertTrue(firsts.stream().allMatch(each -> each <= SPREAD + FakeHost.TICK), firsts.toString());
-    for (long from = 0; from < SPREAD; from += SPREAD / 5) {
+    assertTrue(
+        firstCalls.stream().allMatch(each -> each <= FIRST_CALL_SPREAD + FakeHost.TICK),
+        firstCalls.toString());
+    for (long from = 0; from < FIRST_CALL_SPREAD; from += FIRST_CALL_SPREAD / 5) {
       long part = from;
-      long n = firsts.stream().filter(each -> each >= part && each < part + SPREAD / 5).count();
-      assertTrue(n >= 10 && n <= 30, n + " of 100 in the fifth of the time from " + from);
+      long n =
+          firstCalls.stream()
+              .filter(each -> each >= part && each < part + FIRST_CALL_SPREAD / 5)
+              .count();
+      assertTrue(
+          n >= 10 && n <= 30,
+          n + " of 100 first calls in the fifth of the interval that starts at " + from);
     }
   }
 
   /**
-   * Failed before: the waits grew to 5 s. What changes between two calls that fail is told by the
-   * next that is answered; a second of the six is left for that after any two.
+   * Guards against delays that grow too long; they once grew to 5 s. The next successful call
+   * reports a change that happened between two failed calls. Any two consecutive delays must
+   * therefore leave 1 s of the 6 s limit for that call.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void anyTwoWaitsInARowAreOverInTimeForAChangeToBeKnown(long seed) {
+  void twoConsecutiveDelaysLeaveTimeToReceiveAChange(long seed) {
     FakeHost host = agent(seed);
     untilCall(host);
     long before = 0;
     for (int i = 0; i < 200; i++) {
       host.list(ListKind.FAILED);
       long wait = untilCall(host);
-      assertTrue(wait >= SECOND / 2, "a discovery in trouble is not flooded");
-      assertTrue(before + wait <= TOLD - SECOND + 2 * FakeHost.TICK, before + " and " + wait);
+      assertTrue(
+          wait >= SECOND / 2,
+          "the delay after a failed call is at least 0.5 s, so that a failing discovery is not overloaded");
+      assertTrue(
+          before + wait <= NOTIFICATION_LIMIT - SECOND + 2 * FakeHost.TICK,
+          before + " and " + wait);
       before = wait;
     }
   }
@@ -102,69 +118,74 @@
     for (int i = 0; i < 200; i++) {
       host.list(ListKind.FAILED);
       untilCall(host);
-      host.full(FakeHost.server(1, 0));
+      host.fullList(FakeHost.server(1, 0));
       host.list(ListKind.FAILED);
       assertTrue(untilCall(host) <= 5 * SECOND / 2 + FakeHost.TICK);
     }
   }
 
   /**
-   * When each agent has its response from a discovery that takes calls in turn, and how many were
-   * rejected.
+   * The times at which a discovery that serves one call at a time has responded to the agents, in
+   * microseconds from the start, and the number of rejected calls.
    */
-  private record Fleet(List<Long> responded, int turnedAway) {
+  private record Fleet(List<Long> responded, int rejected) {
     /**
-     * As the simulator's pages have discovery: calls wait in turn, and fail when that takes too
-     * long.
+     * Simulates discovery as the simulator documents it: calls are queued, and a call that would
+     * wait more than 2 s fails.
      *
-     * @param service how long it takes over one call
-     * @param downFor how long it cannot be reached at first
+     * @param callDuration the time that discovery takes for one call, in microseconds
+     * @param outage how long discovery is unreachable from the start, in microseconds
      */
-    static Fleet play(long service, long downFor) {
-      List<FakeHost> hands = new ArrayList<>();
+    static Fleet simulate(long callDuration, long outage) {
+      List<FakeHost> hosts = new ArrayList<>();
       for (int i = 0; i < AGENTS; i++) {
-        hands.add(agent(100 + i));
+        hosts.add(agent(100 + i));
       }
       List<Long> responded = new ArrayList<>();
-      int turnedAway = 0;
+      int rejected = 0;
       long freeAt = 0;
       for (long at = 0; responded.size() < AGENTS; at += FakeHost.TICK) {
-        assertTrue(at < downFor + 10 * TOLD, "not all are answered");
-        for (FakeHost host : hands) {
+        assertTrue(at < outage + 10 * NOTIFICATION_LIMIT, "some agents have no response");
+        for (FakeHost host : hosts) {
           int before = calls(host);
-          host.pass(FakeHost.TICK);
+          host.advance(FakeHost.TICK);
           if (calls(host) == before) {
             continue;
           }
-          if (at >= downFor && freeAt - at <= 2 * SECOND) {
-            freeAt = Math.max(freeAt, at) + service;
+          if (at >= outage && freeAt - at <= 2 * SECOND) {
+            freeAt = Math.max(freeAt, at) + callDuration;
             responded.add(freeAt);
           } else {
-            turnedAway += at >= downFor ? 1 : 0;
+            rejected += at >= outage ? 1 : 0;
             host.list(ListKind.FAILED);
           }
         }
       }
-      return new Fleet(responded, turnedAway);
+      return new Fleet(responded, rejected);
     }
   }
 
   /**
-   * Failed before: twenty calls of 150 ms in one moment are 3 s of work, and a third was turned
-   * away.
+   * Guards against simultaneous first calls: 20 calls of 150 ms each are 3 s of work, and a third
+   * of them were rejected.
    */
   @Test
-  void agentsThatStartTogetherAreAllAnswered() {
-    Fleet fleet = Fleet.play(150_000, 0);
-    assertEquals(0, fleet.turnedAway);
-    assertTrue(fleet.responded.stream().allMatch(each -> each <= TOLD), fleet.toString());
+  void agentsThatStartTogetherAllGetAResponse() {
+    Fleet fleet = Fleet.simulate(150_000, 0);
+    assertEquals(0, fleet.rejected);
+    assertTrue(
+        fleet.responded.stream().allMatch(each -> each <= NOTIFICATION_LIMIT), fleet.toString());
   }
 
-  /** Discovery is down for 8 s, and all have called in vain again and again when it returns. */
+  /**
+   * Checks the recovery after discovery was down for 8 s, in which the calls of all agents failed
+   * repeatedly.
+   */
   @Test
   void agentsRecoverListAfterDiscoveryReturns() {
-    Fleet fleet = Fleet.play(150_000, 8 * SECOND);
+    Fleet fleet = Fleet.simulate(150_000, 8 * SECOND);
     assertTrue(
-        fleet.responded.stream().allMatch(each -> each <= 8 * SECOND + TOLD), fleet.toString());
+        fleet.responded.stream().allMatch(each -> each <= 8 * SECOND + NOTIFICATION_LIMIT),
+        fleet.toString());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/FakeHost.java
+++ b/src/test/java/slateslip/loadbalancer/FakeHost.java
@@ -18,18 +18,24 @@
 import slateslip.loadbalancer.LoadBalancer.Settings;
 import slateslip.loadbalancer.LoadBalancer.Tenant;
 
-/** Drives one balancer by hand: a hand-turned clock, recorded actions, due timers. */
+/**
+ * A fake host of one load balancer: tests move its clock, and the host records the actions and
+ * delivers due timers.
+ */
 class FakeHost implements LoadBalancer.Actions {
   static final long SECOND = 1_000_000;
   static final long TICK = 5_000;
 
-  /** What was done: the words of the action and its numbers. */
-  record Act(String what, long id, long server, long value) {}
+  /**
+   * An action that the load balancer called. The value is the last argument or, for probes and
+   * discovery, the time; unused fields are 0.
+   */
+  record RecordedAction(String name, long id, long server, long value) {}
 
   private record Timer(long token, long at) {}
 
-  final List<Act> acts = new ArrayList<>();
-  final List<String> lines = new ArrayList<>();
+  final List<RecordedAction> actions = new ArrayList<>();
+  final List<String> logLines = new ArrayList<>();
   private final List<Timer> timers = new ArrayList<>();
   final LoadBalancer balancer;
   long now = 100 * SECOND;
@@ -45,16 +51,19 @@
 
   // ---- settings ----
 
-  static RequestClass type(Semantics semantics, Scope scope) {
+  static RequestClass requestClass(Semantics semantics, Scope scope) {
     return new RequestClass(SECOND, 0, 4 * SECOND, semantics, scope, 2 * SECOND, 1, 0, false);
   }
 
   static Settings settings(Semantics semantics, Scope scope) {
     return settings(
-        List.of(type(semantics, scope)), new Permits(4, false, true, true, false, SECOND), 2, 2);
+        List.of(requestClass(semantics, scope)),
+        new Permits(4, false, true, true, false, SECOND),
+        2,
+        2);
   }
 
-  static Settings safe() {
+  static Settings safeSettings() {
     return settings(Semantics.SAFE, Scope.ALL);
   }
 
@@ -67,8 +76,8 @@
       Permits permits,
       int zones,
       int agents,
-      boolean ask,
-      boolean warmKeys,
+      boolean pollDiscovery,
+      boolean keyAffinity,
       List<Tenant> tenants) {
     return new Settings(
         0,
@@ -76,8 +85,8 @@
         0,
         zones,
         TICK,
-        ask,
-        warmKeys,
+        pollDiscovery,
+        keyAffinity,
         false,
         false,
         0.1,
@@ -105,7 +114,7 @@
     return this;
   }
 
-  FakeHost full(Server... servers) {
+  FakeHost fullList(Server... servers) {
     return list(ListKind.FULL, servers);
   }
 
@@ -119,96 +128,101 @@
     return id;
   }
 
-  void end(long id, int attempt, Outcome outcome, long spent) {
+  void complete(long id, int attempt, Outcome outcome, long elapsed) {
     balancer.outcome(
         now,
         id,
         attempt,
         sends(id).get(attempt).server(),
         outcome,
-        spent,
+        elapsed,
         outcome == Outcome.OK,
         new double[0]);
   }
 
-  /** Moves the clock on in ticks, delivering timers as they come due. */
-  void pass(long micros) {
-    long until = now + micros;
-    while (now < until) {
-      now = Math.min(until, now + TICK);
-      fire();
+  /**
+   * Advances the clock in ticks for a time in microseconds and delivers the timers that become due.
+   */
+  void advance(long micros) {
+    long end = now + micros;
+    while (now < end) {
+      now = Math.min(end, now + TICK);
+      deliverDueTimers();
     }
   }
 
-  private void fire() {
-    List<Timer> ripe = timers.stream().filter(t -> t.at() <= now).toList();
-    timers.removeAll(ripe);
-    for (Timer timer : ripe) {
+  private void deliverDueTimers() {
+    List<Timer> due = timers.stream().filter(t -> t.at() <= now).toList();
+    timers.removeAll(due);
+    for (Timer timer : due) {
       balancer.timer(now, timer.token());
     }
   }
 
-  /** Serves a request at once after the given time. */
-  long serve(long spent) {
+  /**
+   * Sends a request and, if the load balancer sends an attempt, reports success after a time in
+   * microseconds.
+   */
+  long serve(long elapsed) {
     long id = request();
-    pass(spent);
+    advance(elapsed);
     if (!sends(id).isEmpty()) {
-      end(id, sends(id).size() - 1, Outcome.OK, spent);
+      complete(id, sends(id).size() - 1, Outcome.OK, elapsed);
     }
     return id;
   }
 
-  // ---- what was done ----
+  // ---- recorded actions ----
 
-  List<Act> all(String what) {
-    return acts.stream().filter(a -> a.what().equals(what)).toList();
+  List<RecordedAction> actions(String name) {
+    return actions.stream().filter(a -> a.name().equals(name)).toList();
   }
 
-  List<Act> of(String what, long id) {
-    return acts.stream().filter(a -> a.what().equals(what) && a.id() == id).toList();
+  List<RecordedAction> actions(String name, long id) {
+    return actions.stream().filter(a -> a.name().equals(name) && a.id() == id).toList();
   }
 
-  List<Act> sends(long id) {
-    return of("send", id);
+  List<RecordedAction> sends(long id) {
+    return actions("send", id);
   }
 
   long target(long id) {
-    List<Act> sends = sends(id);
+    List<RecordedAction> sends = sends(id);
     return sends.isEmpty() ? -1 : sends.get(sends.size() - 1).server();
   }
 
-  boolean logged(String part) {
-    return lines.stream().anyMatch(l -> l.contains(part));
+  boolean logged(String text) {
+    return logLines.stream().anyMatch(l -> l.contains(text));
   }
 
   @Override
   public void send(long request, long server, long timeout) {
-    acts.add(new Act("send", request, server, timeout));
+    actions.add(new RecordedAction("send", request, server, timeout));
   }
 
   @Override
   public void refuse(long request, long retryAfter) {
-    acts.add(new Act("refuse", request, 0, retryAfter));
+    actions.add(new RecordedAction("refuse", request, 0, retryAfter));
   }
 
   @Override
   public void fail(long request) {
-    acts.add(new Act("fail", request, 0, 0));
+    actions.add(new RecordedAction("fail", request, 0, 0));
   }
 
   @Override
   public void cancel(long request, int attempt) {
-    acts.add(new Act("cancel", request, 0, attempt));
+    actions.add(new RecordedAction("cancel", request, 0, attempt));
   }
 
   @Override
   public void probe(long server) {
-    acts.add(new Act("probe", 0, server, now));
+    actions.add(new RecordedAction("probe", 0, server, now));
   }
 
   @Override
   public void sendToPeers(int agent, byte[] message) {
-    acts.add(new Act("tell", agent, 0, message.length));
+    actions.add(new RecordedAction("sendToPeers", agent, 0, message.length));
   }
 
   @Override
@@ -218,21 +232,21 @@
 
   @Override
   public void closeIdle(long server) {
-    acts.add(new Act("closeIdle", 0, server, 0));
+    actions.add(new RecordedAction("closeIdle", 0, server, 0));
   }
 
   @Override
   public void watchServers() {
-    acts.add(new Act("watch", 0, 0, now));
+    actions.add(new RecordedAction("watch", 0, 0, now));
   }
 
   @Override
   public void fetchServers() {
-    acts.add(new Act("fetch", 0, 0, now));
+    actions.add(new RecordedAction("fetch", 0, 0, now));
   }
 
   @Override
   public void log(String line) {
-    lines.add(line);
+    logLines.add(line);
   }
 }
--- a/src/test/java/slateslip/loadbalancer/MainTest.java
+++ b/src/test/java/slateslip/loadbalancer/MainTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void serveWithoutAUsableConfigurationSaysWhyInOneLine() {
+  void serveWithoutUsableConfigurationPrintsReasonInOneLine() {
     assertEquals(1, Main.serve(null, new PrintStream(err)));
     assertEquals(1, Main.serve("no/such/file", new PrintStream(err)));
     assertEquals(
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void noCommandAndAnUnknownOneGiveTheUsageAsAnError() {
+  void missingOrUnknownCommandPrintsUsageAsError() {
     assertEquals(2, run());
     assertEquals(2, run("sing"));
     assertEquals("", out.toString(UTF_8));
--- a/src/test/java/slateslip/loadbalancer/PolicyFilesTest.java
+++ b/src/test/java/slateslip/loadbalancer/PolicyFilesTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The files that the deploy file names as deciding: each exists and is short enough to be read at
- * once. The limit on all of them together was withdrawn by the users.
+ * Checks the policy files that {@code deploy/balancer.toml} names: each exists and is short enough
+ * to be read in one go. The users withdrew the limit on the total length of these files.
  */
 class PolicyFilesTest {
   private static final int MAX_LINES = 400;
   private static final Pattern POLICY = Pattern.compile("(?m)^policy = \\[(.*)]$");
 
-  private static List<Path> named() throws IOException {
+  private static List<Path> policyFiles() throws IOException {
     Matcher policy = POLICY.matcher(Files.readString(Path.of("deploy/balancer.toml")));
-    assertTrue(policy.find(), "the deploy file names the policy in one line");
+    assertTrue(policy.find(), "deploy/balancer.toml has no line \"policy = [...]\"");
     return Pattern.compile("\"([^\"]+)\"")
         .matcher(policy.group(1))
         .results()
@@ -30,8 +30,8 @@
   }
 
   @Test
-  void everyNamedFileExistsAndHasAtMostFourHundredLines() throws IOException {
-    for (Path file : named()) {
+  void everyPolicyFileExistsAndHasAtMostFourHundredLines() throws IOException {
+    for (Path file : policyFiles()) {
       assertTrue(Files.exists(file), file + " is missing");
       int lines = Files.readAllLines(file).size();
       assertTrue(lines <= MAX_LINES, file + " has " + lines + " lines");
@@ -39,11 +39,14 @@
   }
 
   @Test
-  void theModuleItselfIsNamedAndNoneTwice() throws IOException {
-    List<Path> named = named();
+  void loadBalancerIsNamedAndNoFileIsNamedTwice() throws IOException {
+    List<Path> policyFiles = policyFiles();
     assertTrue(
-        named.contains(Path.of("src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java")),
-        named.toString());
-    assertFalse(named.stream().distinct().count() < named.size(), "twice in " + named);
+        policyFiles.contains(
+            Path.of("src/main/java/slateslip/loadbalancer/DefaultLoadBalancer.java")),
+        policyFiles.toString());
+    assertFalse(
+        policyFiles.stream().distinct().count() < policyFiles.size(),
+        "duplicate file in " + policyFiles);
   }
 }
--- a/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
+++ b/src/test/java/slateslip/loadbalancer/QuantileEstimatorTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void theQuantileOfEvenValuesIsFoundAndFollowed() {
+  void estimateFollowsQuantileOfUniformValues() {
     SplittableRandom random = new SplittableRandom(5);
     QuantileEstimator quantile = new QuantileEstimator(0.8);
     for (int i = 0; i < 3000; i++) {
@@ -30,11 +30,12 @@
       quantile.add(3 * random.nextDouble());
     }
     assertEquals(2.4, quantile.value(), 0.36);
-    assertEquals(0.8, quantile.lowest(), 0.25, "the lowest stays where it was quiet");
+    assertEquals(
+        0.8, quantile.lowest(), 0.25, "the lowest value remains from the period of small values");
   }
 
   @Test
-  void nothingIsKnownOfAFewValues() {
+  void estimateIsUnreliableBelowFiftyValues() {
     QuantileEstimator quantile = new QuantileEstimator(0.8);
     for (int i = 0; i < 49; i++) {
       quantile.add(1);
--- a/src/test/java/slateslip/loadbalancer/RandomRunTest.java
+++ b/src/test/java/slateslip/loadbalancer/RandomRunTest.java
@@ -22,26 +22,26 @@
 import slateslip.loadbalancer.LoadBalancer.Tenant;
 
 /**
- * Legal events in a random order over varied settings, with a checker of its own for the rules on
- * answers, repeats and drains, and for determinism. Outcomes are drawn by lot: there is no model of
- * a server here.
+ * Sends valid events in a random order to load balancers with random settings. Checks the rules on
+ * final responses, retries and draining servers after each event, and that equal seeds give equal
+ * actions. The outcomes of attempts are random; the test does not model servers.
  */
 class RandomRunTest {
   private static final List<Phase> PHASES = List.of(Phase.values());
   private static final List<Outcome> OUTCOMES = List.of(Outcome.values());
   private static final long SECOND = FakeHost.SECOND;
 
-  /** What the checker knows of a request. */
-  private static final class Known {
+  /** The checker's record of a request and of its attempts. */
+  private static final class TrackedRequest {
     final RequestClass type;
     final long deadline;
     final List<Long> servers = new ArrayList<>();
     final List<Long> sentAt = new ArrayList<>();
     final List<Outcome> outcomes = new ArrayList<>();
     int responses;
-    boolean left;
+    boolean clientGone;
 
-    Known(RequestClass type, long deadline) {
+    TrackedRequest(RequestClass type, long deadline) {
       this.type = type;
       this.deadline = deadline;
     }
@@ -51,25 +51,25 @@
     }
   }
 
-  private final Map<Long, Known> requests = new HashMap<>();
+  private final Map<Long, TrackedRequest> requests = new HashMap<>();
   private final Map<Long, Server> listed = new HashMap<>();
   private FakeHost host;
   private Permits permits;
-  private int seen;
+  private int checkedActions;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void theRulesHoldAndTheSameEventsGiveTheSameActions(long seed) {
-    List<FakeHost.Act> first = play(seed);
-    long sent = first.stream().filter(a -> a.what().equals("send")).count();
-    assertTrue(sent > 100, "too little was sent: " + sent);
+  void rulesHoldAndEqualSeedsGiveEqualActions(long seed) {
+    List<FakeHost.RecordedAction> first = run(seed);
+    long sent = first.stream().filter(a -> a.name().equals("send")).count();
+    assertTrue(sent > 100, "too few requests were sent: " + sent);
     requests.clear();
     listed.clear();
-    seen = 0;
-    assertEquals(first, play(seed));
+    checkedActions = 0;
+    assertEquals(first, run(seed));
   }
 
-  private List<FakeHost.Act> play(long seed) {
+  private List<FakeHost.RecordedAction> run(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<RequestClass> classes = new ArrayList<>();
     for (Semantics semantics : Semantics.values()) {
@@ -110,26 +110,26 @@
     for (int step = 0; step < 4000; step++) {
       step(random, classes, zones);
       check();
-      host.pass(FakeHost.TICK);
+      host.advance(FakeHost.TICK);
       check();
     }
     for (long end = host.now + 7 * SECOND; host.now < end; ) {
-      host.pass(FakeHost.TICK);
+      host.advance(FakeHost.TICK);
       check();
     }
-    for (Map.Entry<Long, Known> e : requests.entrySet()) {
-      Known known = e.getValue();
-      boolean served = known.outcomes.contains(Outcome.OK);
+    for (Map.Entry<Long, TrackedRequest> e : requests.entrySet()) {
+      TrackedRequest tracked = e.getValue();
+      boolean served = tracked.outcomes.contains(Outcome.OK);
       assertTrue(
-          known.left || (served && known.responses == 0) || known.responses == 1,
-          "request " + e.getKey());
+          tracked.clientGone || (served && tracked.responses == 0) || tracked.responses == 1,
+          "responses to request " + e.getKey());
     }
-    return List.copyOf(host.acts);
+    return List.copyOf(host.actions);
   }
 
   private void step(SplittableRandom random, List<RequestClass> classes, int zones) {
-    int what = random.nextInt(20);
-    if (what == 0) {
+    int eventKind = random.nextInt(20);
+    if (eventKind == 0) {
       Server server =
           new Server(
               1 + random.nextInt(8),
@@ -140,7 +140,7 @@
               1,
               random.nextInt(9) == 0 ? host.now : 0);
       Server before = listed.get(server.id());
-      if (before != null) { // a server keeps its place
+      if (before != null) { // the zone and the cell of a server never change
         server =
             new Server(
                 server.id(),
@@ -153,20 +153,20 @@
       }
       listed.put(server.id(), server);
       host.list(ListKind.DELTA, server);
-    } else if (what == 1) {
+    } else if (eventKind == 1) {
       host.balancer.probed(
           host.now,
           1 + random.nextInt(8),
           OUTCOMES.get(Math.max(0, random.nextInt(20) - 16)),
           1000,
           new double[0]);
-    } else if (what == 2) {
+    } else if (eventKind == 2) {
       host.list(ListKind.FAILED);
-    } else if (what < 10) {
+    } else if (eventKind < 10) {
       int c = random.nextInt(classes.size());
       long deadline = host.now + 300_000 + random.nextLong(3 * SECOND);
       long id = 1_000_000L + requests.size();
-      requests.put(id, new Known(classes.get(c), deadline));
+      requests.put(id, new TrackedRequest(classes.get(c), deadline));
       host.balancer.request(
           host.now,
           new LoadBalancer.Request(
@@ -182,84 +182,98 @@
       List<Long> ids = new ArrayList<>(requests.keySet());
       ids.sort(null);
       for (int i = Math.max(0, ids.size() - 40); i < ids.size(); i++) {
-        end(random, ids.get(i));
+        completeAttempts(random, ids.get(i));
       }
     }
   }
 
-  private void end(SplittableRandom random, long id) {
-    Known known = requests.get(id);
+  private void completeAttempts(SplittableRandom random, long id) {
+    TrackedRequest tracked = requests.get(id);
     int roll = random.nextInt(60);
-    if (roll == 0 && known.responses == 0 && !known.outcomes.contains(Outcome.OK)) {
-      known.left = true;
+    if (roll == 0 && tracked.responses == 0 && !tracked.outcomes.contains(Outcome.OK)) {
+      tracked.clientGone = true;
       host.balancer.clientLeft(host.now, id);
       check();
     }
-    for (int a = 0; a < known.outcomes.size(); a++) {
-      if (known.outcomes.get(a) == null && roll < 20) {
+    for (int a = 0; a < tracked.outcomes.size(); a++) {
+      if (tracked.outcomes.get(a) == null && roll < 20) {
         Outcome outcome = OUTCOMES.get(Math.max(0, random.nextInt(40) - 32));
-        boolean closed = known.left || known.responses > 0 || outcome == Outcome.OK;
-        known.outcomes.set(a, outcome);
+        boolean closed = tracked.clientGone || tracked.responses > 0 || outcome == Outcome.OK;
+        tracked.outcomes.set(a, outcome);
         host.balancer.outcome(
-            host.now, id, a, known.servers.get(a), outcome, 1000, closed, new double[0]);
+            host.now, id, a, tracked.servers.get(a), outcome, 1000, closed, new double[0]);
         check();
       }
     }
   }
 
-  /** Looks at the actions not seen yet. */
+  /** Checks the actions recorded since the last check. */
   private void check() {
-    for (; seen < host.acts.size(); seen++) {
-      FakeHost.Act act = host.acts.get(seen);
-      Known known = requests.get(act.id());
-      switch (act.what()) {
-        case "send" -> checkSend(act, known);
+    for (; checkedActions < host.actions.size(); checkedActions++) {
+      FakeHost.RecordedAction action = host.actions.get(checkedActions);
+      TrackedRequest tracked = requests.get(action.id());
+      switch (action.name()) {
+        case "send" -> checkSend(action, tracked);
         case "refuse", "fail" -> {
-          assertEquals(0, known.responses, "one final answer");
-          assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is owed");
-          assertTrue(host.now <= known.deadline + 20_000, "in time");
-          known.responses++;
-          for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
+          assertEquals(0, tracked.responses, "a request has at most one final response");
+          assertFalse(
+              tracked.clientGone || tracked.outcomes.contains(Outcome.OK),
+              "a request that has ended needs no response");
+          assertTrue(
+              host.now <= tracked.deadline + 20_000,
+              "the response is sent by the deadline plus the response slack of 20 ms");
+          tracked.responses++;
+          for (int a = 0; a < tracked.outcomes.size() && action.name().equals("refuse"); a++) {
             boolean harmless =
-                known.type.semantics() == Semantics.SAFE
-                    || !known.mayHaveRun(a)
-                    || (known.type.semantics() == Semantics.KEYED
-                        && known.type.scope() == Scope.ALL);
-            assertTrue(harmless, "a refusal is harmless");
+                tracked.type.semantics() == Semantics.SAFE
+                    || !tracked.mayHaveRun(a)
+                    || (tracked.type.semantics() == Semantics.KEYED
+                        && tracked.type.scope() == Scope.ALL);
+            assertTrue(harmless, "a request is refused only if a retry by the client is harmless");
           }
         }
-        case "cancel" -> assertTrue(permits.cancel(), "cancelling is permitted");
-        case "probe" -> assertTrue(permits.probes(), "probing is permitted");
+        case "cancel" -> assertTrue(permits.cancel(), "attempts are cancelled only if permitted");
+        case "probe" -> assertTrue(permits.probes(), "probes are sent only if permitted");
         default -> {}
       }
     }
   }
 
-  private void checkSend(FakeHost.Act act, Known known) {
-    assertEquals(0, known.responses, "nothing is sent after the answer");
-    assertFalse(known.left || known.outcomes.contains(Outcome.OK), "nothing is sent after the end");
-    assertEquals(Phase.READY, listed.get(act.server()).phase());
-    assertTrue(known.outcomes.size() < permits.maxAttempts(), "attempts");
-    for (int a = 0; a < known.outcomes.size(); a++) {
-      if (known.outcomes.get(a) == null) {
-        assertTrue(permits.duplicates() && known.type.semantics() == Semantics.SAFE, "two at once");
+  private void checkSend(FakeHost.RecordedAction action, TrackedRequest tracked) {
+    assertEquals(0, tracked.responses, "no attempt is sent after the final response");
+    assertFalse(
+        tracked.clientGone || tracked.outcomes.contains(Outcome.OK),
+        "no attempt is sent after the end of the request");
+    assertEquals(Phase.READY, listed.get(action.server()).phase());
+    assertTrue(
+        tracked.outcomes.size() < permits.maxAttempts(),
+        "the number of attempts is within the limit");
+    for (int a = 0; a < tracked.outcomes.size(); a++) {
+      if (tracked.outcomes.get(a) == null) {
+        assertTrue(
+            permits.duplicates() && tracked.type.semantics() == Semantics.SAFE,
+            "two attempts are in flight only if duplicates are permitted and the request is safe");
       }
-      if (known.mayHaveRun(a)) {
-        assertTrue(known.type.semantics() != Semantics.UNSAFE, "unsafe may have run");
-        if (known.type.semantics() == Semantics.KEYED) {
-          assertTrue(host.now < known.sentAt.get(a) + known.type.window(), "window");
-          Server old = listed.get(known.servers.get(a));
-          Server next = listed.get(act.server());
+      if (tracked.mayHaveRun(a)) {
+        assertTrue(
+            tracked.type.semantics() != Semantics.UNSAFE,
+            "an unsafe request that may have run is not retried");
+        if (tracked.type.semantics() == Semantics.KEYED) {
+          assertTrue(
+              host.now < tracked.sentAt.get(a) + tracked.type.window(),
+              "a keyed request is retried only within its window");
+          Server old = listed.get(tracked.servers.get(a));
+          Server next = listed.get(action.server());
           assertTrue(
-              known.type.scope() == Scope.ALL
-                  || (known.type.scope() == Scope.ZONE && old.zone() == next.zone())
-                  || (known.type.scope() == Scope.CELL && old.cell() == next.cell()),
-              "group");
+              tracked.type.scope() == Scope.ALL
+                  || (tracked.type.scope() == Scope.ZONE && old.zone() == next.zone())
+                  || (tracked.type.scope() == Scope.CELL && old.cell() == next.cell()),
+              "a keyed request is retried only inside the scope of its class");
         }
       }
     }
-    known.servers.add(act.server());
-    known.sentAt.add(host.now);
-    known.outcomes.add(null);
+    tracked.servers.add(action.server());
+    tracked.sentAt.add(host.now);
+    tracked.outcomes.add(null);
   }
 }
--- a/src/test/java/slateslip/loadbalancer/RandomSettingsReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/RandomSettingsReloadTest.java
@@ -21,7 +21,10 @@
 import slateslip.loadbalancer.LoadBalancer.Server;
 import slateslip.loadbalancer.LoadBalancer.Settings;
 
-/** Settings that change at random among requests, servers and their ends, by seed. */
+/**
+ * Mixes random settings reloads with random requests, server lists and outcomes of attempts; the
+ * seed fixes the order.
+ */
 class RandomSettingsReloadTest {
   private static final List<Semantics> SEMANTICS = List.of(Semantics.values());
   private static final List<Scope> SCOPES = List.of(Scope.values());
@@ -29,8 +32,11 @@
   private static final int STEPS = 3_000;
   private static final int SERVERS = 8;
 
-  /** What the checker knows of a request: what its class has been since, null for removed. */
-  private static final class Known {
+  /**
+   * The checker's record of a request. Its types are the settings of its class since arrival, with
+   * null after the class was removed.
+   */
+  private static final class TrackedRequest {
     final List<RequestClass> types = new ArrayList<>();
     final long deadline;
     String name;
@@ -39,18 +45,18 @@
     final List<Outcome> outcomes = new ArrayList<>();
     int responses;
 
-    Known(String name, long deadline) {
+    TrackedRequest(String name, long deadline) {
       this.name = name;
       this.deadline = deadline;
     }
   }
 
-  private final Map<Long, Known> requests = new HashMap<>();
+  private final Map<Long, TrackedRequest> requests = new HashMap<>();
   private final Map<Long, String> zoneOf = new HashMap<>();
   private List<String> classes = List.of("a", "b", "c", "d");
   private List<String> zones = List.of("x", "y", "z");
   private final Map<String, RequestClass> types = new HashMap<>();
-  private int seen;
+  private int checkedActions;
 
   private static List<String> shuffled(SplittableRandom random, List<String> names) {
     List<String> order = new ArrayList<>();
@@ -58,7 +64,7 @@
     return order;
   }
 
-  private Settings drawn(SplittableRandom random) {
+  private Settings randomSettings(SplittableRandom random) {
     classes.forEach(
         name ->
             types.put(
@@ -75,48 +81,49 @@
   }
 
   /**
-   * Whatever classes and zones become, each request has one answer, and no effect can happen twice.
+   * Checks that each request gets one response and that no effect can happen twice, however classes
+   * and zones change.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theRulesHoldWhateverFollowsAndTheSameEventsGiveTheSameActions(long seed) {
-    List<FakeHost.Act> first = play(seed);
-    long sent = first.stream().filter(act -> act.what().equals("send")).count();
-    assertTrue(sent > 100, "too little was sent: " + sent);
-    assertEquals(first, new RandomSettingsReloadTest().play(seed));
+  void rulesHoldAcrossReloadsAndEqualSeedsGiveEqualActions(long seed) {
+    List<FakeHost.RecordedAction> first = run(seed);
+    long sent = first.stream().filter(action -> action.name().equals("send")).count();
+    assertTrue(sent > 100, "too few requests were sent: " + sent);
+    assertEquals(first, new RandomSettingsReloadTest().run(seed));
   }
 
-  private List<FakeHost.Act> play(long seed) {
+  private List<FakeHost.RecordedAction> run(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    FakeHost host = new FakeHost(drawn(random), seed);
+    FakeHost host = new FakeHost(randomSettings(random), seed);
     for (int step = 0; step < STEPS; step++) {
-      int what = step < SERVERS ? 0 : random.nextInt(20);
-      if (what == 0) {
+      int eventKind = step < SERVERS ? 0 : random.nextInt(20);
+      if (eventKind == 0) {
         listServer(host, random);
-      } else if (what < 3) {
+      } else if (eventKind < 3) {
         reload(host, random);
-      } else if (what < 12) {
+      } else if (eventKind < 12) {
         request(host, random, step);
       } else {
         for (long id = Math.max(0, step - 60); id < step; id++) {
-          end(host, random, id);
+          completeAttempts(host, random, id);
         }
       }
       check(host);
-      host.pass(FakeHost.TICK);
+      host.advance(FakeHost.TICK);
       check(host);
     }
     for (int i = 0; i < 5 * SECOND / FakeHost.TICK; i++) {
-      host.pass(FakeHost.TICK);
+      host.advance(FakeHost.TICK);
       check(host);
     }
     requests.forEach(
-        (id, known) ->
+        (id, tracked) ->
             assertEquals(
                 1,
-                known.responses + (known.outcomes.contains(Outcome.OK) ? 1 : 0),
-                "request " + id));
-    return List.copyOf(host.acts);
+                tracked.responses + (tracked.outcomes.contains(Outcome.OK) ? 1 : 0),
+                "responses to request " + id));
+    return List.copyOf(host.actions);
   }
 
   private void listServer(FakeHost host, SplittableRandom random) {
@@ -142,10 +149,10 @@
         shuffled(random, List.of("x", "y", "z", "new")).stream()
             .filter(zone -> !zone.equals("new") || random.nextBoolean())
             .toList();
-    Settings next = drawn(random);
-    for (Known known : requests.values()) {
-      known.name = known.name != null && classes.contains(known.name) ? known.name : null;
-      known.types.add(known.name == null ? null : types.get(known.name));
+    Settings next = randomSettings(random);
+    for (TrackedRequest tracked : requests.values()) {
+      tracked.name = tracked.name != null && classes.contains(tracked.name) ? tracked.name : null;
+      tracked.types.add(tracked.name == null ? null : types.get(tracked.name));
     }
     host.balancer.settings(
         host.now,
@@ -159,30 +166,31 @@
   private void request(FakeHost host, SplittableRandom random, int id) {
     int position = random.nextInt(classes.size());
     String name = classes.get(position);
-    Known known = new Known(name, host.now + 300_000 + random.nextLong(3 * SECOND));
-    known.types.add(types.get(name));
-    requests.put((long) id, known);
+    TrackedRequest tracked =
+        new TrackedRequest(name, host.now + 300_000 + random.nextLong(3 * SECOND));
+    tracked.types.add(types.get(name));
+    requests.put((long) id, tracked);
     host.balancer.request(
-        host.now, new Request(id, position, 0, 0, 0, known.deadline, false, false));
+        host.now, new Request(id, position, 0, 0, 0, tracked.deadline, false, false));
   }
 
-  private void end(FakeHost host, SplittableRandom random, long id) {
-    Known known = requests.get(id);
-    for (int a = 0; known != null && a < known.outcomes.size(); a++) {
-      if (known.outcomes.get(a) == null && random.nextInt(3) == 0) {
+  private void completeAttempts(FakeHost host, SplittableRandom random, long id) {
+    TrackedRequest tracked = requests.get(id);
+    for (int a = 0; tracked != null && a < tracked.outcomes.size(); a++) {
+      if (tracked.outcomes.get(a) == null && random.nextInt(3) == 0) {
         Outcome outcome =
             random.nextInt(4) > 0
                 ? Outcome.OK
                 : random.nextBoolean() ? Outcome.RESET : Outcome.CONNECT_FAILED;
-        known.outcomes.set(a, outcome);
+        tracked.outcomes.set(a, outcome);
         host.balancer.outcome(
             host.now,
             id,
             a,
-            known.servers.get(a),
+            tracked.servers.get(a),
             outcome,
             1000,
-            known.responses > 0 || outcome == Outcome.OK,
+            tracked.responses > 0 || outcome == Outcome.OK,
             new double[0]);
         check(host);
       }
@@ -190,61 +198,73 @@
   }
 
   private void check(FakeHost host) {
-    for (; seen < host.acts.size(); seen++) {
-      FakeHost.Act act = host.acts.get(seen);
-      Known known = requests.get(act.id());
-      if (act.what().equals("refuse") || act.what().equals("fail")) {
-        assertEquals(0, known.responses);
-        assertFalse(known.outcomes.contains(Outcome.OK));
-        assertTrue(host.now <= known.deadline + 20_000, "in time");
-        known.responses++;
-        for (int a = 0; a < known.outcomes.size() && act.what().equals("refuse"); a++) {
-          boolean ran = known.outcomes.get(a) == null || !known.outcomes.get(a).neverRan();
+    for (; checkedActions < host.actions.size(); checkedActions++) {
+      FakeHost.RecordedAction action = host.actions.get(checkedActions);
+      TrackedRequest tracked = requests.get(action.id());
+      if (action.name().equals("refuse") || action.name().equals("fail")) {
+        assertEquals(0, tracked.responses);
+        assertFalse(tracked.outcomes.contains(Outcome.OK));
+        assertTrue(
+            host.now <= tracked.deadline + 20_000,
+            "the response is sent by the deadline plus the response slack of 20 ms");
+        tracked.responses++;
+        for (int a = 0; a < tracked.outcomes.size() && action.name().equals("refuse"); a++) {
+          boolean mayHaveRun =
+              tracked.outcomes.get(a) == null || !tracked.outcomes.get(a).neverRan();
           assertTrue(
-              !ran
-                  || known.types.stream()
+              !mayHaveRun
+                  || tracked.types.stream()
                       .allMatch(
                           type ->
                               type == null
-                                  ? known.types.get(0).semantics() == Semantics.SAFE
+                                  ? tracked.types.get(0).semantics() == Semantics.SAFE
                                   : type.semantics() == Semantics.SAFE
                                       || (type.semantics() == Semantics.KEYED
                                           && type.scope() == Scope.ALL)),
-              "harmless");
+              "a request is refused only if a retry by the client is harmless");
         }
-      } else if (act.what().equals("send")) {
-        assertEquals(0, known.responses);
-        assertFalse(known.outcomes.contains(Outcome.OK));
-        for (int a = 0; a < known.outcomes.size(); a++) {
-          assertTrue(known.outcomes.get(a) != null, "one at a time");
-          for (RequestClass type : known.types) {
+      } else if (action.name().equals("send")) {
+        assertEquals(0, tracked.responses);
+        assertFalse(tracked.outcomes.contains(Outcome.OK));
+        for (int a = 0; a < tracked.outcomes.size(); a++) {
+          assertTrue(tracked.outcomes.get(a) != null, "only one attempt is in flight");
+          for (RequestClass type : tracked.types) {
             assertTrue(
-                known.outcomes.get(a).neverRan() || permits(host, known, a, type, act), "repeat");
+                tracked.outcomes.get(a).neverRan() || permits(host, tracked, a, type, action),
+                "every class since arrival permits the retry");
           }
         }
-        known.servers.add(act.server());
-        known.sentAt.add(host.now);
-        known.outcomes.add(null);
+        tracked.servers.add(action.server());
+        tracked.sentAt.add(host.now);
+        tracked.outcomes.add(null);
       }
     }
   }
 
-  /** Whether a class that the request has been under permits a repeat of what may have run. */
+  /**
+   * Returns whether a class that the request has had permits a retry after an attempt that may have
+   * run.
+   */
   private boolean permits(
-      FakeHost host, Known known, int attempt, RequestClass type, FakeHost.Act act) {
-    long old = known.servers.get(attempt);
-    boolean group =
+      FakeHost host,
+      TrackedRequest tracked,
+      int attempt,
+      RequestClass type,
+      FakeHost.RecordedAction action) {
+    long previousServer = tracked.servers.get(attempt);
+    boolean inScope =
         type == null
             || type.scope() == Scope.ALL
-            || (type.scope() == Scope.ZONE && zoneOf.get(old).equals(zoneOf.get(act.server())))
-            || (type.scope() == Scope.CELL && old % 3 == act.server() % 3);
-    boolean keyed = known.types.get(0).semantics() == Semantics.KEYED;
+            || (type.scope() == Scope.ZONE
+                && zoneOf.get(previousServer).equals(zoneOf.get(action.server())))
+            || (type.scope() == Scope.CELL && previousServer % 3 == action.server() % 3);
+    boolean keyed = tracked.types.get(0).semantics() == Semantics.KEYED;
     return type == null
-        ? known.types.get(0).semantics() == Semantics.SAFE
+        ? tracked.types.get(0).semantics() == Semantics.SAFE
         : type.semantics() == Semantics.SAFE
             || (type.semantics() == Semantics.KEYED
                 && keyed
-                && group
-                && host.now < known.sentAt.get(attempt) + type.window());
+                && inScope
+                && host.now < tracked.sentAt.get(attempt) + type.window());
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsReloadTest.java
@@ -23,8 +23,8 @@
 import slateslip.loadbalancer.LoadBalancer.Settings;
 
 /**
- * Other settings while the module runs: what stays, what changes, and what an open request may
- * still do.
+ * Tests new settings while the load balancer runs: which state is kept, which rules change, and
+ * which retries of pending requests are still permitted.
  */
 class SettingsReloadTest {
   private static final long SECOND = FakeHost.SECOND;
@@ -34,8 +34,8 @@
     return new RequestClass(2 * SECOND, 0, 4 * SECOND, semantics, scope, window, 1, 0, false);
   }
 
-  private static RequestClass type(String word) {
-    String[] parts = word.split("-", -1);
+  private static RequestClass type(String spec) {
+    String[] parts = spec.split("-", -1);
     return type(
         Semantics.valueOf(parts[0]),
         parts.length > 1 ? Scope.valueOf(parts[1]) : Scope.ALL,
@@ -64,21 +64,23 @@
         List.of());
   }
 
-  private static List<Integer> same(int n) {
+  private static List<Integer> unchangedPositions(int n) {
     return IntStream.range(0, n).boxed().toList();
   }
 
-  private static void take(FakeHost host, Settings next, List<Integer> classes) {
-    host.balancer.settings(host.now, new SettingsReload(next, classes, same(2), same(1)));
+  private static void applySettings(FakeHost host, Settings next, List<Integer> classes) {
+    host.balancer.settings(
+        host.now, new SettingsReload(next, classes, unchangedPositions(2), unchangedPositions(1)));
   }
 
   /**
-   * One request is out when its class changes or goes; then its first attempt ends, and others are
-   * there.
+   * Changes or removes the class of a request while its first attempt is in flight. Then the
+   * attempt ends while another server is available.
    */
   @ParameterizedTest
   @CsvSource({
-    // taken as, then, first attempt ends, after tenths of a second, sent again
+    // class on arrival, new class (empty if removed), outcome of the first attempt, time until its
+    // end in tenths of a second, whether the request is retried
     "SAFE,SAFE,RESET,1,true", "SAFE,UNSAFE,RESET,1,false", "SAFE,UNSAFE,CONNECT_FAILED,1,true",
     "SAFE,KEYED,RESET,1,false", "SAFE,,RESET,1,true", "UNSAFE,SAFE,RESET,1,false",
     "KEYED,KEYED,RESET,8,true", "KEYED,KEYED-ALL-1,RESET,8,false", "KEYED,KEYED-ALL-1,RESET,1,true",
@@ -87,86 +89,99 @@
     "KEYED-ALL-1,SAFE,RESET,8,false", "KEYED,,RESET,1,false", "KEYED,,FULL,1,true",
     "KEYED-ZONE,KEYED-CELL,RESET,1,false", "KEYED-ZONE,KEYED,RESET,1,true"
   })
-  void anOpenRequestIsSentAgainOnlyWhereTheOldAndTheNewClassPermitIt(
-      String taken, String then, Outcome outcome, int tenths, boolean again) {
-    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type(taken)));
-    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+  void pendingRequestIsRetriedOnlyIfTheOldAndTheNewClassPermitIt(
+      String initialClass, String newClass, Outcome outcome, int tenths, boolean retried) {
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type(initialClass)));
+    host.fullList(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request(1, 0);
-    if (then == null) {
-      take(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0, SettingsReload.REMOVED));
-    } else { // its place is taken by another
-      take(host, settings(0, 2, PERMITS, type(then), type("SAFE")), List.of(1, 0));
+    if (newClass == null) {
+      applySettings(
+          host, settings(0, 2, PERMITS, type("SAFE")), List.of(0, SettingsReload.REMOVED));
+    } else { // another class takes the position of this class
+      applySettings(host, settings(0, 2, PERMITS, type(newClass), type("SAFE")), List.of(1, 0));
     }
-    host.pass(tenths * SECOND / 10);
-    host.end(id, 0, outcome, tenths * SECOND / 10);
-    host.pass(SECOND / 10);
-    assertEquals(again ? 2 : 1, host.sends(id).size());
-    host.pass(4 * SECOND);
+    host.advance(tenths * SECOND / 10);
+    host.complete(id, 0, outcome, tenths * SECOND / 10);
+    host.advance(SECOND / 10);
+    assertEquals(retried ? 2 : 1, host.sends(id).size());
+    host.advance(4 * SECOND);
     assertEquals(
-        1, host.of("fail", id).size() + host.of("refuse", id).size(), "one answer, in time");
-    if (again) {
+        1,
+        host.actions("fail", id).size() + host.actions("refuse", id).size(),
+        "the request gets one response by its deadline");
+    if (retried) {
       return;
     }
-    boolean dropped =
-        taken.startsWith("KEYED")
-            && !taken.contains("ZONE")
-            && then != null
-            && !then.equals("UNSAFE"); // by every server, so a client's repeat is harmless
-    assertEquals(dropped ? 0 : 1, host.of("fail", id).size(), "a refusal would ask for a repeat");
+    // All servers drop the repeats of such a request, so a retry by the client is harmless.
+    boolean repeatsAreDropped =
+        initialClass.startsWith("KEYED")
+            && !initialClass.contains("ZONE")
+            && newClass != null
+            && !newClass.equals("UNSAFE");
+    assertEquals(
+        repeatsAreDropped ? 0 : 1,
+        host.actions("fail", id).size(),
+        "a refusal would tell the client that a retry is harmless");
   }
 
-  /** Guards against its standing before others in the queue until its time is up. */
+  /**
+   * Guards against a request that may no longer be retried but stays ahead of others in the queue
+   * until its deadline.
+   */
   @Test
-  void queuedRequestWithoutRetryIsAnsweredAtOnce() {
+  void queuedRequestThatMayNotBeRetriedFailsAtOnce() {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    host.full(FakeHost.server(1, 0));
+    host.fullList(FakeHost.server(1, 0));
     long id = host.request();
-    host.end(id, 0, Outcome.RESET, 1000);
-    assertEquals(0, host.of("fail", id).size(), "held: there is no other server");
-    take(host, settings(0, 2, PERMITS, type("UNSAFE")), List.of(0));
-    assertEquals(1, host.of("fail", id).size());
+    host.complete(id, 0, Outcome.RESET, 1000);
+    assertEquals(
+        0,
+        host.actions("fail", id).size(),
+        "the request is queued because there is no other server");
+    applySettings(host, settings(0, 2, PERMITS, type("UNSAFE")), List.of(0));
+    assertEquals(1, host.actions("fail", id).size());
   }
 
   @Test
   void removedClassKeepsDeadlinesAndQueue() {
-    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).full();
+    FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("UNSAFE"))).fullList();
     long queued = host.request(1, 0);
     long late = host.request(1, 0);
     RequestClass hasty = new RequestClass(1000, 0, 1000, Semantics.SAFE, Scope.ALL, 0, 1, 0, false);
-    take(host, settings(0, 2, PERMITS, hasty), List.of(0, SettingsReload.REMOVED));
-    host.pass(SECOND);
-    assertEquals(0, host.of("refuse", queued).size());
-    host.full(FakeHost.server(1, 0));
+    applySettings(host, settings(0, 2, PERMITS, hasty), List.of(0, SettingsReload.REMOVED));
+    host.advance(SECOND);
+    assertEquals(0, host.actions("refuse", queued).size());
+    host.fullList(FakeHost.server(1, 0));
     assertEquals(2, host.sends(queued).size() + host.sends(late).size());
-    host.end(queued, 0, Outcome.OK, 1000);
-    host.pass(2 * SECOND);
-    assertEquals(1, host.of("fail", late).size(), "at its own time");
+    host.complete(queued, 0, Outcome.OK, 1000);
+    host.advance(2 * SECOND);
+    assertEquals(1, host.actions("fail", late).size(), "the request keeps its own deadline");
   }
 
   /**
-   * A class's learned time, by which a request that comes too late for it is rejected, goes by its
-   * name.
+   * Checks that the learned response time of a class stays with the class when its position
+   * changes. A queued request with less time left than the learned response time is rejected.
    */
   @Test
   void classStateFollowsItsName() {
     for (boolean swapped : new boolean[] {false, true}) {
       FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE"), type("SAFE")));
-      host.full(FakeHost.server(1, 0));
+      host.fullList(FakeHost.server(1, 0));
       for (int i = 0; i < 60; i++) {
-        host.serve(SECOND); // of class 0
+        host.serve(SECOND); // requests of class 0
       }
-      take(
+      applySettings(
           host,
           settings(0, 2, PERMITS, type("SAFE"), type("SAFE")),
           swapped ? List.of(1, 0) : List.of(0, 1));
       long[] sent = new long[2];
       for (int c = 0; c < 2; c++) {
-        long id = 900L + c; // held for a moment, then too late for a second's work
-        host.full();
+        long id = 900L + c; // queued for 0.7 s; the 0.8 s left are too short for work of 1 s
+        host.fullList();
         host.balancer.request(
             host.now, new Request(id, c, 0, 0, 0, host.now + SECOND + SECOND / 2, false, false));
-        host.pass(SECOND * 7 / 10);
-        host.full(FakeHost.server(2 + c, 0));
+        host.advance(SECOND * 7 / 10);
+        host.fullList(FakeHost.server(2 + c, 0));
         sent[c] = host.sends(id).size();
       }
       assertEquals(swapped ? List.of(1L, 0L) : List.of(0L, 1L), List.of(sent[0], sent[1]));
@@ -174,49 +189,51 @@
   }
 
   /**
-   * Guards against the zone of one server being taken for another's, also where the list has
-   * forgotten it.
+   * Guards against confusing the zones of servers after zones change positions, also for a server
+   * that has left the list.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void zonesThatChangePlacesKeepTheirServers(boolean forgotten) {
+  void zonesThatChangePositionsKeepTheirServers(boolean removedFromList) {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("KEYED-ZONE-4")));
-    host.full(FakeHost.server(1, 0));
+    host.fullList(FakeHost.server(1, 0));
     long id = host.request();
-    host.end(id, 0, Outcome.RESET, 1000);
-    if (forgotten) {
-      host.full();
+    host.complete(id, 0, Outcome.RESET, 1000);
+    if (removedFromList) {
+      host.fullList();
     }
     host.balancer.settings(
         host.now,
         new SettingsReload(
             settings(1, 2, PERMITS, type("KEYED-ZONE-4")), List.of(0), List.of(1, 0), List.of(0)));
     host.list(ListKind.DELTA, FakeHost.server(2, 0));
-    host.pass(SECOND);
+    host.advance(SECOND);
     assertEquals(1, host.sends(id).size(), "server 2 is in the other zone");
     host.list(ListKind.DELTA, FakeHost.server(3, 1));
     assertEquals(3, host.target(id));
     host.list(ListKind.DELTA, FakeHost.server(3, 1, Phase.GONE, 0));
     assertEquals(
-        forgotten ? 2 : 1, host.target(host.request()), "the own zone is where server 1 is");
+        removedFromList ? 2 : 1,
+        host.target(host.request()),
+        "the local zone is still the zone of server 1");
   }
 
   @Test
-  void reloadDoesNotGrantWarmingServer() {
+  void reloadGrantsNoCreditToWarmingServer() {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    host.full(FakeHost.server(1, 0, Phase.READY, host.now));
-    host.pass(3 * SECOND);
-    int sent = sentOf(30, host);
-    assertTrue(sent > 0 && sent <= 2, "it is cold: " + sent);
+    host.fullList(FakeHost.server(1, 0, Phase.READY, host.now));
+    host.advance(3 * SECOND);
+    int sent = sendsForRequests(30, host);
+    assertTrue(sent > 0 && sent <= 2, "the server is in warm-up, requests sent: " + sent);
     for (int i = 0; i < 50; i++) {
-      take(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
+      applySettings(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
     }
-    assertEquals(0, sentOf(30, host));
-    assertEquals(sent, host.all("send").size(), "nor of those held");
+    assertEquals(0, sendsForRequests(30, host));
+    assertEquals(sent, host.actions("send").size(), "no queued request is sent");
   }
 
   @Test
-  void aLongerWarmUpHoldsForAServerThatIsCold() {
+  void longerWarmupTimeAppliesToServerInWarmup() {
     Settings s = settings(0, 2, PERMITS, type("SAFE"));
     Settings slow =
         new Settings(
@@ -239,62 +256,68 @@
             List.of());
     for (Settings next : List.of(s, slow)) {
       FakeHost host =
-          new FakeHost(s).full(FakeHost.server(1, 0, Phase.READY, FakeHost.SECOND * 100));
-      take(host, next, List.of(0));
-      host.pass(22 * SECOND);
-      assertEquals(next.equals(s), sentOf(30, host) > 3, "warm after 20 s or 60 s");
+          new FakeHost(s).fullList(FakeHost.server(1, 0, Phase.READY, FakeHost.SECOND * 100));
+      applySettings(host, next, List.of(0));
+      host.advance(22 * SECOND);
+      assertEquals(
+          next.equals(s),
+          sendsForRequests(30, host) > 3,
+          "the server is warm after 22 s only if the warm-up takes 20 s, not 60 s");
     }
   }
 
-  private static int sentOf(int requests, FakeHost host) {
-    int before = host.all("send").size();
+  private static int sendsForRequests(int requests, FakeHost host) {
+    int before = host.actions("send").size();
     for (int i = 0; i < requests; i++) {
       host.request();
     }
-    return host.all("send").size() - before;
+    return host.actions("send").size() - before;
   }
 
-  /** Guards against a server that only a probe could have made available again. */
+  /**
+   * Guards against a server that stays unhealthy because only a probe could restore it and probes
+   * are no longer permitted.
+   */
   @Test
   void reloadedProbePermissionResetsHealth() {
     Permits none = new Permits(4, false, true, false, false, SECOND);
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    host.full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+    host.fullList(FakeHost.server(1, 0), FakeHost.server(2, 1));
     for (int i = 0; i < 3; i++) {
       host.balancer.probed(host.now, 1, Outcome.TIMEOUT, 1000, new double[0]);
     }
     assertEquals(2, host.target(host.request()));
-    take(host, settings(0, 2, none, type("SAFE")), List.of(0));
+    applySettings(host, settings(0, 2, none, type("SAFE")), List.of(0));
     assertEquals(1, host.target(host.request()));
-    host.pass(2 * SECOND);
-    int before = host.all("probe").size();
-    host.pass(9 * SECOND);
-    assertEquals(before, host.all("probe").size());
-    take(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
-    host.pass(9 * SECOND);
-    assertTrue(host.all("probe").size() > before);
+    host.advance(2 * SECOND);
+    int before = host.actions("probe").size();
+    host.advance(9 * SECOND);
+    assertEquals(before, host.actions("probe").size());
+    applySettings(host, settings(0, 2, PERMITS, type("SAFE")), List.of(0));
+    host.advance(9 * SECOND);
+    assertTrue(host.actions("probe").size() > before);
   }
 
   @Test
-  void fewerAttemptsHoldForRequestsThatAreOpen() {
+  void lowerAttemptLimitAppliesToPendingRequests() {
     FakeHost host = new FakeHost(settings(0, 2, PERMITS, type("SAFE")));
-    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    host.fullList(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request();
-    take(
+    applySettings(
         host,
         settings(0, 2, new Permits(1, false, true, true, false, SECOND), type("SAFE")),
         List.of(0));
-    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
+    host.complete(id, 0, Outcome.CONNECT_FAILED, 1000);
     assertEquals(1, host.sends(id).size());
-    assertEquals(1, host.of("refuse", id).size());
+    assertEquals(1, host.actions("refuse", id).size());
   }
 
   @Test
-  void settingsThatDoNotFitAreNamed() {
+  void inconsistentReloadIsRejectedWithReason() {
     Settings one = settings(0, 2, PERMITS, type("SAFE"));
     FakeHost host = new FakeHost(one);
-    LoadBalancer checked = new ValidatingLoadBalancer(one, 1, host.now, host);
-    for (String[] wrong :
+    LoadBalancer validating = new ValidatingLoadBalancer(one, 1, host.now, host);
+    for (String[] invalid :
         new String[][] {
           {"0,0", "0,1", "classes: out of range or duplicate position 0"},
           {"1", "0,1", "classes: out of range or duplicate position 1"},
@@ -304,31 +327,38 @@
           {"0", "1,0", "own zone: 0 instead of 1"}
         }) {
       assertEquals(
-          wrong[2],
+          invalid[2],
           assertThrows(
                   IllegalArgumentException.class,
                   () ->
-                      checked.settings(
+                      validating.settings(
                           host.now,
-                          new SettingsReload(one, numbers(wrong[0]), numbers(wrong[1]), List.of())))
+                          new SettingsReload(
+                              one, positions(invalid[0]), positions(invalid[1]), List.of())))
               .getMessage());
     }
     assertThrows(
         IllegalArgumentException.class,
-        () -> new SettingsReload(settings(0, 2, PERMITS), List.of(), same(2), List.of()));
-    assertThrows(NullPointerException.class, () -> checked.settings(host.now, null));
-    checked.settings(
+        () ->
+            new SettingsReload(
+                settings(0, 2, PERMITS), List.of(), unchangedPositions(2), List.of()));
+    assertThrows(NullPointerException.class, () -> validating.settings(host.now, null));
+    validating.settings(
         host.now,
         new SettingsReload(
-            settings(0, 2, PERMITS, type("SAFE"), type("SAFE")), List.of(1), same(2), List.of()));
-    checked.request(host.now, new Request(5, 1, 0, 0, 0, host.now + SECOND, false, false));
+            settings(0, 2, PERMITS, type("SAFE"), type("SAFE")),
+            List.of(1),
+            unchangedPositions(2),
+            List.of()));
+    validating.request(host.now, new Request(5, 1, 0, 0, 0, host.now + SECOND, false, false));
     assertThrows(
         IndexOutOfBoundsException.class,
         () ->
-            checked.request(host.now, new Request(6, 2, 0, 0, 0, host.now + SECOND, false, false)));
+            validating.request(
+                host.now, new Request(6, 2, 0, 0, 0, host.now + SECOND, false, false)));
   }
 
-  private static List<Integer> numbers(String text) {
+  private static List<Integer> positions(String text) {
     return Arrays.stream(text.split(",")).map(Integer::valueOf).toList();
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SettingsTest.java
+++ b/src/test/java/slateslip/loadbalancer/SettingsTest.java
@@ -17,12 +17,12 @@
 import slateslip.loadbalancer.LoadBalancer.Settings;
 import slateslip.loadbalancer.LoadBalancer.Tenant;
 
-/** Settings at the ends of their ranges: sane behaviour and kept rules. */
+/** Tests that the load balancer keeps its rules with settings at the limits of their ranges. */
 class SettingsTest {
   private static final long SECOND = FakeHost.SECOND;
   private static final Permits ALL = new Permits(4, false, true, true, false, SECOND);
 
-  private static Settings with(Settings s, Prices prices, List<Tenant> tenants) {
+  private static Settings withPricesAndTenants(Settings s, Prices prices, List<Tenant> tenants) {
     return new Settings(
         s.agent(),
         s.agents(),
@@ -49,26 +49,26 @@
 
   @Test
   void requestsQueueWhileListIsEmpty() {
-    FakeHost host = new FakeHost(FakeHost.safe()).full();
+    FakeHost host = new FakeHost(FakeHost.safeSettings()).fullList();
     long id = host.request();
-    host.pass(SECOND / 10);
+    host.advance(SECOND / 10);
     assertEquals(0, host.sends(id).size());
-    host.full(FakeHost.server(1, 0));
+    host.fullList(FakeHost.server(1, 0));
     assertEquals(1, host.sends(id).size());
   }
 
   @Test
-  void withoutAnyServerEachRequestIsRefusedOnceAndInTime() {
-    FakeHost host = new FakeHost(FakeHost.safe()).full();
+  void requestWithoutAnyServerIsRefusedOnceByItsDeadline() {
+    FakeHost host = new FakeHost(FakeHost.safeSettings()).fullList();
     long id = host.request();
-    host.pass(2 * SECOND);
-    assertEquals(1, host.of("refuse", id).size());
-    assertEquals(0, host.of("fail", id).size());
+    host.advance(2 * SECOND);
+    assertEquals(1, host.actions("refuse", id).size());
+    assertEquals(0, host.actions("fail", id).size());
   }
 
   @Test
-  void aSingleServerIsUsedThoughItsProbesFail() {
-    FakeHost host = new FakeHost(FakeHost.safe()).full(FakeHost.server(1, 0));
+  void singleServerIsUsedAlthoughItsProbesFail() {
+    FakeHost host = new FakeHost(FakeHost.safeSettings()).fullList(FakeHost.server(1, 0));
     for (int i = 0; i < 3; i++) {
       host.balancer.probed(host.now, 1, Outcome.CONNECT_FAILED, 1000, new double[0]);
     }
@@ -77,10 +77,11 @@
   }
 
   @Test
-  void zeroPricesCrossZonesAsSoonAsTheOwnOneIsFull() {
+  void zeroPricesCrossZonesAsSoonAsTheLocalZoneIsFull() {
     FakeHost host =
-        new FakeHost(with(FakeHost.safe(), new Prices(0, 0, 0, 0, 0), List.of()))
-            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+        new FakeHost(
+                withPricesAndTenants(FakeHost.safeSettings(), new Prices(0, 0, 0, 0, 0), List.of()))
+            .fullList(FakeHost.server(1, 0), FakeHost.server(2, 1));
     List<Long> targets = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       targets.add(host.target(host.request()));
@@ -92,127 +93,133 @@
   @Test
   void crossZonePriceAboveOneStaysLocal() {
     FakeHost host =
-        new FakeHost(with(FakeHost.safe(), new Prices(3, 0, 0, 0, 0), List.of()))
-            .full(FakeHost.server(1, 0), FakeHost.server(2, 1));
+        new FakeHost(
+                withPricesAndTenants(FakeHost.safeSettings(), new Prices(3, 0, 0, 0, 0), List.of()))
+            .fullList(FakeHost.server(1, 0), FakeHost.server(2, 1));
     for (int i = 0; i < 20; i++) {
       host.request();
     }
-    host.pass(2 * SECOND);
-    assertTrue(host.all("send").stream().allMatch(a -> a.server() == 1));
+    host.advance(2 * SECOND);
+    assertTrue(host.actions("send").stream().allMatch(a -> a.server() == 1));
   }
 
   @Test
-  void localZoneFirstThenAnyOther() {
-    FakeHost host = host(FakeHost.type(Semantics.SAFE, Scope.ALL), ALL, 5);
+  void localZoneIsUsedFirstThenAnyOther() {
+    FakeHost host = host(FakeHost.requestClass(Semantics.SAFE, Scope.ALL), ALL, 5);
     List<Server> servers = new ArrayList<>();
     for (int zone = 0; zone < 5; zone++) {
       servers.add(FakeHost.server(10 + zone, zone));
     }
-    host.full(servers.toArray(Server[]::new));
+    host.fullList(servers.toArray(Server[]::new));
     assertEquals(10, host.target(host.request()));
-    host.full(servers.subList(1, 5).toArray(Server[]::new));
+    host.fullList(servers.subList(1, 5).toArray(Server[]::new));
     assertTrue(host.target(host.request()) > 10);
   }
 
   @Test
-  void withoutCancelExpiredRequestIsAnsweredOnce() {
+  void withoutCancelExpiredRequestGetsOneResponse() {
     FakeHost host =
         host(
-            FakeHost.type(Semantics.SAFE, Scope.ALL),
+            FakeHost.requestClass(Semantics.SAFE, Scope.ALL),
             new Permits(1, false, false, false, false, 0),
             1);
-    host.full(FakeHost.server(1, 0));
+    host.fullList(FakeHost.server(1, 0));
     long id = host.request();
-    host.pass(5 * SECOND);
-    assertEquals(1, host.of("refuse", id).size() + host.of("fail", id).size());
-    assertEquals(0, host.all("cancel").size());
-    assertEquals(0, host.all("probe").size());
-    host.end(id, 0, Outcome.OK, 5 * SECOND);
+    host.advance(5 * SECOND);
+    assertEquals(1, host.actions("refuse", id).size() + host.actions("fail", id).size());
+    assertEquals(0, host.actions("cancel").size());
+    assertEquals(0, host.actions("probe").size());
+    host.complete(id, 0, Outcome.OK, 5 * SECOND);
     assertEquals(1, host.sends(id).size());
   }
 
   @Test
-  void oneAttemptPermittedIsOneAttemptMade() {
+  void singlePermittedAttemptIsNotRetried() {
     FakeHost host =
         host(
-            FakeHost.type(Semantics.SAFE, Scope.ALL),
+            FakeHost.requestClass(Semantics.SAFE, Scope.ALL),
             new Permits(1, false, true, true, false, 0),
             1);
-    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    host.fullList(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request();
-    host.end(id, 0, Outcome.CONNECT_FAILED, 1000);
+    host.complete(id, 0, Outcome.CONNECT_FAILED, 1000);
     assertEquals(1, host.sends(id).size());
-    assertEquals(1, host.of("refuse", id).size());
+    assertEquals(1, host.actions("refuse", id).size());
   }
 
   @Test
-  void startedStreamIsNotAnsweredAgain() {
+  void startedStreamGetsNoSecondResponse() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
     FakeHost host = host(streamed, ALL, 1);
-    host.full(FakeHost.server(1, 0), FakeHost.server(2, 0));
+    host.fullList(FakeHost.server(1, 0), FakeHost.server(2, 0));
     long id = host.request();
-    assertEquals(0, host.sends(id).get(0).value(), "no time-out");
+    assertEquals(0, host.sends(id).get(0).value(), "a streaming request has no timeout");
     host.balancer.streamStarted(host.now, id, 0, host.target(id), 1000);
-    host.pass(8 * SECOND);
+    host.advance(8 * SECOND);
     assertEquals(
         0,
-        host.of("refuse", id).size() + host.of("fail", id).size() + host.of("cancel", id).size());
-    host.end(id, 0, Outcome.OK, 8 * SECOND);
+        host.actions("refuse", id).size()
+            + host.actions("fail", id).size()
+            + host.actions("cancel", id).size());
+    host.complete(id, 0, Outcome.OK, 8 * SECOND);
     assertEquals(1, host.sends(id).size());
   }
 
   @Test
-  void aStreamThatNeverBeginsIsEndedInTime() {
+  void streamThatNeverStartsIsEndedByItsDeadline() {
     RequestClass streamed =
         new RequestClass(SECOND, 0, 4 * SECOND, Semantics.SAFE, Scope.ALL, 0, 1, 0, true);
     FakeHost host = host(streamed, ALL, 1);
-    host.full(FakeHost.server(1, 0));
+    host.fullList(FakeHost.server(1, 0));
     long id = host.request();
-    host.pass(4 * SECOND);
-    assertEquals(1, host.of("refuse", id).size() + host.of("fail", id).size());
-    assertEquals(1, host.of("cancel", id).size());
+    host.advance(4 * SECOND);
+    assertEquals(1, host.actions("refuse", id).size() + host.actions("fail", id).size());
+    assertEquals(1, host.actions("cancel", id).size());
   }
 
   @Test
-  void aRequestKeyedByCellThatMayHaveRunStaysInItsCell() {
-    FakeHost host = host(FakeHost.type(Semantics.KEYED, Scope.CELL), ALL, 1);
-    host.full(
+  void cellScopedRequestThatMayHaveRunIsRetriedOnlyInItsCell() {
+    FakeHost host = host(FakeHost.requestClass(Semantics.KEYED, Scope.CELL), ALL, 1);
+    host.fullList(
         new Server(1, 0, 5, 0, LoadBalancer.Phase.READY, 1, 0),
         new Server(2, 0, 6, 0, LoadBalancer.Phase.READY, 1, 0),
         new Server(3, 0, 6, 0, LoadBalancer.Phase.READY, 1, 0));
-    int resent = 0;
+    int retried = 0;
     for (int i = 0; i < 12; i++) {
       long id = host.request(0, 9);
       long first = host.target(id);
-      host.pass(FakeHost.TICK);
-      host.end(id, 0, Outcome.RESET, FakeHost.TICK);
-      host.pass(SECOND);
-      for (FakeHost.Act send : host.sends(id)) {
+      host.advance(FakeHost.TICK);
+      host.complete(id, 0, Outcome.RESET, FakeHost.TICK);
+      host.advance(SECOND);
+      for (FakeHost.RecordedAction send : host.sends(id)) {
         assertEquals(first == 1, send.server() == 1);
       }
       if (host.sends(id).size() > 1) {
-        resent++;
-        host.end(id, 1, Outcome.OK, SECOND);
+        retried++;
+        host.complete(id, 1, Outcome.OK, SECOND);
       }
-      host.pass(4 * SECOND);
+      host.advance(4 * SECOND);
     }
-    assertTrue(resent > 0, "some were sent again");
+    assertTrue(retried > 0, "no request was retried");
   }
 
   @Test
-  void manyTenantsAndNoneAreServedAlike() {
+  void requestIsSentWithManyTenantsAndWithoutTenants() {
     List<Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       tenants.add(new Tenant(1, 0.02));
     }
-    for (List<Tenant> some : List.of(tenants, List.<Tenant>of())) {
+    for (List<Tenant> tenantList : List.of(tenants, List.<Tenant>of())) {
       FakeHost host =
-          new FakeHost(with(FakeHost.safe(), FakeHost.safe().prices(), some))
-              .full(FakeHost.server(1, 0));
+          new FakeHost(
+                  withPricesAndTenants(
+                      FakeHost.safeSettings(), FakeHost.safeSettings().prices(), tenantList))
+              .fullList(FakeHost.server(1, 0));
       host.balancer.request(
           host.now,
-          new Request(900, 0, Math.max(0, some.size() - 1), 0, 0, host.now + SECOND, false, false));
+          new Request(
+              900, 0, Math.max(0, tenantList.size() - 1), 0, 0, host.now + SECOND, false, false));
       assertEquals(1, host.sends(900).size());
     }
   }
--- a/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
+++ b/src/test/java/slateslip/loadbalancer/SlowStartFleetTest.java
@@ -16,49 +16,50 @@
 import slateslip.loadbalancer.LoadBalancer.Server;
 
 /**
- * The rule on servers that are warming up for the sum of all agents, on one clock. A server that is
- * warming up's budget in a window of the settings' length is N = fall-multiple x its capacity at
- * the window's start x that length; beyond N only 2 x root of N + 2 requests are put down to
- * chance.
+ * Tests the request limit of servers in warm-up for the sum of all agents, which share one clock.
+ * In any time window of the overload time, the budget of a server in warm-up is N = overload
+ * multiple x its capacity at the start of the window x overload time. The test allows 2 x sqrt(N) +
+ * 2 more requests for chance.
  */
 class SlowStartFleetTest {
   private static final long SECOND = FakeHost.SECOND;
   private static final long STEP = 4 * FakeHost.TICK;
-  private static final int WARM = 4;
-  private static final long WARMING_UP = 99;
+  private static final int WARM_SERVERS = 4;
+  private static final long WARMING_SERVER = 99;
 
   /**
-   * What a warm server answers a second while all is steady: it is taken for the capacity of each.
+   * Requests per second that a warm server receives in steady traffic; the test takes this rate for
+   * its capacity.
    */
   private static final double CAPACITY = 5;
 
-  private static final LoadBalancer.Obligations OBLIGATIONS = FakeHost.safe().obligations();
+  private static final LoadBalancer.Obligations OBLIGATIONS = FakeHost.safeSettings().obligations();
 
-  /** A request out: when it will be answered. */
-  private record Out(FakeHost host, long id, long until) {}
+  /** A request in flight and the time of its response. */
+  private record InFlight(FakeHost host, long id, long endsAt) {}
 
-  private final List<FakeHost> hands = new ArrayList<>();
-  private final List<Out> outs = new ArrayList<>();
+  private final List<FakeHost> hosts = new ArrayList<>();
+  private final List<InFlight> inFlight = new ArrayList<>();
   private final List<Long> sentWhileWarmingUp = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(5);
   private long now;
   private long warmupStart = Long.MAX_VALUE;
 
-  private double warmth(long at) {
+  private double warmupFraction(long at) {
     double share = Math.min(1, (double) (at - warmupStart) / OBLIGATIONS.warmupTime());
     return OBLIGATIONS.warmupStartFraction() + (1 - OBLIGATIONS.warmupStartFraction()) * share;
   }
 
-  private void start(int agents) {
-    Server[] list = new Server[WARM];
-    for (int i = 0; i < WARM; i++) {
+  private void startAgents(int agents) {
+    Server[] list = new Server[WARM_SERVERS];
+    for (int i = 0; i < WARM_SERVERS; i++) {
       list[i] = FakeHost.server(i + 1, 0);
     }
     for (int i = 0; i < agents; i++) {
-      hands.add(
+      hosts.add(
           new FakeHost(
                   FakeHost.settings(
-                      List.of(FakeHost.type(Semantics.SAFE, Scope.ALL)),
+                      List.of(FakeHost.requestClass(Semantics.SAFE, Scope.ALL)),
                       new Permits(4, false, true, false, false, 0),
                       1,
                       agents,
@@ -66,45 +67,52 @@
                       true,
                       List.of()),
                   i)
-              .full(list));
+              .fullList(list));
     }
-    now = hands.get(0).now;
+    now = hosts.get(0).now;
   }
 
-  private void join() {
+  private void addWarmingServer() {
     warmupStart = now;
-    hands.forEach(
-        each -> each.list(ListKind.DELTA, FakeHost.server(WARMING_UP, 0, Phase.READY, now)));
+    hosts.forEach(
+        each -> each.list(ListKind.DELTA, FakeHost.server(WARMING_SERVER, 0, Phase.READY, now)));
   }
 
   private void request(FakeHost host, long work) {
-    long id =
-        host.request(0, 1 + random.nextLong(1000)); // by their keys requests go to servers of all
-    if (host.target(id) == WARMING_UP) {
+    // The key selects the server, so that the requests reach all servers.
+    long id = host.request(0, 1 + random.nextLong(1000));
+    if (host.target(id) == WARMING_SERVER) {
       sentWhileWarmingUp.add(now);
     }
     if (host.target(id) >= 0) {
-      outs.add(
-          new Out(
-              host, id, now + (long) (host.target(id) == WARMING_UP ? work / warmth(now) : work)));
+      inFlight.add(
+          new InFlight(
+              host,
+              id,
+              now
+                  + (long)
+                      (host.target(id) == WARMING_SERVER ? work / warmupFraction(now) : work)));
     }
   }
 
-  /** All agents go on for so long, each request in the hands of a server for its work. */
-  private void pass(long micros, double perSecond, long work) {
+  /**
+   * Advances all agents by a time in microseconds; each response arrives after the work time of the
+   * request, which is longer at the server in warm-up.
+   */
+  private void advance(long micros, double perSecond, long work) {
     for (long end = now + micros; now < end; ) {
-      for (FakeHost host : hands) {
-        if (random.nextDouble() < perSecond / hands.size() * STEP / SECOND) {
+      for (FakeHost host : hosts) {
+        if (random.nextDouble() < perSecond / hosts.size() * STEP / SECOND) {
           request(host, work);
         }
-        host.pass(STEP);
+        host.advance(STEP);
       }
       now += STEP;
-      outs.removeIf(
-          out -> {
-            boolean over = out.until() <= now;
+      inFlight.removeIf(
+          request -> {
+            boolean over = request.endsAt() <= now;
             if (over) {
-              out.host().end(out.id(), 0, Outcome.OK, work);
+              request.host().complete(request.id(), 0, Outcome.OK, work);
             }
             return over;
           });
@@ -121,56 +129,63 @@
       double budget =
           OBLIGATIONS.overloadMultiple()
               * CAPACITY
-              * warmth(from)
+              * warmupFraction(from)
               * OBLIGATIONS.overloadTime()
               / SECOND;
       assertTrue(
           sent <= budget + 2 * Math.sqrt(budget) + 2,
-          sent + " sent from " + (from - warmupStart) / 1000 + " ms on, budget " + budget);
+          sent
+              + " requests sent in the window that starts "
+              + (from - warmupStart) / 1000
+              + " ms after the start of the warm-up, budget "
+              + budget);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"20, 20000", "30, 20000", "20, 200000", "30, 200000"})
-  void inSteadyTrafficTheSumKeepsToTheBudget(int agents, long work) {
-    start(agents);
-    pass(10 * SECOND, WARM * CAPACITY, work);
-    join();
-    pass(15 * SECOND, WARM * CAPACITY, work);
+  void steadyTrafficStaysWithinBudget(int agents, long work) {
+    startAgents(agents);
+    advance(10 * SECOND, WARM_SERVERS * CAPACITY, work);
+    addWarmingServer();
+    advance(15 * SECOND, WARM_SERVERS * CAPACITY, work);
     assertWithinBudget();
-    assertTrue(sentWhileWarmingUp.size() > CAPACITY, "it is starved: " + sentWhileWarmingUp.size());
+    assertTrue(
+        sentWhileWarmingUp.size() > CAPACITY,
+        "the server in warm-up receives too few requests: " + sentWhileWarmingUp.size());
   }
 
   @ParameterizedTest
   @CsvSource({"20, 2", "30, 2", "20, 8", "30, 8", "30, 14"})
-  void aBurstOfAllAtOnceKeepsToTheBudget(int agents, int seconds) {
-    start(agents);
-    pass(10 * SECOND, WARM * CAPACITY, 20_000);
-    join();
-    pass(seconds * SECOND, WARM * CAPACITY, 20_000);
+  void simultaneousBurstsOfAllAgentsStayWithinBudget(int agents, int seconds) {
+    startAgents(agents);
+    advance(10 * SECOND, WARM_SERVERS * CAPACITY, 20_000);
+    addWarmingServer();
+    advance(seconds * SECOND, WARM_SERVERS * CAPACITY, 20_000);
     for (int i = 0; i < 10; i++) {
-      hands.forEach(each -> request(each, 20_000));
+      hosts.forEach(each -> request(each, 20_000));
     }
-    pass(2 * SECOND, 3 * WARM * CAPACITY, 20_000);
+    advance(2 * SECOND, 3 * WARM_SERVERS * CAPACITY, 20_000);
     assertWithinBudget();
   }
 
   /**
-   * Failed before: while it was too cold for work that takes long, each agent saved up a request
-   * for it, and a burst had all of them turn to it in the same moment.
+   * Guards against saved-up credit: while the server was too early in its warm-up for long
+   * requests, each agent accumulated credit for one request, and in a burst all agents sent that
+   * request to the server at the same moment.
    */
   @ParameterizedTest
   @CsvSource({"20", "30"})
-  void agentsThatCouldNotUseItForSecondsDoNotAllTurnToItAtOnce(int agents) {
-    start(agents);
-    pass(10 * SECOND, WARM * CAPACITY, 600_000);
-    join();
-    pass(10 * SECOND, WARM * CAPACITY, 600_000);
-    pass(SECOND / 2, 0, 600_000); // answers come, and now it is warm enough
+  void agentsThatSkippedWarmingServerDoNotAllUseItAtOnce(int agents) {
+    startAgents(agents);
+    advance(10 * SECOND, WARM_SERVERS * CAPACITY, 600_000);
+    addWarmingServer();
+    advance(10 * SECOND, WARM_SERVERS * CAPACITY, 600_000);
+    advance(SECOND / 2, 0, 600_000); // pending responses arrive, and the warm-up has progressed
     for (int i = 0; i < 10; i++) {
-      hands.forEach(each -> request(each, 600_000));
+      hosts.forEach(each -> request(each, 600_000));
     }
-    pass(2 * SECOND, 2 * WARM * CAPACITY, 600_000);
+    advance(2 * SECOND, 2 * WARM_SERVERS * CAPACITY, 600_000);
     assertWithinBudget();
   }
 }
--- a/src/test/java/slateslip/loadbalancer/SourceLinesTest.java
+++ b/src/test/java/slateslip/loadbalancer/SourceLinesTest.java
@@ -9,25 +9,28 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The operators read the module aloud: its length and its lines are bounded. */
+/**
+ * Limits the length of the load balancer's main source file and of source lines, because the
+ * operators read them aloud.
+ */
 class SourceLinesTest {
   private static final Path SOURCES = Path.of("src/main/java");
 
   @Test
-  void theModuleIsShortEnough() throws IOException {
+  void loadBalancerSourceIsWithinLineLimit() throws IOException {
     List<String> lines =
         Files.readAllLines(SOURCES.resolve("slateslip/loadbalancer/DefaultLoadBalancer.java"));
-    long written = lines.stream().filter(l -> !l.isBlank()).count();
-    assertTrue(written < 1200, written + " lines");
+    long nonBlankLines = lines.stream().filter(l -> !l.isBlank()).count();
+    assertTrue(nonBlankLines < 1200, nonBlankLines + " lines");
     assertTrue(
         lines.get(0).contains("LoadBalancer.java"), "the first line names the interface file");
   }
 
   @Test
-  void noLineIsTooLong() throws IOException {
+  void sourceLinesAreWithinColumnLimit() throws IOException {
     try (Stream<Path> files = Files.walk(SOURCES)) {
-      // What a generator wrote is committed as it came; its folders are named so, and hold nothing
-      // else.
+      // Generated code is committed unchanged, in folders named "generated" that contain no other
+      // code.
       for (Path file :
           files.filter(f -> f.toString().endsWith(".java")).filter(f -> !generated(f)).toList()) {
         int n = 0;
@@ -40,7 +43,7 @@
   }
 
   @Test
-  void foldersOfGeneratedCodeHoldGeneratedCodeAlone() throws IOException {
+  void generatedFoldersContainOnlyGeneratedCode() throws IOException {
     try (Stream<Path> files = Files.walk(SOURCES)) {
       for (Path file :
           files
--- a/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
+++ b/src/test/java/slateslip/loadbalancer/ValidatingLoadBalancerTest.java
@@ -13,14 +13,14 @@
 import slateslip.loadbalancer.LoadBalancer.Request;
 
 /**
- * Wrong use: an exception from the checked balancer; from the module alone the disregard that
- * README states.
+ * Tests invalid calls: the validating load balancer throws an exception, and the plain load
+ * balancer ignores the call, as the README states.
  */
 class ValidatingLoadBalancerTest {
   private static final double[] NO_LOAD = new double[0];
-  private final FakeHost host = new FakeHost(FakeHost.safe());
-  private final LoadBalancer checked =
-      new ValidatingLoadBalancer(FakeHost.safe(), 1, host.now, host);
+  private final FakeHost host = new FakeHost(FakeHost.safeSettings());
+  private final LoadBalancer validating =
+      new ValidatingLoadBalancer(FakeHost.safeSettings(), 1, host.now, host);
 
   private Request request(long id, int requestClass) {
     return new Request(id, requestClass, 0, 0, 0, host.now + FakeHost.SECOND, false, false);
@@ -32,22 +32,22 @@
   }
 
   private static String message(
-      Class<? extends Exception> type, org.junit.jupiter.api.function.Executable wrong) {
-    return assertThrows(type, wrong).getMessage();
+      Class<? extends Exception> type, org.junit.jupiter.api.function.Executable invalidCall) {
+    return assertThrows(type, invalidCall).getMessage();
   }
 
   @Test
-  void rightUseIsHandedOn() {
-    listTwo(checked);
-    checked.request(host.now, request(5, 0));
+  void validCallsAreDelegated() {
+    listTwo(validating);
+    validating.request(host.now, request(5, 0));
     assertEquals(1, host.sends(5).size());
-    checked.outcome(host.now, 5, 0, host.target(5), Outcome.OK, 100, true, NO_LOAD);
-    checked.request(host.now, request(5, 0));
-    assertEquals(2, host.sends(5).size(), "an id may come again once its request has ended");
+    validating.outcome(host.now, 5, 0, host.target(5), Outcome.OK, 100, true, NO_LOAD);
+    validating.request(host.now, request(5, 0));
+    assertEquals(2, host.sends(5).size(), "an id may be reused after its request has ended");
   }
 
   @Test
-  void nullsAreNamed() {
+  void nullArgumentsAreNamedInTheException() {
     assertEquals(
         "settings",
         message(NullPointerException.class, () -> new ValidatingLoadBalancer(null, 1, 0, host)));
@@ -55,92 +55,98 @@
         "actions",
         message(
             NullPointerException.class,
-            () -> new ValidatingLoadBalancer(FakeHost.safe(), 1, 0, null)));
+            () -> new ValidatingLoadBalancer(FakeHost.safeSettings(), 1, 0, null)));
     assertEquals(
-        "request", message(NullPointerException.class, () -> checked.request(host.now, null)));
+        "request", message(NullPointerException.class, () -> validating.request(host.now, null)));
     assertEquals(
         "entries",
-        message(NullPointerException.class, () -> checked.servers(host.now, ListKind.FULL, null)));
+        message(
+            NullPointerException.class, () -> validating.servers(host.now, ListKind.FULL, null)));
     assertEquals(
         "an entry",
         message(
             NullPointerException.class,
-            () -> checked.servers(host.now, ListKind.FULL, Collections.singletonList(null))));
+            () -> validating.servers(host.now, ListKind.FULL, Collections.singletonList(null))));
     assertEquals(
         "kind",
-        message(NullPointerException.class, () -> checked.servers(host.now, null, List.of())));
+        message(NullPointerException.class, () -> validating.servers(host.now, null, List.of())));
     assertEquals(
         "outcome",
-        message(NullPointerException.class, () -> checked.probed(host.now, 1, null, 0, NO_LOAD)));
+        message(
+            NullPointerException.class, () -> validating.probed(host.now, 1, null, 0, NO_LOAD)));
     assertEquals(
         "load",
         message(
-            NullPointerException.class, () -> checked.probed(host.now, 1, Outcome.OK, 0, null)));
+            NullPointerException.class, () -> validating.probed(host.now, 1, Outcome.OK, 0, null)));
     assertEquals(
-        "message", message(NullPointerException.class, () -> checked.message(host.now, 1, null)));
+        "message",
+        message(NullPointerException.class, () -> validating.message(host.now, 1, null)));
   }
 
   @Test
-  void timeThatRunsBackwardsIsNamed() {
-    checked.timer(host.now + 10, 99);
+  void timeThatRunsBackwardsIsRejected() {
+    validating.timer(host.now + 10, 99);
     assertEquals(
         "time runs backwards: " + (host.now + 9) + " after " + (host.now + 10),
-        message(IllegalArgumentException.class, () -> checked.timer(host.now + 9, 99)));
+        message(IllegalArgumentException.class, () -> validating.timer(host.now + 9, 99)));
   }
 
   @Test
-  void idsUsedTwiceAndUnknownClassesAreNamed() {
-    checked.request(host.now, request(5, 0));
+  void duplicateIdsAndUnknownClassesAreRejected() {
+    validating.request(host.now, request(5, 0));
     assertEquals(
         "request 5 was reported before",
-        message(IllegalArgumentException.class, () -> checked.request(host.now, request(5, 0))));
-    assertThrows(IndexOutOfBoundsException.class, () -> checked.request(host.now, request(6, 1)));
+        message(IllegalArgumentException.class, () -> validating.request(host.now, request(5, 0))));
+    assertThrows(
+        IndexOutOfBoundsException.class, () -> validating.request(host.now, request(6, 1)));
   }
 
   @Test
   void unknownAndRepeatedOutcomesAreReported() {
-    listTwo(checked);
+    listTwo(validating);
     assertEquals(
         "request 4 is unknown or has ended",
         message(
             IllegalArgumentException.class,
-            () -> checked.outcome(host.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
-    checked.request(host.now, request(5, 0));
+            () -> validating.outcome(host.now, 4, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
+    validating.request(host.now, request(5, 0));
     assertThrows(
         IndexOutOfBoundsException.class,
-        () -> checked.outcome(host.now, 5, 1, 1, Outcome.OK, 1, true, NO_LOAD));
-    checked.outcome(host.now, 5, 0, host.target(5), Outcome.ERROR, 1, false, NO_LOAD);
+        () -> validating.outcome(host.now, 5, 1, 1, Outcome.OK, 1, true, NO_LOAD));
+    validating.outcome(host.now, 5, 0, host.target(5), Outcome.ERROR, 1, false, NO_LOAD);
     assertEquals(
         "attempt 0 of request 5 has ended",
         message(
             IllegalArgumentException.class,
-            () -> checked.outcome(host.now, 5, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
+            () -> validating.outcome(host.now, 5, 0, 1, Outcome.OK, 1, true, NO_LOAD)));
   }
 
   @Test
-  void anActionThatCallsBackIsNamed() {
+  void actionThatCallsTheLoadBalancerIsRejected() {
     LoadBalancer[] self = new LoadBalancer[1];
-    FakeHost rash =
-        new FakeHost(FakeHost.safe()) {
+    FakeHost reentrantHost =
+        new FakeHost(FakeHost.safeSettings()) {
           @Override
           public void send(long request, long server, long timeout) {
             self[0].timer(now, 1);
           }
         };
-    self[0] = new ValidatingLoadBalancer(FakeHost.safe(), 1, rash.now, rash);
+    self[0] =
+        new ValidatingLoadBalancer(FakeHost.safeSettings(), 1, reentrantHost.now, reentrantHost);
     listTwo(self[0]);
     assertEquals(
         "an action must not call the load balancer",
-        message(IllegalStateException.class, () -> self[0].request(rash.now, request(5, 0))));
+        message(
+            IllegalStateException.class, () -> self[0].request(reentrantHost.now, request(5, 0))));
   }
 
   @Test
-  void theModuleAloneDisregardsWhatItCannotPlace() {
+  void plainLoadBalancerIgnoresUnknownIds() {
     listTwo(host.balancer);
     long id = host.request();
     long server = host.target(id);
-    host.end(id, 0, Outcome.OK, 100);
-    List<FakeHost.Act> before = List.copyOf(host.acts);
+    host.complete(id, 0, Outcome.OK, 100);
+    List<FakeHost.RecordedAction> before = List.copyOf(host.actions);
     host.balancer.outcome(host.now, id, 0, server, Outcome.TIMEOUT, 100, false, NO_LOAD);
     host.balancer.outcome(host.now, 777, 0, server, Outcome.OK, 100, true, NO_LOAD);
     host.balancer.clientLeft(host.now, 777);
@@ -148,20 +154,20 @@
     host.balancer.probed(host.now, 777, Outcome.TIMEOUT, 1, NO_LOAD);
     host.balancer.timer(host.now, 777);
     host.balancer.message(host.now, 3, new byte[] {1});
-    assertEquals(before, host.acts);
+    assertEquals(before, host.actions);
   }
 
   @Test
-  void theModuleAloneBearsAClockThatStepsBack() {
+  void plainLoadBalancerToleratesClockThatStepsBack() {
     listTwo(host.balancer);
     host.serve(1000);
     host.now -= 30 * FakeHost.SECOND;
     for (int i = 0; i < 20; i++) {
       host.serve(1000);
     }
-    host.pass(60 * FakeHost.SECOND);
+    host.advance(60 * FakeHost.SECOND);
     host.serve(1000);
-    assertEquals(22, host.all("send").size());
-    assertTrue(Arrays.asList("refuse", "fail").stream().allMatch(w -> host.all(w).isEmpty()));
+    assertEquals(22, host.actions("send").size());
+    assertTrue(Arrays.asList("refuse", "fail").stream().allMatch(w -> host.actions(w).isEmpty()));
   }
 }
