--- a/src/test/java/slateslip/loadbalancer/example/Embedding.java
+++ b/src/test/java/slateslip/loadbalancer/example/Embedding.java
@@ -6,8 +6,8 @@
 import slateslip.loadbalancer.ValidatingLoadBalancer;
 
 /**
- * The README's example. What stands between the two marks is printed there, and a test holds them
- * equal.
+ * The example that the README shows. The README repeats the code between the two marker comments,
+ * and {@link EmbeddingTest} checks that both are equal.
  */
 final class Embedding implements LoadBalancer.Actions {
   final List<String> did = new ArrayList<>();
@@ -88,7 +88,7 @@
 
   @Override
   public void sendToPeers(int agent, byte[] message) {
-    did.add("tell " + agent);
+    did.add("sendToPeers " + agent);
   }
 
   @Override
--- a/src/test/java/slateslip/loadbalancer/example/EmbeddingTest.java
+++ b/src/test/java/slateslip/loadbalancer/example/EmbeddingTest.java
@@ -12,7 +12,7 @@
   private static final String BEGIN = "  // README begins\n";
 
   @Test
-  void theExampleSendsItsRequestToTheServerOfItsZone() {
+  void exampleSendsRequestToServerInLocalZone() {
     Embedding host = new Embedding();
     Embedding.run(host);
     assertEquals(
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void theReadmePrintsTheExampleAsItIsCompiledHere() throws IOException {
+  void readmeContainsTheCompiledExample() throws IOException {
     String source =
         Files.readString(Path.of("src/test/java/slateslip/loadbalancer/example/Embedding.java"));
     String block =
