--- a/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/ClientLoadTest.java
@@ -31,7 +31,7 @@
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
 
   @AfterEach
-  void end() {
+  void shutDownEventLoops() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void callsEndAsBackendDecides() throws Exception {
+  void callOutcomeFollowsBackendMode() throws Exception {
     try (BackendStandIns backends = new BackendStandIns(group, BackendStandIns.Options.atOnce())) {
       var backend = backends.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       var served = load(backend.address(), 50, KINDS);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void sameSeedMakesTheSameCallsAndTimes() {
+  void sameSeedGivesSameArrivalsAndServiceTimes() {
     Arrivals one = new Arrivals(5, 49);
     Arrivals other = new Arrivals(5, 49);
     long last = 0;
@@ -84,7 +84,8 @@
       last = one.next();
       assertEquals(last, other.next());
     }
-    assertEquals(10_000 / 49.0, last / 1e9, 10, "so many calls take about that long");
+    assertEquals(
+        10_000 / 49.0, last / 1e9, 10, "10,000 arrivals at 49 per second take about 204 s");
     Work work = new Work(4_000, 0.6);
     assertEquals(work.nanos(3, "/lookup?n=7"), work.nanos(3, "/lookup?n=7"));
     long[] times = new long[1001];
@@ -92,6 +93,6 @@
       times[i] = work.nanos(3, "/lookup?n=" + i);
     }
     Arrays.sort(times);
-    assertEquals(4e6, (double) times[500], 0.5e6, "the median");
+    assertEquals(4e6, (double) times[500], 0.5e6, "the median service time is about 4 ms");
   }
 }
--- a/src/test/java/slateslip/loadbalancer/scale/DiscoveryMeterTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DiscoveryMeterTest.java
@@ -12,7 +12,7 @@
   }
 
   @Test
-  void sumsGoOnOverAProcessThatDied() {
+  void sumsIncludeEndedProcess() {
     DiscoveryMeter meter = new DiscoveryMeter();
     meter.sample(0, calls(0), 0.5);
     meter.sample(SECOND, calls(7), 1);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void thePeakIsOfTheWorstSecond() {
+  void peakIsTheBusiestSecond() {
     DiscoveryMeter meter = new DiscoveryMeter();
     long half = SECOND / 2;
     long[] calls = {0, 10, 110, 210, 215, 220};
--- a/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/DiscoveryStandInTest.java
@@ -30,17 +30,22 @@
 class DiscoveryStandInTest {
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final LinkedBlockingQueue<Long> has = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<Long> acknowledgedVersions = new LinkedBlockingQueue<>();
   private final DiscoveryStandIn discovery =
       new DiscoveryStandIn(
           group,
           new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
           new DiscoveryStandIn.Options(
-              7, 3, null, List.of(), false, (agent, version, at) -> has.add(version)));
+              7,
+              3,
+              null,
+              List.of(),
+              false,
+              (agent, version, at) -> acknowledgedVersions.add(version)));
   private final HttpClient client = HttpClient.newHttpClient();
 
   @AfterEach
-  void end() {
+  void shutDown() {
     discovery.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
@@ -49,11 +54,11 @@
     return new ServerEntry(name, "127.0.0.1:3000", "a", "small", 0, status, 1, 0);
   }
 
-  private void assertNotified(String notified, String query) {
-    assertEquals(notified, notified(ask(query).join()));
+  private void assertResponse(String expected, String query) {
+    assertEquals(expected, describe(getServers(query).join()));
   }
 
-  private CompletableFuture<JsonNode> ask(String query) {
+  private CompletableFuture<JsonNode> getServers(String query) {
     var at =
         URI.create("http://127.0.0.1:" + discovery.address().getPort() + "/v1/servers" + query);
     return client
@@ -61,45 +66,48 @@
         .thenApply(response -> Json.read(response.body()));
   }
 
-  private static String notified(JsonNode list) {
-    StringBuilder notified =
+  private static String describe(JsonNode list) {
+    StringBuilder description =
         new StringBuilder(list.get("index").asText())
-            .append(list.get("snapshot").asBoolean() ? " whole" : " changes");
+            .append(list.get("snapshot").asBoolean() ? " snapshot" : " delta");
     list.get("endpoints")
         .forEach(
             each ->
-                notified
+                description
                     .append(' ')
                     .append(each.get("name").asText())
                     .append('=')
                     .append(each.get("status").asText()));
-    return notified.toString();
+    return description.toString();
   }
 
   @Test
-  void tellsWhatChangedSinceAVersionOrTheWholeList() {
+  void responseIsDeltaSinceVersionOrSnapshot() {
     discovery.replace(List.of(entry("a", Status.READY), entry("b", Status.READY)));
     discovery.change(List.of(entry("a", Status.TERMINATING)));
     discovery.change(List.of(entry("a", Status.GONE), entry("c", Status.READY)));
 
-    assertNotified("10 whole b=Ready c=Ready", "");
-    assertNotified("10 changes a=Gone c=Ready", "?since=8&timeout_ms=1000");
-    assertNotified("10 whole b=Ready c=Ready", "?since=7&timeout_ms=1000"); // before the log
-    assertNotified("10 whole b=Ready c=Ready", "?since=11&timeout_ms=1000"); // not yet there
-    assertNotified("10 changes", "?since=10&timeout_ms=1");
+    assertResponse("10 snapshot b=Ready c=Ready", "");
+    assertResponse("10 delta a=Gone c=Ready", "?since=8&timeout_ms=1000");
+    // Version 7 is older than the change log.
+    assertResponse("10 snapshot b=Ready c=Ready", "?since=7&timeout_ms=1000");
+    // Version 11 does not exist yet.
+    assertResponse("10 snapshot b=Ready c=Ready", "?since=11&timeout_ms=1000");
+    assertResponse("10 delta", "?since=10&timeout_ms=1");
     discovery.change(List.of(entry("b", Status.GONE)));
-    assertNotified("11 whole c=Ready", "?since=8&timeout_ms=1000"); // no longer in the bounded log
-    assertNotified("11 changes a=Gone c=Ready b=Gone", "?since=9&timeout_ms=1");
+    // Version 8 is no longer in the bounded change log.
+    assertResponse("11 snapshot c=Ready", "?since=8&timeout_ms=1000");
+    assertResponse("11 delta a=Gone c=Ready b=Gone", "?since=9&timeout_ms=1");
   }
 
   @Test
   void watchWaitsForUpdateAndAcknowledgesIt() throws Exception {
-    var watch = ask("?since=7&timeout_ms=60000");
-    assertEquals(7, has.take());
+    var watch = getServers("?since=7&timeout_ms=60000");
+    assertEquals(7, acknowledgedVersions.take());
     assertEquals(8, discovery.change(List.of(entry("a", Status.READY), entry("b", Status.READY))));
-    assertEquals("8 changes a=Ready b=Ready", notified(watch.join()));
-    ask("?since=8&timeout_ms=1").join();
-    assertEquals(8, has.take());
+    assertEquals("8 delta a=Ready b=Ready", describe(watch.join()));
+    getServers("?since=8&timeout_ms=1").join();
+    assertEquals(8, acknowledgedVersions.take());
     var counts = discovery.counts();
     assertEquals(
         List.of(2L, 0L, 0L, 1L, 1L, 0L),
@@ -119,33 +127,37 @@
 
   @Test
   void crashResetsWatchesAndKeepsVersion() throws Exception {
-    var watch = ask("?since=7&timeout_ms=60000");
-    has.take();
+    var watch = getServers("?since=7&timeout_ms=60000");
+    acknowledgedVersions.take();
     discovery.down();
     assertThrows(RuntimeException.class, watch::join);
-    var connect = assertThrows(RuntimeException.class, () -> ask("").join());
-    assertTrue(connect.getCause() instanceof IOException, () -> "refused: " + connect);
+    var connect = assertThrows(RuntimeException.class, () -> getServers("").join());
+    assertTrue(
+        connect.getCause() instanceof IOException,
+        () -> "expected a refused connection: " + connect);
     discovery.up();
     discovery.restore(40, List.of(entry("a", Status.READY)));
-    assertNotified("40 whole a=Ready", "?since=7&timeout_ms=60000");
-    assertNotified("40 changes", "?since=40&timeout_ms=1");
+    assertResponse("40 snapshot a=Ready", "?since=7&timeout_ms=60000");
+    assertResponse("40 delta", "?since=40&timeout_ms=1");
   }
 
   @Test
   void disconnectedIsUnresponsiveUntilReset() throws Exception {
-    // A plain socket: the library's client would ask again by itself after the reset.
+    // A plain socket, because HttpClient would resend the request by itself after the reset.
     try (Socket watch =
         new Socket(InetAddress.getLoopbackAddress(), discovery.address().getPort())) {
       String call = "GET /v1/servers?since=7&timeout_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n";
       watch.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
-      has.take();
+      acknowledgedVersions.take();
       discovery.disconnect();
       discovery.change(List.of(entry("a", Status.READY)));
       discovery.reachable();
       assertThrows(
-          IOException.class, () -> watch.getInputStream().read(), "no byte before the reset");
+          IOException.class,
+          () -> watch.getInputStream().read(),
+          "the connection is reset before any byte of a response");
     }
-    assertNotified("8 changes a=Ready", "?since=7&timeout_ms=60000");
+    assertResponse("8 delta a=Ready", "?since=7&timeout_ms=60000");
   }
 
   @Test
--- a/src/test/java/slateslip/loadbalancer/scale/ExperimentFileTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/ExperimentFileTest.java
@@ -30,19 +30,19 @@
         "[] | f: no JSON object",
         "{'experiment' | f: not JSON"
       })
-  void aBadFileGetsALineThatNamesTheKeyAtFault(String text, String complaint) {
+  void invalidFileIsRejectedWithOneLineThatNamesTheKey(String text, String expected) {
     var bad =
         assertThrows(
             BadExperiment.class,
             () ->
                 RunCommand.read(
                     Keys.of("f", text.replace("'is'", "'experiment'").replace('\'', '"')), "run"));
-    assertTrue(bad.getMessage().startsWith(complaint), bad::getMessage);
+    assertTrue(bad.getMessage().startsWith(expected), bad::getMessage);
     assertEquals(1, bad.getMessage().lines().count());
   }
 
   @Test
-  void theExamplesAreGoodAndNotPlayedByTheWrongCommand() throws Exception {
+  void examplesAreValidAndRejectedByOtherCommands() throws Exception {
     try (var files = Files.list(Path.of("src/scale/experiments"))) {
       List<Path> examples = files.filter(each -> !each.endsWith("agent.json")).toList();
       assertTrue(examples.size() >= 3);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aLineIsFittedWithTheLeastSquares() {
+  void leastSquaresFitsLine() {
     LeastSquares exact = LeastSquares.of(new double[] {1, 10, 100}, new double[] {5, 23, 203});
     assertEquals(3, exact.at(), 1e-9);
     assertEquals(2, exact.slope(), 1e-9);
--- a/src/test/java/slateslip/loadbalancer/scale/FleetOutcomeTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/FleetOutcomeTest.java
@@ -9,13 +9,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A check that cannot fail is a defect: each verdict is shown a result on which it has to. */
+/**
+ * Checks that each verdict of a fleet run can fail: each gets a result on which it has to complain.
+ */
 class FleetOutcomeTest {
   private static final FleetOutcome GOOD =
       new FleetOutcome(
           40, 40, 1_000, 0, 0, 0, 400, 400, 2, 2, 1_000, 0, 0, 0, 10, true, 5, 100, 42, 42);
 
-  /** A value that is wrong, and the words that have to be said of it. */
+  /** For each field, a value that has to fail its verdict, and the expected complaint. */
   private static final Map<String, Map.Entry<Integer, String>> BAD =
       Map.ofEntries(
           Map.entry("hollowAgree", Map.entry(39, "the last list is at 39 of 40 hollow agents")),
@@ -35,26 +37,26 @@
           Map.entry("settingsAgree", Map.entry(41, "settings is at 41 of 42 agents")));
 
   @Test
-  void eachVerdictFailsOnWhatItIsFor() {
+  void eachVerdictFailsOnItsOwnFault() {
     assertEquals(List.of(), GOOD.complaints());
     BAD.forEach(
         (name, bad) -> {
-          ObjectNode made = Json.MAPPER.valueToTree(GOOD);
-          assertTrue(made.has(name), name);
-          List<String> wrong = of(made.put(name, bad.getKey())).complaints();
+          ObjectNode result = Json.MAPPER.valueToTree(GOOD);
+          assertTrue(result.has(name), name);
+          List<String> wrong = of(result.put(name, bad.getKey())).complaints();
           assertEquals(1, wrong.size(), name + " " + wrong);
           assertTrue(wrong.get(0).contains(bad.getValue()), wrong.get(0));
         });
   }
 
   @Test
-  void aRunWithoutAnyChangeShowsNothing() {
-    ObjectNode made = Json.MAPPER.valueToTree(GOOD);
-    made.put("changes", 0).put("settingsSent", 0);
-    assertEquals(List.of("discovery told no change: nothing was shown"), of(made).complaints());
+  void runWithoutAnyChangeFails() {
+    ObjectNode result = Json.MAPPER.valueToTree(GOOD);
+    result.put("changes", 0).put("settingsSent", 0);
+    assertEquals(List.of("discovery told no change: nothing was shown"), of(result).complaints());
   }
 
-  private static FleetOutcome of(JsonNode made) {
-    return Json.MAPPER.convertValue(made, FleetOutcome.class);
+  private static FleetOutcome of(JsonNode result) {
+    return Json.MAPPER.convertValue(result, FleetOutcome.class);
   }
 }
--- a/src/test/java/slateslip/loadbalancer/scale/FleetPlanTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/FleetPlanTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class FleetPlanTest {
-  private static String fault(String keys) {
+  private static String errorMessage(String keys) {
     return assertThrows(
             BadExperiment.class,
             () -> {
@@ -21,17 +21,19 @@
   }
 
   @Test
-  void aBadPlanNamesTheKeyAtFault() {
-    assertTrue(fault("\"events\":\"kill\",\"hollows\":1").startsWith("file: hollows "));
-    assertTrue(fault("\"events\":\"earthquake\"").startsWith("file: events knows"));
+  void invalidPlanIsRejectedWithTheKey() {
+    assertTrue(errorMessage("\"events\":\"kill\",\"hollows\":1").startsWith("file: hollows "));
+    assertTrue(errorMessage("\"events\":\"earthquake\"").startsWith("file: events knows"));
     assertTrue(
-        fault("\"events\":\"kill\",\"hollow\":0,\"real\":0").startsWith("file: hollow and real "));
+        errorMessage("\"events\":\"kill\",\"hollow\":0,\"real\":0")
+            .startsWith("file: hollow and real "));
     assertTrue(
-        fault("\"events\":\"kill\",\"servers\":5").startsWith("file: servers is less than zones"));
+        errorMessage("\"events\":\"kill\",\"servers\":5")
+            .startsWith("file: servers is less than zones"));
   }
 
   @Test
-  void ordinaryChangesNeverLeadBackToAnEarlierList() {
+  void routineChangesNeverLeadBackToEarlierList() {
     FleetServers servers = new FleetServers(FleetServers.made(4, 2));
     List<Long> seen =
         Stream.iterate(1_000L, now -> now + 1)
--- a/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/HollowAgentTest.java
@@ -18,7 +18,7 @@
 import slateslip.loadbalancer.net.AgentConfig;
 import slateslip.loadbalancer.net.Discovery.ListedEndpoint;
 
-/** One hollow agent on a clock that only the test moves. */
+/** Tests one hollow agent with a clock that only the test advances. */
 class HollowAgentTest {
   private static final long RESPONSE_MICROS = 3_000;
   private static final int LOOKUP = 0;
@@ -47,8 +47,8 @@
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
   }
 
-  private void pass(long some) {
-    for (long left = some; left > 0; left -= 1_000) {
+  private void advance(long duration) {
+    for (long remaining = duration; remaining > 0; remaining -= 1_000) {
       micros += 1_000;
       clock.advanceTimeBy(1, TimeUnit.MILLISECONDS);
       clock.runScheduledPendingTasks();
@@ -56,48 +56,48 @@
   }
 
   @Test
-  void servesResponsesOfServers() {
+  void requestIsServedByServer() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
     agent.request(LOOKUP);
     assertEquals(1, agent.open());
-    pass(10_000);
+    advance(10_000);
     assertEquals(1, agent.counts().served);
     assertEquals(0, agent.open());
   }
 
   @Test
-  void aSendThatItWasNotToldToStopIsCountedByTheTruth() {
+  void sendAfterUnannouncedDrainIsCountedAsLate() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
     truth.drainStartedAt(1, micros, false);
-    pass(6_400_000); // the limit for telling, and less than the grace
+    advance(6_400_000); // 6 s until the drain counts as announced, plus less than the drain grace
     agent.request(LOOKUP);
     assertEquals(0, agent.counts().lateAfterMade);
-    pass(200_000);
+    advance(200_000);
     agent.request(LOOKUP);
     assertEquals(1, agent.counts().lateAfterMade);
     assertEquals(0, agent.counts().lateAfterNotified);
   }
 
   @Test
-  void nothingIsSentToAServerThatDrains() {
+  void nothingIsSentToDrainingServer() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY), server(2, Phase.READY)));
     agent.list(ListKind.DELTA, List.of(server(1, Phase.DRAINING)));
     truth.drainStartedAt(1, micros, true);
-    pass(7_000_000);
+    advance(7_000_000);
     for (int i = 0; i < 100; i++) {
       agent.request(LOOKUP);
-      pass(5_000);
+      advance(5_000);
     }
     assertEquals(100, agent.counts().served);
     assertEquals(0, agent.counts().lateAfterNotified + agent.counts().lateAfterMade);
   }
 
   @Test
-  void aRequestThatNobodyListensForIsAnsweredAndNotLost() {
+  void requestToRemovedServerGetsFinalResponse() {
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
     truth.drainStartedAt(1, micros, true);
     agent.request(LOOKUP);
-    pass(9_000_000);
+    advance(9_000_000);
     HollowCounts counts = agent.counts();
     assertEquals(1, counts.refused + counts.failed);
     assertEquals(0, counts.lost + counts.served);
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void settingsOfAnOlderVersionAreNotTakenOver() {
+  void settingsOfSameOrOlderVersionAreIgnored() {
     AgentConfig other = AgentConfig.read(Path.of("src/test/resources/config.json"));
     assertTrue(agent.settings(5, other));
     assertFalse(agent.settings(5, other));
@@ -113,12 +113,12 @@
     assertTrue(agent.settings(7, other));
     agent.list(ListKind.FULL, List.of(server(1, Phase.READY)));
     agent.request(LOOKUP);
-    pass(10_000);
+    advance(10_000);
     assertEquals(1, agent.counts().served);
   }
 
   @Test
-  void theFingerprintIsTheListsHoweverItCame() {
+  void fingerprintDependsOnlyOnTheList() {
     agent.list(
         ListKind.FULL,
         List.of(server(1, Phase.READY), server(2, Phase.READY), server(3, Phase.READY)));
--- a/src/test/java/slateslip/loadbalancer/scale/LikenessExperimentTest.java
+++ b/src/test/java/slateslip/loadbalancer/scale/LikenessExperimentTest.java
@@ -7,7 +7,7 @@
 
 class LikenessExperimentTest {
   @Test
-  void alikeIsWithinATenthOfTheRealOnes() {
+  void valuesWithinATenthOfTheRealValueAreAlike() {
     assertTrue(LikenessExperiment.alike(100, 90));
     assertTrue(LikenessExperiment.alike(0, 0));
     assertFalse(LikenessExperiment.alike(100, 89.9));
