--- a/src/main/java/slateslip/configuration/RoutingTable.java
+++ b/src/main/java/slateslip/configuration/RoutingTable.java
@@ -100,7 +100,7 @@
    * Returns whether requests to routes that are not public need an API key, which is so if there
    * are tenants.
    */
-  public boolean needsKeys() {
+  public boolean requiresKeys() {
     return !configuration.tenants().isEmpty();
   }
 }
--- a/src/main/java/slateslip/controlplane/agent/AgentSettings.java
+++ b/src/main/java/slateslip/controlplane/agent/AgentSettings.java
@@ -11,7 +11,7 @@
  * @param bootstrap whether the complete system starts for the first time
  * @param faultTolerance number of machines that may fail at the same time
  * @param heartbeatMillis interval between two heartbeats of a backend, in milliseconds
- * @param leasedKeys whether data planes accept API keys only while they hold a lease, which
+ * @param keyLeaseRequired whether data planes accept API keys only while they hold a lease, which
  *     requires a confirmed configuration version
  * @param quotaWindowMicros length of the window in which quotas are counted, in microseconds
  */
@@ -22,5 +22,5 @@
     boolean bootstrap,
     int faultTolerance,
     long heartbeatMillis,
-    boolean leasedKeys,
+    boolean keyLeaseRequired,
     long quotaWindowMicros) {}
--- a/src/main/java/slateslip/controlplane/agent/ControlAgent.java
+++ b/src/main/java/slateslip/controlplane/agent/ControlAgent.java
@@ -209,7 +209,7 @@
         replica.role().epoch(),
         replica.role().primary().toString(),
         replica.isServing(),
-        replica.hearsPrimary() && reachesMajority(),
+        replica.isPrimaryReachable() && reachesMajority(),
         state.version(),
         sessionTable.sessions().size(),
         sessionTable.isComplete(),
@@ -261,7 +261,7 @@
    * and therefore needs no lease.
    */
   private boolean hasLeasedKeys() {
-    return settings.leasedKeys()
+    return settings.keyLeaseRequired()
         && state.document().filter(ConfigurationDocument::hasTenants).isPresent();
   }
 
@@ -285,7 +285,7 @@
     Set<String> agents =
         new LinkedHashSet<>(links.reachability().reachablePeers(scheduler.nowMicros()));
     agents.add(settings.address());
-    boolean current = replica.hearsPrimary() && reachesMajority();
+    boolean current = replica.isPrimaryReachable() && reachesMajority();
     if (!current) {
       agents.addAll(witnessAddresses());
     }
--- a/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
+++ b/src/main/java/slateslip/controlplane/agent/DataPlaneSubscriptions.java
@@ -29,7 +29,7 @@
   private final SessionTable sessions;
   private final Supplier<ControlPlaneMessage.Heartbeat> heartbeat;
   private final Listener listener;
-  private final BooleanSupplier leasedKeys;
+  private final BooleanSupplier keyLeaseRequired;
   private final Consumer<LongConsumer> versionConfirmation;
 
   /** Receives notifications about the messages of data planes. */
@@ -49,13 +49,13 @@
       SessionTable sessions,
       Supplier<ControlPlaneMessage.Heartbeat> heartbeat,
       Listener listener,
-      BooleanSupplier leasedKeys,
+      BooleanSupplier keyLeaseRequired,
       Consumer<LongConsumer> versionConfirmation) {
     this.configurations = configurations;
     this.sessions = sessions;
     this.heartbeat = heartbeat;
     this.listener = listener;
-    this.leasedKeys = leasedKeys;
+    this.keyLeaseRequired = keyLeaseRequired;
     this.versionConfirmation = versionConfirmation;
   }
 
@@ -76,7 +76,7 @@
   }
 
   private void respond(DataPlaneStream stream, DataPlaneMessage.Ping ping) {
-    if (leasedKeys.getAsBoolean()) {
+    if (keyLeaseRequired.getAsBoolean()) {
       versionConfirmation.accept(version -> sendConfirmedPong(stream, ping, version));
     } else {
       send(stream, new ControlPlaneMessage.Pong(ping.nonce()));
--- a/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
+++ b/src/main/java/slateslip/controlplane/agent/ReplicaHost.java
@@ -114,7 +114,7 @@
    * Returns whether this node is the primary or has recently received a message of the newest
    * view's primary.
    */
-  boolean hearsPrimary() {
+  boolean isPrimaryReachable() {
     return replica.isPrimaryReachable();
   }
 
--- a/src/main/java/slateslip/dataplane/DataPlane.java
+++ b/src/main/java/slateslip/dataplane/DataPlane.java
@@ -221,7 +221,7 @@
   private void configure(FleetConfiguration configuration) {
     ingress.apply(configuration.limits());
     RoutingTable table = new RoutingTable(configuration);
-    keysRequired = table.needsKeys();
+    keysRequired = table.requiresKeys();
     forwarder.tableChanged(table);
     LogContext.version(configuration.version());
     LOG.infof("configuration %d in force", configuration.version());
--- a/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
+++ b/src/main/java/slateslip/dataplane/forwarding/Forwarder.java
@@ -130,7 +130,7 @@
         forwarded.stats.ended(RequestOutcome.TIMED_OUT);
         forwarded.exchange.respond(HttpResponseStatus.GATEWAY_TIMEOUT, 0);
       }
-      driver.feed(new RouterInput.ClientGone(forwarded.id)); // cancels the attempts
+      driver.feed(new RouterInput.ClientDisconnected(forwarded.id)); // cancels the attempts
       removeIfDone(forwarded);
     }
   }
@@ -162,7 +162,7 @@
     metrics.wakeUps.attribute(WakeUpCause.CLIENT);
     metrics.clientsGone++;
     forwarded.stats.ended(RequestOutcome.CLIENT_GONE);
-    driver.feed(new RouterInput.ClientGone(forwarded.id));
+    driver.feed(new RouterInput.ClientDisconnected(forwarded.id));
     removeIfDone(forwarded);
   }
 
--- a/src/main/java/slateslip/distribution/QuotaReport.java
+++ b/src/main/java/slateslip/distribution/QuotaReport.java
@@ -27,7 +27,7 @@
   public static final long COUNTS_ONLY = Long.MIN_VALUE;
 
   /** A report without tenants, from a data plane that follows no allocator yet. */
-  public static final QuotaReport NOTHING = new QuotaReport(0, 0, 0, 0, 0, false, List.of());
+  public static final QuotaReport EMPTY = new QuotaReport(0, 0, 0, 0, 0, false, List.of());
 
   /** Creates a report as data planes of earlier versions send it. */
   public static QuotaReport countsOnly(List<TenantDemand> tenants) {
--- a/src/main/java/slateslip/experiment/policy/PolicyRouter.java
+++ b/src/main/java/slateslip/experiment/policy/PolicyRouter.java
@@ -59,7 +59,7 @@
       updateBackends();
     } else if (input instanceof RouterInput.RequestArrived arrived) {
       requestArrived(nowMicros, arrived);
-    } else if (input instanceof RouterInput.ClientGone gone) {
+    } else if (input instanceof RouterInput.ClientDisconnected gone) {
       clientGone(gone.request());
     } else if (input instanceof RouterInput.AttemptStarted started) {
       attemptStarted(started);
@@ -73,7 +73,7 @@
 
   @Override
   public QuotaReport quotaReport(long nowMicros) {
-    return QuotaReport.NOTHING;
+    return QuotaReport.EMPTY;
   }
 
   private void updateBackends() {
--- a/src/main/java/slateslip/routing/Admission.java
+++ b/src/main/java/slateslip/routing/Admission.java
@@ -55,7 +55,7 @@
     if (route.isEmpty()) {
       return refused(arrived, 404, 0);
     }
-    boolean needsKey = table.needsKeys() && !route.get().isPublic();
+    boolean needsKey = table.requiresKeys() && !route.get().isPublic();
     if (needsKey && !keyLease.isHeld(nowMicros)) {
       return refused(arrived, 503, retryMicros);
     }
@@ -98,7 +98,7 @@
    */
   static boolean isStillAllowed(RoutingTable table, Route route, PendingRequest request) {
     if (request.tenant == null) {
-      return route.isPublic() || !table.needsKeys();
+      return route.isPublic() || !table.requiresKeys();
     }
     Tenant currentTenant = tenant(table, request.attributes);
     return currentTenant != null && currentTenant.name().equals(request.tenant.name());
--- a/src/main/java/slateslip/routing/Dispatcher.java
+++ b/src/main/java/slateslip/routing/Dispatcher.java
@@ -216,7 +216,7 @@
     if (route.isEmpty() || !Admission.isStillAllowed(table, route.get(), request)) {
       return false;
     }
-    if (!route.get().isPublic() && table.needsKeys() && !keyLease.isHeld(nowMicros)) {
+    if (!route.get().isPublic() && table.requiresKeys() && !keyLease.isHeld(nowMicros)) {
       return false;
     }
     request.route = route.get();
--- a/src/main/java/slateslip/routing/FleetRouter.java
+++ b/src/main/java/slateslip/routing/FleetRouter.java
@@ -46,7 +46,7 @@
     retryAfterMicros = policy.micros(RoutingParameter.RETRY_AFTER_MILLIS);
     overdueMicros = policy.micros(RoutingParameter.OVERDUE_MILLIS);
     this.backends = new BackendTable(settings.policy());
-    this.keyLease = settings.leasedKeys() ? KeyLease.required() : KeyLease.notRequired();
+    this.keyLease = settings.keyLeaseRequired() ? KeyLease.required() : KeyLease.notRequired();
   }
 
   /**
@@ -92,7 +92,7 @@
 
   @Override
   public QuotaReport quotaReport(long nowMicros) {
-    return quotas == null ? QuotaReport.NOTHING : quotas.report(nowMicros);
+    return quotas == null ? QuotaReport.EMPTY : quotas.report(nowMicros);
   }
 
   /**
@@ -130,7 +130,7 @@
       keyLease.extendTo(extended.untilMicros());
     } else if (input instanceof RouterInput.RequestArrived arrived) {
       requestArrived(now, arrived);
-    } else if (input instanceof RouterInput.ClientGone gone) {
+    } else if (input instanceof RouterInput.ClientDisconnected gone) {
       clientGone(gone.request());
     } else if (input instanceof RouterInput.AttemptStarted started) {
       attemptStarted(now, started);
--- a/src/main/java/slateslip/routing/RouterInput.java
+++ b/src/main/java/slateslip/routing/RouterInput.java
@@ -37,7 +37,7 @@
    * The client closed its connection before its response was complete; no response is needed any
    * more.
    */
-  record ClientGone(long request) implements RouterInput {}
+  record ClientDisconnected(long request) implements RouterInput {}
 
   /**
    * The first event of a stream, or the response head of another request, was forwarded to the
--- a/src/main/java/slateslip/routing/RouterSettings.java
+++ b/src/main/java/slateslip/routing/RouterSettings.java
@@ -12,7 +12,7 @@
  * @param retries bounds of the retry budgets
  * @param quotas bounds of the tenants' quotas
  * @param policy mechanisms that the router uses and the parameters of its decisions
- * @param leasedKeys whether requests with keys are served only while the key lease is held
+ * @param keyLeaseRequired whether requests with keys are served only while the key lease is held
  * @param heartbeatMicros interval between two heartbeats of a backend
  */
 public record RouterSettings(
@@ -21,7 +21,7 @@
     RetryBounds retries,
     QuotaBounds quotas,
     RoutingPolicy policy,
-    boolean leasedKeys,
+    boolean keyLeaseRequired,
     long heartbeatMicros) {
   /** Default interval between two heartbeats of a backend. */
   public static final long DEFAULT_HEARTBEAT_MICROS = 1_200_000;
@@ -33,6 +33,7 @@
 
   /** Returns these settings with another policy. */
   public RouterSettings withPolicy(RoutingPolicy other) {
-    return new RouterSettings(zone, seed, retries, quotas, other, leasedKeys, heartbeatMicros);
+    return new RouterSettings(
+        zone, seed, retries, quotas, other, keyLeaseRequired, heartbeatMicros);
   }
 }
--- a/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
+++ b/src/main/java/slateslip/simulation/dataplane/DataPlaneHost.java
@@ -142,7 +142,7 @@
           for (Exchange exchange : List.copyOf(exchanges.values())) {
             if (exchange.content == content && !exchange.finished) {
               exchange.finished = true;
-              feed(new RouterInput.ClientGone(exchange.id));
+              feed(new RouterInput.ClientDisconnected(exchange.id));
               removeIfDone(exchange);
             }
           }
--- a/src/scale/java/slateslip/scale/HollowDataPlane.java
+++ b/src/scale/java/slateslip/scale/HollowDataPlane.java
@@ -33,7 +33,7 @@
     periodic = new PeriodicTasks(loop, new WakeUpCounter());
     client =
         new SubscriptionClient(
-            loop, periodic, subscription, port, () -> QuotaReport.NOTHING, this::learnt);
+            loop, periodic, subscription, port, () -> QuotaReport.EMPTY, this::learnt);
   }
 
   void start() {
--- a/src/test/java/slateslip/dataplane/ClientsTest.java
+++ b/src/test/java/slateslip/dataplane/ClientsTest.java
@@ -215,7 +215,7 @@
     DataPlaneFixture.await(() -> backend.requests.size() == 1);
     socket.close();
     DataPlaneFixture.await(() -> backend.ended.size() == 1);
-    DataPlaneFixture.await(() -> fixture.router.hasReceived(RouterInput.ClientGone.class));
+    DataPlaneFixture.await(() -> fixture.router.hasReceived(RouterInput.ClientDisconnected.class));
     DataPlaneFixture.await(() -> fixture.router.outcomes().size() == 1);
     assertThat(fixture.router.outcomes(), contains(RouterInput.AttemptOutcome.Kind.CANCELLED));
     fixture.onLoop(() -> assertThat(fixture.forwarder.openRequests(), is(0)));
--- a/src/test/java/slateslip/dataplane/SequentialRouter.java
+++ b/src/test/java/slateslip/dataplane/SequentialRouter.java
@@ -58,7 +58,7 @@
       return backendLeft
           ? sendNextAttempt(idle.request(), RouterOutput.AFTER_LAST_EVENT)
           : List.of();
-    } else if (input instanceof RouterInput.ClientGone gone) {
+    } else if (input instanceof RouterInput.ClientDisconnected gone) {
       return List.of(
           new RouterOutput.CancelAttempt(gone.request(), attempts.get(gone.request()) - 1));
     } else if (input instanceof RouterInput.AttemptEnded ended) {
@@ -117,7 +117,7 @@
 
   @Override
   public QuotaReport quotaReport(long nowMicros) {
-    return QuotaReport.NOTHING;
+    return QuotaReport.EMPTY;
   }
 
   /** Returns the outcomes of all ended attempts in their order. */
--- a/src/test/java/slateslip/dataplane/forwarding/RouterDriverTest.java
+++ b/src/test/java/slateslip/dataplane/forwarding/RouterDriverTest.java
@@ -39,7 +39,7 @@
 
             @Override
             public QuotaReport quotaReport(long nowMicros) {
-              return QuotaReport.NOTHING;
+              return QuotaReport.EMPTY;
             }
           },
           channel.eventLoop(),
@@ -59,7 +59,7 @@
   private void execute(RouterOutput output) {
     executed.add(output);
     if (output instanceof RouterOutput.Probe) {
-      driver.feed(new RouterInput.ClientGone(1));
+      driver.feed(new RouterInput.ClientDisconnected(1));
     }
   }
 
@@ -87,7 +87,8 @@
         input -> input instanceof RouterInput.ShutdownStarted ? List.of(probe, end) : List.of();
     driver.feed(new RouterInput.ShutdownStarted());
     assertThat(executed, contains(probe, end));
-    assertThat(inputs, contains(new RouterInput.ShutdownStarted(), new RouterInput.ClientGone(1)));
+    assertThat(
+        inputs, contains(new RouterInput.ShutdownStarted(), new RouterInput.ClientDisconnected(1)));
   }
 
   @Test
@@ -113,7 +114,7 @@
   @Test
   void earlierWakeUpTimeDoesNotReplaceLaterOne() {
     requestWakeAt(500, new RouterInput.ShutdownStarted());
-    requestWakeAt(100, new RouterInput.ClientGone(1));
+    requestWakeAt(100, new RouterInput.ClientDisconnected(1));
     advanceTime(100);
     assertThat(wakeCount(), is(1L));
     advanceTime(400);
@@ -131,7 +132,7 @@
   @Test
   void replacedTimerIsCancelled() {
     requestWakeAt(500, new RouterInput.ShutdownStarted());
-    requestWakeAt(100, new RouterInput.ClientGone(1));
+    requestWakeAt(100, new RouterInput.ClientDisconnected(1));
     channel.advanceTimeBy(99, TimeUnit.MICROSECONDS);
     assertThat(channel.runScheduledPendingTasks(), is(1_000L)); // only the earlier wake-up is set
   }
--- a/src/test/java/slateslip/dataplane/subscription/KeyLeaseRenewalTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/KeyLeaseRenewalTest.java
@@ -30,7 +30,7 @@
 
   private void subscribe(long leaseMillis, String tenants) {
     subscription = new Subscription(identity, List.of(AGENT), leaseMillis);
-    feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
+    feed(new SubscriptionInput.Tick(QuotaReport.EMPTY));
     feed(new SubscriptionInput.Connected(AGENT));
     heartbeat(3);
     String document = "{\"version\":3,\"routes\":[],\"services\":[],\"tenants\":" + tenants + "}";
@@ -96,7 +96,7 @@
   void activeAgentIsPingedToo() {
     subscribe(LEASE_MILLIS, TENANTS);
     now += 600;
-    feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
+    feed(new SubscriptionInput.Tick(QuotaReport.EMPTY));
     assertThat(pings(), is(not(empty())));
   }
 
@@ -104,7 +104,7 @@
   void configurationWithoutTenantsCausesNoPingsAndNoLeases() {
     subscribe(LEASE_MILLIS, "[]");
     now += 600;
-    feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
+    feed(new SubscriptionInput.Tick(QuotaReport.EMPTY));
     receive(new ControlPlaneMessage.Pong(10_000));
     assertThat(pings(), is(empty()));
     assertThat(leases(), is(empty()));
@@ -114,7 +114,7 @@
   void activeAgentIsNotPingedInAFleetWithoutLeases() {
     subscribe(0, TENANTS);
     now += 600;
-    feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
+    feed(new SubscriptionInput.Tick(QuotaReport.EMPTY));
     assertThat(pings(), is(empty()));
   }
 }
--- a/src/test/java/slateslip/dataplane/subscription/QuotaReportingTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/QuotaReportingTest.java
@@ -22,7 +22,7 @@
   private final DataPlaneIdentity identity = new DataPlaneIdentity("edge-1", 7, "z1", "10.1.0.3");
   private final Subscription subscription = new Subscription(identity, List.of(NEAR, FAR));
   private final List<SubscriptionOutput> outputs = new ArrayList<>();
-  private QuotaReport report = QuotaReport.NOTHING;
+  private QuotaReport report = QuotaReport.EMPTY;
   private long now = 1_000;
 
   @BeforeEach
--- a/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
+++ b/src/test/java/slateslip/dataplane/subscription/SubscriptionTest.java
@@ -43,7 +43,7 @@
   }
 
   private void tick() {
-    feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
+    feed(new SubscriptionInput.Tick(QuotaReport.EMPTY));
   }
 
   /** Advances the time in ticks; the given heartbeats are received before each tick. */
--- a/src/test/java/slateslip/routing/KeyLeaseTest.java
+++ b/src/test/java/slateslip/routing/KeyLeaseTest.java
@@ -22,7 +22,7 @@
   private FleetRouter router;
   private long requests;
 
-  private void start(boolean leasedKeys) {
+  private void start(boolean keyLeaseRequired) {
     router =
         new FleetRouter(
             new RouterSettings(
@@ -31,7 +31,7 @@
                 RetryBounds.DEFAULT,
                 QuotaBounds.DEFAULT,
                 RoutingPolicy.DEFAULT,
-                leasedKeys,
+                keyLeaseRequired,
                 RouterSettings.DEFAULT_HEARTBEAT_MICROS));
     router.handle(0, new RouterInput.TableChanged(Fixtures.table()));
     router.handle(
--- a/src/test/java/slateslip/routing/QuotaAdmissionTest.java
+++ b/src/test/java/slateslip/routing/QuotaAdmissionTest.java
@@ -131,7 +131,7 @@
   void requestOfADisconnectedClientStopsWaiting() {
     allocate(0, false);
     long request = request("/i/x");
-    feed(new RouterInput.ClientGone(request));
+    feed(new RouterInput.ClientDisconnected(request));
     assertThat(router.quotaReport(now).waiting(), is(false));
     allocate(1, false);
     assertAttemptsSent(0);
--- a/src/test/java/slateslip/routing/RandomHost.java
+++ b/src/test/java/slateslip/routing/RandomHost.java
@@ -140,7 +140,7 @@
             : List.of();
     feed(new RouterInput.RequestArrived(id, Fixtures.attributes(path, Fixtures.KEY, prompt)));
     if (random.nextInt(50) == 0) {
-      schedule(random.nextInt(300_000), new RouterInput.ClientGone(id));
+      schedule(random.nextInt(300_000), new RouterInput.ClientDisconnected(id));
     }
   }
 
@@ -169,7 +169,7 @@
         return;
       }
       tracked.started = true;
-    } else if (input instanceof RouterInput.ClientGone gone) {
+    } else if (input instanceof RouterInput.ClientDisconnected gone) {
       TrackedRequest tracked = requests.get(gone.request());
       if (tracked.finalResponses > 0) {
         return;
--- a/src/test/java/slateslip/simulation/ToleratedLosses.java
+++ b/src/test/java/slateslip/simulation/ToleratedLosses.java
@@ -24,7 +24,7 @@
   }
 
   /** Records that a machine has a fault until a time in microseconds. */
-  public void troubled(Object machine, long untilMicros) {
+  public void markFaulty(Object machine, long untilMicros) {
     lostUntil.merge(machine, untilMicros + STABLE_MICROS, Math::max);
   }
 
@@ -39,7 +39,7 @@
    */
   public void wiped(Object machine, long startsAtMicros) {
     wiped.add(machine);
-    troubled(machine, startsAtMicros);
+    markFaulty(machine, startsAtMicros);
   }
 
   /**
--- a/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
+++ b/src/test/java/slateslip/simulation/agents/AgentFaultInjector.java
@@ -92,7 +92,7 @@
   }
 
   private void recordFault(ControlMachine machine, long micros) {
-    world.losses().troubled(machine, now() + micros);
+    world.losses().markFaulty(machine, now() + micros);
   }
 
   // ---- processes ----
--- a/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
+++ b/src/test/java/slateslip/simulation/agents/DataPlaneMachine.java
@@ -148,7 +148,7 @@
     if (mutation.keepsDeadStreams()) {
       sockets.keySet().stream().toList().forEach(this::repeatNewestHeartbeat);
     }
-    feed(new SubscriptionInput.Tick(QuotaReport.NOTHING));
+    feed(new SubscriptionInput.Tick(QuotaReport.EMPTY));
   }
 
   private void repeatNewestHeartbeat(String agent) {
--- a/src/test/java/slateslip/simulation/control/FaultInjector.java
+++ b/src/test/java/slateslip/simulation/control/FaultInjector.java
@@ -60,7 +60,7 @@
   }
 
   private void injectLasting(Fault fault, SimulatedNode node) {
-    world.losses().troubled(node, world.events().nowMicros() + fault.durationMicros());
+    world.losses().markFaulty(node, world.events().nowMicros() + fault.durationMicros());
     switch (fault.kind()) {
       case SLOW_LINKS -> {
         world.network().slow(node.address(), SLOW_LINK_DELAY_MICROS);
@@ -97,7 +97,7 @@
     List<NodeAddress> right = new ArrayList<>();
     for (SimulatedNode node : world.nodes()) {
       (random.nextBoolean() ? left : right).add(node.address());
-      world.losses().troubled(node, world.events().nowMicros() + fault.durationMicros());
+      world.losses().markFaulty(node, world.events().nowMicros() + fault.durationMicros());
     }
     left.forEach(
         one -> right.forEach(other -> partitionBothWays(one, other, fault.durationMicros())));
@@ -164,7 +164,7 @@
   }
 
   private void restartIn(SimulatedNode node, long micros) {
-    world.losses().troubled(node, world.events().nowMicros() + micros);
+    world.losses().markFaulty(node, world.events().nowMicros() + micros);
     schedule(micros, () -> world.restart(node));
   }
 
@@ -188,7 +188,7 @@
 
   private void freeze(SimulatedNode node, long micros) {
     node.freeze();
-    world.losses().troubled(node, world.events().nowMicros() + micros);
+    world.losses().markFaulty(node, world.events().nowMicros() + micros);
     schedule(micros, node::thaw);
   }
 
